--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -123,7 +123,7 @@
         }
     };
     if !repeat.is_repeatable()
-        && let Err(_nothing_sent) = conn.settle(SETTLE).await
+        && let Err(_nothing_sent) = conn.wait_for_early_close(SETTLE).await
     {
         lease.close(Outcome::Unreachable);
         return Err(not_run(Cause::Connect));
--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -138,7 +138,7 @@
     /// Waits for `wait` to see whether the other end drops the connection at once, as an endpoint over
     /// its limit does right after it accepted one. What would have been sent is then known not to have
     /// arrived.
-    pub async fn settle(&self, wait: Duration) -> Result<(), Error> {
+    pub async fn wait_for_early_close(&self, wait: Duration) -> Result<(), Error> {
         Timer::after(wait).await;
         if self.sender.is_closed() { Err(Error::NotSent) } else { Ok(()) }
     }
