--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -230,7 +230,7 @@
     }
 
     /// Closes the idle connections to `addr`, after one of them was found to be silent.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.lock().remove(&addr);
     }
 
--- a/crates/curranthook_http/src/exchange.rs
+++ b/crates/curranthook_http/src/exchange.rs
@@ -137,7 +137,7 @@
         done.unwrap_or_else(|timeout::Elapsed| {
             // What silenced this connection may have silenced the idle ones beside it. Left
             // there, each would cost a later call the whole of its limit.
-            pool.forget(addr);
+            pool.close_idle(addr);
             Err(Error::Timeout(limit))
         })
     }
--- a/crates/curranthook_peers/src/link.rs
+++ b/crates/curranthook_peers/src/link.rs
@@ -67,7 +67,7 @@
             let res = result.map_err(|e| {
                 // The peer may have frozen, or something in between lost track of the
                 // connection. The next call shall not wait on the same ones.
-                self.0.forget(call.addr);
+                self.0.close_idle(call.addr);
                 Error(e.to_string())
             })?;
             if !res.status().is_success() {
--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -107,7 +107,7 @@
             // The connection may be one that something in between has lost track of; its idle
             // siblings to the same endpoint may be too.
             conn.close();
-            router.pool.forget(lease.addr());
+            router.pool.close_idle(lease.addr());
             let message = format!("no answer within {limit:?}");
             return Err(failed(lease, retry::Reason::SlowFirstByte, Begun::Perhaps, message));
         }
@@ -205,7 +205,7 @@
     /// shows that the endpoint is well and the connection isn't; then it costs nothing.
     pub fn spend(&self, router: &Router) -> bool {
         // The idle connections beside it may be as silent.
-        router.pool.forget(self.addr);
+        router.pool.close_idle(self.addr);
         let reason = retry::Reason::SlowFirstByte;
         let is_silent = router.pool.is_answered_since(self.addr, self.started);
         if !is_silent && router.budget.lock().spend(reason, router.clock.now()).is_err() {
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -141,8 +141,8 @@
     }
 
     /// Closes the idle connections to an endpoint, one of which went silent.
-    pub fn forget(&self, addr: std::net::SocketAddr) {
-        self.router.pool.forget(addr);
+    pub fn close_idle(&self, addr: std::net::SocketAddr) {
+        self.router.pool.close_idle(addr);
     }
 
     /// Keeps a connection for other calls.
--- a/crates/curranthook_router/src/source.rs
+++ b/crates/curranthook_router/src/source.rs
@@ -120,7 +120,7 @@
             let read = match current.next(call).await {
                 Ok(event) => self.read(call, event),
                 Err(timeout::Elapsed) => {
-                    call.forget(current.link.conn.addr());
+                    call.close_idle(current.link.conn.addr());
                     Read::Broken(Retry::SlowFirstByte, "the answer went silent", Break::None)
                 }
             };
