--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -226,7 +226,7 @@
         if matches!(self.reply.connection, dialect::Connection::Kept(_)) {
             // Requests that can't be repeated leave connections behind and never take one of them.
             let max_idle = if repeat.is_repeatable() { usize::MAX } else { self.lease.max_idle };
-            gateway.pool.put_within(self.conn, max_idle);
+            gateway.pool.put_with_limit(self.conn, max_idle);
         }
         self.lease.close(outcome);
     }
--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -211,12 +211,12 @@
 
     /// Takes back a connection whose last answer was read to its end and is beyond doubt.
     pub fn put(&self, conn: Connection) {
-        self.put_within(conn, MAX_IDLE);
+        self.put_with_limit(conn, MAX_IDLE);
     }
 
     /// Takes back a connection like [`put`](Self::put), and closes those that were idle for longest if
     /// there are more than `max_idle` to the same address.
-    pub fn put_within(&self, conn: Connection, max_idle: usize) {
+    pub fn put_with_limit(&self, conn: Connection, max_idle: usize) {
         if conn.sender.is_closed() {
             return;
         }
--- a/crates/curranthook_http/tests/idle.rs
+++ b/crates/curranthook_http/tests/idle.rs
@@ -29,7 +29,7 @@
     let taken: Vec<_> =
         (0..5).map(|_| async_io::block_on(pool.take(addr, Freshness::New)).unwrap()).collect();
     let mut accepted: Vec<_> = (0..5).map(|_| listener.accept().unwrap().0).collect();
-    taken.into_iter().for_each(|it| pool.put_within(it, MAX_IDLE));
+    taken.into_iter().for_each(|it| pool.put_with_limit(it, MAX_IDLE));
     let open: Vec<_> = accepted.iter_mut().map(is_open).collect();
     assert_eq!(open, [false, false, false, true, true]);
 }
