--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -152,7 +152,7 @@
         lease.close(outcome(failed.cause));
         return Err(failed);
     }
-    gateway.pool.answered(&conn);
+    gateway.pool.record_response(&conn);
     let first_byte = since(sent, gateway.now());
     Ok(Open { lease, conn, reply, head, body, first_byte })
 }
--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -235,7 +235,7 @@
     }
 
     /// Notes that an answer came on `conn`.
-    pub fn answered(&self, conn: &Connection) {
+    pub fn record_response(&self, conn: &Connection) {
         if let Opened::Now(opened) = conn.opened {
             self.answered.lock().insert(conn.addr, opened);
         }
--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -119,7 +119,7 @@
         let message = "the answer belongs to another request".to_owned();
         return Err(failed(lease, retry::Reason::ForeignAnswer, Begun::Perhaps, message));
     }
-    router.pool.answered(&conn);
+    router.pool.record_response(&conn);
     note_load(router, &lease, &head);
     if let Some(reason) = refused(&head) {
         let message = format!("refused before it began: {}", head.status);
