--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -243,7 +243,7 @@
 
     /// Whether a connection to `addr` that was opened after `since` has been answered. A call
     /// that began before and still has no answer is likely on a connection that went silent.
-    pub fn is_answered_since(&self, addr: SocketAddr, since: Instant) -> bool {
+    pub fn has_newer_working_connection(&self, addr: SocketAddr, since: Instant) -> bool {
         self.answered.lock().get(&addr).is_some_and(|opened| since < *opened)
     }
 
--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -207,7 +207,7 @@
         // The idle connections beside it may be as silent.
         router.pool.close_idle(self.addr);
         let reason = retry::Reason::SlowFirstByte;
-        let is_silent = router.pool.is_answered_since(self.addr, self.started);
+        let is_silent = router.pool.has_newer_working_connection(self.addr, self.started);
         if !is_silent && router.budget.lock().spend(reason, router.clock.now()).is_err() {
             return false;
         }
