--- a/crates/curranthook_gateway/src/front.rs
+++ b/crates/curranthook_gateway/src/front.rs
@@ -92,7 +92,7 @@
         let body = match timeout::run(BODY_TIMEOUT, read).await {
             Ok(Ok(body)) => body,
             Ok(Err(body::ReadError::TooLarge { .. })) => return Err(refuse(Reason::TooLarge)),
-            Ok(Err(body::ReadError::Broken(_))) | Err(timeout::Elapsed) => {
+            Ok(Err(body::ReadError::Incomplete(_))) | Err(timeout::Elapsed) => {
                 return Err(refuse(Reason::Invalid));
             }
         };
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -44,7 +44,7 @@
                 open.close(Outcome::Dropped);
                 return Err(job.refusal(Reason::EndpointFailed));
             }
-            Ok(Err(body::ReadError::Broken(_))) => {
+            Ok(Err(body::ReadError::Incomplete(_))) => {
                 open.close(Outcome::Failed);
                 Cause::Cut
             }
--- a/crates/curranthook_http/src/body.rs
+++ b/crates/curranthook_http/src/body.rs
@@ -45,7 +45,7 @@
     },
     /// The other side broke off.
     #[error("the body broke off: {0}")]
-    Broken(Error),
+    Incomplete(Error),
 }
 
 /// Reads a whole body of at most `limit` bytes.
@@ -58,6 +58,6 @@
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(ReadError::TooLarge { limit }),
-        Err(e) => Err(ReadError::Broken(e)),
+        Err(e) => Err(ReadError::Incomplete(e)),
     }
 }
--- a/crates/curranthook_router/src/admit.rs
+++ b/crates/curranthook_router/src/admit.rs
@@ -105,7 +105,7 @@
 async fn read_body(incoming: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     body::read(incoming, limit).await.map_err(|e| match e {
         ReadError::TooLarge { .. } => Refusal::not_run(Reason::TooLarge, e.to_string()),
-        ReadError::Broken(_) => Refusal::not_run(Reason::Malformed, e.to_string()),
+        ReadError::Incomplete(_) => Refusal::not_run(Reason::Malformed, e.to_string()),
     })
 }
 
