--- a/crates/curranthook_http/src/server.rs
+++ b/crates/curranthook_http/src/server.rs
@@ -34,12 +34,12 @@
     /// it bounds the idle time of a kept connection too.
     pub head_timeout: Duration,
     /// The largest head that is read, in bytes.
-    pub max_head: usize,
+    pub max_head_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { head_timeout: Duration::from_secs(10), max_head: 64 * 1024 }
+        Self { head_timeout: Duration::from_secs(10), max_head_bytes: 64 * 1024 }
     }
 }
 
@@ -122,7 +122,7 @@
     let conn = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(limits.head_timeout)
-        .max_buf_size(limits.max_head)
+        .max_buf_size(limits.max_head_bytes)
         .serve_connection(FuturesIo::new(stream), service);
     let mut conn = std::pin::pin!(conn);
     let finished = future::or(
