--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use curranthook_peers::spread::Spread;
 use curranthook_policy::endpoint::{Member, Pool};
-use curranthook_router::{gate::Gates, snapshot::Snapshot};
+use curranthook_router::{dispatch::Dispatchers, snapshot::Snapshot};
 use curranthook_settings::Document;
 use curranthook_types::clock;
 
@@ -80,7 +80,7 @@
     first.offer(document.clone(), None);
     other.offer(document.clone(), None);
     let clock = Arc::new(clock::System);
-    let gates = Gates::new(clock, "domain-0".into(), "vm-0".into(), "curranthook");
+    let gates = Dispatchers::new(clock, "domain-0".into(), "vm-0".into(), "curranthook");
     let mut times: [Vec<f64>; 4] = Default::default();
     for _ in 0..bench.pick(9, 2) {
         let have = document.epoch;
--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -17,7 +17,7 @@
 use http::StatusCode;
 use hyper::body::Incoming;
 
-use crate::{Router, gate::Lease};
+use crate::{Router, dispatch::Lease};
 
 /// After the endpoint of a broken connection gets this long to come back, it counts as dead.
 const DEATH_PAUSE: Duration = Duration::from_millis(30);
@@ -159,7 +159,7 @@
         lease.hint(load);
     }
     if text(header::LEAVING) == Some("true") {
-        router.gates.mark_leaving(&HashSet::from([lease.addr()]));
+        router.dispatchers.mark_leaving(&HashSet::from([lease.addr()]));
     }
 }
 
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -22,8 +22,8 @@
     admit::Chat,
     attempt::{self, Begun, Beside, Break, Failed, Link, Open},
     choose,
+    dispatch::{Entry, Lease, Target},
     events::{self, Events},
-    gate::{Entry, Lease, Target},
     hedge,
     snapshot::Snapshot,
     stall,
@@ -183,14 +183,14 @@
     }
 
     async fn lease(&self, version: &version::Id) -> Result<Lease, Refusal> {
-        let gate = self.router.gates.get(&Target::Version(version.clone()))?;
+        let dispatcher = self.router.dispatchers.get(&Target::Version(version.clone()))?;
         let entry = Entry {
             ask: &self.chat.ask,
             weight: self.weight,
             affinity: Some(self.affinity),
             exclude: &self.exclude,
         };
-        gate.enter(entry).await
+        dispatcher.enter(entry).await
     }
 
     fn check(&self, version: &version::Id) -> Result<(), Refusal> {
@@ -228,14 +228,14 @@
 
     fn second(&self, version: &version::Id, first: &Beside) -> Option<Lease> {
         self.check(version).ok()?;
-        let gate = self.router.gates.get(&Target::Version(version.clone())).ok()?;
+        let dispatcher = self.router.dispatchers.get(&Target::Version(version.clone())).ok()?;
         let entry = Entry {
             ask: &self.chat.ask,
             weight: self.weight,
             affinity: None,
             exclude: &self.exclude,
         };
-        let lease = gate.try_second(entry, &first.endpoint)?;
+        let lease = dispatcher.try_second(entry, &first.endpoint)?;
         first.spend(&self.router).then_some(lease)
     }
 
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -40,18 +40,18 @@
     Service(String),
 }
 
-/// All gates of a router.
+/// All dispatchers of a router.
 #[derive(Debug)]
-pub struct Gates {
+pub struct Dispatchers {
     clock: Arc<dyn Clock>,
     domain: domain::Id,
     vm: vm::Id,
     balance: &'static str,
     leaving: Mutex<HashSet<SocketAddr>>,
-    gates: RwLock<HashMap<Target, Arc<Gate>>>,
+    dispatchers: RwLock<HashMap<Target, Arc<Dispatcher>>>,
 }
 
-impl Gates {
+impl Dispatchers {
     /// No gate yet. `balance` names the way in which endpoints are picked, as
     /// [`baseline::balance`] knows it.
     pub fn new(
@@ -60,7 +60,14 @@
         vm: vm::Id,
         balance: &'static str,
     ) -> Self {
-        Self { clock, domain, vm, balance, leaving: Mutex::default(), gates: RwLock::default() }
+        Self {
+            clock,
+            domain,
+            vm,
+            balance,
+            leaving: Mutex::default(),
+            dispatchers: RwLock::default(),
+        }
     }
 
     /// Takes over the endpoints of a new epoch.
@@ -79,36 +86,36 @@
             }
         }
         let capacity = snapshot.config().policy.queue;
-        let mut gates = self.gates.write();
-        gates.retain(|target, _| members.contains_key(target));
+        let mut dispatchers = self.dispatchers.write();
+        dispatchers.retain(|target, _| members.contains_key(target));
         for (target, members) in members {
-            let gate = gates.entry(target).or_insert_with_key(|target| {
+            let dispatcher = dispatchers.entry(target).or_insert_with_key(|target| {
                 let seed = choose::hash(&format!("{}/{target:?}", self.vm));
                 let pool = baseline::balance(self.balance, self.domain.clone(), seed)
                     .expect("the names of the policies are fixed");
-                Arc::new(Gate::new(Arc::clone(&self.clock), pool))
+                Arc::new(Dispatcher::new(Arc::clone(&self.clock), pool))
             });
-            gate.set(members, capacity);
-            gate.set_leaving(&self.leaving.lock());
+            dispatcher.set(members, capacity);
+            dispatcher.set_leaving(&self.leaving.lock());
         }
     }
 
     /// The gate that leads to `target`.
-    pub fn get(&self, target: &Target) -> Result<Arc<Gate>, Refusal> {
-        let gate = self.gates.read().get(target).cloned();
-        gate.ok_or_else(|| no_endpoint("no endpoint serves this"))
+    pub fn get(&self, target: &Target) -> Result<Arc<Dispatcher>, Refusal> {
+        let dispatcher = self.dispatchers.read().get(target).cloned();
+        dispatcher.ok_or_else(|| no_endpoint("no endpoint serves this"))
     }
 
     /// Marks the endpoints at these addresses as leaving.
     pub fn mark_leaving(&self, leaving: &HashSet<SocketAddr>) {
         self.leaving.lock().extend(leaving);
-        self.gates.read().values().for_each(|gate| gate.set_leaving(leaving));
+        self.dispatchers.read().values().for_each(|dispatcher| dispatcher.set_leaving(leaving));
     }
 
     /// Unmarks an endpoint that said itself that it stays.
     pub fn clear_leaving(&self, addr: SocketAddr) {
         self.leaving.lock().remove(&addr);
-        self.gates.read().values().for_each(|gate| gate.clear_leaving(addr));
+        self.dispatchers.read().values().for_each(|dispatcher| dispatcher.clear_leaving(addr));
     }
 
     /// Where endpoints are marked as leaving.
@@ -119,7 +126,7 @@
 
 /// Lends the endpoints of one version or service.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Dispatcher {
     clock: Arc<dyn Clock>,
     inner: Mutex<Inner>,
 }
@@ -144,7 +151,7 @@
     pub exclude: &'a [endpoint::Id],
 }
 
-impl Gate {
+impl Dispatcher {
     fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balance>) -> Self {
         let inner = Inner { pool, addresses: HashMap::new(), queue: Fair::new(QUEUE) };
         Self { clock, inner: Mutex::new(inner) }
@@ -231,7 +238,7 @@
         let Some(addr) = inner.addresses.get(&pick.id).copied() else { return Err(Miss::Empty) };
         inner.pool.started(&pick.id, now);
         Ok(Lease {
-            gate: Arc::clone(self),
+            dispatcher: Arc::clone(self),
             endpoint: pick.id,
             addr,
             started: now,
@@ -278,7 +285,7 @@
 /// An endpoint lent to one attempt.
 #[derive(Debug)]
 pub struct Lease {
-    gate: Arc<Gate>,
+    dispatcher: Arc<Dispatcher>,
     endpoint: endpoint::Id,
     addr: SocketAddr,
     started: Instant,
@@ -314,21 +321,21 @@
 
     /// How long its first byte may take before another try is made.
     pub fn slow_after(&self) -> Duration {
-        self.gate.slow_after(&self.endpoint)
+        self.dispatcher.slow_after(&self.endpoint)
     }
 
     /// Notes what the endpoint said of its load.
     pub fn hint(&self, load: u64) {
-        self.gate.inner.lock().pool.hint(&self.endpoint, load, self.gate.clock.now());
+        self.dispatcher.inner.lock().pool.hint(&self.endpoint, load, self.dispatcher.clock.now());
     }
 
     /// Notes that the first byte of the answer came, and says after how long.
     pub fn begin(&mut self) -> Duration {
-        let now = self.gate.clock.now();
+        let now = self.dispatcher.clock.now();
         let first_byte = now.saturating_duration_since(self.started);
         if self.stage == Stage::Waiting {
             self.stage = Stage::Begun;
-            self.gate.inner.lock().pool.began(&self.endpoint, first_byte, now);
+            self.dispatcher.inner.lock().pool.began(&self.endpoint, first_byte, now);
         }
         first_byte
     }
@@ -340,7 +347,7 @@
             (_, outcome) => outcome,
         };
         self.stage = Stage::Done;
-        self.gate.leave(&self.endpoint, outcome);
+        self.dispatcher.leave(&self.endpoint, outcome);
     }
 
     /// What it tells of the endpoint that the attempt is given up now. A caller that goes away
@@ -348,7 +355,7 @@
     /// unusual for the endpoint, then the endpoint is slow; were that not noted, it would get
     /// requests for as long as each is rescued by another endpoint.
     fn given_up(&self) -> Outcome {
-        let waited = self.gate.clock.now().saturating_duration_since(self.started);
+        let waited = self.dispatcher.clock.now().saturating_duration_since(self.started);
         if self.stage == Stage::Waiting && self.slow_after() <= waited {
             Outcome::Overtaken { waited }
         } else {
@@ -362,7 +369,7 @@
     // would count as busy for good.
     fn drop(&mut self) {
         if self.stage != Stage::Done {
-            self.gate.leave(&self.endpoint, self.given_up());
+            self.dispatcher.leave(&self.endpoint, self.given_up());
         }
     }
 }
--- a/crates/curranthook_router/src/follow.rs
+++ b/crates/curranthook_router/src/follow.rs
@@ -29,7 +29,7 @@
     let policy = &snapshot.config().policy;
     router.chooser.lock().set_policy(policy.clone());
     router.budget.lock().set_fraction(policy.retry_budget);
-    router.gates.update(&snapshot);
+    router.dispatchers.update(&snapshot);
     router.current.store(Some(Arc::new(snapshot)));
     log::info!("epoch {epoch} is in force");
 }
--- a/crates/curranthook_router/src/leaving.rs
+++ b/crates/curranthook_router/src/leaving.rs
@@ -1,7 +1,7 @@
 //! Endpoints that are leaving get no new work.
 //!
 //! Any one sign is enough to stop: the platform's list of VMs, the endpoint's own word on an
-//! answer, or a refused connection (which [`crate::gate`] counts). The list lags, so its word
+//! answer, or a refused connection (which [`crate::dispatch`] counts). The list lags, so its word
 //! that a VM is live proves nothing: an endpoint is brought back only when it says itself, on
 //! direct contact, that it isn't leaving.
 
@@ -40,7 +40,7 @@
                 .filter(|it| it.role == Role::Endpoint && it.state == VmState::Leaving)
                 .map(|it| it.address)
                 .collect();
-            router.gates.mark_leaving(&leaving);
+            router.dispatchers.mark_leaving(&leaving);
             *named.lock() = leaving;
         }
         Timer::after(PERIOD).await;
@@ -52,14 +52,14 @@
 async fn bring_back(router: &Router, named: &Mutex<HashSet<SocketAddr>>) {
     loop {
         Timer::after(PERIOD).await;
-        let mut marked = router.gates.leaving();
+        let mut marked = router.dispatchers.leaving();
         marked.retain(|it| !named.lock().contains(it));
         for addr in marked {
             let call = Exchange::get(addr, "/healthz").with_timeout(LIMIT);
             let Ok(res) = call.run(&router.pool).await else { continue };
             let is_leaving = res.headers().get(header::LEAVING).is_some_and(|it| it == "true");
             if res.status().is_success() && !is_leaving {
-                router.gates.clear_leaving(addr);
+                router.dispatchers.clear_leaving(addr);
             }
         }
     }
--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`pin`] and [`token`]: the version that the session is on;
 //! - [`choose`]: which version to ask, and whether a cheaper one first;
 //! - [`claim`]: the right to send a call that may not be repeated;
-//! - [`gate`]: which endpoint takes it, and who waits;
+//! - [`dispatch`]: which endpoint takes it, and who waits;
 //! - [`attempt`], [`hedge`], [`call`], [`events`], [`source`]: one attempt, a second one beside
 //!   it, the attempts of a request, what an engine sends, and the answer as a stream that doesn't
 //!   break off;
@@ -29,9 +29,9 @@
 pub mod chat;
 pub mod choose;
 pub mod claim;
+pub mod dispatch;
 pub mod events;
 pub mod follow;
-pub mod gate;
 pub mod hedge;
 pub mod leaving;
 pub mod metrics;
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -23,7 +23,7 @@
 use parking_lot::Mutex;
 use rand::RngExt;
 
-use crate::{gate::Gates, metrics::Metrics, pin, rate::Rater, snapshot::Snapshot, stall};
+use crate::{dispatch::Dispatchers, metrics::Metrics, pin, rate::Rater, snapshot::Snapshot, stall};
 
 /// One VM's router.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// The endpoints.
-    pub gates: Gates,
+    pub dispatchers: Dispatchers,
     /// The choice of versions.
     pub chooser: Mutex<Box<dyn Strategy + Send>>,
     /// Retries that are left.
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -27,9 +27,9 @@
 use parking_lot::Mutex;
 
 use crate::{
-    Router, follow,
-    gate::Gates,
-    leaving,
+    Router,
+    dispatch::Dispatchers,
+    follow, leaving,
     metrics::{self, Metrics},
     pin,
     rate::Rater,
@@ -158,7 +158,7 @@
     let chooser = baseline::strategy(strategy, Policy::default(), seed);
     let chooser = chooser.with_context(|| format!("unknown policy {}", options.policy))?;
     let (domain, vm) = (settings.failure_domain.clone(), settings.vm.clone());
-    let gates = Gates::new(Arc::clone(&clock), domain, vm, balance);
+    let dispatchers = Dispatchers::new(Arc::clone(&clock), domain, vm, balance);
     Ok(Arc::new(Router {
         metrics: Metrics::new(settings.statsd).context("opening the metrics socket")?,
         pins: pin::Rows::new(Arc::clone(&claims) as _),
@@ -178,7 +178,7 @@
         clock,
         node,
         claims,
-        gates,
+        dispatchers,
         stopping,
     }))
 }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -22,7 +22,7 @@
     Router, admit,
     attempt::{self, Begun, Beside, Break, Failed, Open},
     claim::{self, Claim, State},
-    gate::{Entry, Lease, Target},
+    dispatch::{Entry, Lease, Target},
     hedge,
     router::InFlight,
     snapshot::Snapshot,
@@ -211,9 +211,9 @@
 
 fn second(router: &Router, call: &Call, first: &Beside, tries: &Tries) -> Option<Lease> {
     check(&*router.snapshot().ok()?, call).ok()?;
-    let gate = router.gates.get(&Target::Service(call.service.clone())).ok()?;
+    let dispatcher = router.dispatchers.get(&Target::Service(call.service.clone())).ok()?;
     let entry = Entry { ask: &call.ask, weight: 1.0, affinity: None, exclude: &tries.exclude };
-    let lease = gate.try_second(entry, &first.endpoint)?;
+    let lease = dispatcher.try_second(entry, &first.endpoint)?;
     first.spend(router).then_some(lease)
 }
 
@@ -287,12 +287,13 @@
 
 async fn enter(router: &Arc<Router>, call: &Call, tries: &Tries) -> Result<Lease, Refusal> {
     let truly = |it| Refusal { not_run: tries.run(), ..it };
-    let gate = router.gates.get(&Target::Service(call.service.clone())).map_err(truly)?;
+    let dispatcher =
+        router.dispatchers.get(&Target::Service(call.service.clone())).map_err(truly)?;
     let snapshot = router.snapshot()?;
     let account = snapshot.account_settings(&call.ask.account);
     let weight = account.map_or(1.0, |it| it.limit.weight);
     let entry = Entry { ask: &call.ask, weight, affinity: None, exclude: &tries.exclude };
-    let lease = gate.enter(entry).await.map_err(truly)?;
+    let lease = dispatcher.enter(entry).await.map_err(truly)?;
     // A router that was frozen meanwhile must not send what its caller has long given up on,
     // nor for an account that has lost the right.
     check(&*router.snapshot()?, call).map_err(truly)?;
