--- a/crates/curranthook_capacity/src/measure/evidence.rs
+++ b/crates/curranthook_capacity/src/measure/evidence.rs
@@ -17,7 +17,7 @@
 const KINDS: [&str; 2] = ["summary", "query"];
 const CALLS: u64 = 100_000;
 const TOKENS: u64 = 36_000_000;
-/// Looks a second at the evidence, by a router; see `curranthook_router::watch`.
+/// Looks a second at the evidence, by a router; see `curranthook_router::version_health`.
 const LOOKS: f64 = 4.0;
 /// Entries that a frame has room for, and frames that a node gets a second.
 const ENTRIES_A_SECOND: f64 = 2.0;
--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -16,7 +16,7 @@
 //! - [`chat`], [`service`], [`answer`]: the two kinds of requests, put together.
 //!
 //! [`router`] holds what the stages share, [`snapshot`] one epoch of the configuration.
-//! [`follow`], [`leaving`], [`stall`] and [`watch`] are the tasks beside the requests.
+//! [`follow`], [`leaving`], [`stall`] and [`version_health`] are the tasks beside the requests.
 //! [`serve`] starts and ends it all.
 
 pub mod accept;
@@ -45,6 +45,6 @@
 pub mod stall;
 pub mod status;
 pub mod token;
-pub mod watch;
+pub mod version_health;
 
 pub use router::Router;
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -55,7 +55,7 @@
     /// Retries that are left.
     pub budget: Mutex<Budget>,
     /// The share of answers that are rated because of the version's verdict; see
-    /// [`crate::watch`].
+    /// [`crate::version_health`].
     pub sampling: Mutex<HashMap<version::Id, f64>>,
     /// What accounts may still ask for.
     pub buckets: Mutex<HashMap<account::Id, Bucket>>,
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -33,7 +33,7 @@
     metrics::{self, Metrics},
     pin,
     rate::Rater,
-    stall, watch,
+    stall, version_health,
 };
 
 /// Claims wait for the platform this long; then the caller is told that it's out.
@@ -71,7 +71,7 @@
     let vms = Client::new(platform.vms, Arc::new(Pool::new(ex.clone(), Arc::clone(&router.clock))));
     ex.spawn(follow::run(Arc::clone(&router))).detach();
     ex.spawn(leaving::run(Arc::clone(&router), Arc::new(vms))).detach();
-    ex.spawn(watch::run(Arc::clone(&router))).detach();
+    ex.spawn(version_health::run(Arc::clone(&router))).detach();
     ex.spawn(metrics::run(Arc::clone(&router))).detach();
     ex.spawn(stall::run(Arc::clone(&router))).detach();
 
