--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -16,7 +16,7 @@
 //! - [`chat`], [`service`], [`answer`]: the two kinds of requests, put together.
 //!
 //! [`router`] holds what the stages share, [`snapshot`] one epoch of the configuration.
-//! [`follow`], [`leaving`], [`stall`] and [`version_health`] are the tasks beside the requests.
+//! [`configuration`], [`leaving`], [`stall`] and [`version_health`] are the tasks beside the requests.
 //! [`serve`] starts and ends it all.
 
 pub mod accept;
@@ -29,9 +29,9 @@
 pub mod chat;
 pub mod choose;
 pub mod claim;
+pub mod configuration;
 pub mod dispatch;
 pub mod events;
-pub mod follow;
 pub mod hedge;
 pub mod leaving;
 pub mod metrics;
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -27,9 +27,9 @@
 use parking_lot::Mutex;
 
 use crate::{
-    Router,
+    Router, configuration,
     dispatch::Dispatchers,
-    follow, leaving,
+    leaving,
     metrics::{self, Metrics},
     pin,
     rate::Rater,
@@ -69,7 +69,7 @@
 
     let platform = &router.settings.platform;
     let vms = Client::new(platform.vms, Arc::new(Pool::new(ex.clone(), Arc::clone(&router.clock))));
-    ex.spawn(follow::run(Arc::clone(&router))).detach();
+    ex.spawn(configuration::run(Arc::clone(&router))).detach();
     ex.spawn(leaving::run(Arc::clone(&router), Arc::new(vms))).detach();
     ex.spawn(version_health::run(Arc::clone(&router))).detach();
     ex.spawn(metrics::run(Arc::clone(&router))).detach();
