--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A request is a value that passes stages, each a module with one job:
 //!
-//! - [`accept`]: from the caller's connection to the right stage;
+//! - [`routes`]: from the caller's connection to the right stage;
 //! - [`authenticate`]: which client account calls;
 //! - [`admit`]: what is asked, read and checked;
 //! - [`pin`] and [`token`]: the version that the session is on;
@@ -19,7 +19,6 @@
 //! [`configuration`], [`leaving`], [`stall`] and [`version_health`] are the tasks beside the requests.
 //! [`serve`] starts and ends it all.
 
-pub mod accept;
 pub mod admit;
 pub mod answer;
 pub mod attempt;
@@ -38,6 +37,7 @@
 pub mod pin;
 pub mod rate;
 pub mod router;
+pub mod routes;
 pub mod serve;
 pub mod service;
 pub mod snapshot;
