--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -24,7 +24,7 @@
     call::Call,
     choose::{self, Question},
     pin::Pin,
-    rate,
+    rating,
     router::InFlight,
     snapshot::Snapshot,
     source::{Item, Piece, Source},
@@ -193,7 +193,7 @@
             None => None,
         };
         let cheap = match (cheap, rating) {
-            (Some(whole), Some(rating)) if rate::GOOD <= rating => return self.give(whole).await,
+            (Some(whole), Some(rating)) if rating::GOOD <= rating => return self.give(whole).await,
             (cheap, _) => cheap,
         };
         // An answer that couldn't be rated counts as not good enough: the account asked for a
--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -35,7 +35,7 @@
 pub mod leaving;
 pub mod metrics;
 pub mod pin;
-pub mod rate;
+pub mod rating;
 pub mod router;
 pub mod routes;
 pub mod serve;
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -23,7 +23,9 @@
 use parking_lot::Mutex;
 use rand::RngExt;
 
-use crate::{dispatch::Dispatchers, metrics::Metrics, pin, rate::Rater, snapshot::Snapshot, stall};
+use crate::{
+    dispatch::Dispatchers, metrics::Metrics, pin, rating::Rater, snapshot::Snapshot, stall,
+};
 
 /// One VM's router.
 #[derive(Debug)]
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -32,7 +32,7 @@
     leaving,
     metrics::{self, Metrics},
     pin,
-    rate::Rater,
+    rating::Rater,
     stall, version_health,
 };
 
