--- a/crates/curranthook_router/src/bill.rs
+++ b/crates/curranthook_router/src/bill.rs
@@ -3,7 +3,7 @@
 use curranthook_settings::config;
 use curranthook_types::{Clock, bill::Line, chat::Usage, price::Micros, version};
 
-use crate::admit::Ask;
+use crate::parse::Metadata;
 
 /// What the attempts that gave answers cost, in order. Attempts that failed aren't billed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -38,10 +38,10 @@
     }
 
     /// The line for a chat answered by `version`.
-    pub fn line(&self, ask: &Ask, version: &version::Id, clock: &dyn Clock) -> Line {
+    pub fn line(&self, metadata: &Metadata, version: &version::Id, clock: &dyn Clock) -> Line {
         Line {
-            request: ask.request.clone(),
-            account: ask.account.clone(),
+            request: metadata.request.clone(),
+            account: metadata.account.clone(),
             served_by: version.as_str().to_owned(),
             prompt_tokens: self.prompt_tokens,
             completion_tokens: self.completion_tokens,
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -19,12 +19,12 @@
 
 use crate::{
     Router,
-    admit::Chat,
     attempt::{self, Begun, Beside, Break, Failed, Link, Open},
     choose,
     dispatch::{Entry, Lease, Target},
     events::{self, Events},
     hedge,
+    parse::Chat,
     snapshot::Snapshot,
     stall,
 };
@@ -49,8 +49,8 @@
     /// A call that hasn't been sent anywhere.
     pub fn new(router: &Arc<Router>, snapshot: &Snapshot, chat: Chat) -> Self {
         let config = snapshot.config();
-        let weight = config.accounts.get(&chat.ask.account).map_or(1.0, |it| it.limit.weight);
-        let priority = config.kinds.get(&chat.ask.kind).map_or(0, |it| it.priority);
+        let weight = config.accounts.get(&chat.metadata.account).map_or(1.0, |it| it.limit.weight);
+        let priority = config.kinds.get(&chat.metadata.kind).map_or(0, |it| it.priority);
         // Requests that begin with the same message share a prefix in an engine's cache.
         let affinity = choose::hash(&chat.body.messages[0].content);
         Self {
@@ -78,7 +78,7 @@
 
     /// The time until the caller's deadline.
     pub fn time_left(&self) -> Duration {
-        self.chat.ask.time_left(self.router.clock.now())
+        self.chat.metadata.time_left(self.router.clock.now())
     }
 
     /// Asks `version` at one endpoint after another until the first event of an answer comes.
@@ -110,12 +110,12 @@
         // A connection that broke or went silent says nothing of the version: a cut cable would
         // otherwise look like a version that turned bad. An engine's own error does.
         if failed.reason == Retry::ServerError && failed.begun == Begun::Perhaps {
-            self.router.note_failure(&self.chat.ask.kind, version);
+            self.router.note_failure(&self.chat.metadata.kind, version);
         }
         if failed.broke == Break::Closed {
-            attempt::charge(&self.router, self.chat.ask.fingerprint, &failed.endpoint).await;
+            attempt::charge(&self.router, self.chat.metadata.fingerprint, &failed.endpoint).await;
         }
-        if self.router.node.poison().is_poison(&self.chat.ask.fingerprint) {
+        if self.router.node.poison().is_poison(&self.chat.metadata.fingerprint) {
             return Err(self.refusal(Reason::Poison, "endpoints died under this request"));
         }
         let attempt = retry::Attempt {
@@ -185,7 +185,7 @@
     async fn lease(&self, version: &version::Id) -> Result<Lease, Refusal> {
         let dispatcher = self.router.dispatchers.get(&Target::Version(version.clone()))?;
         let entry = Entry {
-            ask: &self.chat.ask,
+            metadata: &self.chat.metadata,
             weight: self.weight,
             affinity: Some(self.affinity),
             exclude: &self.exclude,
@@ -198,7 +198,7 @@
         if snapshot.document.withdrawn.contains(version) {
             return Err(self.refusal(Reason::Withdrawn, "the version was withdrawn"));
         }
-        if !snapshot.allows(&self.chat.ask.account, version) {
+        if !snapshot.allows(&self.chat.metadata.account, version) {
             return Err(self.refusal(Reason::NotAllowed, "the account may not use this version"));
         }
         if self.time_left().is_zero() {
@@ -230,7 +230,7 @@
         self.check(version).ok()?;
         let dispatcher = self.router.dispatchers.get(&Target::Version(version.clone())).ok()?;
         let entry = Entry {
-            ask: &self.chat.ask,
+            metadata: &self.chat.metadata,
             weight: self.weight,
             affinity: None,
             exclude: &self.exclude,
@@ -248,7 +248,7 @@
     ) -> Result<Begin, Failed> {
         let req = self.request(version, from_token, &lease);
         let limit = self.time_left();
-        let id = &self.chat.ask.request;
+        let id = &self.chat.metadata.request;
         let open = attempt::run(&self.router, lease, req, freshness, limit, id).await?;
         if !open.head.status.is_success() {
             let message = format!("the engine answered {}", open.head.status);
@@ -274,7 +274,7 @@
         let mut req = http::Request::post("/v1/chat/completions")
             .header(http::header::HOST, lease.addr().to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
-            .header(header::REQUEST_ID, self.chat.ask.request.as_str())
+            .header(header::REQUEST_ID, self.chat.metadata.request.as_str())
             .header(header::PRIORITY, self.priority);
         if 0 < from_token {
             req = req.header(header::RESUME_FROM, from_token);
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -19,10 +19,10 @@
 
 use crate::{
     Router,
-    admit::Chat,
     bill::Cost,
     call::Call,
     choose::{self, Question},
+    parse::Chat,
     pin::Pin,
     rating,
     router::InFlight,
@@ -38,7 +38,7 @@
     chat: Chat,
     in_flight: InFlight,
 ) -> Result<Response<Body>, Refusal> {
-    if router.node.poison().is_poison(&chat.ask.fingerprint) {
+    if router.node.poison().is_poison(&chat.metadata.fingerprint) {
         return Err(Refusal::not_run(Reason::Poison, "endpoints died under this request"));
     }
     let (plan, session) = plan(router, snapshot, &chat).await?;
@@ -69,9 +69,9 @@
     chat: &Chat,
 ) -> Result<(Plan, Option<session::Id>), Refusal> {
     let keys = &snapshot.config().session_keys;
-    let pin = router.pins.find(&chat.ask, keys, router.clock.unix_millis()).await?;
+    let pin = router.pins.find(&chat.metadata, keys, router.clock.unix_millis()).await?;
     if let Pin::Held(session, version) = &pin {
-        let account = snapshot.account_settings(&chat.ask.account);
+        let account = snapshot.account_settings(&chat.metadata.account);
         let may_move = account.is_some_and(|it| it.sessions_may_move);
         match choose::pinned(snapshot, chat, version) {
             // Both promises hold: the session keeps its version, and the withdrawn version gets
@@ -84,7 +84,7 @@
     let versions = choose::staged(snapshot, versions, choose::key(chat, &pin));
     let versions = choose::trusted(versions, |it| router.node.suspects().contains(it));
     let question = Question::new(snapshot, chat, &versions);
-    let time_left = chat.ask.time_left(router.clock.now());
+    let time_left = chat.metadata.time_left(router.clock.now());
     let rater = router.rater.state(snapshot.config().rater);
     let refused = |code| Refusal::not_run(code, "no version can be chosen");
     let ask = question.ask(chat, time_left, rater);
@@ -93,18 +93,19 @@
         Pin::None => Ok((plan, None)),
         Pin::New(session) => Ok((choose::for_session(plan), Some(session))),
         // The answer's new token carries the move.
-        Pin::Held(session, _) if chat.ask.token.is_some() => {
+        Pin::Held(session, _) if chat.metadata.token.is_some() => {
             Ok((choose::for_session(plan), Some(session)))
         }
         Pin::Held(session, from) => {
             let plan = choose::for_session(plan);
             let rows = &router.pins;
-            let version = rows.replace(&chat.ask.account, &session, &from, &plan.first).await?;
+            let version =
+                rows.replace(&chat.metadata.account, &session, &from, &plan.first).await?;
             Ok((settled(snapshot, chat, plan, &version)?, Some(session)))
         }
         Pin::Unclaimed(session) => {
             let plan = choose::for_session(plan);
-            let version = router.pins.insert(&chat.ask.account, &session, &plan.first).await?;
+            let version = router.pins.insert(&chat.metadata.account, &session, &plan.first).await?;
             Ok((settled(snapshot, chat, plan, &version)?, Some(session)))
         }
     }
@@ -250,16 +251,17 @@
         let prompt = prompt(chat);
         let Whole { version, usage, .. } = whole;
         let text = whole.text();
-        let rating = self.router.rater.rate(addr, version, &chat.ask.kind, &prompt, &text).await;
-        self.router.learn(&chat.ask.kind, version, rating, usage.completion_tokens);
+        let rating =
+            self.router.rater.rate(addr, version, &chat.metadata.kind, &prompt, &text).await;
+        self.router.learn(&chat.metadata.kind, version, rating, usage.completion_tokens);
         rating
     }
 
     /// Bills a whole answer; after that it may be given out.
     async fn bill(&self, version: &version::Id) {
-        let ask = &self.call.chat().ask;
-        let line = self.cost.line(ask, version, &*self.router.clock);
-        self.router.node.poison().release(&ask.fingerprint);
+        let metadata = &self.call.chat().metadata;
+        let line = self.cost.line(metadata, version, &*self.router.clock);
+        self.router.node.poison().release(&metadata.fingerprint);
         // The line must outlive this VM before the caller can know that it has the answer:
         // a VM that dies in between would otherwise have worked for free.
         self.router.record(line).await;
@@ -269,7 +271,7 @@
     /// Sends the answer to the rater in the background, or just counts it.
     fn follow_up(&self, version: &version::Id, text: String, usage: Usage) {
         let router = Arc::clone(&self.router);
-        let kind = self.call.chat().ask.kind.clone();
+        let kind = self.call.chat().metadata.kind.clone();
         let (version, tokens) = (version.clone(), usage.completion_tokens);
         let is_sampled = self.sample == Sample::Rate || router.wants_rating(&kind, &version);
         let Some(addr) = self.snapshot.config().rater.filter(|_| is_sampled) else {
@@ -307,7 +309,7 @@
             return Ok(finish(res.header("content-type", "text/event-stream"), body::full(text)));
         }
         let answer = chat::Answer {
-            id: self.call.chat().ask.request.as_str().to_owned(),
+            id: self.call.chat().metadata.request.as_str().to_owned(),
             object: "chat.completion".to_owned(),
             model: whole.version.as_str().to_owned(),
             choices: vec![chat::Choice {
@@ -356,9 +358,9 @@
     }
 
     fn head(&self, version: &version::Id) -> http::response::Builder {
-        let ask = &self.call.chat().ask;
+        let metadata = &self.call.chat().metadata;
         let mut res = Response::builder()
-            .header(header::REQUEST_ID, ask.request.as_str())
+            .header(header::REQUEST_ID, metadata.request.as_str())
             .header(header::VERSION, version.as_str());
         if let Some(session) = &self.session {
             res = res.header(header::SESSION, session.as_str());
@@ -373,7 +375,7 @@
         let key = self.snapshot.config().session_keys.first()?;
         let claims = token::Claims {
             session: self.session.clone()?,
-            account: self.call.chat().ask.account.clone(),
+            account: self.call.chat().metadata.account.clone(),
             version: version.clone(),
             signed_millis: self.router.clock.unix_millis(),
             key: key.id.clone(),
--- a/crates/curranthook_router/src/choose.rs
+++ b/crates/curranthook_router/src/choose.rs
@@ -8,7 +8,7 @@
 };
 use curranthook_types::{Refusal, refusal::Reason, version};
 
-use crate::{admit::Chat, pin::Pin, snapshot::Snapshot};
+use crate::{parse::Chat, pin::Pin, snapshot::Snapshot};
 
 /// The model name that leaves the choice of the model to the router.
 pub const AUTO: &str = "auto";
@@ -29,7 +29,7 @@
     if !config.versions.keys().any(asked) {
         return refused(Reason::UnknownModel, "no such model or version");
     }
-    let account = snapshot.account_settings(&chat.ask.account);
+    let account = snapshot.account_settings(&chat.metadata.account);
     let granted: Vec<_> =
         account.into_iter().flat_map(|it| &it.versions).filter(|it| asked(it)).collect();
     if granted.is_empty() {
@@ -93,8 +93,9 @@
     pub fn new(snapshot: &'a Snapshot, chat: &Chat, versions: &[&'a version::Id]) -> Self {
         const DEFAULT_TARGET: f64 = 0.8;
         let config = snapshot.config();
-        let kind = &chat.ask.kind;
-        let own = snapshot.account_settings(&chat.ask.account).and_then(|it| it.quality.get(kind));
+        let kind = &chat.metadata.kind;
+        let own =
+            snapshot.account_settings(&chat.metadata.account).and_then(|it| it.quality.get(kind));
         let target = own.copied().or_else(|| config.kinds.get(kind).map(|it| it.quality));
         let candidates = versions
             .iter()
@@ -117,9 +118,9 @@
         time_left: Duration,
         rater: Rater,
     ) -> curranthook_policy::choice::Ask<'b> {
-        let in_session = chat.ask.session.is_some() || chat.ask.token.is_some();
+        let in_session = chat.metadata.session.is_some() || chat.metadata.token.is_some();
         curranthook_policy::choice::Ask {
-            kind: &chat.ask.kind,
+            kind: &chat.metadata.kind,
             target: self.target,
             allowed: &self.candidates,
             time_left,
@@ -138,7 +139,7 @@
     if snapshot.document.withdrawn.contains(version) {
         return refused(Reason::PinnedWithdrawn, "the session's version was withdrawn");
     }
-    if !snapshot.allows(&chat.ask.account, version) {
+    if !snapshot.allows(&chat.metadata.account, version) {
         return refused(Reason::NotAllowed, "the account may no longer use the session's version");
     }
     let model = chat.body.model.as_str();
@@ -147,7 +148,7 @@
     }
     // Drawn by the request's id: a tenth of the answers, not of the sessions, says more of a
     // version than its first answers alone.
-    let draw = hash(chat.ask.request.as_str()) as f64 / u64::MAX as f64;
+    let draw = hash(chat.metadata.request.as_str()) as f64 / u64::MAX as f64;
     let is_rated = draw < snapshot.config().policy.rating_sample;
     Ok(Plan {
         first: version.clone(),
@@ -171,7 +172,7 @@
 pub fn key(chat: &Chat, pin: &Pin) -> u64 {
     let text = match pin {
         Pin::New(id) | Pin::Unclaimed(id) | Pin::Held(id, _) => id.as_str(),
-        Pin::None => chat.ask.request.as_str(),
+        Pin::None => chat.metadata.request.as_str(),
     };
     hash(text)
 }
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -21,7 +21,7 @@
 use futures_lite::future;
 use parking_lot::{Mutex, RwLock};
 
-use crate::{admit::Ask, choose, snapshot::Snapshot};
+use crate::{choose, parse::Metadata, snapshot::Snapshot};
 
 /// A waiter looks again after this long even if nobody woke it: an endpoint may have become
 /// free without a request of ours ending, as when a load report aged.
@@ -142,7 +142,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Entry<'a> {
     /// The request.
-    pub ask: &'a Ask,
+    pub metadata: &'a Metadata,
     /// Its account's weight in the queue.
     pub weight: f64,
     /// Equal for requests that share a prompt prefix.
@@ -182,7 +182,7 @@
         let mut place: Option<Receiver<()>> = None;
         loop {
             let now = self.clock.now();
-            if entry.ask.deadline <= now {
+            if entry.metadata.deadline <= now {
                 return Err(Refusal::not_run(Reason::Deadline, "the deadline passed in the queue"));
             }
             // Newcomers go behind those that wait. If they took what gets free, those that wait
@@ -248,7 +248,7 @@
 
     fn line_up(&self, entry: Entry<'_>, now: Instant) -> Result<Receiver<()>, Refusal> {
         let (tx, rx) = async_channel::bounded(1);
-        let Ask { account, deadline, .. } = entry.ask;
+        let Metadata { account, deadline, .. } = entry.metadata;
         let pushed = self.inner.lock().queue.push(tx, account, entry.weight, *deadline, now);
         pushed.map_err(|full| overloaded(full.retry_after))?;
         Ok(rx)
--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`routes`]: from the caller's connection to the right stage;
 //! - [`authenticate`]: which client account calls;
-//! - [`admit`]: what is asked, read and checked;
+//! - [`parse`]: what is asked, read and checked;
 //! - [`pin`] and [`token`]: the version that the session is on;
 //! - [`choose`]: which version to ask, and whether a cheaper one first;
 //! - [`claim`]: the right to send a call that may not be repeated;
@@ -19,7 +19,6 @@
 //! [`configuration`], [`leaving`], [`stall`] and [`version_health`] are the tasks beside the requests.
 //! [`serve`] starts and ends it all.
 
-pub mod admit;
 pub mod answer;
 pub mod attempt;
 pub mod authenticate;
@@ -34,6 +33,7 @@
 pub mod hedge;
 pub mod leaving;
 pub mod metrics;
+pub mod parse;
 pub mod pin;
 pub mod rating;
 pub mod router;
--- a/crates/curranthook_router/src/admit.rs
+++ b/crates/curranthook_router/src/parse.rs
@@ -22,7 +22,7 @@
 
 /// What every request has, whatever it asks for.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Metadata {
     /// The request.
     pub request: request::Id,
     /// Who asks.
@@ -39,7 +39,7 @@
     pub fingerprint: [u8; FINGERPRINT],
 }
 
-impl Ask {
+impl Metadata {
     /// The time left until the deadline.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone)]
 pub struct Chat {
     /// What every request has.
-    pub ask: Ask,
+    pub metadata: Metadata,
     /// The body.
     pub body: chat::Request,
 }
@@ -62,7 +62,7 @@
     account: account::Id,
     policy: &Policy,
     arrived: Instant,
-) -> Result<(Ask, Bytes), Refusal> {
+) -> Result<(Metadata, Bytes), Refusal> {
     let headers = &parts.headers;
     let request = match text(headers, header::REQUEST_ID)? {
         Some(id) => request::Id::new(id),
@@ -80,7 +80,7 @@
     let digest = Sha256::digest(&bytes);
     let mut fingerprint = [0; FINGERPRINT];
     fingerprint.copy_from_slice(&digest[..FINGERPRINT]);
-    let ask = Ask {
+    let metadata = Metadata {
         request,
         account,
         kind: kind::Id::new(text(headers, header::KIND)?.unwrap_or(DEFAULT_KIND)),
@@ -89,17 +89,17 @@
         deadline: arrived + patience,
         fingerprint,
     };
-    Ok((ask, bytes))
+    Ok((metadata, bytes))
 }
 
 /// Reads a chat request's body.
-pub fn chat(ask: Ask, bytes: &[u8]) -> Result<Chat, Refusal> {
+pub fn chat(metadata: Metadata, bytes: &[u8]) -> Result<Chat, Refusal> {
     let body: chat::Request = serde_json::from_slice(bytes)
         .map_err(|e| Refusal::not_run(Reason::Malformed, format!("not a chat request: {e}")))?;
     if body.messages.is_empty() {
         return Err(Refusal::not_run(Reason::Malformed, "a chat request needs a message"));
     }
-    Ok(Chat { ask, body })
+    Ok(Chat { metadata, body })
 }
 
 async fn read_body(incoming: Incoming, limit: usize) -> Result<Bytes, Refusal> {
--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -13,7 +13,7 @@
 use curranthook_types::{Refusal, account, refusal::Reason, session, version};
 use parking_lot::Mutex;
 
-use crate::{admit::Ask, claim, token};
+use crate::{claim, parse::Metadata, token};
 
 /// The table that holds pins of callers without tokens.
 pub const TABLE: &str = "sessions";
@@ -51,15 +51,20 @@
     }
 
     /// What is known of the session that `ask` belongs to.
-    pub async fn find(&self, ask: &Ask, keys: &[Key], now_millis: u64) -> Result<Pin, Refusal> {
-        if let Some(text) = &ask.token {
-            return held(ask, text, keys, now_millis);
+    pub async fn find(
+        &self,
+        metadata: &Metadata,
+        keys: &[Key],
+        now_millis: u64,
+    ) -> Result<Pin, Refusal> {
+        if let Some(text) = &metadata.token {
+            return held(metadata, text, keys, now_millis);
         }
-        let Some(session) = &ask.session else { return Ok(Pin::None) };
+        let Some(session) = &metadata.session else { return Ok(Pin::None) };
         if session.as_str() == NEW {
             return Ok(Pin::New(session::Id::new(ulid::Ulid::generate().to_string())));
         }
-        let key = key(&ask.account, session);
+        let key = key(&metadata.account, session);
         if let Some(version) = self.seen.lock().get(&key) {
             return Ok(Pin::Held(session.clone(), version.clone()));
         }
@@ -134,13 +139,13 @@
     }
 }
 
-fn held(ask: &Ask, text: &str, keys: &[Key], now_millis: u64) -> Result<Pin, Refusal> {
+fn held(metadata: &Metadata, text: &str, keys: &[Key], now_millis: u64) -> Result<Pin, Refusal> {
     let refused = |why: &str| Refusal::not_run(Reason::BadToken, why);
     let claims = token::verify(text, keys, now_millis).map_err(|e| refused(&e.to_string()))?;
-    if claims.account != ask.account {
+    if claims.account != metadata.account {
         return Err(refused("the session token belongs to another account"));
     }
-    match &ask.session {
+    match &metadata.session {
         Some(session) if *session != claims.session => {
             Err(refused("the session token belongs to another session"))
         }
--- a/crates/curranthook_router/src/routes.rs
+++ b/crates/curranthook_router/src/routes.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use serde_json::json;
 
-use crate::{Router, admit, answer, authenticate, chat, service, status};
+use crate::{Router, answer, authenticate, chat, parse, service, status};
 
 impl server::Handler for Router {
     fn handle(self: Arc<Self>, req: http::Request<Incoming>) -> Boxed<Response<Body>> {
@@ -61,11 +61,11 @@
         return Err(refusal);
     }
     let policy = &snapshot.config().policy;
-    let (ask, bytes) = admit::run(&parts, incoming, account, policy, arrived).await?;
+    let (metadata, bytes) = parse::run(&parts, incoming, account, policy, arrived).await?;
     if parts.uri.path().starts_with(service::PREFIX) {
-        let call = service::Call::new(&parts, ask, bytes)?;
+        let call = service::Call::new(&parts, metadata, bytes)?;
         return service::run(router, &snapshot, call, &parts.headers, in_flight).await;
     }
-    let chat = admit::chat(ask, &bytes)?;
+    let chat = parse::chat(metadata, &bytes)?;
     chat::run(router, &snapshot, chat, in_flight).await
 }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -19,11 +19,11 @@
 use http::{HeaderMap, Response, header::CONTENT_TYPE};
 
 use crate::{
-    Router, admit,
+    Router,
     attempt::{self, Begun, Beside, Break, Failed, Open},
     claim::{self, Claim, State},
     dispatch::{Entry, Lease, Target},
-    hedge,
+    hedge, parse,
     router::InFlight,
     snapshot::Snapshot,
 };
@@ -67,11 +67,11 @@
         bill(router, &call).await;
         return Ok(respond(&call, answer));
     }
-    let Some(key) = admit::text(headers, header::IDEMPOTENCY_KEY)? else {
+    let Some(key) = parse::text(headers, header::IDEMPOTENCY_KEY)? else {
         let message = "a call that may not be repeated needs the header idempotency-key";
         return Err(Refusal::not_run(Reason::KeyMissing, message));
     };
-    let key = claim::key(&call.ask.account, &call.service, key);
+    let key = claim::key(&call.metadata.account, &call.service, key);
     // From here on the call goes on even if its caller goes away: a claim that is dropped
     // half-way could be neither run nor repeated by anyone.
     let router = Arc::clone(router);
@@ -93,7 +93,7 @@
     call: Call,
     key: String,
 ) -> Result<Response<Body>, Refusal> {
-    let patience = call.ask.time_left(router.clock.now());
+    let patience = call.metadata.time_left(router.clock.now());
     match claim::acquire(&router.claims, &router.ex, key, call.digest(), patience).await? {
         claim::Outcome::Replay(state) => replay(&call, state),
         claim::Outcome::Won(claim) => send_once(router, call, claim).await,
@@ -212,7 +212,8 @@
 fn second(router: &Router, call: &Call, first: &Beside, tries: &Tries) -> Option<Lease> {
     check(&*router.snapshot().ok()?, call).ok()?;
     let dispatcher = router.dispatchers.get(&Target::Service(call.service.clone())).ok()?;
-    let entry = Entry { ask: &call.ask, weight: 1.0, affinity: None, exclude: &tries.exclude };
+    let entry =
+        Entry { metadata: &call.metadata, weight: 1.0, affinity: None, exclude: &tries.exclude };
     let lease = dispatcher.try_second(entry, &first.endpoint)?;
     first.spend(router).then_some(lease)
 }
@@ -256,7 +257,7 @@
             sent,
             shown: Shown::Nothing,
             tries: self.n_begun,
-            time_left: call.ask.time_left(router.clock.now()),
+            time_left: call.metadata.time_left(router.clock.now()),
         };
         let refusal = |code, message: &str| {
             Err(Refusal { not_run: self.run(), ..Refusal::not_run(code, message) })
@@ -278,7 +279,7 @@
 }
 
 fn check(snapshot: &Snapshot, call: &Call) -> Result<(), Refusal> {
-    let account = snapshot.account_settings(&call.ask.account);
+    let account = snapshot.account_settings(&call.metadata.account);
     if account.is_none_or(|it| !it.services.contains(&call.service)) {
         return Err(Refusal::not_run(Reason::NotAllowed, "the account may not use this service"));
     }
@@ -290,14 +291,14 @@
     let dispatcher =
         router.dispatchers.get(&Target::Service(call.service.clone())).map_err(truly)?;
     let snapshot = router.snapshot()?;
-    let account = snapshot.account_settings(&call.ask.account);
+    let account = snapshot.account_settings(&call.metadata.account);
     let weight = account.map_or(1.0, |it| it.limit.weight);
-    let entry = Entry { ask: &call.ask, weight, affinity: None, exclude: &tries.exclude };
+    let entry = Entry { metadata: &call.metadata, weight, affinity: None, exclude: &tries.exclude };
     let lease = dispatcher.enter(entry).await.map_err(truly)?;
     // A router that was frozen meanwhile must not send what its caller has long given up on,
     // nor for an account that has lost the right.
     check(&*router.snapshot()?, call).map_err(truly)?;
-    if call.ask.deadline <= router.clock.now() {
+    if call.metadata.deadline <= router.clock.now() {
         return Err(truly(Refusal::not_run(Reason::Deadline, "the deadline passed")));
     }
     Ok(lease)
@@ -313,18 +314,18 @@
         .method(call.method.clone())
         .uri(&call.path)
         .header(http::header::HOST, lease.addr().to_string())
-        .header(header::REQUEST_ID, call.ask.request.as_str());
+        .header(header::REQUEST_ID, call.metadata.request.as_str());
     if let Some(content_type) = &call.content_type {
         req = req.header(CONTENT_TYPE, content_type);
     }
     let req = req.body(call.body.clone()).expect("path and headers came in a valid request");
-    let limit = call.ask.time_left(router.clock.now());
-    let open = attempt::run(router, lease, req, freshness, limit, &call.ask.request).await?;
+    let limit = call.metadata.time_left(router.clock.now());
+    let open = attempt::run(router, lease, req, freshness, limit, &call.metadata.request).await?;
     let Open { link, head, body } = open;
     let status = head.status.as_u16();
     let content_type = head.headers.get(CONTENT_TYPE).and_then(|it| it.to_str().ok());
     let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
-    let limit = call.ask.time_left(router.clock.now());
+    let limit = call.metadata.time_left(router.clock.now());
     match curranthook_http::timeout::run(limit, body::read(body, MAX_ANSWER)).await {
         Ok(Ok(body)) => {
             router.pool.put(link.conn);
@@ -346,8 +347,8 @@
     let Ok(snapshot) = router.snapshot() else { return };
     let price = snapshot.config().services.get(&call.service).map(|it| it.price);
     let line = Line {
-        request: call.ask.request.clone(),
-        account: call.ask.account.clone(),
+        request: call.metadata.request.clone(),
+        account: call.metadata.account.clone(),
         served_by: call.service.clone(),
         prompt_tokens: 0,
         completion_tokens: 0,
@@ -362,7 +363,7 @@
     Response::builder()
         .status(answer.status)
         .header(CONTENT_TYPE, answer.content_type)
-        .header(header::REQUEST_ID, call.ask.request.as_str())
+        .header(header::REQUEST_ID, call.metadata.request.as_str())
         .body(body::full(answer.body))
         .expect("a service's own status and headers are valid")
 }
--- a/crates/curranthook_router/src/service/call.rs
+++ b/crates/curranthook_router/src/service/call.rs
@@ -6,13 +6,13 @@
 use sha2::{Digest, Sha256};
 
 use super::PREFIX;
-use crate::admit::Ask;
+use crate::parse::Metadata;
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// What every request has.
-    pub ask: Ask,
+    pub metadata: Metadata,
     /// The service.
     pub service: String,
     /// The method.
@@ -27,7 +27,11 @@
 
 impl Call {
     /// Reads a call from the parts of a request.
-    pub fn new(parts: &http::request::Parts, ask: Ask, body: Bytes) -> Result<Self, Refusal> {
+    pub fn new(
+        parts: &http::request::Parts,
+        metadata: Metadata,
+        body: Bytes,
+    ) -> Result<Self, Refusal> {
         let not_found = || Refusal::not_run(Reason::NotFound, "no such path");
         let path = parts.uri.path_and_query().map_or("/", |it| it.as_str());
         let rest = path.strip_prefix(PREFIX).ok_or_else(not_found)?;
@@ -36,7 +40,7 @@
         let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
         let content_type = parts.headers.get(CONTENT_TYPE).and_then(|it| it.to_str().ok());
         Ok(Self {
-            ask,
+            metadata,
             service: service.to_owned(),
             method: parts.method.clone(),
             path,
--- a/crates/curranthook_router/src/source.rs
+++ b/crates/curranthook_router/src/source.rs
@@ -151,7 +151,7 @@
         let Ok(answer) = serde_json::from_str::<chat::Answer>(&event.data) else {
             return Read::Broken(Retry::ServerError, "the answer can't be read", Break::None);
         };
-        let is_ours = answer.id == call.chat().ask.request.as_str();
+        let is_ours = answer.id == call.chat().metadata.request.as_str();
         if !is_ours || answer.model != self.version.as_str() {
             return Read::Broken(
                 Retry::ForeignAnswer,
