--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -13,13 +13,12 @@
 //!   it, the attempts of a request, what an engine sends, and the answer as a stream that doesn't
 //!   break off;
 //! - [`bill`]: what it cost;
-//! - [`chat`], [`service`], [`answer`]: the two kinds of requests, put together.
+//! - [`chat`], [`service`], [`response`]: the two kinds of requests, put together.
 //!
 //! [`router`] holds what the stages share, [`snapshot`] one epoch of the configuration.
 //! [`configuration`], [`leaving`], [`stall`] and [`version_health`] are the tasks beside the requests.
 //! [`serve`] starts and ends it all.
 
-pub mod answer;
 pub mod attempt;
 pub mod authenticate;
 pub mod bill;
@@ -36,6 +35,7 @@
 pub mod parse;
 pub mod pin;
 pub mod rating;
+pub mod response;
 pub mod router;
 pub mod routes;
 pub mod serve;
--- a/crates/curranthook_router/src/answer.rs
+++ b/crates/curranthook_router/src/response.rs
@@ -12,7 +12,7 @@
 /// # Panics
 ///
 /// If the request id isn't a valid header value; [`crate::parse`] lets no such id in.
-pub fn refusal(refusal: &Refusal, request: Option<&request::Id>) -> Response<Body> {
+pub fn from_refusal(refusal: &Refusal, request: Option<&request::Id>) -> Response<Body> {
     let mut res = Response::builder()
         .status(refusal.code.status())
         .header(http::header::CONTENT_TYPE, "application/json");
--- a/crates/curranthook_router/src/routes.rs
+++ b/crates/curranthook_router/src/routes.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use serde_json::json;
 
-use crate::{Router, answer, authenticate, chat, parse, service, status};
+use crate::{Router, authenticate, chat, parse, response, service, status};
 
 impl server::Handler for Router {
     fn handle(self: Arc<Self>, req: http::Request<Incoming>) -> Boxed<Response<Body>> {
@@ -20,7 +20,7 @@
                 Ok(res) => res,
                 Err(refusal) => {
                     self.metrics.refused(refusal.code);
-                    answer::refusal(&refusal, id.as_ref())
+                    response::from_refusal(&refusal, id.as_ref())
                 }
             }
         })
