--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -20,11 +20,11 @@
 use crate::{
     Router,
     attempt::{self, Begun, Beside, Break, Failed, Link, Open},
-    choose,
     dispatch::{Entry, Lease, Target},
     events::{self, Events},
     hedge,
     parse::Chat,
+    selection,
     snapshot::Snapshot,
     stall,
 };
@@ -52,7 +52,7 @@
         let weight = config.accounts.get(&chat.metadata.account).map_or(1.0, |it| it.limit.weight);
         let priority = config.kinds.get(&chat.metadata.kind).map_or(0, |it| it.priority);
         // Requests that begin with the same message share a prefix in an engine's cache.
-        let affinity = choose::hash(&chat.body.messages[0].content);
+        let affinity = selection::stable_hash(&chat.body.messages[0].content);
         Self {
             router: Arc::clone(router),
             chat,
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -21,11 +21,11 @@
     Router,
     bill::Cost,
     call::Call,
-    choose::{self, Question},
     parse::Chat,
     pin::Pin,
     rating,
     router::InFlight,
+    selection::{self, Inputs},
     snapshot::Snapshot,
     source::{Item, Piece, Source},
     token,
@@ -73,38 +73,39 @@
     if let Pin::Held(session, version) = &pin {
         let account = snapshot.account_settings(&chat.metadata.account);
         let may_move = account.is_some_and(|it| it.sessions_may_move);
-        match choose::pinned(snapshot, chat, version) {
+        match selection::pinned_plan(snapshot, chat, version) {
             // Both promises hold: the session keeps its version, and the withdrawn version gets
             // no work. Only an account that asked for it has its sessions moved.
             Err(e) if e.code == Reason::PinnedWithdrawn && may_move => {}
             pinned => return pinned.map(|plan| (plan, Some(session.clone()))),
         }
     }
-    let versions = choose::allowed(snapshot, chat)?;
-    let versions = choose::staged(snapshot, versions, choose::key(chat, &pin));
-    let versions = choose::trusted(versions, |it| router.node.suspects().contains(it));
-    let question = Question::new(snapshot, chat, &versions);
+    let versions = selection::allowed(snapshot, chat)?;
+    let versions =
+        selection::apply_rollouts(snapshot, versions, selection::rollout_key(chat, &pin));
+    let versions = selection::without_suspects(versions, |it| router.node.suspects().contains(it));
+    let inputs = Inputs::new(snapshot, chat, &versions);
     let time_left = chat.metadata.time_left(router.clock.now());
     let rater = router.rater.state(snapshot.config().rater);
     let refused = |code| Refusal::not_run(code, "no version can be chosen");
-    let ask = question.ask(chat, time_left, rater);
+    let ask = inputs.to_policy(chat, time_left, rater);
     let plan = router.chooser.lock().plan(&ask).map_err(refused)?;
     match pin {
         Pin::None => Ok((plan, None)),
-        Pin::New(session) => Ok((choose::for_session(plan), Some(session))),
+        Pin::New(session) => Ok((selection::without_cascade(plan), Some(session))),
         // The answer's new token carries the move.
         Pin::Held(session, _) if chat.metadata.token.is_some() => {
-            Ok((choose::for_session(plan), Some(session)))
+            Ok((selection::without_cascade(plan), Some(session)))
         }
         Pin::Held(session, from) => {
-            let plan = choose::for_session(plan);
+            let plan = selection::without_cascade(plan);
             let rows = &router.pins;
             let version =
                 rows.replace(&chat.metadata.account, &session, &from, &plan.first).await?;
             Ok((settled(snapshot, chat, plan, &version)?, Some(session)))
         }
         Pin::Unclaimed(session) => {
-            let plan = choose::for_session(plan);
+            let plan = selection::without_cascade(plan);
             let version = router.pins.insert(&chat.metadata.account, &session, &plan.first).await?;
             Ok((settled(snapshot, chat, plan, &version)?, Some(session)))
         }
@@ -121,7 +122,7 @@
     if *version == plan.first {
         return Ok(plan);
     }
-    choose::pinned(snapshot, chat, version)
+    selection::pinned_plan(snapshot, chat, version)
 }
 
 /// An answer that is being put together.
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -21,7 +21,7 @@
 use futures_lite::future;
 use parking_lot::{Mutex, RwLock};
 
-use crate::{choose, parse::Metadata, snapshot::Snapshot};
+use crate::{parse::Metadata, selection, snapshot::Snapshot};
 
 /// A waiter looks again after this long even if nobody woke it: an endpoint may have become
 /// free without a request of ours ending, as when a load report aged.
@@ -90,7 +90,7 @@
         dispatchers.retain(|target, _| members.contains_key(target));
         for (target, members) in members {
             let dispatcher = dispatchers.entry(target).or_insert_with_key(|target| {
-                let seed = choose::hash(&format!("{}/{target:?}", self.vm));
+                let seed = selection::stable_hash(&format!("{}/{target:?}", self.vm));
                 let pool = baseline::balance(self.balance, self.domain.clone(), seed)
                     .expect("the names of the policies are fixed");
                 Arc::new(Dispatcher::new(Arc::clone(&self.clock), pool))
--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`authenticate`]: which client account calls;
 //! - [`parse`]: what is asked, read and checked;
 //! - [`pin`] and [`token`]: the version that the session is on;
-//! - [`choose`]: which version to ask, and whether a cheaper one first;
+//! - [`selection`]: which version to ask, and whether a cheaper one first;
 //! - [`claim`]: the right to send a call that may not be repeated;
 //! - [`dispatch`]: which endpoint takes it, and who waits;
 //! - [`attempt`], [`hedge`], [`call`], [`events`], [`source`]: one attempt, a second one beside
@@ -24,7 +24,6 @@
 pub mod bill;
 pub mod call;
 pub mod chat;
-pub mod choose;
 pub mod claim;
 pub mod configuration;
 pub mod dispatch;
@@ -38,6 +37,7 @@
 pub mod response;
 pub mod router;
 pub mod routes;
+pub mod selection;
 pub mod serve;
 pub mod service;
 pub mod snapshot;
--- a/crates/curranthook_router/src/choose.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -49,7 +49,7 @@
 }
 
 /// Leaves of each model under a roll-out the one version that this request's `key` falls to.
-pub fn staged<'a>(
+pub fn apply_rollouts<'a>(
     snapshot: &Snapshot,
     mut versions: Vec<&'a version::Id>,
     key: u64,
@@ -67,7 +67,7 @@
 }
 
 /// Leaves out suspects while anything else remains.
-pub fn trusted(
+pub fn without_suspects(
     versions: Vec<&version::Id>,
     is_suspect: impl Fn(&version::Id) -> bool,
 ) -> Vec<&version::Id> {
@@ -75,9 +75,9 @@
     if trusted.is_empty() { versions } else { trusted }
 }
 
-/// The question put to the policy, with owned lists.
+/// The inputs put to the policy, with owned lists.
 #[derive(Debug)]
-pub struct Question<'a> {
+pub struct Inputs<'a> {
     /// The versions to choose from.
     pub candidates: Vec<Candidate<'a>>,
     /// The share of answers that must be good.
@@ -88,8 +88,8 @@
     pub expected_tokens: u64,
 }
 
-impl<'a> Question<'a> {
-    /// The question for `chat` among `versions`.
+impl<'a> Inputs<'a> {
+    /// The inputs for `chat` among `versions`.
     pub fn new(snapshot: &'a Snapshot, chat: &Chat, versions: &[&'a version::Id]) -> Self {
         const DEFAULT_TARGET: f64 = 0.8;
         let config = snapshot.config();
@@ -112,7 +112,7 @@
     }
 
     /// The form that the policy takes.
-    pub fn ask<'b>(
+    pub fn to_policy<'b>(
         &'b self,
         chat: &'b Chat,
         time_left: Duration,
@@ -134,7 +134,11 @@
 }
 
 /// The plan for a request of a session that is on `version` already.
-pub fn pinned(snapshot: &Snapshot, chat: &Chat, version: &version::Id) -> Result<Plan, Refusal> {
+pub fn pinned_plan(
+    snapshot: &Snapshot,
+    chat: &Chat,
+    version: &version::Id,
+) -> Result<Plan, Refusal> {
     let refused = |code, message: &str| Err(Refusal::not_run(code, message));
     if snapshot.document.withdrawn.contains(version) {
         return refused(Reason::PinnedWithdrawn, "the session's version was withdrawn");
@@ -148,7 +152,7 @@
     }
     // Drawn by the request's id: a tenth of the answers, not of the sessions, says more of a
     // version than its first answers alone.
-    let draw = hash(chat.metadata.request.as_str()) as f64 / u64::MAX as f64;
+    let draw = stable_hash(chat.metadata.request.as_str()) as f64 / u64::MAX as f64;
     let is_rated = draw < snapshot.config().policy.rating_sample;
     Ok(Plan {
         first: version.clone(),
@@ -160,7 +164,7 @@
 
 /// The plan for the first request of a session: a session has one version, so no cascade. Ours
 /// plans none; this holds baselines to it.
-pub fn for_session(plan: Plan) -> Plan {
+pub fn without_cascade(plan: Plan) -> Plan {
     match plan.then {
         Some(then) => Plan { first: then, then: None, ..plan },
         None => plan,
@@ -169,16 +173,16 @@
 
 /// The key by which a request falls to one side of a roll-out: its session if it has one, so
 /// that the id-only session that is looked up twice falls to the same side.
-pub fn key(chat: &Chat, pin: &Pin) -> u64 {
+pub fn rollout_key(chat: &Chat, pin: &Pin) -> u64 {
     let text = match pin {
         Pin::New(id) | Pin::Unclaimed(id) | Pin::Held(id, _) => id.as_str(),
         Pin::None => chat.metadata.request.as_str(),
     };
-    hash(text)
+    stable_hash(text)
 }
 
 /// A stable hash, the same on all nodes.
-pub fn hash(text: &str) -> u64 {
+pub fn stable_hash(text: &str) -> u64 {
     use sha2::{Digest, Sha256};
     let digest = Sha256::digest(text.as_bytes());
     u64::from_be_bytes(digest[..8].try_into().expect("a digest is longer than eight bytes"))
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -141,7 +141,7 @@
     let platform = &settings.platform;
     let table = Client::new(platform.table, Arc::clone(&to_platform));
     let claims = Arc::new(table.clone().with_timeout(CLAIM_TIMEOUT));
-    let seed = clock.unix_millis() ^ crate::choose::hash(settings.vm.as_str());
+    let seed = clock.unix_millis() ^ crate::selection::stable_hash(settings.vm.as_str());
     let node = Node::start(node::Setup {
         settings: settings.clone(),
         incarnation: clock.unix_millis(),
