--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -21,13 +21,13 @@
     Router,
     bill::Cost,
     call::Call,
+    completion::{Chunk, Completion, Item},
     parse::Chat,
     pin::Pin,
     rating,
     router::InFlight,
     selection::{self, Inputs},
     snapshot::Snapshot,
-    source::{Item, Piece, Source},
     token,
 };
 
@@ -155,25 +155,25 @@
 /// A whole answer of one version.
 struct Whole {
     version: version::Id,
-    pieces: Vec<Piece>,
+    chunks: Vec<Chunk>,
     usage: Usage,
 }
 
 impl Whole {
     fn text(&self) -> String {
-        self.pieces.iter().map(|it| it.text.as_str()).collect()
+        self.chunks.iter().map(|it| it.text.as_str()).collect()
     }
 }
 
 impl Answer {
     async fn direct(mut self, version: version::Id) -> Result<Response<Body>, Refusal> {
-        let mut source = Source::new(version);
+        let mut completion = Completion::new(version);
         if self.call.chat().body.stream {
             // The head goes out once an endpoint is at work; until then a refusal can be given.
-            source.open(&mut self.call).await?;
-            return self.stream(source);
+            completion.open(&mut self.call).await?;
+            return self.stream(completion);
         }
-        let whole = self.collect(source).await?;
+        let whole = self.collect(completion).await?;
         self.give(whole).await
     }
 
@@ -185,7 +185,7 @@
         then: version::Id,
     ) -> Result<Response<Body>, Refusal> {
         self.stage = Stage::First;
-        let cheap = match self.collect(Source::new(first.clone())).await {
+        let cheap = match self.collect(Completion::new(first.clone())).await {
             Ok(whole) => Some(whole),
             Err(refusal) if is_final(&refusal) => return Err(refusal),
             Err(_) => None,
@@ -203,7 +203,7 @@
         self.router.metrics.retried(retry::Reason::Escalated);
         self.call.reset();
         self.began = self.router.clock.now();
-        match (self.collect(Source::new(then)).await, cheap) {
+        match (self.collect(Completion::new(then)).await, cheap) {
             (Ok(better), cheap) => {
                 // Without a first answer it saw the request like any other.
                 self.stage = cheap.map_or(Stage::Direct, |_| Stage::Second(first));
@@ -219,16 +219,16 @@
         }
     }
 
-    async fn collect(&mut self, mut source: Source) -> Result<Whole, Refusal> {
-        let mut pieces = Vec::new();
+    async fn collect(&mut self, mut completion: Completion) -> Result<Whole, Refusal> {
+        let mut chunks = Vec::new();
         loop {
-            match source.next(&mut self.call).await? {
-                Item::Piece(piece) => pieces.push(piece),
+            match completion.next(&mut self.call).await? {
+                Item::Chunk(chunk) => chunks.push(chunk),
                 Item::End(usage) => {
-                    let version = source.version().clone();
+                    let version = completion.version().clone();
                     self.add(&version, usage);
                     self.observe(&version, usage);
-                    return Ok(Whole { version, pieces, usage });
+                    return Ok(Whole { version, chunks, usage });
                 }
             }
         }
@@ -302,8 +302,8 @@
         }
         let res = self.head(&whole.version);
         if self.call.chat().body.stream {
-            let text = whole.pieces.iter().fold(Vec::new(), |mut text, piece| {
-                text.extend_from_slice(&event(&piece.data));
+            let text = whole.chunks.iter().fold(Vec::new(), |mut text, chunk| {
+                text.extend_from_slice(&event(&chunk.data));
                 text
             });
             let text = [text, event(END_MARKER.as_bytes()).to_vec()].concat();
@@ -325,25 +325,25 @@
     }
 
     /// Passes the answer on as it comes. Its end marker is held back until the bill is safe.
-    fn stream(self, source: Source) -> Result<Response<Body>, Refusal> {
-        let mut res = self.head(source.version()).header("content-type", "text/event-stream");
-        if let Some(endpoint) = source.endpoint() {
+    fn stream(self, completion: Completion) -> Result<Response<Body>, Refusal> {
+        let mut res = self.head(completion.version()).header("content-type", "text/event-stream");
+        if let Some(endpoint) = completion.endpoint() {
             res = res.header(header::ENDPOINT, endpoint.as_str());
         }
-        let frames = stream::unfold(Some((self, source)), |state| async {
-            let (mut answer, mut source) = state?;
-            match source.next(&mut answer.call).await {
-                Ok(Item::Piece(piece)) => {
-                    answer.text.push_str(&piece.text);
-                    let frame = Ok(Frame::data(event(&piece.data)));
-                    Some((frame, Some((answer, source))))
+        let frames = stream::unfold(Some((self, completion)), |state| async {
+            let (mut answer, mut completion) = state?;
+            match completion.next(&mut answer.call).await {
+                Ok(Item::Chunk(chunk)) => {
+                    answer.text.push_str(&chunk.text);
+                    let frame = Ok(Frame::data(event(&chunk.data)));
+                    Some((frame, Some((answer, completion))))
                 }
                 Ok(Item::End(usage)) => {
-                    answer.add(source.version(), usage);
-                    answer.observe(source.version(), usage);
-                    Box::pin(answer.bill(source.version())).await;
+                    answer.add(completion.version(), usage);
+                    answer.observe(completion.version(), usage);
+                    Box::pin(answer.bill(completion.version())).await;
                     let text = std::mem::take(&mut answer.text);
-                    answer.follow_up(source.version(), text, usage);
+                    answer.follow_up(completion.version(), text, usage);
                     Some((Ok(Frame::data(event(END_MARKER.as_bytes()))), None))
                 }
                 // No end marker and a broken body: the caller sees that the answer isn't whole.
--- a/crates/curranthook_router/src/source.rs
+++ b/crates/curranthook_router/src/completion.rs
@@ -26,20 +26,20 @@
 };
 
 /// Between two events an answer may be silent for this long before it's taken up elsewhere.
-const SILENCE: Duration = Duration::from_secs(3);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What a source gives next.
 #[derive(Debug)]
 pub enum Item {
     /// The next piece of the answer.
-    Piece(Piece),
+    Chunk(Chunk),
     /// The answer is whole.
     End(Usage),
 }
 
 /// One event of an answer.
 #[derive(Debug, Clone)]
-pub struct Piece {
+pub struct Chunk {
     /// The event's data as the engine wrote it.
     pub data: Bytes,
     /// The text in it.
@@ -47,26 +47,26 @@
 }
 
 /// The answer of one version.
-pub struct Source {
+pub struct Completion {
     version: version::Id,
-    current: Option<Current>,
-    tokens: u64,
+    active: Option<ActiveStream>,
+    n_tokens: u64,
     usage: Usage,
 }
 
-struct Current {
+struct ActiveStream {
     link: Link,
     first: Option<Event>,
     events: Events,
 }
 
-impl fmt::Debug for Source {
+impl fmt::Debug for Completion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Source").field("version", &self.version).finish_non_exhaustive()
+        f.debug_struct("Completion").field("version", &self.version).finish_non_exhaustive()
     }
 }
 
-impl Current {
+impl ActiveStream {
     async fn next(
         &mut self,
         call: &Call,
@@ -74,20 +74,20 @@
         if let Some(first) = self.first.take() {
             return Ok(Some(Ok(first)));
         }
-        timeout::run(SILENCE.min(call.time_left()), self.events.next()).await
+        timeout::run(EVENT_TIMEOUT.min(call.time_left()), self.events.next()).await
     }
 }
 
-enum Read {
-    Piece(Piece),
+enum Step {
+    Chunk(Chunk),
     End,
-    Broken(Retry, &'static str, Break),
+    Failed(Retry, &'static str, Break),
 }
 
-impl Source {
+impl Completion {
     /// The answer of `version`, not asked for yet.
     pub fn new(version: version::Id) -> Self {
-        Self { version, current: None, tokens: 0, usage: Usage::default() }
+        Self { version, active: None, n_tokens: 0, usage: Usage::default() }
     }
 
     /// The version that answers.
@@ -97,17 +97,17 @@
 
     /// The endpoint that answers now.
     pub fn endpoint(&self) -> Option<&curranthook_types::endpoint::Id> {
-        self.current.as_ref().map(|it| it.link.lease.endpoint())
+        self.active.as_ref().map(|it| it.link.lease.endpoint())
     }
 
     /// Asks for the answer, up to its first event, unless that was done.
     pub async fn open(&mut self, call: &mut Call) -> Result<(), Refusal> {
-        if self.current.is_none() {
+        if self.active.is_none() {
             // Boxed, as below: an open stream would otherwise keep room for the state of all
             // attempts that it will most likely never make.
-            let open = Box::pin(call.open(&self.version, self.tokens));
+            let open = Box::pin(call.open(&self.version, self.n_tokens));
             let Begin { link, first, events } = open.await?;
-            self.current = Some(Current { link, first: Some(first), events });
+            self.active = Some(ActiveStream { link, first: Some(first), events });
         }
         Ok(())
     }
@@ -116,44 +116,44 @@
     pub async fn next(&mut self, call: &mut Call) -> Result<Item, Refusal> {
         loop {
             self.open(call).await?;
-            let Some(mut current) = self.current.take() else { continue };
-            let read = match current.next(call).await {
-                Ok(event) => self.read(call, event),
+            let Some(mut active) = self.active.take() else { continue };
+            let step = match active.next(call).await {
+                Ok(event) => self.parse(call, event),
                 Err(timeout::Elapsed) => {
-                    call.close_idle(current.link.conn.addr());
-                    Read::Broken(Retry::SlowFirstByte, "the answer went silent", Break::None)
+                    call.close_idle(active.link.conn.addr());
+                    Step::Failed(Retry::SlowFirstByte, "the answer went silent", Break::None)
                 }
             };
-            match read {
-                Read::Piece(piece) => {
-                    self.current = Some(current);
-                    return Ok(Item::Piece(piece));
+            match step {
+                Step::Chunk(chunk) => {
+                    self.active = Some(active);
+                    return Ok(Item::Chunk(chunk));
                 }
-                Read::End => {
-                    close(call, current).await;
+                Step::End => {
+                    finish(call, active).await;
                     return Ok(Item::End(self.usage));
                 }
-                Read::Broken(reason, message, broke) => {
-                    let failed = current.link.fail(reason, message, broke);
-                    Box::pin(call.failed(&self.version, failed, self.tokens)).await?;
+                Step::Failed(reason, message, disconnect) => {
+                    let failed = active.link.fail(reason, message, disconnect);
+                    Box::pin(call.failed(&self.version, failed, self.n_tokens)).await?;
                 }
             }
         }
     }
 
-    fn read(&mut self, call: &Call, event: Option<Result<Event, Broken>>) -> Read {
+    fn parse(&mut self, call: &Call, event: Option<Result<Event, Broken>>) -> Step {
         let Some(Ok(event)) = event else {
-            return Read::Broken(Retry::ClosedEarly, "the answer broke off", Break::Closed);
+            return Step::Failed(Retry::ClosedEarly, "the answer broke off", Break::Closed);
         };
         if event.data == END_MARKER {
-            return Read::End;
+            return Step::End;
         }
         let Ok(answer) = serde_json::from_str::<chat::Answer>(&event.data) else {
-            return Read::Broken(Retry::ServerError, "the answer can't be read", Break::None);
+            return Step::Failed(Retry::ServerError, "the answer can't be read", Break::None);
         };
         let is_ours = answer.id == call.chat().metadata.request.as_str();
         if !is_ours || answer.model != self.version.as_str() {
-            return Read::Broken(
+            return Step::Failed(
                 Retry::ForeignAnswer,
                 "the answer belongs to another",
                 Break::None,
@@ -165,19 +165,19 @@
         let delta = answer.choices.into_iter().next().and_then(|it| it.delta);
         let text = delta.map(|it| it.content).unwrap_or_default();
         if !text.is_empty() {
-            self.tokens += 1;
+            self.n_tokens += 1;
         }
-        Read::Piece(Piece { data: event.data.into(), text })
+        Step::Chunk(Chunk { data: event.data.into(), text })
     }
 }
 
-async fn close(call: &Call, mut current: Current) {
+async fn finish(call: &Call, mut active: ActiveStream) {
     // The end marker was the last event; what follows is the end of the body. Only when that
     // has come is the connection in a known state.
-    const REST: Duration = Duration::from_millis(200);
-    match timeout::run(REST, current.events.next()).await {
-        Ok(None) => call.reuse(current.link.conn),
-        _ => current.link.conn.close(),
+    const BODY_END_TIMEOUT: Duration = Duration::from_millis(200);
+    match timeout::run(BODY_END_TIMEOUT, active.events.next()).await {
+        Ok(None) => call.reuse(active.link.conn),
+        _ => active.link.conn.close(),
     }
-    current.link.lease.finish(Outcome::Answered { first_byte: current.link.first_byte });
+    active.link.lease.finish(Outcome::Answered { first_byte: active.link.first_byte });
 }
--- a/crates/curranthook_router/src/lib.rs
+++ b/crates/curranthook_router/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`selection`]: which version to ask, and whether a cheaper one first;
 //! - [`claim`]: the right to send a call that may not be repeated;
 //! - [`dispatch`]: which endpoint takes it, and who waits;
-//! - [`attempt`], [`hedge`], [`call`], [`events`], [`source`]: one attempt, a second one beside
+//! - [`attempt`], [`hedge`], [`call`], [`events`], [`completion`]: one attempt, a second one beside
 //!   it, the attempts of a request, what an engine sends, and the answer as a stream that doesn't
 //!   break off;
 //! - [`bill`]: what it cost;
@@ -25,6 +25,7 @@
 pub mod call;
 pub mod chat;
 pub mod claim;
+pub mod completion;
 pub mod configuration;
 pub mod dispatch;
 pub mod events;
@@ -41,7 +42,6 @@
 pub mod serve;
 pub mod service;
 pub mod snapshot;
-pub mod source;
 pub mod stall;
 pub mod status;
 pub mod token;
