--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct Open {
     /// The endpoint and the connection to it.
-    pub link: Link,
+    pub upstream: Upstream,
     /// The head.
     pub head: http::response::Parts,
     /// The body.
@@ -35,7 +35,7 @@
 
 /// An endpoint and a connection that are in the middle of an answer.
 #[derive(Debug)]
-pub struct Link {
+pub struct Upstream {
     /// The endpoint.
     pub lease: Lease,
     /// The connection, to be reused after a flawless answer only.
@@ -44,7 +44,7 @@
     pub first_byte: Duration,
 }
 
-impl Link {
+impl Upstream {
     /// Gives up in the middle of an answer, because the connection broke or can't be trusted.
     pub fn fail(self, reason: retry::Reason, message: &str, broke: Break) -> Failed {
         self.conn.close();
@@ -127,7 +127,7 @@
         lease.finish(Outcome::Refused);
         return Err(Failed { endpoint, reason, begun: Begun::No, message, broke: Break::None });
     }
-    Ok(Open { link: Link { lease, conn, first_byte: started.elapsed() }, head, body })
+    Ok(Open { upstream: Upstream { lease, conn, first_byte: started.elapsed() }, head, body })
 }
 
 fn fail(lease: Lease, e: &client::Error) -> Failed {
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Router,
-    attempt::{self, Begun, Beside, Break, Failed, Link, Open},
+    attempt::{self, Begun, Beside, Break, Failed, Open, Upstream},
     dispatch::{Entry, Lease, Target},
     events::{self, Events},
     hedge,
@@ -252,7 +252,7 @@
         let open = attempt::run(&self.router, lease, req, freshness, limit, id).await?;
         if !open.head.status.is_success() {
             let message = format!("the engine answered {}", open.head.status);
-            return Err(open.link.fail(Retry::ServerError, &message, Break::None));
+            return Err(open.upstream.fail(Retry::ServerError, &message, Break::None));
         }
         begin(open, limit).await
     }
@@ -291,7 +291,7 @@
 /// they queue a request, so only an event shows that the endpoint is at work.
 pub struct Begin {
     /// The endpoint and the connection.
-    pub link: Link,
+    pub upstream: Upstream,
     /// The first event.
     pub first: Event,
     /// The events after it.
@@ -299,16 +299,16 @@
 }
 
 async fn begin(open: Open, limit: Duration) -> Result<Begin, Failed> {
-    let Open { mut link, body, .. } = open;
+    let Open { mut upstream, body, .. } = open;
     let mut events = events::read(body);
     match timeout::run(limit, events.next()).await {
         Ok(Some(Ok(first))) => {
-            link.first_byte = link.lease.begin();
-            Ok(Begin { link, first, events })
+            upstream.first_byte = upstream.lease.begin();
+            Ok(Begin { upstream, first, events })
         }
-        Ok(_) => Err(link.fail(Retry::ClosedEarly, "the answer broke off", Break::Closed)),
+        Ok(_) => Err(upstream.fail(Retry::ClosedEarly, "the answer broke off", Break::Closed)),
         Err(timeout::Elapsed) => {
-            Err(link.fail(Retry::SlowFirstByte, "no token by the deadline", Break::None))
+            Err(upstream.fail(Retry::SlowFirstByte, "no token by the deadline", Break::None))
         }
     }
 }
--- a/crates/curranthook_router/src/completion.rs
+++ b/crates/curranthook_router/src/completion.rs
@@ -20,7 +20,7 @@
 use futures_lite::StreamExt;
 
 use crate::{
-    attempt::{Break, Link},
+    attempt::{Break, Upstream},
     call::{Begin, Call},
     events::{Broken, Events},
 };
@@ -55,7 +55,7 @@
 }
 
 struct ActiveStream {
-    link: Link,
+    upstream: Upstream,
     first: Option<Event>,
     events: Events,
 }
@@ -97,7 +97,7 @@
 
     /// The endpoint that answers now.
     pub fn endpoint(&self) -> Option<&curranthook_types::endpoint::Id> {
-        self.active.as_ref().map(|it| it.link.lease.endpoint())
+        self.active.as_ref().map(|it| it.upstream.lease.endpoint())
     }
 
     /// Asks for the answer, up to its first event, unless that was done.
@@ -106,8 +106,8 @@
             // Boxed, as below: an open stream would otherwise keep room for the state of all
             // attempts that it will most likely never make.
             let open = Box::pin(call.open(&self.version, self.n_tokens));
-            let Begin { link, first, events } = open.await?;
-            self.active = Some(ActiveStream { link, first: Some(first), events });
+            let Begin { upstream, first, events } = open.await?;
+            self.active = Some(ActiveStream { upstream, first: Some(first), events });
         }
         Ok(())
     }
@@ -120,7 +120,7 @@
             let step = match active.next(call).await {
                 Ok(event) => self.parse(call, event),
                 Err(timeout::Elapsed) => {
-                    call.close_idle(active.link.conn.addr());
+                    call.close_idle(active.upstream.conn.addr());
                     Step::Failed(Retry::SlowFirstByte, "the answer went silent", Break::None)
                 }
             };
@@ -134,7 +134,7 @@
                     return Ok(Item::End(self.usage));
                 }
                 Step::Failed(reason, message, disconnect) => {
-                    let failed = active.link.fail(reason, message, disconnect);
+                    let failed = active.upstream.fail(reason, message, disconnect);
                     Box::pin(call.failed(&self.version, failed, self.n_tokens)).await?;
                 }
             }
@@ -176,8 +176,8 @@
     // has come is the connection in a known state.
     const BODY_END_TIMEOUT: Duration = Duration::from_millis(200);
     match timeout::run(BODY_END_TIMEOUT, active.events.next()).await {
-        Ok(None) => call.reuse(active.link.conn),
-        _ => active.link.conn.close(),
+        Ok(None) => call.reuse(active.upstream.conn),
+        _ => active.upstream.conn.close(),
     }
-    active.link.lease.finish(Outcome::Answered { first_byte: active.link.first_byte });
+    active.upstream.lease.finish(Outcome::Answered { first_byte: active.upstream.first_byte });
 }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -321,24 +321,24 @@
     let req = req.body(call.body.clone()).expect("path and headers came in a valid request");
     let limit = call.metadata.time_left(router.clock.now());
     let open = attempt::run(router, lease, req, freshness, limit, &call.metadata.request).await?;
-    let Open { link, head, body } = open;
+    let Open { upstream, head, body } = open;
     let status = head.status.as_u16();
     let content_type = head.headers.get(CONTENT_TYPE).and_then(|it| it.to_str().ok());
     let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
     let limit = call.metadata.time_left(router.clock.now());
     match curranthook_http::timeout::run(limit, body::read(body, MAX_ANSWER)).await {
         Ok(Ok(body)) => {
-            router.pool.put(link.conn);
-            link.lease.finish(Outcome::Answered { first_byte: link.first_byte });
+            router.pool.put(upstream.conn);
+            upstream.lease.finish(Outcome::Answered { first_byte: upstream.first_byte });
             Ok(Answer { status, content_type, body })
         }
         Ok(Err(e)) => {
             let reason = curranthook_types::retry::Reason::ClosedEarly;
-            Err(link.fail(reason, &e.to_string(), Break::Closed))
+            Err(upstream.fail(reason, &e.to_string(), Break::Closed))
         }
         Err(e) => {
             let reason = curranthook_types::retry::Reason::SlowFirstByte;
-            Err(link.fail(reason, &e.to_string(), Break::None))
+            Err(upstream.fail(reason, &e.to_string(), Break::None))
         }
     }
 }
