--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -48,7 +48,7 @@
     /// Gives up in the middle of an answer, because the connection broke or can't be trusted.
     pub fn fail(self, reason: retry::Reason, message: &str, broke: Break) -> Failed {
         self.conn.close();
-        let failed = failed(self.lease, reason, Begun::Perhaps, message.to_owned());
+        let failed = failed(self.lease, reason, Execution::Unknown, message.to_owned());
         Failed { broke, ..failed }
     }
 }
@@ -64,11 +64,11 @@
 
 /// Whether an endpoint may have begun what failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Begun {
+pub enum Execution {
     /// Not a byte went out, or the endpoint said it had not begun.
-    No,
+    NotStarted,
     /// It may have.
-    Perhaps,
+    Unknown,
 }
 
 /// An attempt that failed.
@@ -79,7 +79,7 @@
     /// How, as the reason for another attempt.
     pub reason: retry::Reason,
     /// Whether it may have run.
-    pub begun: Begun,
+    pub execution: Execution,
     /// One sentence for a person.
     pub message: String,
     /// Whether the connection broke under the request.
@@ -109,7 +109,7 @@
             conn.close();
             router.pool.close_idle(lease.addr());
             let message = format!("no answer within {limit:?}");
-            return Err(failed(lease, retry::Reason::SlowFirstByte, Begun::Perhaps, message));
+            return Err(failed(lease, retry::Reason::SlowFirstByte, Execution::Unknown, message));
         }
     };
     let (head, body) = res.into_parts();
@@ -117,7 +117,7 @@
     if is_foreign(&head, request) {
         conn.close();
         let message = "the answer belongs to another request".to_owned();
-        return Err(failed(lease, retry::Reason::ForeignAnswer, Begun::Perhaps, message));
+        return Err(failed(lease, retry::Reason::ForeignAnswer, Execution::Unknown, message));
     }
     router.pool.record_response(&conn);
     note_load(router, &lease, &head);
@@ -125,7 +125,13 @@
         let message = format!("refused before it began: {}", head.status);
         let endpoint = lease.endpoint().clone();
         lease.finish(Outcome::Refused);
-        return Err(Failed { endpoint, reason, begun: Begun::No, message, broke: Break::None });
+        return Err(Failed {
+            endpoint,
+            reason,
+            execution: Execution::NotStarted,
+            message,
+            broke: Break::None,
+        });
     }
     Ok(Open { upstream: Upstream { lease, conn, first_byte: started.elapsed() }, head, body })
 }
@@ -138,19 +144,19 @@
         return Failed {
             endpoint,
             reason,
-            begun: Begun::No,
+            execution: Execution::NotStarted,
             message: e.to_string(),
             broke: Break::None,
         };
     }
     let reason = retry::Reason::ClosedEarly;
-    Failed { broke: Break::Closed, ..failed(lease, reason, Begun::Perhaps, e.to_string()) }
+    Failed { broke: Break::Closed, ..failed(lease, reason, Execution::Unknown, e.to_string()) }
 }
 
-fn failed(lease: Lease, reason: retry::Reason, begun: Begun, message: String) -> Failed {
+fn failed(lease: Lease, reason: retry::Reason, execution: Execution, message: String) -> Failed {
     let endpoint = lease.endpoint().clone();
     lease.finish(Outcome::Failed);
-    Failed { endpoint, reason, begun, message, broke: Break::None }
+    Failed { endpoint, reason, execution, message, broke: Break::None }
 }
 
 fn note_load(router: &Router, lease: &Lease, head: &http::response::Parts) {
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Router,
-    attempt::{self, Begun, Beside, Break, Failed, Open, Upstream},
+    attempt::{self, Beside, Break, Execution, Failed, Open, Upstream},
     dispatch::{Entry, Lease, Target},
     events::{self, Events},
     hedge,
@@ -103,13 +103,13 @@
         self.exclude.push(failed.endpoint.clone());
         // An endpoint that has begun nothing costs no try: it isn't asked again, so there are
         // only so many of them.
-        if failed.begun == Begun::Perhaps {
+        if failed.execution == Execution::Unknown {
             self.run = Run::Unknown;
             self.tries += 1;
         }
         // A connection that broke or went silent says nothing of the version: a cut cable would
         // otherwise look like a version that turned bad. An engine's own error does.
-        if failed.reason == Retry::ServerError && failed.begun == Begun::Perhaps {
+        if failed.reason == Retry::ServerError && failed.execution == Execution::Unknown {
             self.router.note_failure(&self.chat.metadata.kind, version);
         }
         if failed.broke == Break::Closed {
@@ -120,7 +120,11 @@
         }
         let attempt = retry::Attempt {
             repeat: Repeat::Idempotent,
-            sent: if failed.begun == Begun::No { Sent::NotStarted } else { Sent::MayHaveRun },
+            sent: if failed.execution == Execution::NotStarted {
+                Sent::NotStarted
+            } else {
+                Sent::MayHaveRun
+            },
             shown: if shown == 0 { Shown::Nothing } else { Shown::Part },
             tries: self.tries,
             time_left: self.time_left(),
--- a/crates/curranthook_router/src/hedge.rs
+++ b/crates/curranthook_router/src/hedge.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use futures_lite::future;
 
-use crate::attempt::{Begun, Failed};
+use crate::attempt::{Execution, Failed};
 
 /// The pause before a second attempt is asked for again.
 const AGAIN: Duration = Duration::from_millis(100);
@@ -59,5 +59,5 @@
 
 /// Of two failures, the one that may have run, so that a refusal stays true.
 fn worse(one: Failed, other: Failed) -> Failed {
-    if one.begun == Begun::Perhaps { one } else { other }
+    if one.execution == Execution::Unknown { one } else { other }
 }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     Router,
-    attempt::{self, Begun, Beside, Break, Failed, Open},
+    attempt::{self, Beside, Break, Execution, Failed, Open},
     claim::{self, Claim, State},
     dispatch::{Entry, Lease, Target},
     hedge, parse,
@@ -151,7 +151,7 @@
                     .detach();
                 return Ok(respond(&call, answer));
             }
-            Err(failed) if failed.begun == Begun::No => {
+            Err(failed) if failed.execution == Execution::NotStarted => {
                 let another = tries.another(router, &call, failed, Repeat::AtMostOnce).await;
                 if let Err(refusal) = another {
                     release(router, claim);
@@ -247,7 +247,11 @@
     ) -> Result<(), Refusal> {
         charge(router, call, &failed).await;
         self.exclude.push(failed.endpoint);
-        let sent = if failed.begun == Begun::No { Sent::NotStarted } else { Sent::MayHaveRun };
+        let sent = if failed.execution == Execution::NotStarted {
+            Sent::NotStarted
+        } else {
+            Sent::MayHaveRun
+        };
         if sent == Sent::MayHaveRun {
             self.ran = Some(Run::Unknown);
             self.n_begun += 1;
