--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -46,16 +46,16 @@
 
 impl Upstream {
     /// Gives up in the middle of an answer, because the connection broke or can't be trusted.
-    pub fn fail(self, reason: retry::Reason, message: &str, broke: Break) -> Failed {
+    pub fn fail(self, reason: retry::Reason, message: &str, disconnect: Disconnect) -> Failed {
         self.conn.close();
         let failed = failed(self.lease, reason, Execution::Unknown, message.to_owned());
-        Failed { broke, ..failed }
+        Failed { disconnect, ..failed }
     }
 }
 
 /// Whether a connection broke under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Break {
+pub enum Disconnect {
     /// It closed in the middle, as it does when the endpoint dies.
     Closed,
     /// It didn't.
@@ -83,7 +83,7 @@
     /// One sentence for a person.
     pub message: String,
     /// Whether the connection broke under the request.
-    pub broke: Break,
+    pub disconnect: Disconnect,
 }
 
 /// Sends `req` to the endpoint of `lease` and waits up to `limit` for the head of the answer.
@@ -130,7 +130,7 @@
             reason,
             execution: Execution::NotStarted,
             message,
-            broke: Break::None,
+            disconnect: Disconnect::None,
         });
     }
     Ok(Open { upstream: Upstream { lease, conn, first_byte: started.elapsed() }, head, body })
@@ -146,17 +146,20 @@
             reason,
             execution: Execution::NotStarted,
             message: e.to_string(),
-            broke: Break::None,
+            disconnect: Disconnect::None,
         };
     }
     let reason = retry::Reason::ClosedEarly;
-    Failed { broke: Break::Closed, ..failed(lease, reason, Execution::Unknown, e.to_string()) }
+    Failed {
+        disconnect: Disconnect::Closed,
+        ..failed(lease, reason, Execution::Unknown, e.to_string())
+    }
 }
 
 fn failed(lease: Lease, reason: retry::Reason, execution: Execution, message: String) -> Failed {
     let endpoint = lease.endpoint().clone();
     lease.finish(Outcome::Failed);
-    Failed { endpoint, reason, execution, message, broke: Break::None }
+    Failed { endpoint, reason, execution, message, disconnect: Disconnect::None }
 }
 
 fn note_load(router: &Router, lease: &Lease, head: &http::response::Parts) {
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Router,
-    attempt::{self, Beside, Break, Execution, Failed, Open, Upstream},
+    attempt::{self, Beside, Disconnect, Execution, Failed, Open, Upstream},
     dispatch::{Entry, Lease, Target},
     events::{self, Events},
     hedge,
@@ -112,7 +112,7 @@
         if failed.reason == Retry::ServerError && failed.execution == Execution::Unknown {
             self.router.note_failure(&self.chat.metadata.kind, version);
         }
-        if failed.broke == Break::Closed {
+        if failed.disconnect == Disconnect::Closed {
             attempt::charge(&self.router, self.chat.metadata.fingerprint, &failed.endpoint).await;
         }
         if self.router.node.poison().is_poison(&self.chat.metadata.fingerprint) {
@@ -256,7 +256,7 @@
         let open = attempt::run(&self.router, lease, req, freshness, limit, id).await?;
         if !open.head.status.is_success() {
             let message = format!("the engine answered {}", open.head.status);
-            return Err(open.upstream.fail(Retry::ServerError, &message, Break::None));
+            return Err(open.upstream.fail(Retry::ServerError, &message, Disconnect::None));
         }
         begin(open, limit).await
     }
@@ -310,9 +310,9 @@
             upstream.first_byte = upstream.lease.begin();
             Ok(Begin { upstream, first, events })
         }
-        Ok(_) => Err(upstream.fail(Retry::ClosedEarly, "the answer broke off", Break::Closed)),
+        Ok(_) => Err(upstream.fail(Retry::ClosedEarly, "the answer broke off", Disconnect::Closed)),
         Err(timeout::Elapsed) => {
-            Err(upstream.fail(Retry::SlowFirstByte, "no token by the deadline", Break::None))
+            Err(upstream.fail(Retry::SlowFirstByte, "no token by the deadline", Disconnect::None))
         }
     }
 }
--- a/crates/curranthook_router/src/completion.rs
+++ b/crates/curranthook_router/src/completion.rs
@@ -20,7 +20,7 @@
 use futures_lite::StreamExt;
 
 use crate::{
-    attempt::{Break, Upstream},
+    attempt::{Disconnect, Upstream},
     call::{Begin, Call},
     events::{Broken, Events},
 };
@@ -81,7 +81,7 @@
 enum Step {
     Chunk(Chunk),
     End,
-    Failed(Retry, &'static str, Break),
+    Failed(Retry, &'static str, Disconnect),
 }
 
 impl Completion {
@@ -121,7 +121,7 @@
                 Ok(event) => self.parse(call, event),
                 Err(timeout::Elapsed) => {
                     call.close_idle(active.upstream.conn.addr());
-                    Step::Failed(Retry::SlowFirstByte, "the answer went silent", Break::None)
+                    Step::Failed(Retry::SlowFirstByte, "the answer went silent", Disconnect::None)
                 }
             };
             match step {
@@ -143,20 +143,20 @@
 
     fn parse(&mut self, call: &Call, event: Option<Result<Event, Broken>>) -> Step {
         let Some(Ok(event)) = event else {
-            return Step::Failed(Retry::ClosedEarly, "the answer broke off", Break::Closed);
+            return Step::Failed(Retry::ClosedEarly, "the answer broke off", Disconnect::Closed);
         };
         if event.data == END_MARKER {
             return Step::End;
         }
         let Ok(answer) = serde_json::from_str::<chat::Answer>(&event.data) else {
-            return Step::Failed(Retry::ServerError, "the answer can't be read", Break::None);
+            return Step::Failed(Retry::ServerError, "the answer can't be read", Disconnect::None);
         };
         let is_ours = answer.id == call.chat().metadata.request.as_str();
         if !is_ours || answer.model != self.version.as_str() {
             return Step::Failed(
                 Retry::ForeignAnswer,
                 "the answer belongs to another",
-                Break::None,
+                Disconnect::None,
             );
         }
         if let Some(usage) = answer.usage {
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     Router,
-    attempt::{self, Beside, Break, Execution, Failed, Open},
+    attempt::{self, Beside, Disconnect, Execution, Failed, Open},
     claim::{self, Claim, State},
     dispatch::{Entry, Lease, Target},
     hedge, parse,
@@ -219,7 +219,7 @@
 }
 
 async fn charge(router: &Router, call: &Call, failed: &Failed) {
-    if failed.broke == Break::Closed {
+    if failed.disconnect == Disconnect::Closed {
         attempt::charge(router, call.fingerprint(), &failed.endpoint).await;
     }
 }
@@ -338,11 +338,11 @@
         }
         Ok(Err(e)) => {
             let reason = curranthook_types::retry::Reason::ClosedEarly;
-            Err(upstream.fail(reason, &e.to_string(), Break::Closed))
+            Err(upstream.fail(reason, &e.to_string(), Disconnect::Closed))
         }
         Err(e) => {
             let reason = curranthook_types::retry::Reason::SlowFirstByte;
-            Err(upstream.fail(reason, &e.to_string(), Break::None))
+            Err(upstream.fail(reason, &e.to_string(), Disconnect::None))
         }
     }
 }
