--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -46,10 +46,10 @@
 
 impl Upstream {
     /// Gives up in the middle of an answer, because the connection broke or can't be trusted.
-    pub fn fail(self, reason: retry::Reason, message: &str, disconnect: Disconnect) -> Failed {
+    pub fn fail(self, reason: retry::Reason, message: &str, disconnect: Disconnect) -> Failure {
         self.conn.close();
         let failed = failed(self.lease, reason, Execution::Unknown, message.to_owned());
-        Failed { disconnect, ..failed }
+        Failure { disconnect, ..failed }
     }
 }
 
@@ -73,7 +73,7 @@
 
 /// An attempt that failed.
 #[derive(Debug)]
-pub struct Failed {
+pub struct Failure {
     /// Where.
     pub endpoint: endpoint::Id,
     /// How, as the reason for another attempt.
@@ -94,7 +94,7 @@
     freshness: Freshness,
     limit: Duration,
     request: &request::Id,
-) -> Result<Open, Failed> {
+) -> Result<Open, Failure> {
     let mut conn = match router.pool.take(lease.addr(), freshness).await {
         Ok(conn) => conn,
         Err(e) => return Err(fail(lease, &e)),
@@ -125,7 +125,7 @@
         let message = format!("refused before it began: {}", head.status);
         let endpoint = lease.endpoint().clone();
         lease.finish(Outcome::Refused);
-        return Err(Failed {
+        return Err(Failure {
             endpoint,
             reason,
             execution: Execution::NotStarted,
@@ -136,12 +136,12 @@
     Ok(Open { upstream: Upstream { lease, conn, first_byte: started.elapsed() }, head, body })
 }
 
-fn fail(lease: Lease, e: &client::Error) -> Failed {
+fn fail(lease: Lease, e: &client::Error) -> Failure {
     let endpoint = lease.endpoint().clone();
     if e.is_unsent() {
         lease.finish(Outcome::Unreachable);
         let reason = retry::Reason::Connect;
-        return Failed {
+        return Failure {
             endpoint,
             reason,
             execution: Execution::NotStarted,
@@ -150,16 +150,16 @@
         };
     }
     let reason = retry::Reason::ClosedEarly;
-    Failed {
+    Failure {
         disconnect: Disconnect::Closed,
         ..failed(lease, reason, Execution::Unknown, e.to_string())
     }
 }
 
-fn failed(lease: Lease, reason: retry::Reason, execution: Execution, message: String) -> Failed {
+fn failed(lease: Lease, reason: retry::Reason, execution: Execution, message: String) -> Failure {
     let endpoint = lease.endpoint().clone();
     lease.finish(Outcome::Failed);
-    Failed { endpoint, reason, execution, message, disconnect: Disconnect::None }
+    Failure { endpoint, reason, execution, message, disconnect: Disconnect::None }
 }
 
 fn note_load(router: &Router, lease: &Lease, head: &http::response::Parts) {
@@ -193,14 +193,14 @@
 
 /// The attempt that a second one is made beside.
 #[derive(Debug)]
-pub struct Beside {
+pub struct Primary {
     /// Where it is.
     pub endpoint: endpoint::Id,
     addr: SocketAddr,
     started: Instant,
 }
 
-impl Beside {
+impl Primary {
     /// The attempt that is about to be made under `lease`.
     pub fn new(lease: &Lease) -> Self {
         let endpoint = lease.endpoint().clone();
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Router,
-    attempt::{self, Beside, Disconnect, Execution, Failed, Open, Upstream},
+    attempt::{self, Disconnect, Execution, Failure, Open, Primary, Upstream},
     dispatch::{Entry, Lease, Target},
     events::{self, Events},
     hedge,
@@ -97,7 +97,7 @@
     pub async fn failed(
         &mut self,
         version: &version::Id,
-        failed: Failed,
+        failed: Failure,
         shown: u64,
     ) -> Result<(), Refusal> {
         self.exclude.push(failed.endpoint.clone());
@@ -218,19 +218,19 @@
         version: &version::Id,
         from_token: u64,
         lease: Lease,
-    ) -> Result<Begin, Failed> {
+    ) -> Result<Begin, Failure> {
         let slow_after = lease.slow_after();
-        let beside = &Beside::new(&lease);
+        let primary = &Primary::new(&lease);
         let first = self.attempt(version, from_token, lease, Freshness::Within(FRESH));
         let second = || async move {
             stall::catch_up(&self.router).await;
-            let lease = self.second(version, beside)?;
+            let lease = self.second(version, primary)?;
             Some(self.attempt(version, from_token, lease, Freshness::New))
         };
         hedge::run(slow_after, first, second).await
     }
 
-    fn second(&self, version: &version::Id, first: &Beside) -> Option<Lease> {
+    fn second(&self, version: &version::Id, first: &Primary) -> Option<Lease> {
         self.check(version).ok()?;
         let dispatcher = self.router.dispatchers.get(&Target::Version(version.clone())).ok()?;
         let entry = Entry {
@@ -249,7 +249,7 @@
         from_token: u64,
         lease: Lease,
         freshness: Freshness,
-    ) -> Result<Begin, Failed> {
+    ) -> Result<Begin, Failure> {
         let req = self.request(version, from_token, &lease);
         let limit = self.time_left();
         let id = &self.chat.metadata.request;
@@ -302,7 +302,7 @@
     pub events: Events,
 }
 
-async fn begin(open: Open, limit: Duration) -> Result<Begin, Failed> {
+async fn begin(open: Open, limit: Duration) -> Result<Begin, Failure> {
     let Open { mut upstream, body, .. } = open;
     let mut events = events::read(body);
     match timeout::run(limit, events.next()).await {
--- a/crates/curranthook_router/src/hedge.rs
+++ b/crates/curranthook_router/src/hedge.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use futures_lite::future;
 
-use crate::attempt::{Execution, Failed};
+use crate::attempt::{Execution, Failure};
 
 /// The pause before a second attempt is asked for again.
 const AGAIN: Duration = Duration::from_millis(100);
@@ -19,11 +19,11 @@
 /// is dropped, and its connection closed.
 pub async fn run<T, F, S>(
     slow_after: Duration,
-    first: impl Future<Output = Result<T, Failed>>,
+    first: impl Future<Output = Result<T, Failure>>,
     mut second: impl FnMut() -> S,
-) -> Result<T, Failed>
+) -> Result<T, Failure>
 where
-    F: Future<Output = Result<T, Failed>>,
+    F: Future<Output = Result<T, Failure>>,
     S: Future<Output = Option<F>>,
 {
     let mut first = pin!(first);
@@ -58,6 +58,6 @@
 }
 
 /// Of two failures, the one that may have run, so that a refusal stays true.
-fn worse(one: Failed, other: Failed) -> Failed {
+fn worse(one: Failure, other: Failure) -> Failure {
     if one.execution == Execution::Unknown { one } else { other }
 }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     Router,
-    attempt::{self, Beside, Disconnect, Execution, Failed, Open},
+    attempt::{self, Disconnect, Execution, Failure, Open, Primary},
     claim::{self, Claim, State},
     dispatch::{Entry, Lease, Target},
     hedge, parse,
@@ -198,18 +198,18 @@
     call: &Call,
     lease: Lease,
     tries: &Tries,
-) -> Result<Answer, Failed> {
+) -> Result<Answer, Failure> {
     let slow_after = lease.slow_after();
-    let beside = &Beside::new(&lease);
+    let primary = &Primary::new(&lease);
     let first = attempt(router, call, lease, Freshness::Within(FRESH));
     let second = || async move {
-        let lease = second(router, call, beside, tries)?;
+        let lease = second(router, call, primary, tries)?;
         Some(attempt(router, call, lease, Freshness::New))
     };
     hedge::run(slow_after, first, second).await
 }
 
-fn second(router: &Router, call: &Call, first: &Beside, tries: &Tries) -> Option<Lease> {
+fn second(router: &Router, call: &Call, first: &Primary, tries: &Tries) -> Option<Lease> {
     check(&*router.snapshot().ok()?, call).ok()?;
     let dispatcher = router.dispatchers.get(&Target::Service(call.service.clone())).ok()?;
     let entry =
@@ -218,7 +218,7 @@
     first.spend(router).then_some(lease)
 }
 
-async fn charge(router: &Router, call: &Call, failed: &Failed) {
+async fn charge(router: &Router, call: &Call, failed: &Failure) {
     if failed.disconnect == Disconnect::Closed {
         attempt::charge(router, call.fingerprint(), &failed.endpoint).await;
     }
@@ -242,7 +242,7 @@
         &mut self,
         router: &Router,
         call: &Call,
-        failed: Failed,
+        failed: Failure,
         repeat: Repeat,
     ) -> Result<(), Refusal> {
         charge(router, call, &failed).await;
@@ -313,7 +313,7 @@
     call: &Call,
     lease: Lease,
     freshness: Freshness,
-) -> Result<Answer, Failed> {
+) -> Result<Answer, Failure> {
     let mut req = http::Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
