--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -44,21 +44,21 @@
     let (plan, session) = plan(router, snapshot, &chat).await?;
     router.metrics.count(&format!("choice.{}", plan.reason.name()));
     let call = Call::new(router, snapshot, chat);
-    let answer = Answer {
+    let handler = Handler {
         router: Arc::clone(router),
         snapshot: Arc::clone(snapshot),
         call,
         cost: Cost::default(),
         sample: plan.sample,
         stage: Stage::Direct,
-        began: router.clock.now(),
+        started_at: router.clock.now(),
         session,
         text: String::new(),
         _in_flight: in_flight,
     };
     match plan.then {
-        Some(then) => answer.cascade(plan.first, then).await,
-        None => answer.direct(plan.first).await,
+        Some(then) => handler.cascade(plan.first, then).await,
+        None => handler.direct(plan.first).await,
     }
 }
 
@@ -72,11 +72,11 @@
     let pin = router.pins.find(&chat.metadata, keys, router.clock.unix_millis()).await?;
     if let Pin::Held(session, version) = &pin {
         let account = snapshot.account_settings(&chat.metadata.account);
-        let may_move = account.is_some_and(|it| it.sessions_may_move);
+        let sessions_may_move = account.is_some_and(|it| it.sessions_may_move);
         match selection::pinned_plan(snapshot, chat, version) {
             // Both promises hold: the session keeps its version, and the withdrawn version gets
             // no work. Only an account that asked for it has its sessions moved.
-            Err(e) if e.code == Reason::PinnedWithdrawn && may_move => {}
+            Err(e) if e.code == Reason::PinnedWithdrawn && sessions_may_move => {}
             pinned => return pinned.map(|plan| (plan, Some(session.clone()))),
         }
     }
@@ -102,18 +102,18 @@
             let rows = &router.pins;
             let version =
                 rows.replace(&chat.metadata.account, &session, &from, &plan.first).await?;
-            Ok((settled(snapshot, chat, plan, &version)?, Some(session)))
+            Ok((plan_for_row(snapshot, chat, plan, &version)?, Some(session)))
         }
         Pin::Unclaimed(session) => {
             let plan = selection::without_cascade(plan);
             let version = router.pins.insert(&chat.metadata.account, &session, &plan.first).await?;
-            Ok((settled(snapshot, chat, plan, &version)?, Some(session)))
+            Ok((plan_for_row(snapshot, chat, plan, &version)?, Some(session)))
         }
     }
 }
 
 /// The plan that was made, unless the session's row turned out to name another version.
-fn settled(
+fn plan_for_row(
     snapshot: &Snapshot,
     chat: &Chat,
     plan: Plan,
@@ -126,14 +126,14 @@
 }
 
 /// An answer that is being put together.
-struct Answer {
+struct Handler {
     router: Arc<Router>,
     snapshot: Arc<Snapshot>,
     call: Call,
     cost: Cost,
     sample: Sample,
     stage: Stage,
-    began: Instant,
+    started_at: Instant,
     session: Option<session::Id>,
     /// What was passed on so far.
     text: String,
@@ -153,19 +153,19 @@
 }
 
 /// A whole answer of one version.
-struct Whole {
+struct Collected {
     version: version::Id,
     chunks: Vec<Chunk>,
     usage: Usage,
 }
 
-impl Whole {
+impl Collected {
     fn text(&self) -> String {
         self.chunks.iter().map(|it| it.text.as_str()).collect()
     }
 }
 
-impl Answer {
+impl Handler {
     async fn direct(mut self, version: version::Id) -> Result<Response<Body>, Refusal> {
         let mut completion = Completion::new(version);
         if self.call.chat().body.stream {
@@ -173,8 +173,8 @@
             completion.open(&mut self.call).await?;
             return self.stream(completion);
         }
-        let whole = self.collect(completion).await?;
-        self.give(whole).await
+        let collected = self.collect(completion).await?;
+        self.respond(collected).await
     }
 
     /// Asks `first`, has its answer rated before any of it is shown, and asks `then` if it
@@ -185,73 +185,75 @@
         then: version::Id,
     ) -> Result<Response<Body>, Refusal> {
         self.stage = Stage::First;
-        let cheap = match self.collect(Completion::new(first.clone())).await {
-            Ok(whole) => Some(whole),
+        let first_response = match self.collect(Completion::new(first.clone())).await {
+            Ok(collected) => Some(collected),
             Err(refusal) if is_final(&refusal) => return Err(refusal),
             Err(_) => None,
         };
-        let rating = match &cheap {
-            Some(whole) => self.rate(whole).await,
+        let rating = match &first_response {
+            Some(collected) => self.rate(collected).await,
             None => None,
         };
-        let cheap = match (cheap, rating) {
-            (Some(whole), Some(rating)) if rating::GOOD <= rating => return self.give(whole).await,
-            (cheap, _) => cheap,
+        let first_response = match (first_response, rating) {
+            (Some(collected), Some(rating)) if rating::GOOD <= rating => {
+                return self.respond(collected).await;
+            }
+            (first_response, _) => first_response,
         };
         // An answer that couldn't be rated counts as not good enough: the account asked for a
         // quality, and the dearer version is the one known to meet it.
         self.router.metrics.retried(retry::Reason::Escalated);
         self.call.reset_attempts();
-        self.began = self.router.clock.now();
-        match (self.collect(Completion::new(then)).await, cheap) {
-            (Ok(better), cheap) => {
+        self.started_at = self.router.clock.now();
+        match (self.collect(Completion::new(then)).await, first_response) {
+            (Ok(second_response), first_response) => {
                 // Without a first answer it saw the request like any other.
-                self.stage = cheap.map_or(Stage::Direct, |_| Stage::Second(first));
-                self.give(better).await
+                self.stage = first_response.map_or(Stage::Direct, |_| Stage::Second(first));
+                self.respond(second_response).await
             }
             // The second version can't answer in time or at all. The first one's answer is
             // whole and allowed, so it's better than none.
-            (Err(_), Some(cheap)) => {
+            (Err(_), Some(first_response)) => {
                 self.router.metrics.count("cascade.fell_back");
-                self.give(cheap).await
+                self.respond(first_response).await
             }
             (Err(refusal), None) => Err(refusal),
         }
     }
 
-    async fn collect(&mut self, mut completion: Completion) -> Result<Whole, Refusal> {
+    async fn collect(&mut self, mut completion: Completion) -> Result<Collected, Refusal> {
         let mut chunks = Vec::new();
         loop {
             match completion.next(&mut self.call).await? {
                 Item::Chunk(chunk) => chunks.push(chunk),
                 Item::End(usage) => {
                     let version = completion.version().clone();
-                    self.add(&version, usage);
-                    self.observe(&version, usage);
-                    return Ok(Whole { version, chunks, usage });
+                    self.record_usage(&version, usage);
+                    self.record_latency(&version, usage);
+                    return Ok(Collected { version, chunks, usage });
                 }
             }
         }
     }
 
-    fn add(&mut self, version: &version::Id, usage: Usage) {
+    fn record_usage(&mut self, version: &version::Id, usage: Usage) {
         if let Some(settings) = self.snapshot.config().versions.get(version) {
             self.cost = std::mem::take(&mut self.cost).with(settings, usage);
         }
         self.router.budget.lock().succeeded();
     }
 
-    fn observe(&self, version: &version::Id, usage: Usage) {
-        let took = self.router.clock.now().saturating_duration_since(self.began);
+    fn record_latency(&self, version: &version::Id, usage: Usage) {
+        let took = self.router.clock.now().saturating_duration_since(self.started_at);
         self.router.chooser.lock().observe(version, took, usage.completion_tokens);
     }
 
-    async fn rate(&self, whole: &Whole) -> Option<f64> {
+    async fn rate(&self, collected: &Collected) -> Option<f64> {
         let addr = self.snapshot.config().rater?;
         let chat = self.call.chat();
-        let prompt = prompt(chat);
-        let Whole { version, usage, .. } = whole;
-        let text = whole.text();
+        let prompt = prompt_text(chat);
+        let Collected { version, usage, .. } = collected;
+        let text = collected.text();
         let rating =
             self.router.rater.rate(addr, version, &chat.metadata.kind, &prompt, &text).await;
         self.router.learn(&chat.metadata.kind, version, rating, usage.completion_tokens);
@@ -259,7 +261,7 @@
     }
 
     /// Bills a whole answer; after that it may be given out.
-    async fn bill(&self, version: &version::Id) {
+    async fn record_bill(&self, version: &version::Id) {
         let metadata = &self.call.chat().metadata;
         let line = self.cost.line(metadata, version, &*self.router.clock);
         self.router.node.poison().release(&metadata.fingerprint);
@@ -270,7 +272,7 @@
     }
 
     /// Sends the answer to the rater in the background, or just counts it.
-    fn follow_up(&self, version: &version::Id, text: String, usage: Usage) {
+    fn rate_in_background(&self, version: &version::Id, text: String, usage: Usage) {
         let router = Arc::clone(&self.router);
         let kind = self.call.chat().metadata.kind.clone();
         let (version, tokens) = (version.clone(), usage.completion_tokens);
@@ -278,7 +280,7 @@
         let Some(addr) = self.snapshot.config().rater.filter(|_| is_sampled) else {
             return router.learn(&kind, &version, None, tokens);
         };
-        let (prompt, stage) = (prompt(self.call.chat()), self.stage.clone());
+        let (prompt, stage) = (prompt_text(self.call.chat()), self.stage.clone());
         self.router
             .ex
             .spawn(async move {
@@ -294,71 +296,75 @@
             .detach();
     }
 
-    async fn give(self, whole: Whole) -> Result<Response<Body>, Refusal> {
-        self.bill(&whole.version).await;
-        let text = whole.text();
+    async fn respond(self, collected: Collected) -> Result<Response<Body>, Refusal> {
+        self.record_bill(&collected.version).await;
+        let text = collected.text();
         if self.stage != Stage::First {
-            self.follow_up(&whole.version, text.clone(), whole.usage);
+            self.rate_in_background(&collected.version, text.clone(), collected.usage);
         }
-        let res = self.head(&whole.version);
+        let res = self.response_builder(&collected.version);
         if self.call.chat().body.stream {
-            let text = whole.chunks.iter().fold(Vec::new(), |mut text, chunk| {
-                text.extend_from_slice(&event(&chunk.data));
+            let text = collected.chunks.iter().fold(Vec::new(), |mut text, chunk| {
+                text.extend_from_slice(&sse_event(&chunk.data));
                 text
             });
-            let text = [text, event(END_MARKER.as_bytes()).to_vec()].concat();
-            return Ok(finish(res.header("content-type", "text/event-stream"), body::full(text)));
+            let text = [text, sse_event(END_MARKER.as_bytes()).to_vec()].concat();
+            return Ok(build_response(
+                res.header("content-type", "text/event-stream"),
+                body::full(text),
+            ));
         }
-        let answer = chat::Answer {
+        let response = chat::Answer {
             id: self.call.chat().metadata.request.as_str().to_owned(),
             object: "chat.completion".to_owned(),
-            model: whole.version.as_str().to_owned(),
+            model: collected.version.as_str().to_owned(),
             choices: vec![chat::Choice {
                 message: Some(chat::Message { role: "assistant".to_owned(), content: text }),
                 finish_reason: Some("stop".to_owned()),
                 ..chat::Choice::default()
             }],
-            usage: Some(whole.usage),
+            usage: Some(collected.usage),
         };
-        let text = serde_json::to_vec(&answer).expect("an answer has only plain fields");
-        Ok(finish(res.header("content-type", "application/json"), body::full(text)))
+        let text = serde_json::to_vec(&response).expect("an answer has only plain fields");
+        Ok(build_response(res.header("content-type", "application/json"), body::full(text)))
     }
 
     /// Passes the answer on as it comes. Its end marker is held back until the bill is safe.
     fn stream(self, completion: Completion) -> Result<Response<Body>, Refusal> {
-        let mut res = self.head(completion.version()).header("content-type", "text/event-stream");
+        let mut res =
+            self.response_builder(completion.version()).header("content-type", "text/event-stream");
         if let Some(endpoint) = completion.endpoint() {
             res = res.header(header::ENDPOINT, endpoint.as_str());
         }
         let frames = stream::unfold(Some((self, completion)), |state| async {
-            let (mut answer, mut completion) = state?;
-            match completion.next(&mut answer.call).await {
+            let (mut handler, mut completion) = state?;
+            match completion.next(&mut handler.call).await {
                 Ok(Item::Chunk(chunk)) => {
-                    answer.text.push_str(&chunk.text);
-                    let frame = Ok(Frame::data(event(&chunk.data)));
-                    Some((frame, Some((answer, completion))))
+                    handler.text.push_str(&chunk.text);
+                    let frame = Ok(Frame::data(sse_event(&chunk.data)));
+                    Some((frame, Some((handler, completion))))
                 }
                 Ok(Item::End(usage)) => {
-                    answer.add(completion.version(), usage);
-                    answer.observe(completion.version(), usage);
-                    Box::pin(answer.bill(completion.version())).await;
-                    let text = std::mem::take(&mut answer.text);
-                    answer.follow_up(completion.version(), text, usage);
-                    Some((Ok(Frame::data(event(END_MARKER.as_bytes()))), None))
+                    handler.record_usage(completion.version(), usage);
+                    handler.record_latency(completion.version(), usage);
+                    Box::pin(handler.record_bill(completion.version())).await;
+                    let text = std::mem::take(&mut handler.text);
+                    handler.rate_in_background(completion.version(), text, usage);
+                    Some((Ok(Frame::data(sse_event(END_MARKER.as_bytes()))), None))
                 }
                 // No end marker and a broken body: the caller sees that the answer isn't whole.
                 Err(refusal) => {
-                    answer.router.metrics.refused(refusal.code);
+                    handler.router.metrics.refused(refusal.code);
                     let text = Bytes::from(refusal.body());
-                    let last = Frame::data(event(&text));
+                    let last = Frame::data(sse_event(&text));
                     Some((Ok(last), None))
                 }
             }
         });
-        Ok(finish(res, BodyExt::boxed_unsync(StreamBody::new(frames))))
+        Ok(build_response(res, BodyExt::boxed_unsync(StreamBody::new(frames))))
     }
 
-    fn head(&self, version: &version::Id) -> http::response::Builder {
+    fn response_builder(&self, version: &version::Id) -> http::response::Builder {
         let metadata = &self.call.chat().metadata;
         let mut res = Response::builder()
             .header(header::REQUEST_ID, metadata.request.as_str())
@@ -390,14 +396,14 @@
     matches!(refusal.code, Reason::Deadline | Reason::Poison | Reason::NotReady)
 }
 
-fn finish(res: http::response::Builder, body: Body) -> Response<Body> {
+fn build_response(res: http::response::Builder, body: Body) -> Response<Body> {
     res.body(body).expect("ids were checked when they came in")
 }
 
-fn event(data: &[u8]) -> Bytes {
+fn sse_event(data: &[u8]) -> Bytes {
     [b"data: ", data, b"\n\n"].concat().into()
 }
 
-fn prompt(chat: &Chat) -> String {
+fn prompt_text(chat: &Chat) -> String {
     chat.body.messages.iter().map(|it| it.content.as_str()).collect::<Vec<_>>().join("\n")
 }
