--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -185,37 +185,37 @@
         then: version::Id,
     ) -> Result<Response<Body>, Refusal> {
         self.stage = Stage::First;
-        let first_response = match self.collect(Completion::new(first.clone())).await {
+        let first_reply = match self.collect(Completion::new(first.clone())).await {
             Ok(collected) => Some(collected),
             Err(refusal) if is_final(&refusal) => return Err(refusal),
             Err(_) => None,
         };
-        let rating = match &first_response {
+        let rating = match &first_reply {
             Some(collected) => self.rate(collected).await,
             None => None,
         };
-        let first_response = match (first_response, rating) {
+        let first_reply = match (first_reply, rating) {
             (Some(collected), Some(rating)) if rating::GOOD <= rating => {
                 return self.respond(collected).await;
             }
-            (first_response, _) => first_response,
+            (first_reply, _) => first_reply,
         };
         // An answer that couldn't be rated counts as not good enough: the account asked for a
         // quality, and the dearer version is the one known to meet it.
         self.router.metrics.retried(retry::Reason::Escalated);
         self.call.reset_attempts();
         self.started_at = self.router.clock.now();
-        match (self.collect(Completion::new(then)).await, first_response) {
-            (Ok(second_response), first_response) => {
+        match (self.collect(Completion::new(then)).await, first_reply) {
+            (Ok(second_reply), first_reply) => {
                 // Without a first answer it saw the request like any other.
-                self.stage = first_response.map_or(Stage::Direct, |_| Stage::Second(first));
-                self.respond(second_response).await
+                self.stage = first_reply.map_or(Stage::Direct, |_| Stage::Second(first));
+                self.respond(second_reply).await
             }
             // The second version can't answer in time or at all. The first one's answer is
             // whole and allowed, so it's better than none.
-            (Err(_), Some(first_response)) => {
+            (Err(_), Some(first_reply)) => {
                 self.router.metrics.count("cascade.fell_back");
-                self.respond(first_response).await
+                self.respond(first_reply).await
             }
             (Err(refusal), None) => Err(refusal),
         }
--- a/crates/curranthook_router/src/claim.rs
+++ b/crates/curranthook_router/src/claim.rs
@@ -23,21 +23,21 @@
 /// The table that holds the claims.
 pub const TABLE: &str = "claims";
 /// How often a lost answer is looked into before the caller is refused.
-const SETTLE_TRIES: u32 = 3;
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 /// How long that may take in all.
-const SETTLE_LIMIT: Duration = Duration::from_millis(2_500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The pause between two looks.
-const SETTLE_PAUSE: Duration = Duration::from_millis(50);
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How often an outcome or a release is tried again while the platform is out.
-const BACKGROUND_TRIES: u32 = 600;
+const MAX_BACKGROUND_ATTEMPTS: u32 = 600;
 /// The pause between two such tries.
-const BACKGROUND_PAUSE: Duration = Duration::from_secs(1);
+const BACKGROUND_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// How often an abandoned claim's row is looked for.
-const ABANDON_TRIES: u32 = 60;
+const MAX_CLEANUP_ATTEMPTS: u32 = 60;
 /// The largest answer that is kept for replays, in bytes.
-const MAX_STORED: usize = 64 * 1024;
+const MAX_STORED_BYTES: usize = 64 * 1024;
 /// When to come back while the platform is out.
-const OUTAGE_RETRY: Duration = Duration::from_secs(2);
+const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What a claim's row says.
 #[serde_as]
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub enum Outcome {
     /// This router may send the call, once.
-    Won(Claim),
+    Acquired(Claim),
     /// The call was answered before; here is that answer.
     Replay(State),
 }
@@ -108,26 +108,26 @@
     ex: &runtime::Handle,
     key: String,
     call: [u8; 32],
-    patience: Duration,
+    time_limit: Duration,
 ) -> Result<Outcome, Refusal> {
     let claim = ulid::Ulid::generate().to_string();
     let record = Record { claim, call, state: State::Sending };
     let attempt = Attempt { table: Arc::clone(table), key, record };
-    let why = match timeout::run(patience.min(SETTLE_LIMIT), attempt.run()).await {
+    let cause = match timeout::run(time_limit.min(CLAIM_TIMEOUT), attempt.run()).await {
         Ok(Ok(outcome)) => return outcome,
-        Ok(Err(Unsettled::NotWritten(why))) => return Err(refusal(&why)),
-        Ok(Err(Unsettled::PerhapsWritten(why))) => why,
+        Ok(Err(Unconfirmed::NotWritten(cause))) => return Err(unconfirmed(&cause)),
+        Ok(Err(Unconfirmed::MaybeWritten(cause))) => cause,
         Err(timeout::Elapsed) => Error::Lost("no answer in time".to_owned()),
     };
     // We never send now, yet one of the inserts may have landed. Left alone, such a row would
     // keep the caller's next try from ever running.
-    ex.spawn(attempt.abandon()).detach();
-    Err(refusal(&why))
+    ex.spawn(attempt.clean_up()).detach();
+    Err(unconfirmed(&cause))
 }
 
-fn refusal(why: &Error) -> Refusal {
-    let message = format!("the claim can't be confirmed: {why}");
-    Refusal::not_run(Reason::PlatformDown, message).with_retry_after(OUTAGE_RETRY)
+fn unconfirmed(cause: &Error) -> Refusal {
+    let message = format!("the claim can't be confirmed: {cause}");
+    Refusal::not_run(Reason::PlatformDown, message).with_retry_after(OUTAGE_RETRY_AFTER)
 }
 
 struct Attempt {
@@ -137,17 +137,17 @@
 }
 
 /// Why it isn't known who holds the row.
-enum Unsettled {
+enum Unconfirmed {
     /// Nothing that we sent can have been written.
     NotWritten(Error),
     /// Our claim may be in the row, or may still land there.
-    PerhapsWritten(Error),
+    MaybeWritten(Error),
 }
 
 impl Attempt {
-    async fn run(&self) -> Result<Result<Outcome, Refusal>, Unsettled> {
-        let mut why = Error::Lost("the row is contended".to_owned());
-        for n in 0..SETTLE_TRIES {
+    async fn run(&self) -> Result<Result<Outcome, Refusal>, Unconfirmed> {
+        let mut cause = Error::Lost("the row is contended".to_owned());
+        for n in 0..MAX_CLAIM_ATTEMPTS {
             match self.insert().await {
                 Ok(Some(outcome)) => return Ok(outcome),
                 // The row can't be seen yet: insert again. The claim id is the same, so if the
@@ -156,33 +156,33 @@
                 // It's no use to keep the caller waiting for an outage. But only at the first
                 // try does it mean that nothing was written: an earlier insert whose answer was
                 // lost may have landed before the outage began.
-                Err(e @ Error::Down(_)) if n == 0 => return Err(Unsettled::NotWritten(e)),
-                Err(e @ Error::Down(_)) => return Err(Unsettled::PerhapsWritten(e)),
-                Err(e) => why = e,
+                Err(e @ Error::Down(_)) if n == 0 => return Err(Unconfirmed::NotWritten(e)),
+                Err(e @ Error::Down(_)) => return Err(Unconfirmed::MaybeWritten(e)),
+                Err(e) => cause = e,
             }
-            Timer::after(SETTLE_PAUSE).await;
+            Timer::after(CLAIM_RETRY_DELAY).await;
         }
-        Err(Unsettled::PerhapsWritten(why))
+        Err(Unconfirmed::MaybeWritten(cause))
     }
 
     async fn insert(&self) -> Result<Option<Result<Outcome, Refusal>>, Error> {
         match self.table.insert(TABLE, &self.key, encode(&self.record)).await {
-            Ok(Write::Done(tag)) => Ok(Some(Ok(self.won(tag)))),
+            Ok(Write::Done(tag)) => Ok(Some(Ok(self.acquired(tag)))),
             // The insert may have taken effect though its answer was lost: the row then carries
             // our claim id. Reading it back tells the two cases apart; without that we would
             // refuse a call that is ours to run.
             Ok(Write::Conflict) | Err(Error::Lost(_)) => {
-                self.settle().await.map_err(|e| Error::Lost(e.to_string()))
+                self.resolve_conflict().await.map_err(|e| Error::Lost(e.to_string()))
             }
             Err(e) => Err(e),
         }
     }
 
-    async fn settle(&self) -> Result<Option<Result<Outcome, Refusal>>, Error> {
+    async fn resolve_conflict(&self) -> Result<Option<Result<Outcome, Refusal>>, Error> {
         let Some(row) = self.table.get(TABLE, &self.key).await? else { return Ok(None) };
         let found = decode(&row)?;
         if found.claim == self.record.claim && found.state == State::Sending {
-            return Ok(Some(Ok(self.won(row.tag))));
+            return Ok(Some(Ok(self.acquired(row.tag))));
         }
         if found.call != self.record.call {
             let refusal = Refusal::not_run(Reason::KeyReused, "this key was used for another call");
@@ -191,20 +191,20 @@
         match found.state {
             State::Done { .. } => Ok(Some(Ok(Outcome::Replay(found.state)))),
             State::Released => self.take_over(&row.tag).await,
-            State::Sending => Ok(Some(Err(claimed()))),
+            State::Sending => Ok(Some(Err(already_claimed()))),
         }
     }
 
     async fn take_over(&self, tag: &Tag) -> Result<Option<Result<Outcome, Refusal>>, Error> {
         match self.table.replace(TABLE, &self.key, tag, encode(&self.record)).await? {
-            Write::Done(tag) => Ok(Some(Ok(self.won(tag)))),
+            Write::Done(tag) => Ok(Some(Ok(self.acquired(tag)))),
             // Somebody else took it over first; look at the row again.
             Write::Conflict => Ok(None),
         }
     }
 
-    fn won(&self, tag: Tag) -> Outcome {
-        Outcome::Won(Claim {
+    fn acquired(&self, tag: Tag) -> Outcome {
+        Outcome::Acquired(Claim {
             table: Arc::clone(&self.table),
             key: self.key.clone(),
             tag,
@@ -212,8 +212,8 @@
         })
     }
 
-    async fn abandon(self) {
-        for _ in 0..ABANDON_TRIES {
+    async fn clean_up(self) {
+        for _ in 0..MAX_CLEANUP_ATTEMPTS {
             if let Ok(Some(row)) = self.table.get(TABLE, &self.key).await {
                 match decode(&row) {
                     Ok(it) if it == self.record => return self.release(row.tag).await,
@@ -222,7 +222,7 @@
                     _ => return,
                 }
             }
-            Timer::after(BACKGROUND_PAUSE).await;
+            Timer::after(BACKGROUND_RETRY_DELAY).await;
         }
     }
 
@@ -232,7 +232,7 @@
     }
 }
 
-fn claimed() -> Refusal {
+fn already_claimed() -> Refusal {
     // This request wasn't run, but the call that it repeats may have been.
     Refusal {
         not_run: Run::Unknown,
@@ -243,7 +243,7 @@
 impl Claim {
     /// Stores the answer, so that repeats get it. Goes on trying while the platform is out.
     pub async fn finish(self, status: u16, content_type: &str, body: &[u8]) {
-        let body = (body.len() <= MAX_STORED).then(|| body.to_vec());
+        let body = (body.len() <= MAX_STORED_BYTES).then(|| body.to_vec());
         let state = State::Done { status, content_type: content_type.to_owned(), body };
         self.store(state).await;
     }
@@ -255,12 +255,12 @@
 
     async fn store(self, state: State) {
         let record = Record { state, ..self.record };
-        for _ in 0..BACKGROUND_TRIES {
+        for _ in 0..MAX_BACKGROUND_ATTEMPTS {
             match self.table.replace(TABLE, &self.key, &self.tag, encode(&record)).await {
                 // A conflict means that an earlier try took effect: nobody else writes to a row
                 // that is being sent.
                 Ok(Write::Done(_) | Write::Conflict) => return,
-                Err(_) => Timer::after(BACKGROUND_PAUSE).await,
+                Err(_) => Timer::after(BACKGROUND_RETRY_DELAY).await,
             };
         }
     }
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -240,14 +240,14 @@
 
     fn try_acquire_at(self: &Arc<Self>, params: Params<'_>, now: Instant) -> Result<Lease, Miss> {
         let mut inner = self.inner.lock();
-        let selected = inner.pool.pick(params.affinity, params.excluded, now)?;
-        let Some(addr) = inner.addresses.get(&selected.id).copied() else {
+        let chosen = inner.pool.pick(params.affinity, params.excluded, now)?;
+        let Some(addr) = inner.addresses.get(&chosen.id).copied() else {
             return Err(Miss::Empty);
         };
-        inner.pool.started(&selected.id, now);
+        inner.pool.started(&chosen.id, now);
         Ok(Lease {
             dispatcher: Arc::clone(self),
-            endpoint: selected.id,
+            endpoint: chosen.id,
             addr,
             started: now,
             progress: Progress::AwaitingFirstByte,
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -96,7 +96,7 @@
     let time_limit = call.metadata.time_left(router.clock.now());
     match claim::acquire(&router.claims, &router.ex, key, call.digest(), time_limit).await? {
         claim::Outcome::Replay(state) => replay(&call, state),
-        claim::Outcome::Won(claim) => send_once(router, call, claim).await,
+        claim::Outcome::Acquired(claim) => send_once(router, call, claim).await,
     }
 }
 
