--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -70,7 +70,7 @@
 ) -> Result<(Plan, Option<session::Id>), Refusal> {
     let keys = &snapshot.config().session_keys;
     let pin = router.pins.find(&chat.metadata, keys, router.clock.unix_millis()).await?;
-    if let Pin::Held(session, version) = &pin {
+    if let Pin::Pinned(session, version) = &pin {
         let account = snapshot.account_settings(&chat.metadata.account);
         let sessions_may_move = account.is_some_and(|it| it.sessions_may_move);
         match selection::pinned_plan(snapshot, chat, version) {
@@ -94,14 +94,14 @@
         Pin::None => Ok((plan, None)),
         Pin::New(session) => Ok((selection::without_cascade(plan), Some(session))),
         // The answer's new token carries the move.
-        Pin::Held(session, _) if chat.metadata.token.is_some() => {
+        Pin::Pinned(session, _) if chat.metadata.token.is_some() => {
             Ok((selection::without_cascade(plan), Some(session)))
         }
-        Pin::Held(session, from) => {
+        Pin::Pinned(session, from) => {
             let plan = selection::without_cascade(plan);
-            let rows = &router.pins;
+            let pins = &router.pins;
             let version =
-                rows.replace(&chat.metadata.account, &session, &from, &plan.first).await?;
+                pins.replace(&chat.metadata.account, &session, &from, &plan.first).await?;
             Ok((plan_for_row(snapshot, chat, plan, &version)?, Some(session)))
         }
         Pin::Unclaimed(session) => {
--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -18,11 +18,11 @@
 /// The table that holds pins of callers without tokens.
 pub const TABLE: &str = "sessions";
 /// The session id by which a caller asks for a new session.
-pub const NEW: &str = "new";
+pub const NEW_SESSION: &str = "new";
 /// How many pins a node remembers.
-const MAX_REMEMBERED: usize = 10_000;
+const MAX_CACHED_PINS: usize = 10_000;
 /// When to come back while the platform is out.
-const OUTAGE_RETRY: Duration = Duration::from_secs(2);
+const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What is known of a request's session before a version is chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,20 +34,20 @@
     /// It may begin one; the row decides.
     Unclaimed(session::Id),
     /// It belongs to one that is on this version.
-    Held(session::Id, version::Id),
+    Pinned(session::Id, version::Id),
 }
 
 /// Pins kept in the platform's table, with those that this node has seen.
 #[derive(Debug)]
-pub struct Rows {
+pub struct Store {
     table: Arc<dyn Table>,
-    seen: Mutex<HashMap<String, version::Id>>,
+    cache: Mutex<HashMap<String, version::Id>>,
 }
 
-impl Rows {
+impl Store {
     /// No pin seen yet.
     pub fn new(table: Arc<dyn Table>) -> Self {
-        Self { table, seen: Mutex::default() }
+        Self { table, cache: Mutex::default() }
     }
 
     /// What is known of the session that `ask` belongs to.
@@ -58,18 +58,18 @@
         now_millis: u64,
     ) -> Result<Pin, Refusal> {
         if let Some(text) = &metadata.token {
-            return held(metadata, text, keys, now_millis);
+            return from_token(metadata, text, keys, now_millis);
         }
         let Some(session) = &metadata.session else { return Ok(Pin::None) };
-        if session.as_str() == NEW {
+        if session.as_str() == NEW_SESSION {
             return Ok(Pin::New(session::Id::new(ulid::Ulid::generate().to_string())));
         }
-        let key = key(&metadata.account, session);
-        if let Some(version) = self.seen.lock().get(&key) {
-            return Ok(Pin::Held(session.clone(), version.clone()));
+        let row_key = row_key(&metadata.account, session);
+        if let Some(version) = self.cache.lock().get(&row_key) {
+            return Ok(Pin::Pinned(session.clone(), version.clone()));
         }
-        match self.table.get(TABLE, &key).await.map_err(|e| down(&e))? {
-            Some(row) => Ok(Pin::Held(session.clone(), self.remember(key, &row.value))),
+        match self.table.get(TABLE, &row_key).await.map_err(|e| lookup_failed(&e))? {
+            Some(row) => Ok(Pin::Pinned(session.clone(), self.add_to_cache(row_key, &row.value))),
             None => Ok(Pin::Unclaimed(session.clone())),
         }
     }
@@ -81,16 +81,16 @@
         session: &session::Id,
         version: &version::Id,
     ) -> Result<version::Id, Refusal> {
-        let key = key(account, session);
+        let row_key = row_key(account, session);
         let value = Bytes::copy_from_slice(version.as_str().as_bytes());
-        match self.table.insert(TABLE, &key, value.clone()).await {
-            Ok(Write::Done(_)) => Ok(self.remember(key, &value)),
+        match self.table.insert(TABLE, &row_key, value.clone()).await {
+            Ok(Write::Done(_)) => Ok(self.add_to_cache(row_key, &value)),
             // Whether another node was first or our own answer was lost, the row has the pin.
             Ok(Write::Conflict) | Err(Error::Lost(_)) => {
-                let row = self.row(&key).await?;
-                Ok(self.remember(key, &row.value))
+                let row = self.row(&row_key).await?;
+                Ok(self.add_to_cache(row_key, &row.value))
             }
-            Err(e) => Err(down(&e)),
+            Err(e) => Err(lookup_failed(&e)),
         }
     }
 
@@ -106,40 +106,45 @@
         from: &version::Id,
         to: &version::Id,
     ) -> Result<version::Id, Refusal> {
-        let key = key(account, session);
-        let row = self.row(&key).await?;
+        let row_key = row_key(account, session);
+        let row = self.row(&row_key).await?;
         if row.value != from.as_str() {
-            return Ok(self.remember(key, &row.value));
+            return Ok(self.add_to_cache(row_key, &row.value));
         }
         let value = Bytes::copy_from_slice(to.as_str().as_bytes());
-        match self.table.replace(TABLE, &key, &row.tag, value.clone()).await {
-            Ok(Write::Done(_)) => Ok(self.remember(key, &value)),
+        match self.table.replace(TABLE, &row_key, &row.tag, value.clone()).await {
+            Ok(Write::Done(_)) => Ok(self.add_to_cache(row_key, &value)),
             Ok(Write::Conflict) | Err(Error::Lost(_)) => {
-                let row = self.row(&key).await?;
-                Ok(self.remember(key, &row.value))
+                let row = self.row(&row_key).await?;
+                Ok(self.add_to_cache(row_key, &row.value))
             }
-            Err(e) => Err(down(&e)),
+            Err(e) => Err(lookup_failed(&e)),
         }
     }
 
-    async fn row(&self, key: &str) -> Result<Row, Refusal> {
-        let row = self.table.get(TABLE, key).await.map_err(|e| down(&e))?;
-        row.ok_or_else(|| down(&Error::Lost("no row".to_owned())))
+    async fn row(&self, row_key: &str) -> Result<Row, Refusal> {
+        let row = self.table.get(TABLE, row_key).await.map_err(|e| lookup_failed(&e))?;
+        row.ok_or_else(|| lookup_failed(&Error::Lost("no row".to_owned())))
     }
 
-    fn remember(&self, key: String, value: &[u8]) -> version::Id {
+    fn add_to_cache(&self, row_key: String, value: &[u8]) -> version::Id {
         let version = version::Id::new(String::from_utf8_lossy(value));
-        let mut seen = self.seen.lock();
-        if MAX_REMEMBERED <= seen.len() {
+        let mut cache = self.cache.lock();
+        if MAX_CACHED_PINS <= cache.len() {
             // The rows still have them all.
-            seen.clear();
+            cache.clear();
         }
-        seen.insert(key, version.clone());
+        cache.insert(row_key, version.clone());
         version
     }
 }
 
-fn held(metadata: &Metadata, text: &str, keys: &[Key], now_millis: u64) -> Result<Pin, Refusal> {
+fn from_token(
+    metadata: &Metadata,
+    text: &str,
+    keys: &[Key],
+    now_millis: u64,
+) -> Result<Pin, Refusal> {
     let refused = |why: &str| Refusal::not_run(Reason::BadToken, why);
     let claims = token::verify(text, keys, now_millis).map_err(|e| refused(&e.to_string()))?;
     if claims.account != metadata.account {
@@ -149,18 +154,18 @@
         Some(session) if *session != claims.session => {
             Err(refused("the session token belongs to another session"))
         }
-        _ => Ok(Pin::Held(claims.session, claims.version)),
+        _ => Ok(Pin::Pinned(claims.session, claims.version)),
     }
 }
 
-fn key(account: &account::Id, session: &session::Id) -> String {
+fn row_key(account: &account::Id, session: &session::Id) -> String {
     claim::key(account, "session", session.as_str())
 }
 
-fn down(e: &Error) -> Refusal {
+fn lookup_failed(e: &Error) -> Refusal {
     let message = format!(
         "the session's version can't be looked up: {e}; send the session token, or start a \
          session with the id \"new\""
     );
-    Refusal::not_run(Reason::PlatformDown, message).with_retry_after(OUTAGE_RETRY)
+    Refusal::not_run(Reason::PlatformDown, message).with_retry_after(OUTAGE_RETRY_AFTER)
 }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -45,7 +45,7 @@
     /// The platform's table, for claims.
     pub claims: Arc<dyn Table>,
     /// Pins of sessions without tokens.
-    pub pins: pin::Rows,
+    pub pins: pin::Store,
     /// The rating service.
     pub rater: Rater,
     /// Counters.
--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -175,7 +175,7 @@
 /// that the id-only session that is looked up twice falls to the same side.
 pub fn rollout_key(chat: &Chat, pin: &Pin) -> u64 {
     let text = match pin {
-        Pin::New(id) | Pin::Unclaimed(id) | Pin::Held(id, _) => id.as_str(),
+        Pin::New(id) | Pin::Unclaimed(id) | Pin::Pinned(id, _) => id.as_str(),
         Pin::None => chat.metadata.request.as_str(),
     };
     stable_hash(text)
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -161,7 +161,7 @@
     let dispatchers = Dispatchers::new(Arc::clone(&clock), domain, vm, balance);
     Ok(Arc::new(Router {
         metrics: Metrics::new(settings.statsd).context("opening the metrics socket")?,
-        pins: pin::Rows::new(Arc::clone(&claims) as _),
+        pins: pin::Store::new(Arc::clone(&claims) as _),
         rater: Rater::new(pool(), Arc::clone(&clock)),
         chooser: Mutex::new(chooser),
         budget: Mutex::new(Budget::new(Policy::default().retry_budget, clock.now())),
