--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -221,7 +221,7 @@
         router.pool.close_idle(self.addr);
         let reason = retry::Reason::SlowFirstByte;
         let is_silent = router.pool.has_newer_working_connection(self.addr, self.started);
-        if !is_silent && router.budget.lock().spend(reason, router.clock.now()).is_err() {
+        if !is_silent && router.retry_budget.lock().spend(reason, router.clock.now()).is_err() {
             return false;
         }
         router.metrics.retried(reason);
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -114,7 +114,7 @@
         // A connection that broke or went silent says nothing of the version: a cut cable would
         // otherwise look like a version that turned bad. An engine's own error does.
         if failure.reason == RetryReason::ServerError && failure.execution == Execution::Unknown {
-            self.router.note_failure(&self.chat.metadata.kind, version);
+            self.router.record_failure(&self.chat.metadata.kind, version);
         }
         if failure.disconnect == Disconnect::Closed {
             attempt::charge_if_dead(
@@ -165,7 +165,7 @@
 
     fn spend_retry(&self, reason: RetryReason) -> Result<(), Refusal> {
         let now = self.router.clock.now();
-        if self.router.budget.lock().spend(reason, now).is_err() {
+        if self.router.retry_budget.lock().spend(reason, now).is_err() {
             self.router.metrics.count("retry_budget.spent");
             return Err(self.refusal(Reason::EndpointFailed, "too many retries at this node"));
         }
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -240,7 +240,7 @@
         if let Some(settings) = self.snapshot.config().versions.get(version) {
             self.cost = std::mem::take(&mut self.cost).with(settings, usage);
         }
-        self.router.budget.lock().succeeded();
+        self.router.retry_budget.lock().succeeded();
     }
 
     fn record_latency(&self, version: &version::Id, usage: Usage) {
@@ -256,7 +256,7 @@
         let text = collected.text();
         let rating =
             self.router.rater.rate(addr, version, &chat.metadata.kind, &prompt, &text).await;
-        self.router.learn(&chat.metadata.kind, version, rating, usage.completion_tokens);
+        self.router.record_rating(&chat.metadata.kind, version, rating, usage.completion_tokens);
         rating
     }
 
@@ -267,7 +267,7 @@
         self.router.node.poison().release(&metadata.fingerprint);
         // The line must outlive this VM before the caller can know that it has the answer:
         // a VM that dies in between would otherwise have worked for free.
-        self.router.record(line).await;
+        self.router.record_bill(line).await;
         self.router.metrics.count("answer.whole");
     }
 
@@ -276,9 +276,9 @@
         let router = Arc::clone(&self.router);
         let kind = self.call.chat().metadata.kind.clone();
         let (version, tokens) = (version.clone(), usage.completion_tokens);
-        let is_sampled = self.sample == Sample::Rate || router.wants_rating(&kind, &version);
+        let is_sampled = self.sample == Sample::Rate || router.should_rate(&kind, &version);
         let Some(addr) = self.snapshot.config().rater.filter(|_| is_sampled) else {
-            return router.learn(&kind, &version, None, tokens);
+            return router.record_rating(&kind, &version, None, tokens);
         };
         let (prompt, stage) = (prompt_text(self.call.chat()), self.stage.clone());
         self.router
@@ -287,10 +287,10 @@
                 let rating = router.rater.rate(addr, &version, &kind, &prompt, &text).await;
                 match (stage, rating) {
                     (Stage::Second(first), Some(rating)) => {
-                        router.learn_second(&kind, &first, &version, rating);
-                        router.learn(&kind, &version, None, tokens);
+                        router.record_second_rating(&kind, &first, &version, rating);
+                        router.record_rating(&kind, &version, None, tokens);
                     }
-                    _ => router.learn(&kind, &version, rating, tokens),
+                    _ => router.record_rating(&kind, &version, rating, tokens),
                 }
             })
             .detach();
--- a/crates/curranthook_router/src/configuration.rs
+++ b/crates/curranthook_router/src/configuration.rs
@@ -18,7 +18,7 @@
             // back what the operators have taken away, so the node stops serving.
             None => {
                 log::warn!("epoch {epoch} doesn't name this site");
-                router.current.store(None);
+                router.current_snapshot.store(None);
             }
         }
     }
@@ -28,8 +28,8 @@
     let epoch = snapshot.document.epoch;
     let policy = &snapshot.config().policy;
     router.chooser.lock().set_policy(policy.clone());
-    router.budget.lock().set_fraction(policy.retry_budget);
+    router.retry_budget.lock().set_fraction(policy.retry_budget);
     router.dispatchers.update(&snapshot);
-    router.current.store(Some(Arc::new(snapshot)));
+    router.current_snapshot.store(Some(Arc::new(snapshot)));
     log::info!("epoch {epoch} is in force");
 }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -55,20 +55,20 @@
     /// The choice of versions.
     pub chooser: Mutex<Box<dyn Strategy + Send>>,
     /// Retries that are left.
-    pub budget: Mutex<Budget>,
+    pub retry_budget: Mutex<Budget>,
     /// The share of answers that are rated because of the version's verdict; see
     /// [`crate::version_health`].
-    pub sampling: Mutex<HashMap<version::Id, f64>>,
+    pub rating_shares: Mutex<HashMap<version::Id, f64>>,
     /// What accounts may still ask for.
-    pub buckets: Mutex<HashMap<account::Id, Bucket>>,
+    pub rate_limits: Mutex<HashMap<account::Id, Bucket>>,
     /// The newest configuration.
-    pub current: ArcSwapOption<Snapshot>,
+    pub current_snapshot: ArcSwapOption<Snapshot>,
     /// Whether the process stood still.
     pub stall: stall::Watch,
     /// Requests under way.
     pub in_flight: Arc<AtomicUsize>,
     /// Outcomes of claimed calls on their way to the platform.
-    pub outcomes: Arc<AtomicUsize>,
+    pub pending_outcomes: Arc<AtomicUsize>,
     /// Set when the process is asked to end.
     pub stopping: Stop,
 }
@@ -86,30 +86,34 @@
 impl Router {
     /// The newest configuration, or the refusal of a node that has none yet.
     pub fn snapshot(&self) -> Result<Arc<Snapshot>, Refusal> {
-        let current = self.current.load_full();
-        current.ok_or_else(|| Refusal::not_run(Reason::NotReady, "no configuration yet"))
+        let current_snapshot = self.current_snapshot.load_full();
+        current_snapshot.ok_or_else(|| Refusal::not_run(Reason::NotReady, "no configuration yet"))
     }
 
     /// Counts a request as under way.
-    pub fn enter(&self) -> InFlight {
+    pub fn track_request(&self) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight(Arc::clone(&self.in_flight))
     }
 
     /// Counts an outcome as on its way.
-    pub fn enter_outcome(&self) -> InFlight {
-        self.outcomes.fetch_add(1, Ordering::SeqCst);
-        InFlight(Arc::clone(&self.outcomes))
+    pub fn track_outcome(&self) -> InFlight {
+        self.pending_outcomes.fetch_add(1, Ordering::SeqCst);
+        InFlight(Arc::clone(&self.pending_outcomes))
     }
 
     /// Checks the account's limit.
-    pub fn limit(&self, snapshot: &Snapshot, account: &account::Id) -> Result<(), Refusal> {
+    pub fn check_rate_limit(
+        &self,
+        snapshot: &Snapshot,
+        account: &account::Id,
+    ) -> Result<(), Refusal> {
         self.node.demand().add(account);
         let Some(settings) = snapshot.account_settings(account) else { return Ok(()) };
         let (now, nodes) = (self.clock.now(), self.node.site_nodes());
         let share = self.node.share(account);
-        let mut buckets = self.buckets.lock();
-        let bucket = buckets
+        let mut rate_limits = self.rate_limits.lock();
+        let bucket = rate_limits
             .entry(account.clone())
             .or_insert_with(|| Bucket::new(&settings.limit, nodes, now));
         bucket.set_rate(&settings.limit, nodes);
@@ -121,7 +125,7 @@
     }
 
     /// Writes a bill line down where the loss of this VM doesn't lose it.
-    pub async fn record(&self, line: Line) {
+    pub async fn record_bill(&self, line: Line) {
         let durability = self.node.journal().record(line).await;
         match durability {
             journal::Durability::Replicated(_) => self.metrics.count("bill.replicated"),
@@ -133,15 +137,21 @@
     }
 
     /// Takes in what one answer showed.
-    pub fn learn(&self, kind: &kind::Id, version: &version::Id, rating: Option<f64>, tokens: u64) {
+    pub fn record_rating(
+        &self,
+        kind: &kind::Id,
+        version: &version::Id,
+        rating: Option<f64>,
+        tokens: u64,
+    ) {
         if let Some(rating) = rating {
             self.chooser.lock().learn(kind, version, rating, self.clock.now());
         }
-        self.count(kind, version, Sample { rating, outcome: Outcome::Answered, tokens });
+        self.add_sample(kind, version, Sample { rating, outcome: Outcome::Answered, tokens });
     }
 
     /// Takes in the rating of a cascade's second answer.
-    pub fn learn_second(
+    pub fn record_second_rating(
         &self,
         kind: &kind::Id,
         first: &version::Id,
@@ -153,20 +163,20 @@
 
     /// Whether an answer of `version` should be rated although the policy didn't ask for it:
     /// little is known of the version at this kind of work, or the last ratings speak against it.
-    pub fn wants_rating(&self, kind: &kind::Id, version: &version::Id) -> bool {
+    pub fn should_rate(&self, kind: &kind::Id, version: &version::Id) -> bool {
         if !self.chooser.lock().is_settled(kind, version) {
             return true;
         }
-        let share = self.sampling.lock().get(version).copied().unwrap_or_default();
+        let share = self.rating_shares.lock().get(version).copied().unwrap_or_default();
         rand::rng().random::<f64>() < share
     }
 
     /// Takes in that an engine failed at a version's answer.
-    pub fn note_failure(&self, kind: &kind::Id, version: &version::Id) {
-        self.count(kind, version, Sample { rating: None, outcome: Outcome::Error, tokens: 0 });
+    pub fn record_failure(&self, kind: &kind::Id, version: &version::Id) {
+        self.add_sample(kind, version, Sample { rating: None, outcome: Outcome::Error, tokens: 0 });
     }
 
-    fn count(&self, kind: &kind::Id, version: &version::Id, sample: Sample) {
+    fn add_sample(&self, kind: &kind::Id, version: &version::Id, sample: Sample) {
         self.node.evidence().add(version, kind, sample);
     }
 }
--- a/crates/curranthook_router/src/routes.rs
+++ b/crates/curranthook_router/src/routes.rs
@@ -50,10 +50,10 @@
     incoming: Incoming,
 ) -> Result<Response<Body>, Refusal> {
     let arrived = router.clock.now();
-    let in_flight = router.enter();
+    let in_flight = router.track_request();
     let snapshot = router.snapshot()?;
     let account = authenticate::run(&snapshot, &parts.headers)?;
-    router.limit(&snapshot, &account)?;
+    router.check_rate_limit(&snapshot, &account)?;
     if router.node.journal().is_full() {
         // Bill lines wait for a platform that has been out for long. Another answer would need
         // room for another line, and none may be dropped.
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -114,7 +114,7 @@
 async fn store_outcomes(router: &Router) {
     let start = router.clock.now();
     loop {
-        let n_outcomes = router.outcomes.load(Ordering::SeqCst);
+        let n_outcomes = router.pending_outcomes.load(Ordering::SeqCst);
         if n_outcomes == 0 {
             return;
         }
@@ -164,13 +164,13 @@
         pins: pin::Store::new(Arc::clone(&claims) as _),
         rater: Rater::new(pool(), Arc::clone(&clock)),
         chooser: Mutex::new(chooser),
-        budget: Mutex::new(Budget::new(Policy::default().retry_budget, clock.now())),
-        sampling: Mutex::default(),
-        buckets: Mutex::new(HashMap::new()),
-        current: None.into(),
+        retry_budget: Mutex::new(Budget::new(Policy::default().retry_budget, clock.now())),
+        rating_shares: Mutex::default(),
+        rate_limits: Mutex::new(HashMap::new()),
+        current_snapshot: None.into(),
         stall: stall::Watch::new(Arc::clone(&clock)),
         in_flight: Arc::default(),
-        outcomes: Arc::default(),
+        pending_outcomes: Arc::default(),
         started: clock.now(),
         ex: ex.clone(),
         pool: to_endpoints,
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -141,7 +141,7 @@
                 let stored = reply.body.clone();
                 let (status, content_type) = (reply.status, reply.content_type.clone());
                 // The caller needn't wait for the platform; a shutdown does.
-                let guard = router.enter_outcome();
+                let guard = router.track_outcome();
                 router
                     .ex
                     .spawn(async move {
@@ -172,7 +172,7 @@
 fn release_claim(router: &Router, claim: Claim) {
     // A router that ended before the release is stored would leave a claim that nobody may ever
     // send, though its caller was told that it wasn't run.
-    let guard = router.enter_outcome();
+    let guard = router.track_outcome();
     let release = async move {
         claim.release().await;
         drop(guard);
@@ -282,7 +282,7 @@
             return refusal(Reason::EndpointFailed, &failure.message);
         }
         let now = router.clock.now();
-        if router.budget.lock().spend(failure.reason, now).is_err() {
+        if router.retry_budget.lock().spend(failure.reason, now).is_err() {
             router.metrics.count("retry_budget.spent");
             return refusal(Reason::EndpointFailed, "too many retries at this node");
         }
@@ -374,7 +374,7 @@
         cost: price.unwrap_or_default(),
         at_millis: router.clock.unix_millis(),
     };
-    router.record(line).await;
+    router.record_bill(line).await;
     router.metrics.count("answer.whole");
 }
 
--- a/crates/curranthook_router/src/stall.rs
+++ b/crates/curranthook_router/src/stall.rs
@@ -113,7 +113,7 @@
 /// Whether the newest document that the node knows is the one that requests are checked against.
 fn is_in_force(router: &Router) -> bool {
     let known = router.node.document().map(|it| it.epoch);
-    let current = router.current.load().as_ref().map(|it| it.document.epoch);
+    let current = router.current_snapshot.load().as_ref().map(|it| it.document.epoch);
     // Without a configuration nothing is sent anyway.
     current.is_none() || known <= current
 }
--- a/crates/curranthook_router/src/status.rs
+++ b/crates/curranthook_router/src/status.rs
@@ -36,7 +36,7 @@
 /// The answer to `GET /status`.
 pub fn report(router: &Router) -> Response<Body> {
     let settings = &router.settings;
-    let epoch = router.current.load().as_ref().map(|it| it.document.epoch);
+    let epoch = router.current_snapshot.load().as_ref().map(|it| it.document.epoch);
     let status = Status {
         vm: &settings.vm,
         incarnation: router.node.identity().incarnation,
@@ -65,7 +65,7 @@
 }
 
 fn is_ready(router: &Router) -> bool {
-    router.current.load().is_some() && !router.stopping.is_set() && !is_joining(router)
+    router.current_snapshot.load().is_some() && !router.stopping.is_set() && !is_joining(router)
 }
 
 /// Whether it's too early for requests: a VM that is lost before it has met a peer takes the
