--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -224,7 +224,7 @@
         if !is_silent && router.retry_budget.lock().spend(reason, router.clock.now()).is_err() {
             return false;
         }
-        router.metrics.retried(reason);
+        router.metrics.count_retry(reason);
         true
     }
 }
--- a/crates/curranthook_router/src/authenticate.rs
+++ b/crates/curranthook_router/src/authenticate.rs
@@ -12,5 +12,5 @@
     let value = headers.get(header::AUTHORIZATION).and_then(|it| it.to_str().ok());
     let key = value.and_then(|it| it.strip_prefix("Bearer ")).ok_or_else(refused)?;
     let hash: [u8; 32] = Sha256::digest(key.as_bytes()).into();
-    snapshot.account(&hash).cloned().ok_or_else(refused)
+    snapshot.account_by_key_hash(&hash).cloned().ok_or_else(refused)
 }
--- a/crates/curranthook_router/src/bill.rs
+++ b/crates/curranthook_router/src/bill.rs
@@ -26,9 +26,9 @@
     /// let price = Rate { prompt: Micros(0), completion: Micros(500) };
     /// let version = Version { price, quality: Default::default() };
     /// let usage = Usage { prompt_tokens: 10, completion_tokens: 100 };
-    /// assert_eq!(Cost::default().with(&version, usage).total, Micros(50));
+    /// assert_eq!(Cost::default().with_usage(&version, usage).total, Micros(50));
     /// ```
-    pub fn with(self, version: &config::Version, usage: Usage) -> Self {
+    pub fn with_usage(self, version: &config::Version, usage: Usage) -> Self {
         let cost = version.price.cost(usage.prompt_tokens, usage.completion_tokens);
         Self {
             prompt_tokens: self.prompt_tokens + usage.prompt_tokens,
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -169,7 +169,7 @@
             self.router.metrics.count("retry_budget.spent");
             return Err(self.refusal(Reason::EndpointFailed, "too many retries at this node"));
         }
-        self.router.metrics.retried(reason);
+        self.router.metrics.count_retry(reason);
         Ok(())
     }
 
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -195,14 +195,14 @@
             None => None,
         };
         let first_reply = match (first_reply, rating) {
-            (Some(collected), Some(rating)) if rating::GOOD <= rating => {
+            (Some(collected), Some(rating)) if rating::GOOD_RATING <= rating => {
                 return self.respond(collected).await;
             }
             (first_reply, _) => first_reply,
         };
         // An answer that couldn't be rated counts as not good enough: the account asked for a
         // quality, and the dearer version is the one known to meet it.
-        self.router.metrics.retried(retry::Reason::Escalated);
+        self.router.metrics.count_retry(retry::Reason::Escalated);
         self.call.reset_attempts();
         self.started_at = self.router.clock.now();
         match (self.collect(Completion::new(then)).await, first_reply) {
@@ -238,7 +238,7 @@
 
     fn record_usage(&mut self, version: &version::Id, usage: Usage) {
         if let Some(settings) = self.snapshot.config().versions.get(version) {
-            self.cost = std::mem::take(&mut self.cost).with(settings, usage);
+            self.cost = std::mem::take(&mut self.cost).with_usage(settings, usage);
         }
         self.router.retry_budget.lock().succeeded();
     }
@@ -354,7 +354,7 @@
                 }
                 // No end marker and a broken body: the caller sees that the answer isn't whole.
                 Err(refusal) => {
-                    handler.router.metrics.refused(refusal.code);
+                    handler.router.metrics.count_refusal(refusal.code);
                     let text = Bytes::from(refusal.body());
                     let last = Frame::data(sse_event(&text));
                     Some((Ok(last), None))
--- a/crates/curranthook_router/src/completion.rs
+++ b/crates/curranthook_router/src/completion.rs
@@ -22,7 +22,7 @@
 use crate::{
     attempt::{Disconnect, Upstream},
     call::{Call, Streaming},
-    events::{Broken, Events},
+    events::{Events, StreamError},
 };
 
 /// Between two events an answer may be silent for this long before it's taken up elsewhere.
@@ -70,7 +70,7 @@
     async fn next(
         &mut self,
         call: &Call,
-    ) -> Result<Option<Result<Event, Broken>>, timeout::Elapsed> {
+    ) -> Result<Option<Result<Event, StreamError>>, timeout::Elapsed> {
         if let Some(first) = self.first.take() {
             return Ok(Some(Ok(first)));
         }
@@ -145,7 +145,7 @@
         }
     }
 
-    fn parse(&mut self, call: &Call, event: Option<Result<Event, Broken>>) -> Step {
+    fn parse(&mut self, call: &Call, event: Option<Result<Event, StreamError>>) -> Step {
         let Some(Ok(event)) = event else {
             return Step::Failed(
                 RetryReason::ClosedEarly,
--- a/crates/curranthook_router/src/configuration.rs
+++ b/crates/curranthook_router/src/configuration.rs
@@ -13,7 +13,7 @@
         let document = router.node.next_document(epoch).await;
         epoch = document.epoch;
         match Snapshot::new(document, &router.settings.site) {
-            Some(snapshot) => take(&router, snapshot),
+            Some(snapshot) => apply(&router, snapshot),
             // Published without our site: going on with the last one that named it would bring
             // back what the operators have taken away, so the node stops serving.
             None => {
@@ -24,7 +24,7 @@
     }
 }
 
-fn take(router: &Router, snapshot: Snapshot) {
+fn apply(router: &Router, snapshot: Snapshot) {
     let epoch = snapshot.document.epoch;
     let policy = &snapshot.config().policy;
     router.chooser.lock().set_policy(policy.clone());
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -74,7 +74,7 @@
     pub fn update(&self, snapshot: &Snapshot) {
         let mut members: HashMap<Target, Vec<(Member, SocketAddr)>> = HashMap::new();
         for (id, it) in &snapshot.config().endpoints {
-            if !snapshot.in_service(id) {
+            if !snapshot.is_in_service(id) {
                 continue;
             }
             let versions = it.versions.iter().cloned().map(Target::Version);
--- a/crates/curranthook_router/src/events.rs
+++ b/crates/curranthook_router/src/events.rs
@@ -9,12 +9,12 @@
 use hyper::body::Incoming;
 
 /// The largest event, in bytes. An event is a token and a little about it.
-const MAX_EVENT: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// The events of an answer.
-pub type Events = Pin<Box<dyn Stream<Item = Result<Event, Broken>> + Send>>;
+pub type Events = Pin<Box<dyn Stream<Item = Result<Event, StreamError>> + Send>>;
 /// Why there are no more events.
-pub type Broken = EventStreamError<Error>;
+pub type StreamError = EventStreamError<Error>;
 
 /// Why the bytes of an answer end.
 #[derive(Debug, thiserror::Error)]
@@ -23,7 +23,7 @@
     #[error(transparent)]
     Connection(#[from] hyper::Error),
     /// An event has no end.
-    #[error("an event is larger than {MAX_EVENT} bytes")]
+    #[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
     TooLarge,
 }
 
@@ -33,26 +33,26 @@
 /// an engine that never ends an event it would take all memory, and all of a thread's time, and
 /// other requests would stand still; so the size is checked before.
 pub fn read(body: Incoming) -> Events {
-    let mut size = Size::default();
-    let pieces = body.into_data_stream().map(move |piece| {
-        let piece: Bytes = piece?;
-        size.add(&piece);
-        if size.n_bytes <= MAX_EVENT { Ok(piece) } else { Err(Error::TooLarge) }
+    let mut size = EventSize::default();
+    let chunks = body.into_data_stream().map(move |chunk| {
+        let chunk: Bytes = chunk?;
+        size.add(&chunk);
+        if size.n_bytes <= MAX_EVENT_BYTES { Ok(chunk) } else { Err(Error::TooLarge) }
     });
-    Box::pin(pieces.eventsource())
+    Box::pin(chunks.eventsource())
 }
 
 /// The size of the event under way.
 #[derive(Debug, Default)]
-struct Size {
+struct EventSize {
     n_bytes: usize,
     is_line_empty: bool,
 }
 
-impl Size {
+impl EventSize {
     /// An empty line ends an event. It may come in two pieces.
-    fn add(&mut self, piece: &[u8]) {
-        for byte in piece {
+    fn add(&mut self, chunk: &[u8]) {
+        for byte in chunk {
             self.n_bytes += 1;
             match byte {
                 b'\n' if self.is_line_empty => self.n_bytes = 0,
--- a/crates/curranthook_router/src/leaving.rs
+++ b/crates/curranthook_router/src/leaving.rs
@@ -18,20 +18,20 @@
 
 /// How often the list is read. At several thousand nodes the platform couldn't bear it: see
 /// `docs/CAPACITY.md`.
-const PERIOD: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long an endpoint may take to say how it is.
-const LIMIT: Duration = Duration::from_secs(1);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Watches the list and the endpoints that are leaving, for as long as the process lives.
 pub async fn run(router: Arc<Router>, vms: Arc<dyn Vms>) {
-    let named = Mutex::default();
+    let listed = Mutex::default();
     // Side by side: endpoints that are going away tend not to answer, and waiting for them must
     // not hold up the news that another one leaves.
-    future::zip(follow(&router, &*vms, &named), bring_back(&router, &named)).await;
+    future::zip(poll_vm_list(&router, &*vms, &listed), reinstate(&router, &listed)).await;
 }
 
-async fn follow(router: &Router, vms: &dyn Vms, named: &Mutex<HashSet<SocketAddr>>) {
+async fn poll_vm_list(router: &Router, vms: &dyn Vms, listed: &Mutex<HashSet<SocketAddr>>) {
     loop {
         // While the platform is out, what it said last stays in force.
         if let Ok(list) = vms.all().await {
@@ -41,21 +41,21 @@
                 .map(|it| it.address)
                 .collect();
             router.dispatchers.mark_leaving(&leaving);
-            *named.lock() = leaving;
+            *listed.lock() = leaving;
         }
-        Timer::after(PERIOD).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Asks marked endpoints that the list doesn't name. This goes on while the platform is out:
 /// endpoints that restart one by one would otherwise all be left out in the end.
-async fn bring_back(router: &Router, named: &Mutex<HashSet<SocketAddr>>) {
+async fn reinstate(router: &Router, listed: &Mutex<HashSet<SocketAddr>>) {
     loop {
-        Timer::after(PERIOD).await;
+        Timer::after(POLL_INTERVAL).await;
         let mut marked = router.dispatchers.leaving();
-        marked.retain(|it| !named.lock().contains(it));
+        marked.retain(|it| !listed.lock().contains(it));
         for addr in marked {
-            let call = Exchange::get(addr, "/healthz").with_timeout(LIMIT);
+            let call = Exchange::get(addr, "/healthz").with_timeout(STATUS_TIMEOUT);
             let Ok(res) = call.run(&router.pool).await else { continue };
             let is_leaving = res.headers().get(header::LEAVING).is_some_and(|it| it == "true");
             if res.status().is_success() && !is_leaving {
--- a/crates/curranthook_router/src/metrics.rs
+++ b/crates/curranthook_router/src/metrics.rs
@@ -20,7 +20,7 @@
 use crate::Router;
 
 /// How often the counts of the links to peers are sent.
-const PERIOD: Duration = Duration::from_secs(5);
+const LINK_COUNT_INTERVAL: Duration = Duration::from_secs(5);
 /// What the names of all counters begin with on the wire.
 const PREFIX: &str = "curranthook.router";
 
@@ -36,7 +36,7 @@
     pub fn new(statsd: Option<SocketAddr>) -> std::io::Result<Self> {
         let client = match statsd {
             Some(addr) => {
-                let socket = UdpSocket::bind(any_port(&addr))?;
+                let socket = UdpSocket::bind(unspecified_addr(&addr))?;
                 socket.set_nonblocking(true)?;
                 let sink = UdpMetricSink::from(addr, socket).map_err(std::io::Error::other)?;
                 StatsdClient::from_sink(PREFIX, QueuingMetricSink::from(sink))
@@ -47,12 +47,12 @@
     }
 
     /// Counts one refusal.
-    pub fn refused(&self, reason: refusal::Reason) {
+    pub fn count_refusal(&self, reason: refusal::Reason) {
         self.count(&format!("refusal.{}", reason.name()));
     }
 
     /// Counts one more attempt.
-    pub fn retried(&self, reason: retry::Reason) {
+    pub fn count_retry(&self, reason: retry::Reason) {
         self.count(&format!("retry.{}", reason.name()));
     }
 
@@ -91,13 +91,13 @@
         for (name, value) in router.node.counters().all() {
             router.metrics.gauge(&format!("peers.{name}"), value);
         }
-        Timer::after(PERIOD).await;
+        Timer::after(LINK_COUNT_INTERVAL).await;
     }
 }
 
 /// Where a socket is bound that sends to `addr`. The receiver may be anywhere: a socket on the
 /// loopback would reach this VM's own processes only, and nobody would see a counter.
-fn any_port(addr: &SocketAddr) -> SocketAddr {
+fn unspecified_addr(addr: &SocketAddr) -> SocketAddr {
     let any = match addr {
         SocketAddr::V4(_) => IpAddr::from(Ipv4Addr::UNSPECIFIED),
         SocketAddr::V6(_) => IpAddr::from(Ipv6Addr::UNSPECIFIED),
--- a/crates/curranthook_router/src/parse.rs
+++ b/crates/curranthook_router/src/parse.rs
@@ -14,11 +14,11 @@
 use sha2::{Digest, Sha256};
 
 /// The longest id that a caller may choose, in bytes.
-const MAX_ID: usize = 200;
+const MAX_ID_BYTES: usize = 200;
 /// The kind of work of a request that names none.
 pub const DEFAULT_KIND: &str = "default";
 /// The length of a body's fingerprint, in bytes.
-const FINGERPRINT: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
 /// What every request has, whatever it asks for.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
     /// When it must be answered.
     pub deadline: Instant,
     /// Tells whether a body was seen before: it took down an endpoint, say.
-    pub fingerprint: [u8; FINGERPRINT],
+    pub fingerprint: [u8; FINGERPRINT_BYTES],
 }
 
 impl Metadata {
@@ -64,29 +64,29 @@
     arrived: Instant,
 ) -> Result<(Metadata, Bytes), Refusal> {
     let headers = &parts.headers;
-    let request = match text(headers, header::REQUEST_ID)? {
+    let request = match header_text(headers, header::REQUEST_ID)? {
         Some(id) => request::Id::new(id),
         None => request::Id::new(ulid::Ulid::generate().to_string()),
     };
-    let patience = match text(headers, header::DEADLINE_MS)? {
-        Some(millis) => Duration::from_millis(number(header::DEADLINE_MS, millis)?),
+    let time_limit = match header_text(headers, header::DEADLINE_MS)? {
+        Some(millis) => Duration::from_millis(header_number(header::DEADLINE_MS, millis)?),
         None => policy.default_deadline,
     };
     // A caller whose connection went silent never sends the rest. Without a limit its request
     // would wait for good, and a shutdown with it.
-    let bytes = timeout::run(patience, read_body(incoming, policy.max_body)).await;
-    let late = |_| Refusal::not_run(Reason::Deadline, "the body didn't come in time");
-    let bytes = bytes.map_err(late)??;
+    let bytes = timeout::run(time_limit, read_body(incoming, policy.max_body)).await;
+    let timed_out = |_| Refusal::not_run(Reason::Deadline, "the body didn't come in time");
+    let bytes = bytes.map_err(timed_out)??;
     let digest = Sha256::digest(&bytes);
-    let mut fingerprint = [0; FINGERPRINT];
-    fingerprint.copy_from_slice(&digest[..FINGERPRINT]);
+    let mut fingerprint = [0; FINGERPRINT_BYTES];
+    fingerprint.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
     let metadata = Metadata {
         request,
         account,
-        kind: kind::Id::new(text(headers, header::KIND)?.unwrap_or(DEFAULT_KIND)),
-        session: text(headers, header::SESSION)?.map(session::Id::new),
-        token: text(headers, header::SESSION_TOKEN)?.map(str::to_owned),
-        deadline: arrived + patience,
+        kind: kind::Id::new(header_text(headers, header::KIND)?.unwrap_or(DEFAULT_KIND)),
+        session: header_text(headers, header::SESSION)?.map(session::Id::new),
+        token: header_text(headers, header::SESSION_TOKEN)?.map(str::to_owned),
+        deadline: arrived + time_limit,
         fingerprint,
     };
     Ok((metadata, bytes))
@@ -110,12 +110,12 @@
 }
 
 /// The text of a header, checked to be one that can go into other headers, paths and rows.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let malformed =
         |why: &str| Refusal::not_run(Reason::Malformed, format!("header {name}: {why}"));
     let value = value.to_str().map_err(|_| malformed("not plain ASCII"))?;
-    let max = if name == header::SESSION_TOKEN { 4 * MAX_ID } else { MAX_ID };
+    let max = if name == header::SESSION_TOKEN { 4 * MAX_ID_BYTES } else { MAX_ID_BYTES };
     if value.is_empty() || max < value.len() {
         return Err(malformed("empty or too long"));
     }
@@ -125,7 +125,7 @@
     Ok(Some(value))
 }
 
-fn number(name: &str, value: &str) -> Result<u64, Refusal> {
+fn header_number(name: &str, value: &str) -> Result<u64, Refusal> {
     let malformed = |_| Refusal::not_run(Reason::Malformed, format!("header {name}: not a number"));
     // A day is longer than any caller waits; the bound keeps sums of times from overflowing.
     const DAY_MILLIS: u64 = 24 * 60 * 60 * 1_000;
--- a/crates/curranthook_router/src/rating.rs
+++ b/crates/curranthook_router/src/rating.rs
@@ -13,23 +13,23 @@
 use serde::{Deserialize, Serialize};
 
 /// From this rating on an answer is good enough.
-pub const GOOD: f64 = 0.5;
+pub const GOOD_RATING: f64 = 0.5;
 /// How long a rating may take.
-const LIMIT: Duration = Duration::from_secs(2);
+const RATING_TIMEOUT: Duration = Duration::from_secs(2);
 /// After a failure the service counts as down for this long, so that cascades, which wait for
 /// it, are left alone.
-const DOWN_FOR: Duration = Duration::from_secs(5);
+const DOWN_PERIOD: Duration = Duration::from_secs(5);
 
 /// A client of the rating service.
 #[derive(Debug)]
 pub struct Rater {
     pool: Arc<Pool>,
     clock: Arc<dyn Clock>,
-    failed: Mutex<Option<Instant>>,
+    failed_at: Mutex<Option<Instant>>,
 }
 
 #[derive(Debug, Serialize)]
-struct Question<'a> {
+struct Request<'a> {
     version: &'a version::Id,
     kind: &'a kind::Id,
     prompt: &'a str,
@@ -37,20 +37,20 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Rating {
+struct Response {
     rating: f64,
 }
 
 impl Rater {
     /// A client that thinks the service is up.
     pub fn new(pool: Arc<Pool>, clock: Arc<dyn Clock>) -> Self {
-        Self { pool, clock, failed: Mutex::default() }
+        Self { pool, clock, failed_at: Mutex::default() }
     }
 
     /// Whether the service gave its last rating, or failed long enough ago to be tried again.
     pub fn state(&self, addr: Option<SocketAddr>) -> choice::Rater {
-        let is_down = |at: Instant| self.clock.now() < at + DOWN_FOR;
-        if addr.is_none() || self.failed.lock().is_some_and(is_down) {
+        let is_down = |at: Instant| self.clock.now() < at + DOWN_PERIOD;
+        if addr.is_none() || self.failed_at.lock().is_some_and(is_down) {
             choice::Rater::Down
         } else {
             choice::Rater::Up
@@ -66,11 +66,12 @@
         prompt: &str,
         answer: &str,
     ) -> Option<f64> {
-        let question = Question { version, kind, prompt, answer };
-        let call = Exchange::post(addr, "/rate").with_json(&question).with_timeout(LIMIT);
-        let res = call.run(&self.pool).await.ok().filter(|it| it.status().is_success());
-        let rating = res.and_then(|it| serde_json::from_slice::<Rating>(it.body()).ok());
-        *self.failed.lock() = if rating.is_some() { None } else { Some(self.clock.now()) };
+        let request = Request { version, kind, prompt, answer };
+        let exchange =
+            Exchange::post(addr, "/rate").with_json(&request).with_timeout(RATING_TIMEOUT);
+        let res = exchange.run(&self.pool).await.ok().filter(|it| it.status().is_success());
+        let rating = res.and_then(|it| serde_json::from_slice::<Response>(it.body()).ok());
+        *self.failed_at.lock() = if rating.is_some() { None } else { Some(self.clock.now()) };
         rating.map(|it| it.rating.clamp(0.0, 1.0))
     }
 }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -64,7 +64,7 @@
     /// The newest configuration.
     pub current_snapshot: ArcSwapOption<Snapshot>,
     /// Whether the process stood still.
-    pub stall: stall::Watch,
+    pub stall: stall::Detector,
     /// Requests under way.
     pub in_flight: Arc<AtomicUsize>,
     /// Outcomes of claimed calls on their way to the platform.
--- a/crates/curranthook_router/src/routes.rs
+++ b/crates/curranthook_router/src/routes.rs
@@ -19,7 +19,7 @@
             match route(&self, req).await {
                 Ok(res) => res,
                 Err(refusal) => {
-                    self.metrics.refused(refusal.code);
+                    self.metrics.count_refusal(refusal.code);
                     response::from_refusal(&refusal, id.as_ref())
                 }
             }
--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -13,7 +13,7 @@
 /// The model name that leaves the choice of the model to the router.
 pub const AUTO: &str = "auto";
 /// How many tokens an answer is expected to have when the request doesn't say.
-const EXPECTED_TOKENS: u64 = 200;
+const DEFAULT_EXPECTED_TOKENS: u64 = 200;
 /// How many bytes of a prompt make a token, roughly.
 const BYTES_PER_TOKEN: u64 = 4;
 
@@ -22,16 +22,16 @@
 pub fn allowed<'a>(snapshot: &'a Snapshot, chat: &Chat) -> Result<Vec<&'a version::Id>, Refusal> {
     let refused = |code, message: &str| Err(Refusal::not_run(code, message));
     let config = snapshot.config();
-    let asked = |id: &version::Id| {
+    let is_requested = |id: &version::Id| {
         let model = chat.body.model.as_str();
         model == AUTO || model == id.as_str() || model == id.model()
     };
-    if !config.versions.keys().any(asked) {
+    if !config.versions.keys().any(is_requested) {
         return refused(Reason::UnknownModel, "no such model or version");
     }
     let account = snapshot.account_settings(&chat.metadata.account);
     let granted: Vec<_> =
-        account.into_iter().flat_map(|it| &it.versions).filter(|it| asked(it)).collect();
+        account.into_iter().flat_map(|it| &it.versions).filter(|it| is_requested(it)).collect();
     if granted.is_empty() {
         return refused(Reason::NotAllowed, "the account may not use this model or version");
     }
@@ -59,9 +59,9 @@
         if !has_both {
             continue;
         }
-        let taken = rollout::route(it, key);
-        let left = if *taken == it.to { &it.from } else { &it.to };
-        versions.retain(|id| *id != left);
+        let chosen = rollout::route(it, key);
+        let excluded = if *chosen == it.to { &it.from } else { &it.to };
+        versions.retain(|id| *id != excluded);
     }
     versions
 }
@@ -94,9 +94,10 @@
         const DEFAULT_TARGET: f64 = 0.8;
         let config = snapshot.config();
         let kind = &chat.metadata.kind;
-        let own =
+        let account_target =
             snapshot.account_settings(&chat.metadata.account).and_then(|it| it.quality.get(kind));
-        let target = own.copied().or_else(|| config.kinds.get(kind).map(|it| it.quality));
+        let target =
+            account_target.copied().or_else(|| config.kinds.get(kind).map(|it| it.quality));
         let candidates = versions
             .iter()
             .filter_map(|id| config.versions.get_key_value(*id))
@@ -107,7 +108,11 @@
             candidates,
             target: target.unwrap_or(DEFAULT_TARGET),
             prompt_tokens: bytes as u64 / BYTES_PER_TOKEN,
-            expected_tokens: chat.body.max_tokens.unwrap_or(EXPECTED_TOKENS).min(EXPECTED_TOKENS),
+            expected_tokens: chat
+                .body
+                .max_tokens
+                .unwrap_or(DEFAULT_EXPECTED_TOKENS)
+                .min(DEFAULT_EXPECTED_TOKENS),
         }
     }
 
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -39,12 +39,12 @@
 /// Claims wait for the platform this long; then the caller is told that it's out.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 /// The largest call between peers, in bytes.
-const MAX_PEER_BODY: usize = 16 * 1024 * 1024;
+const MAX_PEER_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// How often the end of the last requests is looked for.
-const DRAIN_PERIOD: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a router that ends goes on trying to store outcomes.
-const OUTCOME_LIMIT: Duration = Duration::from_secs(20);
+const OUTCOME_STORE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What the command line sets.
 #[derive(Debug, Clone)]
@@ -58,13 +58,13 @@
 
 /// Runs a router until SIGTERM or SIGINT, then finishes what is under way.
 pub async fn run(settings: Settings, options: Options, ex: runtime::Handle) -> anyhow::Result<()> {
-    let callers = Server::bind(settings.listen).context("binding the callers' address")?;
-    let peers = Server::bind(settings.peer_listen).context("binding the peers' address")?;
+    let caller_server = Server::bind(settings.listen).context("binding the callers' address")?;
+    let peer_server = Server::bind(settings.peer_listen).context("binding the peers' address")?;
     let (stopping, stop) = stop::new();
-    let router = build(settings, &options, &ex, peers.addr(), stop.clone())?;
+    let router = build(settings, &options, &ex, peer_server.addr(), stop.clone())?;
     println!(
         "{}",
-        serde_json::json!({"listening": {"callers": callers.addr(), "peers": peers.addr()}})
+        serde_json::json!({"listening": {"callers": caller_server.addr(), "peers": peer_server.addr()}})
     );
 
     let platform = &router.settings.platform;
@@ -75,16 +75,16 @@
     ex.spawn(metrics::run(Arc::clone(&router))).detach();
     ex.spawn(stall::run(Arc::clone(&router))).detach();
 
-    let (close_peers, peers_closed) = stop::new();
-    let node = Arc::new(Peers(Arc::clone(&router.node)));
-    let for_peers = ex.spawn({
+    let (stop_peers, peers_stop) = stop::new();
+    let node = Arc::new(PeerHandler(Arc::clone(&router.node)));
+    let peer_task = ex.spawn({
         let ex = ex.clone();
-        async move { peers.serve(&ex, node, peers_closed).await }
+        async move { peer_server.serve(&ex, node, peers_stop).await }
     });
-    let (close_callers, callers_closed) = stop::new();
-    let for_callers = ex.spawn({
+    let (stop_callers, callers_stop) = stop::new();
+    let caller_task = ex.spawn({
         let (ex, router) = (ex.clone(), Arc::clone(&router));
-        async move { callers.serve(&ex, router, callers_closed).await }
+        async move { caller_server.serve(&ex, router, callers_stop).await }
     });
 
     let mut signals = Signals::new([Signal::Term, Signal::Int]).context("listening to signals")?;
@@ -92,16 +92,16 @@
     log::info!("asked to end; {} requests under way", router.in_flight.load(Ordering::SeqCst));
     stopping.set();
     Timer::after(options.linger).await;
-    close_callers.set();
-    for_callers.await;
+    stop_callers.set();
+    caller_task.await;
     // Calls that go on without their caller.
     while 0 < router.in_flight.load(Ordering::SeqCst) {
-        Timer::after(DRAIN_PERIOD).await;
+        Timer::after(DRAIN_POLL_INTERVAL).await;
     }
-    store_outcomes(&router).await;
+    wait_for_outcomes(&router).await;
     router.node.leave().await;
-    close_peers.set();
-    for_peers.await;
+    stop_peers.set();
+    peer_task.await;
     log::info!("ended");
     Ok(())
 }
@@ -111,18 +111,18 @@
 /// An outage of the platform outlasts the patience of whoever replaces this VM. A process that
 /// waited for its end would be killed with its bill lines still on it. A claim whose outcome
 /// isn't stored is never sent again; its repeats are told that nobody knows.
-async fn store_outcomes(router: &Router) {
+async fn wait_for_outcomes(router: &Router) {
     let start = router.clock.now();
     loop {
         let n_outcomes = router.pending_outcomes.load(Ordering::SeqCst);
         if n_outcomes == 0 {
             return;
         }
-        if OUTCOME_LIMIT < router.clock.now().saturating_duration_since(start) {
+        if OUTCOME_STORE_TIMEOUT < router.clock.now().saturating_duration_since(start) {
             log::error!("{n_outcomes} outcomes of claimed calls can't be stored");
             return;
         }
-        Timer::after(DRAIN_PERIOD).await;
+        Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 }
 
@@ -134,12 +134,12 @@
     stopping: stop::Stop,
 ) -> anyhow::Result<Arc<Router>> {
     let clock: Arc<dyn Clock> = Arc::new(clock::System);
-    let pool = || Arc::new(Pool::new(ex.clone(), Arc::clone(&clock)));
+    let new_pool = || Arc::new(Pool::new(ex.clone(), Arc::clone(&clock)));
     // Endpoints, peers and the platform each have their own connections: a silent connection
     // to one says nothing of the others.
-    let (to_endpoints, to_peers, to_platform) = (pool(), pool(), pool());
+    let (endpoint_pool, peer_pool, platform_pool) = (new_pool(), new_pool(), new_pool());
     let platform = &settings.platform;
-    let table = Client::new(platform.table, Arc::clone(&to_platform));
+    let table = Client::new(platform.table, Arc::clone(&platform_pool));
     let claims = Arc::new(table.clone().with_timeout(CLAIM_TIMEOUT));
     let seed = clock.unix_millis() ^ crate::selection::stable_hash(settings.vm.as_str());
     let node = Node::start(node::Setup {
@@ -147,14 +147,14 @@
         incarnation: clock.unix_millis(),
         peer_addr: settings.peer_address.unwrap_or(peer_addr),
         ex: ex.clone(),
-        pool: to_peers,
+        pool: peer_pool,
         clock: Arc::clone(&clock),
         table: Arc::new(table),
-        objects: Arc::new(Client::new(platform.objects, Arc::clone(&to_platform))),
-        vms: Arc::new(Client::new(platform.vms, to_platform)),
+        objects: Arc::new(Client::new(platform.objects, Arc::clone(&platform_pool))),
+        vms: Arc::new(Client::new(platform.vms, platform_pool)),
         seed,
     });
-    let (strategy, balance) = policies(&options.policy);
+    let (strategy, balance) = strategy_names(&options.policy);
     let chooser = baseline::strategy(strategy, Policy::default(), seed);
     let chooser = chooser.with_context(|| format!("unknown policy {}", options.policy))?;
     let (domain, vm) = (settings.failure_domain.clone(), settings.vm.clone());
@@ -162,18 +162,18 @@
     Ok(Arc::new(Router {
         metrics: Metrics::new(settings.statsd).context("opening the metrics socket")?,
         pins: pin::Store::new(Arc::clone(&claims) as _),
-        rater: Rater::new(pool(), Arc::clone(&clock)),
+        rater: Rater::new(new_pool(), Arc::clone(&clock)),
         chooser: Mutex::new(chooser),
         retry_budget: Mutex::new(Budget::new(Policy::default().retry_budget, clock.now())),
         rating_shares: Mutex::default(),
         rate_limits: Mutex::new(HashMap::new()),
         current_snapshot: None.into(),
-        stall: stall::Watch::new(Arc::clone(&clock)),
+        stall: stall::Detector::new(Arc::clone(&clock)),
         in_flight: Arc::default(),
         pending_outcomes: Arc::default(),
         started: clock.now(),
         ex: ex.clone(),
-        pool: to_endpoints,
+        pool: endpoint_pool,
         settings,
         clock,
         node,
@@ -185,7 +185,7 @@
 
 /// The strategy for versions and the one for endpoints behind a policy's name. A baseline
 /// replaces one of the two and leaves the other as ours, so that each is measured alone.
-fn policies(name: &str) -> (&str, &'static str) {
+fn strategy_names(name: &str) -> (&str, &'static str) {
     const OURS: &str = "curranthook";
     match name {
         "ours" => (OURS, OURS),
@@ -197,13 +197,13 @@
 
 /// Answers calls of peers.
 #[derive(Debug)]
-struct Peers(Arc<Node>);
+struct PeerHandler(Arc<Node>);
 
-impl Handler for Peers {
+impl Handler for PeerHandler {
     fn handle(self: Arc<Self>, req: http::Request<Incoming>) -> Boxed<http::Response<Body>> {
         Box::pin(async move {
             let (parts, incoming) = req.into_parts();
-            match body::read(incoming, MAX_PEER_BODY).await {
+            match body::read(incoming, MAX_PEER_BODY_BYTES).await {
                 Ok(bytes) => self.0.handle(&parts, bytes).await,
                 Err(e) => body::json(400, &serde_json::json!({"error": e.to_string()})),
             }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -67,7 +67,7 @@
         record_bill(router, &call).await;
         return Ok(build_response(&call, reply));
     }
-    let Some(key) = parse::text(headers, header::IDEMPOTENCY_KEY)? else {
+    let Some(key) = parse::header_text(headers, header::IDEMPOTENCY_KEY)? else {
         let message = "a call that may not be repeated needs the header idempotency-key";
         return Err(Refusal::not_run(Reason::KeyMissing, message));
     };
@@ -286,7 +286,7 @@
             router.metrics.count("retry_budget.spent");
             return refusal(Reason::EndpointFailed, "too many retries at this node");
         }
-        router.metrics.retried(failure.reason);
+        router.metrics.count_retry(failure.reason);
         Ok(())
     }
 }
--- a/crates/curranthook_router/src/snapshot.rs
+++ b/crates/curranthook_router/src/snapshot.rs
@@ -16,19 +16,19 @@
     /// The whole published document.
     pub document: Arc<Document>,
     site: site::Id,
-    accounts: HashMap<KeyHash, account::Id>,
+    accounts_by_key_hash: HashMap<KeyHash, account::Id>,
 }
 
 impl Snapshot {
     /// Indexes `document` for `site`; `None` if the document doesn't name the site.
     pub fn new(document: Arc<Document>, site: &site::Id) -> Option<Self> {
         let config = document.sites.get(site)?;
-        let accounts = config
+        let accounts_by_key_hash = config
             .accounts
             .iter()
             .flat_map(|(id, account)| account.key_hashes.iter().map(move |it| (*it, id.clone())))
             .collect();
-        Some(Self { site: site.clone(), accounts, document })
+        Some(Self { site: site.clone(), accounts_by_key_hash, document })
     }
 
     /// This site's configuration.
@@ -41,8 +41,8 @@
     /// What the map's lookup takes depends on the hash alone, and a caller can't steer the hash
     /// of a guess towards that of a real key. The last comparison is in constant time all the
     /// same, so that nothing rests on the map's inner workings.
-    pub fn account(&self, hash: &KeyHash) -> Option<&account::Id> {
-        let (known, id) = self.accounts.get_key_value(hash)?;
+    pub fn account_by_key_hash(&self, hash: &KeyHash) -> Option<&account::Id> {
+        let (known, id) = self.accounts_by_key_hash.get_key_value(hash)?;
         bool::from(known.ct_eq(hash)).then_some(id)
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Whether `endpoint` may get new work now.
-    pub fn in_service(&self, endpoint: &endpoint::Id) -> bool {
+    pub fn is_in_service(&self, endpoint: &endpoint::Id) -> bool {
         self.config().endpoints.contains_key(endpoint) && !self.document.drained.contains(endpoint)
     }
 }
--- a/crates/curranthook_router/src/stall.rs
+++ b/crates/curranthook_router/src/stall.rs
@@ -26,30 +26,35 @@
 use crate::Router;
 
 /// How often the process shows itself that it runs.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// A process that stood still for longer than this doubts what it knows. Shorter pauses, as on
 /// a busy machine, add less than this to the time that news takes anyway.
-const DOUBT: Duration = Duration::from_secs(2);
+const STALL_THRESHOLD: Duration = Duration::from_secs(2);
 /// How long requests wait for the news at most.
-const LIMIT: Duration = Duration::from_secs(3);
+const REFRESH_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often it's looked whether the news is in force.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Whether the process stood still.
 #[derive(Debug)]
-pub struct Watch {
+pub struct Detector {
     clock: Arc<dyn Clock>,
-    last: Mutex<Instant>,
-    is_behind: AtomicBool,
+    last_tick: Mutex<Instant>,
+    is_stale: AtomicBool,
     /// One request asks for all that wait.
-    asking: async_lock::Mutex<()>,
+    refresh_lock: async_lock::Mutex<()>,
 }
 
-impl Watch {
+impl Detector {
     /// A process that has just started.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
-        let last = Mutex::new(clock.now());
-        Self { clock, last, is_behind: AtomicBool::new(false), asking: async_lock::Mutex::new(()) }
+        let last_tick = Mutex::new(clock.now());
+        Self {
+            clock,
+            last_tick,
+            is_stale: AtomicBool::new(false),
+            refresh_lock: async_lock::Mutex::new(()),
+        }
     }
 
     /// Takes note that the process runs now, and says whether what it knows is in doubt.
@@ -58,11 +63,11 @@
     /// stays until somebody has asked.
     fn tick(&self) -> bool {
         let now = self.clock.now();
-        let last = std::mem::replace(&mut *self.last.lock(), now);
-        if DOUBT < now.saturating_duration_since(last) {
-            self.is_behind.store(true, Ordering::SeqCst);
+        let last_tick = std::mem::replace(&mut *self.last_tick.lock(), now);
+        if STALL_THRESHOLD < now.saturating_duration_since(last_tick) {
+            self.is_stale.store(true, Ordering::SeqCst);
         }
-        self.is_behind.load(Ordering::SeqCst)
+        self.is_stale.load(Ordering::SeqCst)
     }
 }
 
@@ -70,7 +75,7 @@
 pub async fn run(router: Arc<Router>) {
     loop {
         router.stall.tick();
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
     }
 }
 
@@ -79,31 +84,31 @@
     if !router.stall.tick() {
         return;
     }
-    let _one_at_a_time = router.stall.asking.lock().await;
+    let _one_at_a_time = router.stall.refresh_lock.lock().await;
     if !router.stall.tick() {
         return;
     }
     log::info!("the process stood still");
-    router.metrics.count(match timeout::run(LIMIT, ask(router)).await {
+    router.metrics.count(match timeout::run(REFRESH_TIMEOUT, refresh(router)).await {
         Ok(()) => "stall.caught_up",
         Err(timeout::Elapsed) => "stall.unreachable",
     });
-    router.stall.is_behind.store(false, Ordering::SeqCst);
+    router.stall.is_stale.store(false, Ordering::SeqCst);
 }
 
 /// Asks the platform for the newest document, or else the peers, and waits until it's in force.
-async fn ask(router: &Router) {
+async fn refresh(router: &Router) {
     let (table, key) = document::ROW;
     match router.claims.get(table, key).await {
-        Ok(Some(row)) => offer(router, &row),
+        Ok(Some(row)) => offer_document(router, &row),
         Ok(None) | Err(_) => router.node.refresh().await,
     }
-    while !is_in_force(router) {
-        Timer::after(LOOK).await;
+    while !is_newest_applied(router) {
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-fn offer(router: &Router, row: &Row) {
+fn offer_document(router: &Router, row: &Row) {
     match serde_json::from_slice::<Document>(&row.value) {
         Ok(document) => _ = router.node.offer(document),
         Err(e) => log::error!("the published document can't be read: {e}"),
@@ -111,9 +116,9 @@
 }
 
 /// Whether the newest document that the node knows is the one that requests are checked against.
-fn is_in_force(router: &Router) -> bool {
-    let known = router.node.document().map(|it| it.epoch);
-    let current = router.current_snapshot.load().as_ref().map(|it| it.document.epoch);
+fn is_newest_applied(router: &Router) -> bool {
+    let newest = router.node.document().map(|it| it.epoch);
+    let applied = router.current_snapshot.load().as_ref().map(|it| it.document.epoch);
     // Without a configuration nothing is sent anyway.
-    current.is_none() || known <= current
+    applied.is_none() || newest <= applied
 }
--- a/crates/curranthook_router/src/status.rs
+++ b/crates/curranthook_router/src/status.rs
@@ -11,7 +11,7 @@
 use crate::{Router, authenticate};
 
 /// After this long a node without peers serves alone, since nobody may be there to be met.
-const JOIN_LIMIT: Duration = Duration::from_secs(5);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The answer to `GET /status`.
 #[derive(Debug, Serialize)]
@@ -72,5 +72,5 @@
 /// bill lines of its first answers along.
 fn is_joining(router: &Router) -> bool {
     let age = router.clock.now().saturating_duration_since(router.started);
-    age < JOIN_LIMIT && router.node.is_joining()
+    age < JOIN_TIMEOUT && router.node.is_joining()
 }
--- a/crates/curranthook_router/src/token.rs
+++ b/crates/curranthook_router/src/token.rs
@@ -56,20 +56,20 @@
 
 /// Checks `token` against `keys` and returns what it says.
 pub fn verify(token: &str, keys: &[Key], now_millis: u64) -> Result<Claims, Error> {
-    let (text, signature) = token.split_once('.').ok_or(Error::Unreadable)?;
-    let json = URL_SAFE_NO_PAD.decode(text).map_err(|_| Error::Unreadable)?;
+    let (encoded_claims, signature) = token.split_once('.').ok_or(Error::Unreadable)?;
+    let json = URL_SAFE_NO_PAD.decode(encoded_claims).map_err(|_| Error::Unreadable)?;
     let signature = URL_SAFE_NO_PAD.decode(signature).map_err(|_| Error::Unreadable)?;
     let claims: Claims = serde_json::from_slice(&json).map_err(|_| Error::Unreadable)?;
     let key = keys.iter().find(|it| it.id == claims.key).ok_or(Error::Forged)?;
-    mac(text, key).verify_slice(&signature).map_err(|_| Error::Forged)?;
+    mac(encoded_claims, key).verify_slice(&signature).map_err(|_| Error::Forged)?;
     if claims.signed_millis + LIFETIME_MILLIS < now_millis {
         return Err(Error::Expired);
     }
     Ok(claims)
 }
 
-fn mac(text: &str, key: &Key) -> Hmac<Sha256> {
+fn mac(encoded_claims: &str, key: &Key) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(&key.secret).expect("any length of key will do");
-    mac.update(text.as_bytes());
+    mac.update(encoded_claims.as_bytes());
     mac
 }
--- a/crates/curranthook_router/src/version_health.rs
+++ b/crates/curranthook_router/src/version_health.rs
@@ -17,16 +17,16 @@
 use crate::Router;
 
 /// How often the evidence is looked at.
-const PERIOD: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// From this urgency on, evidence isn't held until the next round of exchanges.
-const URGENT: f64 = 1.0;
+const EXCHANGE_URGENCY: f64 = 1.0;
 
 /// Tests all versions, for as long as the process lives.
 pub async fn run(router: Arc<Router>) {
     let mut tests: HashMap<version::Id, Test> = HashMap::new();
     loop {
-        Timer::after(PERIOD).await;
-        share(&router);
+        Timer::after(CHECK_INTERVAL).await;
+        merge_peer_ratings(&router);
         let Ok(snapshot) = router.snapshot() else { continue };
         let mut urgency: f64 = 0.0;
         for id in snapshot.config().versions.keys() {
@@ -49,21 +49,21 @@
                 urgency = 1.0;
             }
         }
-        if URGENT <= urgency {
-            hurry(&router);
+        if EXCHANGE_URGENCY <= urgency {
+            exchange_now(&router);
         }
     }
 }
 
 /// Meets a peer between two rounds. No node sees enough answers of a bad version by itself, and
 /// while each waits for its round, all of them go on giving out what it answers.
-fn hurry(router: &Arc<Router>) {
+fn exchange_now(router: &Arc<Router>) {
     let node = Arc::clone(&router.node);
     router.ex.spawn(async move { node.exchange().await }).detach();
 }
 
 /// Lets the choice of versions profit from what other nodes have seen.
-fn share(router: &Router) {
+fn merge_peer_ratings(router: &Router) {
     let mut chooser = router.chooser.lock();
     for (Subject { version, kind }, counts) in router.node.evidence().of_others() {
         let ratings = choice::Counts { n: counts.n, sum: counts.sum };
