--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -27,7 +27,7 @@
 use crate::{runtime, timeout};
 
 /// How many idle connections are kept for each address.
-const MAX_IDLE: usize = 512;
+const MAX_IDLE_PER_ADDRESS: usize = 512;
 /// Past this much idle time a connection isn't reused for anything.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(20);
 /// How long an idle connection may take to be ready for another call.
@@ -38,7 +38,7 @@
 /// unanswered. The kernel takes whole seconds: of less it keeps none, and probes after two hours.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How many keep-alive probes in a row may stay unanswered.
-const PROBES: u32 = 1;
+const MAX_UNANSWERED_PROBES: u32 = 1;
 
 /// Which connections will do for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,14 +62,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// No connection; nothing was sent.
-    #[error("can't connect to {addr}: {why}")]
+    #[error("can't connect to {addr}: {message}")]
     Connect {
         /// Where to.
         addr: SocketAddr,
         /// What kind of error it was.
         kind: io::ErrorKind,
         /// What the system said.
-        why: String,
+        message: String,
     },
     /// The connection closed before the request was handed to it; nothing was sent.
     #[error("the connection closed before the request went out")]
@@ -166,7 +166,7 @@
     probing: Probing,
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
     /// When the newest connection that was answered had been opened.
-    answered: Mutex<HashMap<SocketAddr, Instant>>,
+    newest_answered: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
 impl Pool {
@@ -180,7 +180,7 @@
             unacked_timeout: UNACKED_TIMEOUT,
             probing: Probing::Off,
             idle: Mutex::default(),
-            answered: Mutex::default(),
+            newest_answered: Mutex::default(),
         }
     }
 
@@ -211,7 +211,7 @@
 
     /// Takes back a connection whose last answer was read to its end and is beyond doubt.
     pub fn put(&self, conn: Connection) {
-        self.put_with_limit(conn, MAX_IDLE);
+        self.put_with_limit(conn, MAX_IDLE_PER_ADDRESS);
     }
 
     /// Takes back a connection like [`put`](Self::put), and closes those that were idle for longest if
@@ -221,12 +221,12 @@
             return;
         }
         let idle = Idle { sender: conn.sender, since: self.clock.now() };
-        let mut all = self.idle.lock();
-        let list = all.entry(conn.addr).or_default();
-        list.retain(|it| !it.sender.is_closed());
-        list.push(idle);
-        let n_excess = list.len().saturating_sub(max_idle.min(MAX_IDLE));
-        list.drain(..n_excess);
+        let mut idle_by_address = self.idle.lock();
+        let connections = idle_by_address.entry(conn.addr).or_default();
+        connections.retain(|it| !it.sender.is_closed());
+        connections.push(idle);
+        let n_excess = connections.len().saturating_sub(max_idle.min(MAX_IDLE_PER_ADDRESS));
+        connections.drain(..n_excess);
     }
 
     /// Closes the idle connections to `addr`, after one of them was found to be silent.
@@ -237,14 +237,14 @@
     /// Notes that an answer came on `conn`.
     pub fn record_response(&self, conn: &Connection) {
         if let Opened::Now(opened) = conn.opened {
-            self.answered.lock().insert(conn.addr, opened);
+            self.newest_answered.lock().insert(conn.addr, opened);
         }
     }
 
     /// Whether a connection to `addr` that was opened after `since` has been answered. A call
     /// that began before and still has no answer is likely on a connection that went silent.
     pub fn has_newer_working_connection(&self, addr: SocketAddr, since: Instant) -> bool {
-        self.answered.lock().get(&addr).is_some_and(|opened| since < *opened)
+        self.newest_answered.lock().get(&addr).is_some_and(|opened| since < *opened)
     }
 
     fn take_idle(
@@ -258,12 +258,12 @@
             Freshness::New => return None,
         };
         let now = self.clock.now();
-        let mut all = self.idle.lock();
-        let list = all.get_mut(&addr)?;
+        let mut idle_by_address = self.idle.lock();
+        let connections = idle_by_address.get_mut(&addr)?;
         // The last one was used last; if that is too old, so are the others.
-        while let Some(idle) = list.pop() {
+        while let Some(idle) = connections.pop() {
             if max_age < now.saturating_duration_since(idle.since) {
-                list.clear();
+                connections.clear();
                 return None;
             }
             if !idle.sender.is_closed() {
@@ -278,28 +278,30 @@
         socket.set_tcp_nodelay(true)?;
         socket.set_tcp_user_timeout(Some(self.unacked_timeout))?;
         if self.probing == Probing::On {
-            let probes = socket2::TcpKeepalive::new()
+            let keepalive = socket2::TcpKeepalive::new()
                 .with_time(PROBE_INTERVAL)
                 .with_interval(PROBE_INTERVAL)
-                .with_retries(PROBES);
-            socket.set_tcp_keepalive(&probes)?;
+                .with_retries(MAX_UNANSWERED_PROBES);
+            socket.set_tcp_keepalive(&keepalive)?;
         }
         Ok(())
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, Error> {
         let opened = self.clock.now();
-        let failed = |kind, why: String| Error::Connect { addr, kind, why };
-        let dial = timeout::run(self.connect_timeout, Async::<std::net::TcpStream>::connect(addr));
-        let dialled = dial.await.map_err(|e| failed(io::ErrorKind::TimedOut, e.to_string()))?;
-        let stream = dialled.map_err(|e| failed(e.kind(), e.to_string()))?;
+        let connect_error = |kind, message: String| Error::Connect { addr, kind, message };
+        let connecting =
+            timeout::run(self.connect_timeout, Async::<std::net::TcpStream>::connect(addr));
+        let connected =
+            connecting.await.map_err(|e| connect_error(io::ErrorKind::TimedOut, e.to_string()))?;
+        let stream = connected.map_err(|e| connect_error(e.kind(), e.to_string()))?;
         if let Err(e) = self.configure(stream.get_ref()) {
             // Calls still work, but a silent host is noticed late.
             log::warn!("a connection to {addr} can't be configured: {e}");
         }
         let (sender, conn) = http1::handshake(FuturesIo::new(stream))
             .await
-            .map_err(|e| failed(io::ErrorKind::Other, e.to_string()))?;
+            .map_err(|e| connect_error(io::ErrorKind::Other, e.to_string()))?;
         self.ex
             .spawn(async move {
                 // The call on the connection learns of a failure by itself.
--- a/crates/curranthook_http/src/exchange.rs
+++ b/crates/curranthook_http/src/exchange.rs
@@ -11,7 +11,7 @@
 };
 
 /// The largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
@@ -132,17 +132,17 @@
 
     /// Makes the call and reads the whole answer.
     pub async fn run(self, pool: &Pool) -> Result<http::Response<Bytes>, Error> {
-        let (limit, addr) = (self.timeout, self.addr);
-        let done = timeout::run(limit, self.attempt(pool)).await;
-        done.unwrap_or_else(|timeout::Elapsed| {
+        let (time_limit, addr) = (self.timeout, self.addr);
+        let result = timeout::run(time_limit, self.send(pool)).await;
+        result.unwrap_or_else(|timeout::Elapsed| {
             // What silenced this connection may have silenced the idle ones beside it. Left
             // there, each would cost a later call the whole of its limit.
             pool.close_idle(addr);
-            Err(Error::Timeout(limit))
+            Err(Error::Timeout(time_limit))
         })
     }
 
-    async fn attempt(self, pool: &Pool) -> Result<http::Response<Bytes>, Error> {
+    async fn send(self, pool: &Pool) -> Result<http::Response<Bytes>, Error> {
         let mut req = http::Request::builder()
             .method(self.method)
             .uri(&self.path)
@@ -153,7 +153,7 @@
         let req = req.body(self.body)?;
         let mut conn = pool.take(self.addr, self.freshness).await?;
         let (head, incoming) = conn.send(req).await?.into_parts();
-        let bytes = body::read(incoming, MAX_ANSWER).await?;
+        let bytes = body::read(incoming, MAX_RESPONSE_BYTES).await?;
         pool.put(conn);
         Ok(http::Response::from_parts(head, bytes))
     }
--- a/crates/curranthook_http/src/server.rs
+++ b/crates/curranthook_http/src/server.rs
@@ -16,7 +16,7 @@
 use crate::{Body, runtime, stop::Stop};
 
 /// The pause after a failed accept, so that running out of file descriptors doesn't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Answers requests.
 ///
@@ -81,13 +81,13 @@
         let (open, all_closed) = async_channel::bounded::<Infallible>(1);
         while let Some(accepted) = self.accept(&stop).await {
             let Ok(stream) = accepted else {
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let (handler, stop, open) = (Arc::clone(&handler), stop.clone(), open.clone());
             let limits = self.limits;
             ex.spawn(async move {
-                connection(stream, handler, stop, limits).await;
+                serve_connection(stream, handler, stop, limits).await;
                 drop(open);
             })
             .detach();
@@ -107,7 +107,7 @@
     }
 }
 
-async fn connection<H: Handler + ?Sized>(
+async fn serve_connection<H: Handler + ?Sized>(
     stream: Async<std::net::TcpStream>,
     handler: Arc<H>,
     stop: Stop,
--- a/crates/curranthook_http/src/timeout.rs
+++ b/crates/curranthook_http/src/timeout.rs
@@ -20,9 +20,9 @@
 /// assert_eq!(late, Err(timeout::Elapsed));
 /// # });
 /// ```
-pub async fn run<F: Future>(limit: Duration, work: F) -> Result<F::Output, Elapsed> {
-    future::or(async { Ok(work.await) }, async {
-        Timer::after(limit).await;
+pub async fn run<F: Future>(time_limit: Duration, future: F) -> Result<F::Output, Elapsed> {
+    future::or(async { Ok(future.await) }, async {
+        Timer::after(time_limit).await;
         Err(Elapsed)
     })
     .await
--- a/crates/curranthook_http/tests/liveness.rs
+++ b/crates/curranthook_http/tests/liveness.rs
@@ -8,9 +8,9 @@
 };
 use curranthook_types::clock;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// The kernel's ticks a second in `/proc/net/tcp`.
-const TICKS: u64 = 100;
+const TICKS_PER_SECOND: u64 = 100;
 /// The timer of keep-alive probes there.
 const KEEP_ALIVE_TIMER: &str = "02";
 
@@ -18,27 +18,27 @@
 /// acknowledged, and nothing ever comes back. Without probes, which the kernel takes in whole
 /// seconds only, the call hangs until its own limit, and its caller gets nothing in time.
 #[test]
-fn a_connection_that_waits_is_probed_within_a_second() {
+fn a_waiting_connection_is_probed_within_a_second() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let pool = Pool::new(runtime::start(1), Arc::new(clock::System))
         .with_liveness(Duration::from_millis(1_200));
-    let take = timeout::run(LIMIT, pool.take(addr, Freshness::New));
+    let take = timeout::run(TEST_TIMEOUT, pool.take(addr, Freshness::New));
     let _conn = async_io::block_on(take).unwrap().unwrap();
     let (_accepted, client) = listener.accept().unwrap();
-    let (timer, ticks) = timer(client.port(), addr.port()).expect("the connection is listed");
+    let (timer, ticks) = tcp_timer(client.port(), addr.port()).expect("the connection is listed");
     assert_eq!(timer, KEEP_ALIVE_TIMER);
-    assert!(ticks <= TICKS, "the first probe goes out in {ticks} ticks");
+    assert!(ticks <= TICKS_PER_SECOND, "the first probe goes out in {ticks} ticks");
 }
 
 /// The timer of a connection and when it fires.
-fn timer(local: u16, remote: u16) -> Option<(String, u64)> {
+fn tcp_timer(local: u16, remote: u16) -> Option<(String, u64)> {
     let table = fs::read_to_string("/proc/net/tcp").unwrap();
     let port = |it: &str| u16::from_str_radix(it.split_once(':')?.1, 16).ok();
     table.lines().skip(1).find_map(|line| {
         let fields: Vec<_> = line.split_whitespace().collect();
-        let is_it = port(fields[1]) == Some(local) && port(fields[2]) == Some(remote);
+        let is_match = port(fields[1]) == Some(local) && port(fields[2]) == Some(remote);
         let (kind, when) = fields[5].split_once(':')?;
-        is_it.then(|| (kind.to_owned(), u64::from_str_radix(when, 16).unwrap()))
+        is_match.then(|| (kind.to_owned(), u64::from_str_radix(when, 16).unwrap()))
     })
 }
