--- a/crates/curranthook_http/src/body.rs
+++ b/crates/curranthook_http/src/body.rs
@@ -7,26 +7,26 @@
 /// Any error that a body can end with.
 pub type Error = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of an answer that a server gives.
+/// The body of a server's response.
 pub type Body = UnsyncBoxBody<Bytes, Error>;
 
-/// A body of known bytes.
+/// A body with the given content.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 ///
 /// # Panics
 ///
-/// If `value` can't be written as JSON, as a map whose keys aren't strings.
+/// If `value` cannot be serialized as JSON, for example a map whose keys are not strings.
 ///
 /// ```
 /// let res = curranthook_http::body::json(200, &serde_json::json!({"ready": true}));
 /// assert_eq!(res.status(), 200);
 /// ```
 pub fn json(status: u16, value: &impl serde::Serialize) -> http::Response<Body> {
-    let text = serde_json::to_vec(value).expect("the value can be written as JSON");
+    let text = serde_json::to_vec(value).expect("failed to serialize the value as JSON");
     http::Response::builder()
         .status(status)
         .header(http::header::CONTENT_TYPE, "application/json")
@@ -34,16 +34,16 @@
         .expect("status and header are valid")
 }
 
-/// Why a body couldn't be read whole.
+/// Why a body could not be read completely.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It's longer than the limit.
+    /// The body is longer than the limit.
     #[error("the body is larger than {limit} bytes")]
     TooLarge {
         /// The limit in bytes.
         limit: usize,
     },
-    /// The other side broke off.
+    /// The peer ended the body early.
     #[error("the body broke off: {0}")]
     Incomplete(Error),
 }
@@ -53,7 +53,7 @@
     read_mut(&mut body, limit).await
 }
 
-/// Reads what is left of a body, at most `limit` bytes, and leaves it with its owner.
+/// Reads the rest of a body, at most `limit` bytes, without consuming the body.
 pub async fn read_mut(body: &mut Incoming, limit: usize) -> Result<Bytes, ReadError> {
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -1,9 +1,9 @@
-//! A client that knows whether bytes may have gone out.
+//! An HTTP/1.1 client that knows whether request bytes may have been sent.
 //!
-//! Something between two ends can lose track of an open connection: it goes silent for good
-//! while new ones work. One notices only that answers stop coming. Hence a connection on which
-//! anything went wrong is closed, never reused, and callers can ask for a connection that is
-//! new or was in use a moment ago.
+//! A middlebox can lose track of an open connection: that connection stays silent for good while
+//! new ones work, and the only sign is that responses stop arriving. Therefore a connection on
+//! which anything failed is closed and never reused, and callers can require a connection that is
+//! new or was recently used.
 
 use std::{
     collections::HashMap,
@@ -26,61 +26,62 @@
 
 use crate::{runtime, timeout};
 
-/// How many idle connections are kept for each address.
+/// How many idle connections are kept per address.
 const MAX_IDLE_PER_ADDRESS: usize = 512;
-/// Past this much idle time a connection isn't reused for anything.
+/// A connection that has been idle for longer than this is not reused.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(20);
-/// How long an idle connection may take to be ready for another call.
+/// How long an idle connection may take to become ready for another request.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long sent bytes may stay unacknowledged before the kernel gives a connection up.
+/// How long sent bytes may stay unacknowledged before the kernel closes the connection.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may hear nothing before it's probed, and how long a probe may stay
-/// unanswered. The kernel takes whole seconds: of less it keeps none, and probes after two hours.
+/// How long a connection may receive nothing before a keep-alive probe is sent, and how long the
+/// probe may stay unanswered. The kernel takes whole seconds: a shorter interval is ignored, and
+/// the first probe goes out after two hours.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How many keep-alive probes in a row may stay unanswered.
 const MAX_UNANSWERED_PROBES: u32 = 1;
 
-/// Which connections will do for a call.
+/// Which connections may be used for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// An idle one, however old.
+    /// An idle one, however long it has been idle.
     Any,
-    /// An idle one that was in use less than this long ago.
+    /// An idle one that was last used less than this long ago.
     Within(Duration),
     /// Only a new one.
     New,
 }
 
-/// Whether connections that wait for an answer are probed.
+/// Whether keep-alive probes are sent on connections that wait for a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Probing {
     On,
     Off,
 }
 
-/// Why a call failed.
+/// Why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     #[error("can't connect to {addr}: {message}")]
     Connect {
-        /// Where to.
+        /// The address that was connected to.
         addr: SocketAddr,
-        /// What kind of error it was.
+        /// The kind of I/O error.
         kind: io::ErrorKind,
-        /// What the system said.
+        /// The error message of the operating system.
         message: String,
     },
-    /// The connection closed before the request was handed to it; nothing was sent.
+    /// The connection closed before the request was passed to it; nothing was sent.
     #[error("the connection closed before the request went out")]
     NotSent,
-    /// The connection failed after the request went out, before the head of an answer came.
+    /// The connection failed after the request was sent, before a response head arrived.
     #[error("the connection closed before an answer: {0}")]
     Closed(hyper::Error),
 }
 
 impl Error {
-    /// Whether it's certain that not a byte of the request was handed to a socket.
+    /// Whether it is certain that no byte of the request was passed to a socket.
     pub fn is_unsent(&self) -> bool {
         match self {
             Self::Connect { .. } | Self::NotSent => true,
@@ -88,13 +89,13 @@
         }
     }
 
-    /// Whether the host is there and said that nobody listens.
+    /// Whether the host answered that nothing listens on the port.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect { kind: io::ErrorKind::ConnectionRefused, .. })
     }
 }
 
-/// A connection lent by a [`Pool`].
+/// A connection checked out of a [`Pool`].
 #[derive(Debug)]
 pub struct Connection {
     addr: SocketAddr,
@@ -105,45 +106,45 @@
 /// When a connection was opened.
 #[derive(Debug, Clone, Copy)]
 enum Opened {
-    /// For this call.
+    /// For the current request.
     Now(Instant),
-    /// For an earlier call.
+    /// For an earlier request.
     Earlier,
 }
 
 impl Connection {
-    /// Whether it served another call before.
+    /// Whether the connection has served another request before.
     pub fn is_reused(&self) -> bool {
         matches!(self.opened, Opened::Earlier)
     }
 
-    /// The other end.
+    /// The remote address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends `req` and waits for the head of the answer.
+    /// Sends `req` and waits for the head of the response.
     pub async fn send(
         &mut self,
         req: http::Request<Bytes>,
     ) -> Result<http::Response<Incoming>, Error> {
         let sent = self.sender.try_send_request(req.map(Full::new));
         sent.await.map_err(|mut e| match e.take_message() {
-            // hyper hands the request back only if it never reached the connection.
+            // hyper returns the request only if it never reached the connection.
             Some(_) => Error::NotSent,
             None => Error::Closed(e.into_error()),
         })
     }
 
-    /// Waits for `wait` to see whether the other end drops the connection at once, as an endpoint over
-    /// its limit does right after it accepted one. What would have been sent is then known not to have
-    /// arrived.
+    /// Waits for `wait` to see whether the peer closes the connection immediately, as an endpoint
+    /// over its connection limit does right after accepting one. In that case it is certain that a
+    /// request sent on this connection would not have been received.
     pub async fn wait_for_early_close(&self, wait: Duration) -> Result<(), Error> {
         Timer::after(wait).await;
         if self.sender.is_closed() { Err(Error::NotSent) } else { Ok(()) }
     }
 
-    /// Closes the connection; whatever still comes on it is dropped.
+    /// Closes the connection; any further bytes received on it are discarded.
     pub fn close(self) {
         drop(self);
     }
@@ -155,18 +156,18 @@
     since: Instant,
 }
 
-/// Connections that can be used again, by address.
+/// Reusable connections, by address.
 #[derive(Debug)]
 pub struct Pool {
     ex: runtime::Handle,
     clock: Arc<dyn Clock>,
     connect_timeout: Duration,
     unacked_timeout: Duration,
-    /// The time between keep-alive probes; none are sent without it.
+    /// Whether keep-alive probes are sent.
     probing: Probing,
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
-    /// When the newest connection that was answered had been opened.
-    newest_answered: Mutex<HashMap<SocketAddr, Instant>>,
+    /// By address, when the newly opened connection that last got a response was opened.
+    last_responsive_opened_at: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
 impl Pool {
@@ -180,28 +181,29 @@
             unacked_timeout: UNACKED_TIMEOUT,
             probing: Probing::Off,
             idle: Mutex::default(),
-            newest_answered: Mutex::default(),
+            last_responsive_opened_at: Mutex::default(),
         }
     }
 
-    /// Sets how long a connection attempt may take; one second if not set.
+    /// Sets how long opening a connection may take; the default is one second.
     pub fn with_connect_timeout(self, connect_timeout: Duration) -> Self {
         Self { connect_timeout, ..self }
     }
 
-    /// Gives connections up after this long without an acknowledgement of sent bytes, and when a
-    /// probe of a connection that is waiting stays unanswered. Without it, a call that waits on a
-    /// host that lost its power or is cut off hangs until its own limit; with it, the call fails
-    /// within two seconds and can be made elsewhere while there is time.
+    /// Closes a connection when sent bytes stay unacknowledged for this long, or when a keep-alive
+    /// probe on a waiting connection stays unanswered. Without this, a request to a host that lost
+    /// power or network hangs until its own time limit; with it, the request fails within two
+    /// seconds and can be retried elsewhere while there is time.
     pub fn with_liveness(self, unacked_timeout: Duration) -> Self {
         Self { unacked_timeout, probing: Probing::On, ..self }
     }
 
-    /// Lends a connection to `addr`.
+    /// Checks out a connection to `addr`.
     pub async fn take(&self, addr: SocketAddr, freshness: Freshness) -> Result<Connection, Error> {
         while let Some(mut sender) = self.take_idle(addr, freshness) {
-            // The task that drives the connection may still be closing the last exchange. One
-            // that can't, because the other end stopped reading, would keep us waiting for good.
+            // The task that drives the connection may still be finishing the previous exchange. If
+            // it cannot finish because the peer stopped reading, waiting for it without a limit
+            // would block forever.
             if let Ok(Ok(())) = timeout::run(READY_TIMEOUT, sender.ready()).await {
                 return Ok(Connection { addr, sender, opened: Opened::Earlier });
             }
@@ -209,12 +211,12 @@
         self.connect(addr).await
     }
 
-    /// Takes back a connection whose last answer was read to its end and is beyond doubt.
+    /// Returns a connection whose last response was read to its end without any error.
     pub fn put(&self, conn: Connection) {
         self.put_with_limit(conn, MAX_IDLE_PER_ADDRESS);
     }
 
-    /// Takes back a connection like [`put`](Self::put), and closes those that were idle for longest if
+    /// Returns a connection like [`put`](Self::put), and closes the connections idle for longest if
     /// there are more than `max_idle` to the same address.
     pub fn put_with_limit(&self, conn: Connection, max_idle: usize) {
         if conn.sender.is_closed() {
@@ -229,22 +231,23 @@
         connections.drain(..n_excess);
     }
 
-    /// Closes the idle connections to `addr`, after one of them was found to be silent.
+    /// Closes the idle connections to `addr`, because one connection to it was found to be silent.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.lock().remove(&addr);
     }
 
-    /// Notes that an answer came on `conn`.
+    /// Records that a response arrived on `conn`.
     pub fn record_response(&self, conn: &Connection) {
         if let Opened::Now(opened) = conn.opened {
-            self.newest_answered.lock().insert(conn.addr, opened);
+            self.last_responsive_opened_at.lock().insert(conn.addr, opened);
         }
     }
 
-    /// Whether a connection to `addr` that was opened after `since` has been answered. A call
-    /// that began before and still has no answer is likely on a connection that went silent.
+    /// Whether a connection to `addr` that was opened after `since` has received a response. A
+    /// request that was sent before `since` and still has no response is probably on a silent
+    /// connection.
     pub fn has_newer_working_connection(&self, addr: SocketAddr, since: Instant) -> bool {
-        self.newest_answered.lock().get(&addr).is_some_and(|opened| since < *opened)
+        self.last_responsive_opened_at.lock().get(&addr).is_some_and(|opened| since < *opened)
     }
 
     fn take_idle(
@@ -260,7 +263,8 @@
         let now = self.clock.now();
         let mut idle_by_address = self.idle.lock();
         let connections = idle_by_address.get_mut(&addr)?;
-        // The last one was used last; if that is too old, so are the others.
+        // The last connection in the list was used most recently; if it is too old, so are the
+        // others.
         while let Some(idle) = connections.pop() {
             if max_age < now.saturating_duration_since(idle.since) {
                 connections.clear();
@@ -296,15 +300,15 @@
             connecting.await.map_err(|e| connect_error(io::ErrorKind::TimedOut, e.to_string()))?;
         let stream = connected.map_err(|e| connect_error(e.kind(), e.to_string()))?;
         if let Err(e) = self.configure(stream.get_ref()) {
-            // Calls still work, but a silent host is noticed late.
-            log::warn!("a connection to {addr} can't be configured: {e}");
+            // Requests still work, but it takes longer to notice an unreachable host.
+            log::warn!("cannot set socket options on the connection to {addr}: {e}");
         }
         let (sender, conn) = http1::handshake(FuturesIo::new(stream))
             .await
             .map_err(|e| connect_error(io::ErrorKind::Other, e.to_string()))?;
         self.ex
             .spawn(async move {
-                // The call on the connection learns of a failure by itself.
+                // The request on this connection receives the error itself.
                 let _failed = conn.await;
             })
             .detach();
--- a/crates/curranthook_http/src/exchange.rs
+++ b/crates/curranthook_http/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One small call and its whole answer.
+//! A single request whose response is read whole.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,28 +10,28 @@
     timeout,
 };
 
-/// The largest answer that is read, in bytes.
+/// The largest response body that is read, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a call has no answer.
+/// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The connection failed.
     #[error(transparent)]
     Client(#[from] client::Error),
-    /// The answer broke off.
+    /// The response body ended early or is too large.
     #[error(transparent)]
     Body(#[from] body::ReadError),
-    /// No answer in time.
+    /// The response did not arrive within the time limit.
     #[error("no answer within {0:?}")]
     Timeout(Duration),
-    /// The call couldn't be put into HTTP.
+    /// The method, path or headers do not form a valid HTTP request.
     #[error("not a valid request: {0}")]
     Invalid(#[from] http::Error),
 }
 
 impl Error {
-    /// Whether it's certain that not a byte went out.
+    /// Whether it is certain that no byte of the request was sent.
     pub fn is_unsent(&self) -> bool {
         match self {
             Self::Client(e) => e.is_unsent(),
@@ -41,21 +41,21 @@
     }
 }
 
-/// A call to be made.
+/// A request to be sent.
 ///
 /// ```no_run
 /// # async fn example(pool: &curranthook_http::client::Pool) -> anyhow::Result<()> {
 /// use curranthook_http::Exchange;
 /// let addr = "127.0.0.1:8080".parse().unwrap();
-/// let answer = Exchange::get(addr, "/healthz").run(pool).await.unwrap();
-/// assert_eq!(answer.status(), 200);
+/// let response = Exchange::get(addr, "/healthz").run(pool).await.unwrap();
+/// assert_eq!(response.status(), 200);
 /// # Ok(()) }
 /// ```
 #[derive(Debug)]
 pub struct Exchange {
-    /// Where to.
+    /// The address to connect to.
     pub addr: SocketAddr,
-    /// What for.
+    /// The method.
     pub method: http::Method,
     /// Path and query.
     pub path: String,
@@ -63,14 +63,14 @@
     pub headers: Vec<(&'static str, String)>,
     /// The body, empty for none.
     pub body: Bytes,
-    /// The limit on the whole call.
+    /// The time limit on the whole exchange, including reading the response body.
     pub timeout: Duration,
-    /// Which connections will do.
+    /// Which pooled connections may be used.
     pub freshness: Freshness,
 }
 
 impl Exchange {
-    /// A call with no body.
+    /// A request without a body.
     pub fn new(addr: SocketAddr, method: http::Method, path: impl Into<String>) -> Self {
         const TIMEOUT: Duration = Duration::from_secs(2);
         Self {
@@ -114,29 +114,30 @@
     ///
     /// # Panics
     ///
-    /// If `value` can't be written as JSON.
+    /// If `value` cannot be serialized as JSON.
     pub fn with_json(self, value: &impl serde::Serialize) -> Self {
-        let body = serde_json::to_vec(value).expect("the value can be written as JSON");
+        let body = serde_json::to_vec(value).expect("failed to serialize the value as JSON");
         self.with_header("content-type", "application/json").with_body(body)
     }
 
-    /// Sets the limit on the whole call; two seconds if not set.
+    /// Sets the time limit on the whole exchange; the default is two seconds.
     pub fn with_timeout(self, timeout: Duration) -> Self {
         Self { timeout, ..self }
     }
 
-    /// Sets which connections will do.
+    /// Sets which pooled connections may be used; the default is up to five seconds idle.
     pub fn with_freshness(self, freshness: Freshness) -> Self {
         Self { freshness, ..self }
     }
 
-    /// Makes the call and reads the whole answer.
+    /// Sends the request and reads the whole response.
     pub async fn run(self, pool: &Pool) -> Result<http::Response<Bytes>, Error> {
         let (time_limit, addr) = (self.timeout, self.addr);
         let result = timeout::run(time_limit, self.send(pool)).await;
         result.unwrap_or_else(|timeout::Elapsed| {
-            // What silenced this connection may have silenced the idle ones beside it. Left
-            // there, each would cost a later call the whole of its limit.
+            // Whatever silenced this connection may also have silenced the idle ones to the same
+            // address. If they stayed in the pool, each would cost a later request its whole time
+            // limit.
             pool.close_idle(addr);
             Err(Error::Timeout(time_limit))
         })
--- a/crates/curranthook_http/src/lib.rs
+++ b/crates/curranthook_http/src/lib.rs
@@ -1,9 +1,10 @@
 //! HTTP over `hyper` and `async-io`.
 //!
-//! [`runtime`] starts an executor on a few threads. [`server`] serves a [`server::Handler`]
-//! until its [`stop::Stop`] is set and then finishes what is under way. [`client`] keeps a pool
-//! of connections and says of each failure whether bytes may have gone out, which decides what
-//! a router may tell its caller. [`exchange`] is the short way to make one small call.
+//! [`runtime`] starts an executor on a few threads. [`server`] serves a [`server::Handler`] until
+//! its [`stop::Stop`] is set and then finishes the requests in progress. [`client`] keeps a
+//! connection pool and reports for each failure whether request bytes may have been sent, which
+//! decides whether a router may tell its caller that nothing was executed. [`exchange`] makes one
+//! small request and reads its whole response.
 
 pub mod body;
 pub mod client;
--- a/crates/curranthook_http/src/runtime.rs
+++ b/crates/curranthook_http/src/runtime.rs
@@ -1,4 +1,4 @@
-//! An executor on a few threads.
+//! A multi-threaded executor.
 
 use std::{future::Future, sync::Arc, thread};
 
@@ -9,8 +9,8 @@
 
 /// Starts an executor on `threads` threads and runs `main` on the calling thread.
 ///
-/// Tasks that are still running when `main` ends are dropped with the process, so `main` awaits
-/// whatever must be finished.
+/// Tasks that are still running when `main` returns are dropped with the process, so `main` must
+/// await every task that has to finish.
 ///
 /// ```
 /// let n = curranthook_http::runtime::run(2, |ex| async move { ex.spawn(async { 7 }).await });
@@ -29,7 +29,7 @@
         thread::Builder::new()
             .name(format!("worker-{n}"))
             .spawn(move || async_io::block_on(ex.run(std::future::pending::<()>())))
-            .expect("the system has room for a few threads");
+            .expect("failed to spawn an executor thread");
     }
     ex
 }
--- a/crates/curranthook_http/src/server.rs
+++ b/crates/curranthook_http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server that finishes what is under way before it ends.
+//! An HTTP server that finishes the requests in progress before it stops.
 
 use std::{
     convert::Infallible,
@@ -15,25 +15,26 @@
 
 use crate::{Body, runtime, stop::Stop};
 
-/// The pause after a failed accept, so that running out of file descriptors doesn't spin.
+/// The delay after a failed `accept`, so that the accept loop does not spin when the process is out
+/// of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Answers requests.
+/// Handles requests.
 ///
-/// The future is dropped when the caller goes away; work that has to go on without the caller
-/// belongs in a task of its own.
+/// The future is dropped when the client disconnects; work that must continue without the client
+/// belongs in its own task.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Produces the response to one request.
     fn handle(self: Arc<Self>, req: http::Request<Incoming>) -> Boxed<http::Response<Body>>;
 }
 
-/// What a caller may do with its connection.
+/// Limits on a client connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// How long the head of a request may take. It counts from the end of the answer before, so
-    /// it bounds the idle time of a kept connection too.
+    /// How long the client may take to send the head of a request. The time starts at the end of
+    /// the previous response, so it also bounds the idle time of a keep-alive connection.
     pub head_timeout: Duration,
-    /// The largest head that is read, in bytes.
+    /// The largest request head that is read, in bytes.
     pub max_head_bytes: usize,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// A bound address.
+/// A server bound to an address.
 #[derive(Debug)]
 pub struct Server {
     listener: Async<TcpListener>,
@@ -52,32 +53,32 @@
 }
 
 impl Server {
-    /// Binds `addr`; port 0 picks a free port.
+    /// Binds `addr`; with port 0 the system assigns a free port.
     pub fn bind(addr: SocketAddr) -> io::Result<Self> {
         let listener = Async::<TcpListener>::bind(addr)?;
         let addr = listener.get_ref().local_addr()?;
         Ok(Self { listener, addr, limits: Limits::default() })
     }
 
-    /// Sets what callers may do with their connections.
+    /// Sets the limits on client connections.
     pub fn with_limits(self, limits: Limits) -> Self {
         Self { limits, ..self }
     }
 
-    /// The address that was bound, with its real port.
+    /// The bound address, with the actual port.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Serves until `stop` is set, then closes the port, finishes each request that has begun
-    /// and returns.
+    /// Serves until `stop` is set, then closes the port, finishes each request in progress and
+    /// returns.
     pub async fn serve<H: Handler + ?Sized>(
         self,
         ex: &runtime::Handle,
         handler: Arc<H>,
         stop: Stop,
     ) {
-        // Each connection holds a sender; the receiver ends when the last one is gone.
+        // Each connection task holds a sender; `recv` returns when the last one is dropped.
         let (open, all_closed) = async_channel::bounded::<Infallible>(1);
         while let Some(accepted) = self.accept(&stop).await {
             let Ok(stream) = accepted else {
@@ -113,7 +114,8 @@
     stop: Stop,
     limits: Limits,
 ) {
-    // Small events of a stream must go out at once; without this the kernel may hold them back.
+    // The small events of a stream must be sent immediately; without `TCP_NODELAY` the kernel may
+    // delay them.
     let _best_effort = stream.get_ref().set_nodelay(true);
     let service = service_fn(move |req| {
         let handler = Arc::clone(&handler);
@@ -127,7 +129,7 @@
     let mut conn = std::pin::pin!(conn);
     let finished = future::or(
         async {
-            // A caller that breaks off is no fault of ours, so the error is dropped.
+            // A disconnecting client is not an error of this server, so the error is dropped.
             let _broken = conn.as_mut().await;
             true
         },
--- a/crates/curranthook_http/src/stop.rs
+++ b/crates/curranthook_http/src/stop.rs
@@ -1,16 +1,16 @@
-//! A flag that is set once and can be waited for.
+//! A flag that is set once and can be awaited.
 
 use async_channel::{Receiver, Sender};
 
-/// Sets the flag of all [`Stop`]s made with it.
+/// Sets the flag of every [`Stop`] created together with this trigger.
 #[derive(Debug, Clone)]
 pub struct Trigger(Sender<()>);
 
-/// Tells when to stop.
+/// Reports that a task should stop.
 #[derive(Debug, Clone)]
 pub struct Stop(Receiver<()>);
 
-/// Makes a flag.
+/// Creates a flag and its trigger.
 ///
 /// ```
 /// let (trigger, stop) = curranthook_http::stop::new();
@@ -24,7 +24,7 @@
 }
 
 impl Trigger {
-    /// Sets the flag; doing it again changes nothing.
+    /// Sets the flag; calling it again has no effect.
     pub fn set(&self) {
         self.0.close();
     }
@@ -38,7 +38,7 @@
 
     /// Waits until the flag is set.
     pub async fn wait(&self) {
-        // Nothing is ever sent, so this ends only when the channel is closed.
+        // Nothing is ever sent, so `recv` returns only when the channel is closed.
         let _closed = self.0.recv().await;
     }
 }
--- a/crates/curranthook_http/tests/idle.rs
+++ b/crates/curranthook_http/tests/idle.rs
@@ -1,4 +1,4 @@
-//! Idle connections that a pool keeps.
+//! Limits on the idle connections that a pool keeps.
 
 use std::{
     io::{ErrorKind, Read},
@@ -19,7 +19,7 @@
     matches!(read, Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut))
 }
 
-/// Guards against idle connections that take up the places of an endpoint which takes only so many.
+/// Guards against idle connections that use up the connection limit of an endpoint.
 #[test]
 fn the_oldest_idle_connections_are_closed() {
     const MAX_IDLE: usize = 2;
--- a/crates/curranthook_http/tests/liveness.rs
+++ b/crates/curranthook_http/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for an answer are probed.
+//! Keep-alive probes on connections that wait for a response.
 
 use std::{fs, net::TcpListener, sync::Arc, time::Duration};
 
@@ -9,14 +9,15 @@
 use curranthook_types::clock;
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// The kernel's ticks a second in `/proc/net/tcp`.
+/// The resolution of timers in `/proc/net/tcp`, in ticks per second.
 const TICKS_PER_SECOND: u64 = 100;
-/// The timer of keep-alive probes there.
+/// The code of the keep-alive timer in `/proc/net/tcp`.
 const KEEP_ALIVE_TIMER: &str = "02";
 
-/// A host loses its power while a call waits for its answer: all bytes that were sent are
-/// acknowledged, and nothing ever comes back. Without probes, which the kernel takes in whole
-/// seconds only, the call hangs until its own limit, and its caller gets nothing in time.
+/// A host loses power while a request waits for its response: every byte sent has been
+/// acknowledged, and no response arrives. Without keep-alive probes, whose interval the kernel
+/// takes in whole seconds only, the request hangs until its own time limit, and its caller gets no
+/// response in time.
 #[test]
 fn a_waiting_connection_is_probed_within_a_second() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -31,7 +32,7 @@
     assert!(ticks <= TICKS_PER_SECOND, "the first probe goes out in {ticks} ticks");
 }
 
-/// The timer of a connection and when it fires.
+/// The active timer of a connection, and in how many ticks it fires.
 fn tcp_timer(local: u16, remote: u16) -> Option<(String, u64)> {
     let table = fs::read_to_string("/proc/net/tcp").unwrap();
     let port = |it: &str| u16::from_str_radix(it.split_once(':')?.1, 16).ok();
--- a/crates/curranthook_http/tests/runtime.rs
+++ b/crates/curranthook_http/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! The executor's threads.
+//! The threads of the executor.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 const N_THREADS: usize = 2;
 
-// One request hits a bug and its task panics. Were the thread lost with it, a few such requests
-// would leave a process that is alive and answers nobody.
+// A request triggers a bug and its task panics. If the panic ended the executor thread, a few such
+// requests would leave a process that runs but serves no requests.
 #[test]
 fn a_panicking_task_ends_no_executor_thread() {
     let ex = runtime::start(N_THREADS);
