--- a/crates/curranthook_router/src/authenticate.rs
+++ b/crates/curranthook_router/src/authenticate.rs
@@ -1,4 +1,4 @@
-//! Who calls: the client account behind an API key.
+//! Identifies the client account by its API key.
 
 use curranthook_types::{Refusal, account, refusal::Reason};
 use http::{HeaderMap, header};
@@ -6,7 +6,7 @@
 
 use crate::snapshot::Snapshot;
 
-/// Finds the account whose key the request carries as `Authorization: Bearer <key>`.
+/// Finds the account whose API key is in the header `Authorization: Bearer <key>`.
 pub fn run(snapshot: &Snapshot, headers: &HeaderMap) -> Result<account::Id, Refusal> {
     let refused = || Refusal::not_run(Reason::Unauthenticated, "no API key of a client account");
     let value = headers.get(header::AUTHORIZATION).and_then(|it| it.to_str().ok());
--- a/crates/curranthook_router/src/bill.rs
+++ b/crates/curranthook_router/src/bill.rs
@@ -1,23 +1,24 @@
-//! The bill line of an answer.
+//! The bill line of a response.
 
 use curranthook_settings::config;
 use curranthook_types::{Clock, bill::Line, chat::Usage, price::Micros, version};
 
 use crate::parse::Metadata;
 
-/// What the attempts that gave answers cost, in order. Attempts that failed aren't billed.
+/// The total cost of the attempts that produced a complete response. Failed attempts are not
+/// billed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Cost {
-    /// Tokens of the prompt, over all answers.
+    /// Tokens of the prompts of all responses.
     pub prompt_tokens: u64,
-    /// Tokens of the answers.
+    /// Tokens of all responses.
     pub completion_tokens: u64,
-    /// The price of it all.
+    /// The total price.
     pub total: Micros,
 }
 
 impl Cost {
-    /// Adds one version's answer.
+    /// Adds the usage of one version's response.
     ///
     /// ```
     /// # use curranthook_router::bill::Cost;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The line for a chat answered by `version`.
+    /// The bill line of a chat response of `version`.
     pub fn line(&self, metadata: &Metadata, version: &version::Id, clock: &dyn Clock) -> Line {
         Line {
             request: metadata.request.clone(),
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat requests, from the parsed body to the answer.
+//! Chat requests, from the parsed body to the response.
 
 use std::{sync::Arc, time::Instant};
 
@@ -31,7 +31,7 @@
     token,
 };
 
-/// Answers a chat request.
+/// Handles a chat request.
 pub async fn run(
     router: &Arc<Router>,
     snapshot: &Arc<Snapshot>,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Which version to ask, and the session that it's the version of.
+/// Selects the version to use, and returns the session that it belongs to, if any.
 async fn plan(
     router: &Arc<Router>,
     snapshot: &Snapshot,
@@ -74,8 +74,8 @@
         let account = snapshot.account_settings(&chat.metadata.account);
         let sessions_may_move = account.is_some_and(|it| it.sessions_may_move);
         match selection::pinned_plan(snapshot, chat, version) {
-            // Both promises hold: the session keeps its version, and the withdrawn version gets
-            // no work. Only an account that asked for it has its sessions moved.
+            // Both guarantees hold: the session keeps its version, and the withdrawn version gets
+            // no requests. Sessions are moved only for accounts that asked for it.
             Err(e) if e.code == Reason::PinnedWithdrawn && sessions_may_move => {}
             pinned => return pinned.map(|plan| (plan, Some(session.clone()))),
         }
@@ -93,7 +93,7 @@
     match pin {
         Pin::None => Ok((plan, None)),
         Pin::New(session) => Ok((selection::without_cascade(plan), Some(session))),
-        // The answer's new token carries the move.
+        // The new token in the response carries the move to another version.
         Pin::Pinned(session, _) if chat.metadata.token.is_some() => {
             Ok((selection::without_cascade(plan), Some(session)))
         }
@@ -112,7 +112,7 @@
     }
 }
 
-/// The plan that was made, unless the session's row turned out to name another version.
+/// Returns `plan`, unless the session's row names another version.
 fn plan_for_row(
     snapshot: &Snapshot,
     chat: &Chat,
@@ -125,7 +125,7 @@
     selection::pinned_plan(snapshot, chat, version)
 }
 
-/// An answer that is being put together.
+/// The state of a chat request while its response is produced.
 struct Handler {
     router: Arc<Router>,
     snapshot: Arc<Snapshot>,
@@ -135,24 +135,25 @@
     stage: Stage,
     started_at: Instant,
     session: Option<session::Id>,
-    /// What was passed on so far.
+    /// The text sent to the caller so far.
     text: String,
     _in_flight: InFlight,
 }
 
-/// Where an answer stands in a cascade, which decides what its rating tells.
+/// The cascade stage of a response, which determines how its rating is used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
-    /// There's no cascade.
+    /// There is no cascade.
     Direct,
-    /// The first answer. It's rated before it's given out.
+    /// The first response. It is rated before any of it is sent.
     First,
-    /// The second answer, after this version's was rated too low. It sees only what the first
-    /// version fails at, so its ratings say nothing of other requests.
+    /// The second response, after the response of this version was rated too low. The second
+    /// version sees only requests on which the first one fails, so its ratings say nothing about
+    /// other requests.
     Second(version::Id),
 }
 
-/// A whole answer of one version.
+/// A complete response of one version.
 struct Collected {
     version: version::Id,
     chunks: Vec<Chunk>,
@@ -169,7 +170,8 @@
     async fn direct(mut self, version: version::Id) -> Result<Response<Body>, Refusal> {
         let mut completion = Completion::new(version);
         if self.call.chat().body.stream {
-            // The head goes out once an endpoint is at work; until then a refusal can be given.
+            // The response head is sent once an endpoint has started; until then a refusal can be
+            // returned.
             completion.open(&mut self.call).await?;
             return self.stream(completion);
         }
@@ -177,8 +179,8 @@
         self.respond(collected).await
     }
 
-    /// Asks `first`, has its answer rated before any of it is shown, and asks `then` if it
-    /// isn't good enough. What is shown comes from one version alone.
+    /// Requests a response of `first`, rates it before any of it is sent, and requests one of
+    /// `then` if it is not good enough. What is sent comes from only one version.
     async fn cascade(
         mut self,
         first: version::Id,
@@ -195,24 +197,24 @@
             None => None,
         };
         let first_reply = match (first_reply, rating) {
-            (Some(collected), Some(rating)) if rating::GOOD_RATING <= rating => {
-                return self.respond(collected).await;
+            (Some(it), Some(rating)) if rating::GOOD_RATING <= rating => {
+                return self.respond(it).await;
             }
             (first_reply, _) => first_reply,
         };
-        // An answer that couldn't be rated counts as not good enough: the account asked for a
-        // quality, and the dearer version is the one known to meet it.
+        // A response that could not be rated counts as not good enough: the account requires a
+        // quality, and the more expensive version is the one known to provide it.
         self.router.metrics.count_retry(retry::Reason::Escalated);
         self.call.reset_attempts();
         self.started_at = self.router.clock.now();
         match (self.collect(Completion::new(then)).await, first_reply) {
             (Ok(second_reply), first_reply) => {
-                // Without a first answer it saw the request like any other.
+                // If there was no first response, the second version handled an ordinary request.
                 self.stage = first_reply.map_or(Stage::Direct, |_| Stage::Second(first));
                 self.respond(second_reply).await
             }
-            // The second version can't answer in time or at all. The first one's answer is
-            // whole and allowed, so it's better than none.
+            // The second version cannot respond in time, or at all. The first response is complete
+            // and allowed, so it is better than none.
             (Err(_), Some(first_reply)) => {
                 self.router.metrics.count("cascade.fell_back");
                 self.respond(first_reply).await
@@ -260,18 +262,19 @@
         rating
     }
 
-    /// Bills a whole answer; after that it may be given out.
+    /// Records the bill of a complete response, which must be done before the response is sent.
     async fn record_bill(&self, version: &version::Id) {
         let metadata = &self.call.chat().metadata;
         let line = self.cost.line(metadata, version, &*self.router.clock);
         self.router.node.poison().release(&metadata.fingerprint);
-        // The line must outlive this VM before the caller can know that it has the answer:
-        // a VM that dies in between would otherwise have worked for free.
+        // The line must survive the loss of this VM before the caller can know that it has the
+        // whole response: otherwise the work would go unbilled if the VM died in between.
         self.router.record_bill(line).await;
         self.router.metrics.count("answer.whole");
     }
 
-    /// Sends the answer to the rater in the background, or just counts it.
+    /// Has the response rated in the background if it is sampled; otherwise records it without a
+    /// rating.
     fn rate_in_background(&self, version: &version::Id, text: String, usage: Usage) {
         let router = Arc::clone(&self.router);
         let kind = self.call.chat().metadata.kind.clone();
@@ -329,7 +332,8 @@
         Ok(build_response(res.header("content-type", "application/json"), body::full(text)))
     }
 
-    /// Passes the answer on as it comes. Its end marker is held back until the bill is safe.
+    /// Streams the response as it is generated. The end marker is held back until the bill is
+    /// recorded.
     fn stream(self, completion: Completion) -> Result<Response<Body>, Refusal> {
         let mut res =
             self.response_builder(completion.version()).header("content-type", "text/event-stream");
@@ -352,7 +356,8 @@
                     handler.rate_in_background(completion.version(), text, usage);
                     Some((Ok(Frame::data(sse_event(END_MARKER.as_bytes()))), None))
                 }
-                // No end marker and a broken body: the caller sees that the answer isn't whole.
+                // The stream ends with an error event and no end marker: the caller sees that the
+                // response is incomplete.
                 Err(refusal) => {
                     handler.router.metrics.count_refusal(refusal.code);
                     let text = Bytes::from(refusal.body());
@@ -391,7 +396,7 @@
     }
 }
 
-/// Whether a refusal of the first version holds for any other too.
+/// Whether a refusal from the first version applies to every other version too.
 fn is_final(refusal: &Refusal) -> bool {
     matches!(refusal.code, Reason::Deadline | Reason::Poison | Reason::NotReady)
 }
--- a/crates/curranthook_router/src/claim.rs
+++ b/crates/curranthook_router/src/claim.rs
@@ -1,13 +1,13 @@
-//! Claims: a call that may not be repeated runs at most once.
+//! Claims: a call that must not be repeated is executed at most once.
 //!
-//! Each such call carries the caller's idempotency key. Before a byte goes out, the router
-//! inserts a row under that key into the platform's table, with a random claim id. The insert
-//! is conditional, so one router wins, and only the winner sends, once. There is no lease and
-//! no time limit on a claim: a router that is frozen between claim and send can't be overtaken,
-//! so its late send is still the only one.
+//! Each such call carries the caller's idempotency key. Before any byte is sent, the router inserts
+//! a row with a random claim id under that key into the platform's table. The insert is
+//! conditional, so only one router succeeds, and only that router sends the call, once. A claim has
+//! no lease and does not expire: no other router can take over while a router is paused between
+//! claiming and sending, so its late send is still the only one.
 //!
-//! A claim whose call surely never went out is released, and the next caller may take it over.
-//! Release and take-over are compare-and-set writes on the same row, so only one of them wins.
+//! A claim whose call was certainly not sent is released, and the next caller may take it over.
+//! Release and takeover are compare-and-set writes on the same row, so only one of them succeeds.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,58 +22,58 @@
 
 /// The table that holds the claims.
 pub const TABLE: &str = "claims";
-/// How often a lost answer is looked into before the caller is refused.
+/// How often a claim is attempted before the caller is refused.
 const MAX_CLAIM_ATTEMPTS: u32 = 3;
-/// How long that may take in all.
+/// The time limit for all these attempts together.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The pause between two looks.
+/// The delay between two attempts.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often an outcome or a release is tried again while the platform is out.
+/// How often storing an outcome or a release is attempted while the platform is down.
 const MAX_BACKGROUND_ATTEMPTS: u32 = 600;
-/// The pause between two such tries.
+/// The delay between two background attempts.
 const BACKGROUND_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How often an abandoned claim's row is looked for.
+/// How often the row of an unconfirmed claim is looked up in order to release it.
 const MAX_CLEANUP_ATTEMPTS: u32 = 60;
-/// The largest answer that is kept for replays, in bytes.
+/// The largest response body that is stored for replays, in bytes.
 const MAX_STORED_BYTES: usize = 64 * 1024;
-/// When to come back while the platform is out.
+/// When to retry while the platform is down.
 const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a claim's row says.
+/// The content of a claim's row.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The random id of the claim that holds the row.
     pub claim: String,
-    /// SHA-256 of the call, to tell a repeat from a reuse of the key.
+    /// SHA-256 of the call, to tell a repeat of the call from another call with the same key.
     #[serde_as(as = "Hex")]
     pub call: [u8; 32],
-    /// How far it came.
+    /// The state of the call.
     pub state: State,
 }
 
-/// How far a claimed call came.
+/// The state of a claimed call.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Its router may be sending it, or may have died doing so.
+    /// The router may be sending the call, or may have died while sending it.
     Sending,
-    /// It surely wasn't sent; the next caller may take it over.
+    /// The call was certainly not sent; the next caller may take the claim over.
     Released,
-    /// It was answered; repeats get this.
+    /// The call was answered; repeats get this response.
     Done {
         /// The HTTP status.
         status: u16,
-        /// The content type.
+        /// The content type of the body.
         content_type: String,
-        /// The body, unless it was too large to be kept.
+        /// The body, unless it was too large to store.
         #[serde_as(as = "Option<Base64>")]
         body: Option<Vec<u8>>,
     },
 }
 
-/// A claim that this router won.
+/// A claim that this router holds.
 #[derive(Debug)]
 pub struct Claim {
     table: Arc<dyn Table>,
@@ -82,27 +82,27 @@
     record: Record,
 }
 
-/// How an attempt to claim ended well.
+/// The result of a successful attempt to claim.
 #[derive(Debug)]
 pub enum Outcome {
     /// This router may send the call, once.
     Acquired(Claim),
-    /// The call was answered before; here is that answer.
+    /// The call was answered before; this is the stored response.
     Replay(State),
 }
 
-/// The row's key for a caller's idempotency key.
+/// The key of the row for a caller's idempotency key.
 pub fn key(account: &account::Id, service: &str, idempotency_key: &str) -> String {
     let mut hash = Sha256::new();
     for part in [account.as_str(), service, idempotency_key] {
-        // The length keeps ("ab", "c") apart from ("a", "bc").
+        // The length prefix distinguishes ("ab", "c") from ("a", "bc").
         hash.update(part.len().to_be_bytes());
         hash.update(part.as_bytes());
     }
     hex::encode(hash.finalize())
 }
 
-/// Claims the call under `key`, or gives up after `patience`, so that the caller can go on.
+/// Claims the call under `key`, or gives up after `time_limit`, so that the caller can continue.
 pub async fn acquire(
     table: &Arc<dyn Table>,
     ex: &runtime::Handle,
@@ -119,8 +119,8 @@
         Ok(Err(Unconfirmed::MaybeWritten(cause))) => cause,
         Err(timeout::Elapsed) => Error::Lost("no answer in time".to_owned()),
     };
-    // We never send now, yet one of the inserts may have landed. Left alone, such a row would
-    // keep the caller's next try from ever running.
+    // The call will not be sent now, but one of the inserts may have been written. If such a row
+    // stayed, the caller's next attempt could never run.
     ex.spawn(attempt.clean_up()).detach();
     Err(unconfirmed(&cause))
 }
@@ -136,11 +136,11 @@
     record: Record,
 }
 
-/// Why it isn't known who holds the row.
+/// Why it is unknown who holds the row.
 enum Unconfirmed {
-    /// Nothing that we sent can have been written.
+    /// Nothing that this router sent can have been written.
     NotWritten(Error),
-    /// Our claim may be in the row, or may still land there.
+    /// This router's claim may be in the row, or may still be written.
     MaybeWritten(Error),
 }
 
@@ -150,12 +150,13 @@
         for n in 0..MAX_CLAIM_ATTEMPTS {
             match self.insert().await {
                 Ok(Some(outcome)) => return Ok(outcome),
-                // The row can't be seen yet: insert again. The claim id is the same, so if the
-                // first insert lands after all we find our own claim there.
+                // The row is not visible yet: insert again. The claim id is the same, so if the
+                // first insert is written after all, the next attempt finds this router's own
+                // claim.
                 Ok(None) => {}
-                // It's no use to keep the caller waiting for an outage. But only at the first
-                // try does it mean that nothing was written: an earlier insert whose answer was
-                // lost may have landed before the outage began.
+                // There is no point in keeping the caller waiting during an outage. But only on the
+                // first attempt does it mean that nothing was written: an earlier insert whose
+                // response was lost may have been written before the outage began.
                 Err(e @ Error::Down(_)) if n == 0 => return Err(Unconfirmed::NotWritten(e)),
                 Err(e @ Error::Down(_)) => return Err(Unconfirmed::MaybeWritten(e)),
                 Err(e) => cause = e,
@@ -168,9 +169,9 @@
     async fn insert(&self) -> Result<Option<Result<Outcome, Refusal>>, Error> {
         match self.table.insert(TABLE, &self.key, encode(&self.record)).await {
             Ok(Write::Done(tag)) => Ok(Some(Ok(self.acquired(tag)))),
-            // The insert may have taken effect though its answer was lost: the row then carries
-            // our claim id. Reading it back tells the two cases apart; without that we would
-            // refuse a call that is ours to run.
+            // The insert may have succeeded although its response was lost; the row then has this
+            // router's claim id. Reading it back distinguishes the two cases; otherwise a call that
+            // this router may execute would be refused.
             Ok(Write::Conflict) | Err(Error::Lost(_)) => {
                 self.resolve_conflict().await.map_err(|e| Error::Lost(e.to_string()))
             }
@@ -198,7 +199,7 @@
     async fn take_over(&self, tag: &Tag) -> Result<Option<Result<Outcome, Refusal>>, Error> {
         match self.table.replace(TABLE, &self.key, tag, encode(&self.record)).await? {
             Write::Done(tag) => Ok(Some(Ok(self.acquired(tag)))),
-            // Somebody else took it over first; look at the row again.
+            // Another router took it over first; read the row again.
             Write::Conflict => Ok(None),
         }
     }
@@ -217,7 +218,7 @@
             if let Ok(Some(row)) = self.table.get(TABLE, &self.key).await {
                 match decode(&row) {
                     Ok(it) if it == self.record => return self.release(row.tag).await,
-                    // Our own take-over of this row may still be on its way.
+                    // This router's own takeover of the row may still be in progress.
                     Ok(it) if it.state == State::Released => {}
                     _ => return,
                 }
@@ -233,7 +234,7 @@
 }
 
 fn already_claimed() -> Refusal {
-    // This request wasn't run, but the call that it repeats may have been.
+    // This request was not executed, but the call that it repeats may have been.
     Refusal {
         not_run: Run::Unknown,
         ..Refusal::not_run(Reason::KeyClaimed, "a call with this key is running or was lost")
@@ -241,14 +242,14 @@
 }
 
 impl Claim {
-    /// Stores the answer, so that repeats get it. Goes on trying while the platform is out.
+    /// Stores the response, so that repeats get it. Keeps trying while the platform is down.
     pub async fn finish(self, status: u16, content_type: &str, body: &[u8]) {
         let body = (body.len() <= MAX_STORED_BYTES).then(|| body.to_vec());
         let state = State::Done { status, content_type: content_type.to_owned(), body };
         self.store(state).await;
     }
 
-    /// Gives the claim up; only for a call that surely wasn't sent.
+    /// Releases the claim; only for a call that was certainly not sent.
     pub async fn release(self) {
         self.store(State::Released).await;
     }
@@ -257,8 +258,8 @@
         let record = Record { state, ..self.record };
         for _ in 0..MAX_BACKGROUND_ATTEMPTS {
             match self.table.replace(TABLE, &self.key, &self.tag, encode(&record)).await {
-                // A conflict means that an earlier try took effect: nobody else writes to a row
-                // that is being sent.
+                // A conflict means that an earlier attempt succeeded: no other router writes to a
+                // row in state `Sending`.
                 Ok(Write::Done(_) | Write::Conflict) => return,
                 Err(_) => Timer::after(BACKGROUND_RETRY_DELAY).await,
             };
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Which endpoint takes a request, and who waits when all are busy.
+//! Selects an endpoint for each request, and queues requests while all endpoints are busy.
 //!
-//! There is a gate for each version and each plain service. It lends endpoints: a
-//! [`Lease`] counts as one request in flight until it's finished or dropped.
+//! There is a dispatcher for each version and each plain service. It leases endpoints: a [`Lease`]
+//! counts as one request in flight until it is finished or dropped.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -23,15 +23,16 @@
 
 use crate::{parse::Metadata, selection, snapshot::Snapshot};
 
-/// A waiter looks again after this long even if nobody woke it: an endpoint may have become
-/// free without a request of ours ending, as when a load report aged.
+/// How often a queued request checks for a free endpoint without being notified: an endpoint may
+/// become available although no request of this router ended, for example when a load report
+/// expires.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How many requests may wait at one gate until the settings say otherwise.
+/// How many requests may be queued at one dispatcher until the configuration sets a limit.
 const DEFAULT_QUEUE_CAPACITY: usize = 1_000;
-/// When to come back if there is no endpoint at all.
+/// When to retry if there is no endpoint at all.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
 
-/// What a gate leads to.
+/// What a dispatcher sends requests to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Target {
     /// A version of a model.
@@ -52,8 +53,8 @@
 }
 
 impl Dispatchers {
-    /// No gate yet. `balance` names the way in which endpoints are picked, as
-    /// [`baseline::balance`] knows it.
+    /// Creates a router's dispatchers, none at first. `balance` names the strategy for selecting
+    /// endpoints, as [`baseline::balance`] knows it.
     pub fn new(
         clock: Arc<dyn Clock>,
         domain: domain::Id,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes over the endpoints of a new epoch.
+    /// Applies the endpoints of a new configuration epoch.
     pub fn update(&self, snapshot: &Snapshot) {
         let mut members: HashMap<Target, Vec<(Member, SocketAddr)>> = HashMap::new();
         for (id, it) in &snapshot.config().endpoints {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The gate that leads to `target`.
+    /// The dispatcher for `target`.
     pub fn get(&self, target: &Target) -> Result<Arc<Dispatcher>, Refusal> {
         let dispatcher = self.dispatchers.read().get(target).cloned();
         dispatcher.ok_or_else(|| no_endpoint("no endpoint serves this"))
@@ -112,19 +113,19 @@
         self.dispatchers.read().values().for_each(|dispatcher| dispatcher.set_leaving(leaving));
     }
 
-    /// Unmarks an endpoint that said itself that it stays.
+    /// Clears the mark of an endpoint that reported itself that it is not leaving.
     pub fn clear_leaving(&self, addr: SocketAddr) {
         self.leaving.lock().remove(&addr);
         self.dispatchers.read().values().for_each(|dispatcher| dispatcher.clear_leaving(addr));
     }
 
-    /// Where endpoints are marked as leaving.
+    /// The addresses of the endpoints that are marked as leaving.
     pub fn leaving(&self) -> HashSet<SocketAddr> {
         self.leaving.lock().clone()
     }
 }
 
-/// Lends the endpoints of one version or service.
+/// Leases the endpoints of one version or service.
 #[derive(Debug)]
 pub struct Dispatcher {
     clock: Arc<dyn Clock>,
@@ -138,16 +139,17 @@
     queue: Fair<Sender<()>>,
 }
 
-/// How a request stands with a gate.
+/// The parameters by which a request is queued and its endpoint selected.
 #[derive(Debug, Clone, Copy)]
 pub struct Params<'a> {
-    /// The request.
+    /// The metadata of the request.
     pub metadata: &'a Metadata,
-    /// Its account's weight in the queue.
+    /// The account's weight in the queue.
     pub weight: f64,
-    /// Equal for requests that share a prompt prefix.
+    /// A hash that is equal for requests that share a prompt prefix, so that they go to the same
+    /// endpoint if possible.
     pub affinity: Option<u64>,
-    /// Endpoints that were tried in vain.
+    /// Endpoints on which the request has failed.
     pub excluded: &'a [endpoint::Id],
 }
 
@@ -177,8 +179,8 @@
         cleared.for_each(|(id, _)| inner.pool.clear_leaving(id));
     }
 
-    /// Lends an endpoint, after a wait in the queue if all are busy. What can't be served by
-    /// its deadline is refused on arrival, not when the deadline comes.
+    /// Leases an endpoint, after waiting in the queue if all are busy. A request that cannot be
+    /// served by its deadline is refused on arrival, not when the deadline comes.
     pub async fn acquire(self: &Arc<Self>, params: Params<'_>) -> Result<Lease, Refusal> {
         let mut queue_slot: Option<Receiver<()>> = None;
         loop {
@@ -186,8 +188,8 @@
             if params.metadata.deadline <= now {
                 return Err(Refusal::not_run(Reason::Deadline, "the deadline passed in the queue"));
             }
-            // Newcomers go behind those that wait. If they took what gets free, those that wait
-            // would do so until their deadlines under overload.
+            // A new request is queued behind the waiting ones. If new requests took the endpoints
+            // that become free, the waiting ones would wait until their deadlines under overload.
             let has_waiters = queue_slot.is_none() && !self.inner.lock().queue.is_empty();
             let acquired =
                 if has_waiters { Err(Miss::AllBusy) } else { self.try_acquire_at(params, now) };
@@ -204,8 +206,9 @@
             let notified = async { _ = wakeup.recv().await };
             let timer = async { _ = Timer::after(RECHECK_INTERVAL).await };
             future::or(notified, timer).await;
-            // Its turn came. If the endpoint was taken first, it lines up again; to refuse it
-            // then would turn away a caller whose deadline can still be met.
+            // The request was notified and removed from the queue. If another request took the
+            // endpoint first, it is queued again; refusing it would turn away a caller whose
+            // deadline can still be met.
             if wakeup.is_closed() {
                 match self.try_acquire_at(params, self.clock.now()) {
                     Ok(lease) => return Ok(lease),
@@ -215,13 +218,13 @@
         }
     }
 
-    /// Lends an endpoint if one is free right now.
+    /// Leases an endpoint if one is free now.
     fn try_acquire(self: &Arc<Self>, params: Params<'_>) -> Option<Lease> {
         self.try_acquire_at(params, self.clock.now()).ok()
     }
 
-    /// Lends an endpoint for a second attempt beside the one at `first`, if one is free right
-    /// now: another one where there is one, else the same. Its connection may be what is silent.
+    /// Leases an endpoint for a hedged attempt beside the one at `first`, if one is free now:
+    /// preferably another endpoint, else the same one, since only its connection may be silent.
     pub fn try_acquire_hedge(
         self: &Arc<Self>,
         params: Params<'_>,
@@ -233,7 +236,7 @@
         other.or_else(|| self.try_acquire(params))
     }
 
-    /// How long the first byte of an answer from `id` may take before another try is made.
+    /// How long the first byte of a response from `id` may take before a hedged attempt is made.
     pub fn hedge_delay(&self, id: &endpoint::Id) -> Duration {
         self.inner.lock().pool.slow_after(id)
     }
@@ -267,12 +270,12 @@
         let mut inner = self.inner.lock();
         inner.pool.finished(endpoint, outcome, now);
         inner.queue.served(now);
-        // The endpoint may have less room than before. Whoever were woken then would lose its
-        // place in the queue for nothing.
+        // The endpoint may have less capacity than before. A request notified now would lose its
+        // place in the queue without getting an endpoint.
         if inner.pool.pick(None, &[], now).is_err() {
             return;
         }
-        // Whoever gave up has dropped its receiver; go on to the next one.
+        // A request that was cancelled has dropped its receiver; notify the next one instead.
         while let Some(Next::Run(waiter) | Next::Expired(waiter)) = inner.queue.pop(now) {
             if waiter.try_send(()).is_ok() {
                 break;
@@ -290,7 +293,7 @@
     Refusal::not_run(Reason::Overloaded, message).with_retry_after(retry_after)
 }
 
-/// An endpoint lent to one attempt.
+/// An endpoint leased to one attempt.
 #[derive(Debug)]
 pub struct Lease {
     dispatcher: Arc<Dispatcher>,
@@ -300,44 +303,44 @@
     progress: Progress,
 }
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// Its first byte hasn't come.
+    /// The first byte of the response has not arrived.
     AwaitingFirstByte,
-    /// Its answer comes.
+    /// The response is being received.
     Responding,
-    /// The endpoint was given back.
+    /// The endpoint was returned.
     Released,
 }
 
 impl Lease {
-    /// The endpoint.
+    /// The leased endpoint.
     pub fn endpoint(&self) -> &endpoint::Id {
         &self.endpoint
     }
 
-    /// Where it listens.
+    /// The address of the endpoint.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// When it was lent.
+    /// When the endpoint was leased.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// How long its first byte may take before another try is made.
+    /// How long the first byte may take before a hedged attempt is made.
     pub fn hedge_delay(&self) -> Duration {
         self.dispatcher.hedge_delay(&self.endpoint)
     }
 
-    /// Notes what the endpoint said of its load.
+    /// Records the load that the endpoint reported.
     pub fn record_load(&self, load: u64) {
         self.dispatcher.inner.lock().pool.hint(&self.endpoint, load, self.dispatcher.clock.now());
     }
 
-    /// Notes that the first byte of the answer came, and says after how long.
+    /// Records that the first byte of the response arrived, and returns the time it took.
     pub fn record_first_byte(&mut self) -> Duration {
         let now = self.dispatcher.clock.now();
         let first_byte = now.saturating_duration_since(self.started);
@@ -348,7 +351,7 @@
         first_byte
     }
 
-    /// Gives the endpoint back.
+    /// Returns the endpoint with the outcome of the attempt.
     pub fn finish(mut self, outcome: Outcome) {
         let outcome = match (self.progress, outcome) {
             (Progress::Responding, Outcome::Answered { .. }) => Outcome::Done,
@@ -358,10 +361,11 @@
         self.dispatcher.release(&self.endpoint, outcome);
     }
 
-    /// What it tells of the endpoint that the attempt is given up now. A caller that goes away
-    /// soon says nothing of it. If it goes, or a second attempt is faster, after a wait that is
-    /// unusual for the endpoint, then the endpoint is slow; were that not noted, it would get
-    /// requests for as long as each is rescued by another endpoint.
+    /// The outcome for the endpoint if the attempt is cancelled now. A caller that disconnects
+    /// early says nothing about the endpoint. If it disconnects, or a second attempt is faster,
+    /// after a wait that is unusual for the endpoint, the endpoint is slow. If that were not
+    /// recorded, the endpoint would keep receiving requests as long as each is rescued by another
+    /// endpoint.
     fn outcome_if_dropped(&self) -> Outcome {
         let waited = self.dispatcher.clock.now().saturating_duration_since(self.started);
         if self.progress == Progress::AwaitingFirstByte && self.hedge_delay() <= waited {
@@ -373,8 +377,8 @@
 }
 
 impl Drop for Lease {
-    // A caller that goes away drops its request wherever it stands; without this the endpoint
-    // would count as busy for good.
+    // When a caller disconnects, its request is dropped at any point; without this, the endpoint
+    // would count as busy forever.
     fn drop(&mut self) {
         if self.progress != Progress::Released {
             self.dispatcher.release(&self.endpoint, self.outcome_if_dropped());
--- a/crates/curranthook_router/src/hedge.rs
+++ b/crates/curranthook_router/src/hedge.rs
@@ -1,8 +1,7 @@
-//! A second attempt beside one that is unusually late.
+//! Hedged requests: a second attempt beside one that is unusually late.
 //!
-//! An open connection can go silent for good, and then nothing ever comes on it. One notices only
-//! that an answer is late. A second attempt on a new connection then finds a way that works, long
-//! before the caller's deadline.
+//! An open connection can go silent for good; the only sign is a late response. A second attempt on
+//! a new connection then succeeds long before the caller's deadline.
 
 use std::{pin::pin, time::Duration};
 
@@ -11,12 +10,12 @@
 
 use crate::attempt::{Execution, Failure};
 
-/// The pause before a second attempt is asked for again.
+/// The delay before `second` is called again after it returned no attempt.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs `first` and, if it takes longer than `hedge_delay`, the attempt that `second` gives beside
-/// it; while that gives none it is asked again. Whichever attempt succeeds first wins; the other
-/// is dropped, and its connection closed.
+/// Runs `first` and, if it takes longer than `hedge_delay`, the attempt that `second` returns
+/// beside it; while `second` returns `None`, it is called again. The attempt that succeeds first
+/// wins; the other is dropped, and its connection closed.
 pub async fn run<T, F, S>(
     hedge_delay: Duration,
     first: impl Future<Output = Result<T, Failure>>,
@@ -51,13 +50,14 @@
     }
 }
 
-/// Which of the two attempts ended.
+/// Which of the two attempts finished.
 enum Attempt {
     First,
     Second,
 }
 
-/// Of two failures, the one that may have run, so that a refusal stays true.
+/// Of two failures, returns the one whose request may have been executed, so that the refusal does
+/// not claim that nothing was executed.
 fn prefer_unknown(one: Failure, other: Failure) -> Failure {
     if one.execution == Execution::Unknown { one } else { other }
 }
--- a/crates/curranthook_router/src/leaving.rs
+++ b/crates/curranthook_router/src/leaving.rs
@@ -1,9 +1,9 @@
-//! Endpoints that are leaving get no new work.
+//! Stops sending requests to endpoints that are leaving.
 //!
-//! Any one sign is enough to stop: the platform's list of VMs, the endpoint's own word on an
-//! answer, or a refused connection (which [`crate::dispatch`] counts). The list lags, so its word
-//! that a VM is live proves nothing: an endpoint is brought back only when it says itself, on
-//! direct contact, that it isn't leaving.
+//! Any one sign is enough to stop: the platform's list of VMs, the endpoint's own header on a
+//! response, or a refused connection (which [`crate::dispatch`] handles). The list lags, so a VM
+//! that it shows as live may be leaving: an endpoint is used again only when it reports on direct
+//! contact that it is not leaving.
 
 use std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,24 +16,24 @@
 
 use crate::Router;
 
-/// How often the list is read. At several thousand nodes the platform couldn't bear it: see
-/// `docs/CAPACITY.md`.
+/// How often the list of VMs is read. With several thousand nodes this would be too much load for
+/// the platform: see `docs/CAPACITY.md`.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long an endpoint may take to say how it is.
+/// How long an endpoint may take to report its status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Watches the list and the endpoints that are leaving, for as long as the process lives.
+/// Polls the list and the leaving endpoints for as long as the process runs.
 pub async fn run(router: Arc<Router>, vms: Arc<dyn Vms>) {
     let listed = Mutex::default();
-    // Side by side: endpoints that are going away tend not to answer, and waiting for them must
-    // not hold up the news that another one leaves.
+    // Both run concurrently: endpoints that are shutting down often do not respond, and waiting for
+    // them must not delay the news that another one is leaving.
     future::zip(poll_vm_list(&router, &*vms, &listed), reinstate(&router, &listed)).await;
 }
 
 async fn poll_vm_list(router: &Router, vms: &dyn Vms, listed: &Mutex<HashSet<SocketAddr>>) {
     loop {
-        // While the platform is out, what it said last stays in force.
+        // While the platform is down, its last list stays in effect.
         if let Ok(list) = vms.all().await {
             let leaving: HashSet<SocketAddr> = list
                 .iter()
@@ -47,8 +47,8 @@
     }
 }
 
-/// Asks marked endpoints that the list doesn't name. This goes on while the platform is out:
-/// endpoints that restart one by one would otherwise all be left out in the end.
+/// Checks marked endpoints that the list does not show as leaving. This continues while the
+/// platform is down: otherwise endpoints that restart one by one would all end up unused.
 async fn reinstate(router: &Router, listed: &Mutex<HashSet<SocketAddr>>) {
     loop {
         Timer::after(POLL_INTERVAL).await;
--- a/crates/curranthook_router/src/parse.rs
+++ b/crates/curranthook_router/src/parse.rs
@@ -1,4 +1,4 @@
-//! What is asked: a request's head and body, read and checked.
+//! Reads and validates a request's headers and body.
 
 use std::time::{Duration, Instant};
 
@@ -15,27 +15,28 @@
 
 /// The longest id that a caller may choose, in bytes.
 const MAX_ID_BYTES: usize = 200;
-/// The kind of work of a request that names none.
+/// The kind of work of a request without the kind header.
 pub const DEFAULT_KIND: &str = "default";
 /// The length of a body's fingerprint, in bytes.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// What every request has, whatever it asks for.
+/// The metadata that every request has, whatever its type.
 #[derive(Debug, Clone)]
 pub struct Metadata {
-    /// The request.
+    /// The id of the request.
     pub request: request::Id,
-    /// Who asks.
+    /// The account that sent the request.
     pub account: account::Id,
     /// The kind of work.
     pub kind: kind::Id,
-    /// The session, if it belongs to one.
+    /// The session, if the request belongs to one.
     pub session: Option<session::Id>,
-    /// The session token, if the caller has one.
+    /// The session token, if the caller sent one.
     pub token: Option<String>,
-    /// When it must be answered.
+    /// The deadline for the response.
     pub deadline: Instant,
-    /// Tells whether a body was seen before: it took down an endpoint, say.
+    /// The start of the body's SHA-256 hash, by which a body is recognized that, for example, took
+    /// down an endpoint before.
     pub fingerprint: [u8; FINGERPRINT_BYTES],
 }
 
@@ -49,13 +50,13 @@
 /// A chat request.
 #[derive(Debug, Clone)]
 pub struct Chat {
-    /// What every request has.
+    /// The metadata of the request.
     pub metadata: Metadata,
     /// The body.
     pub body: chat::Request,
 }
 
-/// Reads the head's fields and the whole body.
+/// Parses the headers and reads the whole body.
 pub async fn run(
     parts: &Parts,
     incoming: Incoming,
@@ -72,8 +73,8 @@
         Some(millis) => Duration::from_millis(header_number(header::DEADLINE_MS, millis)?),
         None => policy.default_deadline,
     };
-    // A caller whose connection went silent never sends the rest. Without a limit its request
-    // would wait for good, and a shutdown with it.
+    // A caller whose connection went silent never sends the rest of the body. Without a time limit
+    // its request would wait forever, and so would a shutdown.
     let bytes = timeout::run(time_limit, read_body(incoming, policy.max_body)).await;
     let timed_out = |_| Refusal::not_run(Reason::Deadline, "the body didn't come in time");
     let bytes = bytes.map_err(timed_out)??;
@@ -92,7 +93,7 @@
     Ok((metadata, bytes))
 }
 
-/// Reads a chat request's body.
+/// Parses the body of a chat request.
 pub fn chat(metadata: Metadata, bytes: &[u8]) -> Result<Chat, Refusal> {
     let body: chat::Request = serde_json::from_slice(bytes)
         .map_err(|e| Refusal::not_run(Reason::Malformed, format!("not a chat request: {e}")))?;
@@ -109,7 +110,7 @@
     })
 }
 
-/// The text of a header, checked to be one that can go into other headers, paths and rows.
+/// The value of a header, checked to be safe in other headers, paths and rows.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let malformed =
@@ -127,7 +128,7 @@
 
 fn header_number(name: &str, value: &str) -> Result<u64, Refusal> {
     let malformed = |_| Refusal::not_run(Reason::Malformed, format!("header {name}: not a number"));
-    // A day is longer than any caller waits; the bound keeps sums of times from overflowing.
+    // No caller waits longer than a day; the bound prevents overflow when times are added.
     const DAY_MILLIS: u64 = 24 * 60 * 60 * 1_000;
     value.parse::<u64>().map(|it| it.min(DAY_MILLIS)).map_err(malformed)
 }
--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -1,9 +1,9 @@
-//! Sessions: a session keeps the version it started on.
+//! Session pinning: a session keeps the version it started on.
 //!
-//! The pin travels with the caller, as a signed token on each answer, so any node honours it,
-//! whatever else is down. A caller that can only repeat a session id gets a row for its pin in
-//! the platform's table instead; that row is inserted conditionally, so two first requests that
-//! race to different nodes end up on one version.
+//! The pin is sent to the caller as a signed token with each response, so any node can honour it
+//! even if everything else is down. For a caller that can only repeat a session id, the pin is a
+//! row in the platform's table; the row is inserted conditionally, so if the first two requests of
+//! a session race on different nodes, both end up on one version.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -15,29 +15,29 @@
 
 use crate::{claim, parse::Metadata, token};
 
-/// The table that holds pins of callers without tokens.
+/// The table that holds the pins of callers without tokens.
 pub const TABLE: &str = "sessions";
-/// The session id by which a caller asks for a new session.
+/// The session id with which a caller requests a new session.
 pub const NEW_SESSION: &str = "new";
-/// How many pins a node remembers.
+/// How many pins a node caches.
 const MAX_CACHED_PINS: usize = 10_000;
-/// When to come back while the platform is out.
+/// When to retry while the platform is down.
 const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What is known of a request's session before a version is chosen.
+/// What is known about a request's session before a version is selected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Pin {
-    /// It belongs to none.
+    /// The request does not belong to a session.
     None,
-    /// It begins one that nobody else can know.
+    /// The request starts a session whose id was generated just now, so no other node knows it.
     New(session::Id),
-    /// It may begin one; the row decides.
+    /// The request may start a session; the conditional insert of its row decides.
     Unclaimed(session::Id),
-    /// It belongs to one that is on this version.
+    /// The request belongs to a session that is pinned to this version.
     Pinned(session::Id, version::Id),
 }
 
-/// Pins kept in the platform's table, with those that this node has seen.
+/// The pins in the platform's table, with a cache of those that this node has seen.
 #[derive(Debug)]
 pub struct Store {
     table: Arc<dyn Table>,
@@ -45,12 +45,12 @@
 }
 
 impl Store {
-    /// No pin seen yet.
+    /// A store with an empty cache.
     pub fn new(table: Arc<dyn Table>) -> Self {
         Self { table, cache: Mutex::default() }
     }
 
-    /// What is known of the session that `ask` belongs to.
+    /// Finds what is known about the session of a request.
     pub async fn find(
         &self,
         metadata: &Metadata,
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Pins an unclaimed session to `version`, or to the one that another node was first with.
+    /// Pins an unclaimed session to `version`, or to the version that another node pinned it to
+    /// first.
     pub async fn insert(
         &self,
         account: &account::Id,
@@ -85,7 +86,8 @@
         let value = Bytes::copy_from_slice(version.as_str().as_bytes());
         match self.table.insert(TABLE, &row_key, value.clone()).await {
             Ok(Write::Done(_)) => Ok(self.add_to_cache(row_key, &value)),
-            // Whether another node was first or our own answer was lost, the row has the pin.
+            // Whether another node was first or the response to our insert was lost, the row has
+            // the pin.
             Ok(Write::Conflict) | Err(Error::Lost(_)) => {
                 let row = self.row(&row_key).await?;
                 Ok(self.add_to_cache(row_key, &row.value))
@@ -94,11 +96,11 @@
         }
     }
 
-    /// Moves a session from a version that was withdrawn to `to`, or to the one that another
-    /// node moved it to first.
+    /// Moves a session from a withdrawn version to `to`, or to the version that another node moved
+    /// it to first.
     ///
-    /// If the row went on naming the old version, each later request would choose anew, and the
-    /// caller would get answers of one version and then of another.
+    /// If the row still named the old version, each later request would select a version anew, and
+    /// the caller would get responses from different versions.
     pub async fn replace(
         &self,
         account: &account::Id,
@@ -131,7 +133,7 @@
         let version = version::Id::new(String::from_utf8_lossy(value));
         let mut cache = self.cache.lock();
         if MAX_CACHED_PINS <= cache.len() {
-            // The rows still have them all.
+            // The rows in the table still have all the pins.
             cache.clear();
         }
         cache.insert(row_key, version.clone());
--- a/crates/curranthook_router/src/rating.rs
+++ b/crates/curranthook_router/src/rating.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers.
+//! A client of the service that rates responses.
 
 use std::{
     net::SocketAddr,
@@ -12,12 +12,12 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// From this rating on an answer is good enough.
+/// The rating, from 0 to 1, from which a response is good enough.
 pub const GOOD_RATING: f64 = 0.5;
-/// How long a rating may take.
+/// How long the service may take for a rating.
 const RATING_TIMEOUT: Duration = Duration::from_secs(2);
-/// After a failure the service counts as down for this long, so that cascades, which wait for
-/// it, are left alone.
+/// How long the service counts as down after a failure. While it does, no cascades are planned,
+/// since they wait for it.
 const DOWN_PERIOD: Duration = Duration::from_secs(5);
 
 /// A client of the rating service.
@@ -42,12 +42,13 @@
 }
 
 impl Rater {
-    /// A client that thinks the service is up.
+    /// A client that assumes that the service is up.
     pub fn new(pool: Arc<Pool>, clock: Arc<dyn Clock>) -> Self {
         Self { pool, clock, failed_at: Mutex::default() }
     }
 
-    /// Whether the service gave its last rating, or failed long enough ago to be tried again.
+    /// The service is up if its last rating succeeded, or if it failed long enough ago to be tried
+    /// again.
     pub fn state(&self, addr: Option<SocketAddr>) -> choice::Rater {
         let is_down = |at: Instant| self.clock.now() < at + DOWN_PERIOD;
         if addr.is_none() || self.failed_at.lock().is_some_and(is_down) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Rates an answer from 0 to 1; `None` if the service can't tell now.
+    /// Rates a response from 0 to 1; `None` if the service gives no rating now.
     pub async fn rate(
         &self,
         addr: SocketAddr,
--- a/crates/curranthook_router/src/routes.rs
+++ b/crates/curranthook_router/src/routes.rs
@@ -1,4 +1,4 @@
-//! From a caller's connection to the right stage, and from refusals to answers.
+//! Maps requests to their handlers, and refusals to HTTP responses.
 
 use std::sync::Arc;
 
@@ -55,8 +55,8 @@
     let account = authenticate::run(&snapshot, &parts.headers)?;
     router.check_rate_limit(&snapshot, &account)?;
     if router.node.journal().is_full() {
-        // Bill lines wait for a platform that has been out for long. Another answer would need
-        // room for another line, and none may be dropped.
+        // Bill lines are waiting for a platform that has been down for long. Another response would
+        // need room for another line, and no line may be dropped.
         let refusal = Refusal::not_run(Reason::Overloaded, "too many bill lines wait to be stored");
         return Err(refusal);
     }
--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which version answers, and whether a cheaper one is tried first.
+//! Selects the version that responds, and whether a cheaper one is tried first.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 
 use crate::{parse::Chat, pin::Pin, snapshot::Snapshot};
 
-/// The model name that leaves the choice of the model to the router.
+/// The model name with which the caller leaves the selection of the model to the router.
 pub const AUTO: &str = "auto";
-/// How many tokens an answer is expected to have when the request doesn't say.
-const DEFAULT_EXPECTED_TOKENS: u64 = 200;
-/// How many bytes of a prompt make a token, roughly.
+/// The expected number of tokens in a response, unless the request limits it to fewer.
+const EXPECTED_TOKENS: u64 = 200;
+/// The approximate number of bytes of a prompt per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// The versions that may answer `chat`: what the account allows of what it asks for, without
-/// withdrawn versions and those that nobody serves.
+/// The versions that may respond to `chat`: those of the requested model or version that the
+/// account may use, without withdrawn versions and those that no endpoint serves.
 pub fn allowed<'a>(snapshot: &'a Snapshot, chat: &Chat) -> Result<Vec<&'a version::Id>, Refusal> {
     let refused = |code, message: &str| Err(Refusal::not_run(code, message));
     let config = snapshot.config();
@@ -48,7 +48,8 @@
     Ok(served)
 }
 
-/// Leaves of each model under a roll-out the one version that this request's `key` falls to.
+/// Keeps, for each model with a rollout in progress, only the version to which this request's `key`
+/// is routed.
 pub fn apply_rollouts<'a>(
     snapshot: &Snapshot,
     mut versions: Vec<&'a version::Id>,
@@ -66,7 +67,7 @@
     versions
 }
 
-/// Leaves out suspects while anything else remains.
+/// Removes suspect versions, unless all are suspect.
 pub fn without_suspects(
     versions: Vec<&version::Id>,
     is_suspect: impl Fn(&version::Id) -> bool,
@@ -75,21 +76,21 @@
     if trusted.is_empty() { versions } else { trusted }
 }
 
-/// The inputs put to the policy, with owned lists.
+/// The inputs of the version strategy, with owned lists.
 #[derive(Debug)]
 pub struct Inputs<'a> {
     /// The versions to choose from.
     pub candidates: Vec<Candidate<'a>>,
-    /// The share of answers that must be good.
+    /// The share of responses that must be good.
     pub target: f64,
-    /// Tokens of the prompt, estimated.
+    /// The estimated number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer, estimated.
+    /// The estimated number of tokens in the response.
     pub expected_tokens: u64,
 }
 
 impl<'a> Inputs<'a> {
-    /// The inputs for `chat` among `versions`.
+    /// Collects the inputs for selecting a version for `chat` among `versions`.
     pub fn new(snapshot: &'a Snapshot, chat: &Chat, versions: &[&'a version::Id]) -> Self {
         const DEFAULT_TARGET: f64 = 0.8;
         let config = snapshot.config();
@@ -108,15 +109,11 @@
             candidates,
             target: target.unwrap_or(DEFAULT_TARGET),
             prompt_tokens: bytes as u64 / BYTES_PER_TOKEN,
-            expected_tokens: chat
-                .body
-                .max_tokens
-                .unwrap_or(DEFAULT_EXPECTED_TOKENS)
-                .min(DEFAULT_EXPECTED_TOKENS),
+            expected_tokens: chat.body.max_tokens.unwrap_or(EXPECTED_TOKENS).min(EXPECTED_TOKENS),
         }
     }
 
-    /// The form that the policy takes.
+    /// Borrows the inputs in the form that the strategy takes.
     pub fn to_policy<'b>(
         &'b self,
         chat: &'b Chat,
@@ -138,7 +135,7 @@
     }
 }
 
-/// The plan for a request of a session that is on `version` already.
+/// The plan for a request of a session that is already pinned to `version`.
 pub fn pinned_plan(
     snapshot: &Snapshot,
     chat: &Chat,
@@ -155,8 +152,8 @@
     if model != AUTO && model != version.model() && model != version.as_str() {
         return refused(Reason::NotAllowed, "the session is on another model");
     }
-    // Drawn by the request's id: a tenth of the answers, not of the sessions, says more of a
-    // version than its first answers alone.
+    // Sampled by request id: a tenth of all responses (the default), rather than of all
+    // sessions, says more about a version than its first responses alone.
     let draw = stable_hash(chat.metadata.request.as_str()) as f64 / u64::MAX as f64;
     let is_rated = draw < snapshot.config().policy.rating_sample;
     Ok(Plan {
@@ -167,8 +164,8 @@
     })
 }
 
-/// The plan for the first request of a session: a session has one version, so no cascade. Ours
-/// plans none; this holds baselines to it.
+/// The plan for the first request of a session: a session has one version, so there is no cascade.
+/// The router's own strategy plans none for sessions; this enforces it for baselines.
 pub fn without_cascade(plan: Plan) -> Plan {
     match plan.then {
         Some(then) => Plan { first: then, then: None, ..plan },
@@ -176,8 +173,9 @@
     }
 }
 
-/// The key by which a request falls to one side of a roll-out: its session if it has one, so
-/// that the id-only session that is looked up twice falls to the same side.
+/// The key by which a request is routed to one version of a rollout: the session id if there is
+/// one, so that a session that is known only by its id gets the same version if it is looked up
+/// twice.
 pub fn rollout_key(chat: &Chat, pin: &Pin) -> u64 {
     let text = match pin {
         Pin::New(id) | Pin::Unclaimed(id) | Pin::Pinned(id, _) => id.as_str(),
@@ -186,7 +184,7 @@
     stable_hash(text)
 }
 
-/// A stable hash, the same on all nodes.
+/// A hash that is stable across processes and nodes.
 pub fn stable_hash(text: &str) -> u64 {
     use sha2::{Digest, Sha256};
     let digest = Sha256::digest(text.as_bytes());
--- a/crates/curranthook_router/src/stall.rs
+++ b/crates/curranthook_router/src/stall.rs
@@ -1,12 +1,13 @@
-//! Notices that this process stood still, and catches up before anything is sent.
+//! Detects that this process was paused, and refreshes its configuration before anything is sent.
 //!
-//! A VM can be paused for minutes without the process noticing. What it knew before is old
-//! then, and requests that waited are ready to go out before the first poll or exchange has
-//! brought the news: a version that was withdrawn meanwhile would get them. So the first
-//! requests after a pause wait until the platform or the peers have been asked.
+//! A VM can be paused for minutes without the process noticing. Its configuration is then out of
+//! date, and queued requests could be sent before the first poll or peer exchange brings a newer
+//! one: a version that was withdrawn in the meantime would get them. Therefore the first requests
+//! after a pause wait until the platform or the peers have been queried.
 //!
-//! A node that is cut off, but runs, isn't held back: its callers would be left without answers
-//! for as long as the outage lasts. There the engines refuse what was withdrawn.
+//! A node that is running but cut off from the network does not wait: its callers would get no
+//! responses for as long as the outage lasts. In that case the engines refuse requests for
+//! withdrawn versions.
 
 use std::{
     sync::{
@@ -25,28 +26,29 @@
 
 use crate::Router;
 
-/// How often the process shows itself that it runs.
+/// How often the process records that it is running.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// A process that stood still for longer than this doubts what it knows. Shorter pauses, as on
-/// a busy machine, add less than this to the time that news takes anyway.
+/// A process that was paused for longer than this considers its configuration out of date. Shorter
+/// pauses, as on a busy machine, add less than this to the time that a configuration change takes
+/// anyway.
 const STALL_THRESHOLD: Duration = Duration::from_secs(2);
-/// How long requests wait for the news at most.
+/// How long requests wait for the newest configuration at most.
 const REFRESH_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often it's looked whether the news is in force.
+/// How often to check whether the newest configuration has been applied.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Whether the process stood still.
+/// Detects pauses of the process.
 #[derive(Debug)]
 pub struct Detector {
     clock: Arc<dyn Clock>,
     last_tick: Mutex<Instant>,
     is_stale: AtomicBool,
-    /// One request asks for all that wait.
+    /// One request refreshes the configuration for all that wait.
     refresh_lock: async_lock::Mutex<()>,
 }
 
 impl Detector {
-    /// A process that has just started.
+    /// Creates the detector when the process starts.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         let last_tick = Mutex::new(clock.now());
         Self {
@@ -57,10 +59,11 @@
         }
     }
 
-    /// Takes note that the process runs now, and says whether what it knows is in doubt.
+    /// Records that the process is running, and returns whether its configuration may be out of
+    /// date.
     ///
-    /// Whoever calls this first after a pause finds the gap, the task or a request; the doubt
-    /// stays until somebody has asked.
+    /// The first caller after a pause detects the gap, whether it is the background task or a
+    /// request; the state stays set until a refresh has finished.
     fn tick(&self) -> bool {
         let now = self.clock.now();
         let last_tick = std::mem::replace(&mut *self.last_tick.lock(), now);
@@ -71,7 +74,7 @@
     }
 }
 
-/// Shows that the process runs, for as long as it lives.
+/// Records that the process is running for as long as it runs.
 pub async fn run(router: Arc<Router>) {
     loop {
         router.stall.tick();
@@ -79,7 +82,7 @@
     }
 }
 
-/// Waits for news if the process stood still; otherwise returns at once.
+/// Refreshes the configuration if the process was paused; otherwise returns immediately.
 pub async fn catch_up(router: &Router) {
     if !router.stall.tick() {
         return;
@@ -88,7 +91,7 @@
     if !router.stall.tick() {
         return;
     }
-    log::info!("the process stood still");
+    log::info!("the process was paused; refreshing the configuration");
     router.metrics.count(match timeout::run(REFRESH_TIMEOUT, refresh(router)).await {
         Ok(()) => "stall.caught_up",
         Err(timeout::Elapsed) => "stall.unreachable",
@@ -96,7 +99,8 @@
     router.stall.is_stale.store(false, Ordering::SeqCst);
 }
 
-/// Asks the platform for the newest document, or else the peers, and waits until it's in force.
+/// Fetches the newest document from the platform, or else from the peers, and waits until it is
+/// applied.
 async fn refresh(router: &Router) {
     let (table, key) = document::ROW;
     match router.claims.get(table, key).await {
@@ -111,11 +115,12 @@
 fn offer_document(router: &Router, row: &Row) {
     match serde_json::from_slice::<Document>(&row.value) {
         Ok(document) => _ = router.node.offer(document),
-        Err(e) => log::error!("the published document can't be read: {e}"),
+        Err(e) => log::error!("cannot parse the published configuration document: {e}"),
     }
 }
 
-/// Whether the newest document that the node knows is the one that requests are checked against.
+/// Whether the newest document that the node has received is the one that requests are checked
+/// against.
 fn is_newest_applied(router: &Router) -> bool {
     let newest = router.node.document().map(|it| it.epoch);
     let applied = router.current_snapshot.load().as_ref().map(|it| it.document.epoch);
--- a/crates/curranthook_router/src/token.rs
+++ b/crates/curranthook_router/src/token.rs
@@ -1,7 +1,8 @@
-//! Session tokens: a pin that any node honours without asking anyone.
+//! Session tokens: pins that any node can verify by itself.
 //!
-//! A token is `claims.signature`, both base64: the claims are JSON and name the session, its
-//! account and version and the key that signed, the signature is HMAC-SHA256 over the claims.
+//! A token is `claims.signature`, both in base64. The claims are JSON with the session, its account
+//! and version, the time of signing and the id of the signing key; the signature is HMAC-SHA256
+//! over the claims.
 
 use base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD};
 use curranthook_settings::config::Key;
@@ -10,39 +11,39 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// How long a token holds after it was signed, in milliseconds.
+/// How long a token is valid after it was signed, in milliseconds.
 pub const LIFETIME_MILLIS: u64 = 24 * 60 * 60 * 1_000;
 
-/// What a token says.
+/// The claims in a token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// The session.
     pub session: session::Id,
-    /// The account that it belongs to.
+    /// The account that the session belongs to.
     pub account: account::Id,
-    /// The version that it started on.
+    /// The version that the session is pinned to.
     pub version: version::Id,
-    /// When the token was signed, in milliseconds since 1970.
+    /// When the token was signed, in milliseconds since the Unix epoch.
     pub signed_millis: u64,
-    /// The key that signed it.
+    /// The id of the key that signed the token.
     pub key: String,
 }
 
-/// Why a token isn't honoured.
+/// Why a token is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Not of the form `claims.signature`.
+    /// The token does not have the form `claims.signature`.
     #[error("the session token can't be read")]
     Unreadable,
-    /// Signed by nobody we know, or changed since.
+    /// Signed with an unknown key, or modified after signing.
     #[error("the session token's signature is wrong")]
     Forged,
-    /// Too old.
+    /// The token has expired.
     #[error("the session token expired")]
     Expired,
 }
 
-/// Signs `claims` with `key`, whose id they must name.
+/// Signs `claims` with `key`, whose id the claims must name.
 ///
 /// # Panics
 ///
@@ -54,7 +55,7 @@
     format!("{claims}.{signature}")
 }
 
-/// Checks `token` against `keys` and returns what it says.
+/// Verifies `token` against `keys` and returns its claims.
 pub fn verify(token: &str, keys: &[Key], now_millis: u64) -> Result<Claims, Error> {
     let (encoded_claims, signature) = token.split_once('.').ok_or(Error::Unreadable)?;
     let json = URL_SAFE_NO_PAD.decode(encoded_claims).map_err(|_| Error::Unreadable)?;
