--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -30,7 +30,7 @@
 };
 
 /// Connections idle for longer than this are not reused; a new one is opened instead.
-const MAX_REUSE_IDLE: Duration = Duration::from_secs(5);
+const MAX_REUSE_IDLE_AGE: Duration = Duration::from_secs(5);
 
 /// A chat request with the state of its attempts.
 #[derive(Debug)]
@@ -92,7 +92,7 @@
         loop {
             let lease = self.acquire_lease(version).await?;
             match self.run_hedged(version, from_token, lease).await {
-                Ok(open) => return Ok(open),
+                Ok(streaming) => return Ok(streaming),
                 Err(failure) => self.handle_failure(version, failure, from_token).await?,
             }
         }
@@ -232,7 +232,7 @@
     ) -> Result<Streaming, Failure> {
         let hedge_delay = lease.hedge_delay();
         let primary = &Primary::new(&lease);
-        let first = self.attempt(version, from_token, lease, Freshness::Within(MAX_REUSE_IDLE));
+        let first = self.attempt(version, from_token, lease, Freshness::Within(MAX_REUSE_IDLE_AGE));
         let hedge = || async move {
             stall::catch_up(&self.router).await;
             let lease = self.hedge_lease(version, primary)?;
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -89,7 +89,7 @@
     let rater = router.rater.state(snapshot.config().rater);
     let refused = |code| Refusal::not_run(code, "no version can be chosen");
     let ask = inputs.to_policy(chat, time_left, rater);
-    let plan = router.chooser.lock().plan(&ask).map_err(refused)?;
+    let plan = router.version_strategy.lock().plan(&ask).map_err(refused)?;
     match pin {
         Pin::None => Ok((plan, None)),
         Pin::New(session) => Ok((selection::without_cascade(plan), Some(session))),
@@ -246,8 +246,8 @@
     }
 
     fn record_latency(&self, version: &version::Id, usage: Usage) {
-        let took = self.router.clock.now().saturating_duration_since(self.started_at);
-        self.router.chooser.lock().observe(version, took, usage.completion_tokens);
+        let latency = self.router.clock.now().saturating_duration_since(self.started_at);
+        self.router.version_strategy.lock().observe(version, latency, usage.completion_tokens);
     }
 
     async fn rate(&self, collected: &Collected) -> Option<f64> {
--- a/crates/curranthook_router/src/claim.rs
+++ b/crates/curranthook_router/src/claim.rs
@@ -22,7 +22,8 @@
 
 /// The table that holds the claims.
 pub const TABLE: &str = "claims";
-/// How often a claim is attempted before the caller is refused.
+/// How often a claim is attempted, if responses of the platform are lost, before the caller is
+/// refused.
 const MAX_CLAIM_ATTEMPTS: u32 = 3;
 /// The time limit for all these attempts together.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
--- a/crates/curranthook_router/src/completion.rs
+++ b/crates/curranthook_router/src/completion.rs
@@ -78,7 +78,7 @@
     }
 }
 
-enum Step {
+enum EventOutcome {
     Chunk(Chunk),
     End,
     Failed(RetryReason, &'static str, Disconnect),
@@ -117,27 +117,27 @@
         loop {
             self.open(call).await?;
             let Some(mut active) = self.active.take() else { continue };
-            let step = match active.next(call).await {
+            let outcome = match active.next(call).await {
                 Ok(event) => self.parse(call, event),
                 Err(timeout::Elapsed) => {
                     call.close_idle(active.upstream.conn.addr());
-                    Step::Failed(
+                    EventOutcome::Failed(
                         RetryReason::SlowFirstByte,
                         "the answer went silent",
                         Disconnect::None,
                     )
                 }
             };
-            match step {
-                Step::Chunk(chunk) => {
+            match outcome {
+                EventOutcome::Chunk(chunk) => {
                     self.active = Some(active);
                     return Ok(Item::Chunk(chunk));
                 }
-                Step::End => {
+                EventOutcome::End => {
                     finish(call, active).await;
                     return Ok(Item::End(self.usage));
                 }
-                Step::Failed(reason, message, disconnect) => {
+                EventOutcome::Failed(reason, message, disconnect) => {
                     let failure = active.upstream.fail(reason, message, disconnect);
                     Box::pin(call.handle_failure(&self.version, failure, self.n_tokens)).await?;
                 }
@@ -145,19 +145,19 @@
         }
     }
 
-    fn parse(&mut self, call: &Call, event: Option<Result<Event, StreamError>>) -> Step {
+    fn parse(&mut self, call: &Call, event: Option<Result<Event, StreamError>>) -> EventOutcome {
         let Some(Ok(event)) = event else {
-            return Step::Failed(
+            return EventOutcome::Failed(
                 RetryReason::ClosedEarly,
                 "the answer broke off",
                 Disconnect::Closed,
             );
         };
         if event.data == END_MARKER {
-            return Step::End;
+            return EventOutcome::End;
         }
         let Ok(answer) = serde_json::from_str::<chat::Answer>(&event.data) else {
-            return Step::Failed(
+            return EventOutcome::Failed(
                 RetryReason::ServerError,
                 "the answer can't be read",
                 Disconnect::None,
@@ -165,7 +165,7 @@
         };
         let is_ours = answer.id == call.chat().metadata.request.as_str();
         if !is_ours || answer.model != self.version.as_str() {
-            return Step::Failed(
+            return EventOutcome::Failed(
                 RetryReason::ForeignAnswer,
                 "the answer belongs to another",
                 Disconnect::None,
@@ -179,7 +179,7 @@
         if !text.is_empty() {
             self.n_tokens += 1;
         }
-        Step::Chunk(Chunk { data: event.data.into(), text })
+        EventOutcome::Chunk(Chunk { data: event.data.into(), text })
     }
 }
 
--- a/crates/curranthook_router/src/configuration.rs
+++ b/crates/curranthook_router/src/configuration.rs
@@ -28,7 +28,7 @@
 fn apply(router: &Router, snapshot: Snapshot) {
     let epoch = snapshot.document.epoch;
     let policy = &snapshot.config().policy;
-    router.chooser.lock().set_policy(policy.clone());
+    router.version_strategy.lock().set_policy(policy.clone());
     router.retry_budget.lock().set_fraction(policy.retry_budget);
     router.dispatchers.update(&snapshot);
     router.current_snapshot.store(Some(Arc::new(snapshot)));
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -30,7 +30,7 @@
 /// How many requests may be queued at one dispatcher until the configuration sets a limit.
 const DEFAULT_QUEUE_CAPACITY: usize = 1_000;
 /// When to retry if there is no endpoint at all.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What a dispatcher sends requests to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -285,7 +285,7 @@
 }
 
 fn no_endpoint(message: &str) -> Refusal {
-    Refusal::not_run(Reason::NoEndpoint, message).with_retry_after(NO_ENDPOINT_RETRY)
+    Refusal::not_run(Reason::NoEndpoint, message).with_retry_after(NO_ENDPOINT_RETRY_AFTER)
 }
 
 fn overloaded(retry_after: Duration) -> Refusal {
--- a/crates/curranthook_router/src/hedge.rs
+++ b/crates/curranthook_router/src/hedge.rs
@@ -28,11 +28,11 @@
     let mut first = pin!(first);
     let mut delay = hedge_delay;
     let second = loop {
-        let early = future::or(async { Some(first.as_mut().await) }, async {
+        let first_or_timer = future::or(async { Some(first.as_mut().await) }, async {
             Timer::after(delay).await;
             None
         });
-        if let Some(result) = early.await {
+        if let Some(result) = first_or_timer.await {
             return result;
         }
         if let Some(second) = second().await {
--- a/crates/curranthook_router/src/metrics.rs
+++ b/crates/curranthook_router/src/metrics.rs
@@ -99,9 +99,9 @@
 /// receiver may be on another host: a socket bound to the loopback address reaches only processes
 /// on this VM, and the counters would be lost.
 fn unspecified_addr(addr: &SocketAddr) -> SocketAddr {
-    let any = match addr {
+    let unspecified = match addr {
         SocketAddr::V4(_) => IpAddr::from(Ipv4Addr::UNSPECIFIED),
         SocketAddr::V6(_) => IpAddr::from(Ipv6Addr::UNSPECIFIED),
     };
-    SocketAddr::new(any, 0)
+    SocketAddr::new(unspecified, 0)
 }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -53,7 +53,7 @@
     /// Endpoint selection, for each version and service.
     pub dispatchers: Dispatchers,
     /// The strategy that selects versions.
-    pub chooser: Mutex<Box<dyn Strategy + Send>>,
+    pub version_strategy: Mutex<Box<dyn Strategy + Send>>,
     /// The retries that this node may still make.
     pub retry_budget: Mutex<Budget>,
     /// By version, the share of responses to be rated because the version's health is in doubt; see
@@ -145,7 +145,7 @@
         tokens: u64,
     ) {
         if let Some(rating) = rating {
-            self.chooser.lock().learn(kind, version, rating, self.clock.now());
+            self.version_strategy.lock().learn(kind, version, rating, self.clock.now());
         }
         self.add_sample(kind, version, Sample { rating, outcome: Outcome::Answered, tokens });
     }
@@ -158,14 +158,14 @@
         then: &version::Id,
         rating: f64,
     ) {
-        self.chooser.lock().learn_second(kind, first, then, rating, self.clock.now());
+        self.version_strategy.lock().learn_second(kind, first, then, rating, self.clock.now());
     }
 
     /// Whether a response of `version` should be rated although the policy did not request it:
     /// there is little evidence on the version for this kind of work, or its recent ratings are
     /// poor.
     pub fn should_rate(&self, kind: &kind::Id, version: &version::Id) -> bool {
-        if !self.chooser.lock().is_settled(kind, version) {
+        if !self.version_strategy.lock().is_settled(kind, version) {
             return true;
         }
         let share = self.rating_shares.lock().get(version).copied().unwrap_or_default();
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -158,16 +158,17 @@
         vms: Arc::new(Client::new(platform.vms, platform_pool)),
         seed,
     });
-    let (strategy, balance) = strategy_names(&options.policy);
-    let chooser = baseline::strategy(strategy, Policy::default(), seed);
-    let chooser = chooser.with_context(|| format!("unknown policy {}", options.policy))?;
+    let (strategy_name, balance_name) = strategy_names(&options.policy);
+    let version_strategy = baseline::strategy(strategy_name, Policy::default(), seed);
+    let version_strategy =
+        version_strategy.with_context(|| format!("unknown policy {}", options.policy))?;
     let (domain, vm) = (settings.failure_domain.clone(), settings.vm.clone());
-    let dispatchers = Dispatchers::new(Arc::clone(&clock), domain, vm, balance);
+    let dispatchers = Dispatchers::new(Arc::clone(&clock), domain, vm, balance_name);
     Ok(Arc::new(Router {
         metrics: Metrics::new(settings.statsd).context("opening the metrics socket")?,
         pins: pin::Store::new(Arc::clone(&claims) as _),
         rater: Rater::new(new_pool(), Arc::clone(&clock)),
-        chooser: Mutex::new(chooser),
+        version_strategy: Mutex::new(version_strategy),
         retry_budget: Mutex::new(Budget::new(Policy::default().retry_budget, clock.now())),
         rating_shares: Mutex::default(),
         rate_limits: Mutex::new(HashMap::new()),
@@ -190,12 +191,12 @@
 /// The names of the version strategy and the endpoint strategy of a policy. A baseline replaces one
 /// of the two and keeps the router's own for the other, so that each is measured separately.
 fn strategy_names(name: &str) -> (&str, &'static str) {
-    const OURS: &str = "curranthook";
+    const OWN_STRATEGY: &str = "curranthook";
     match name {
-        "ours" => (OURS, OURS),
-        "round-robin" => (OURS, "round-robin"),
-        "least-outstanding" => (OURS, "least-outstanding"),
-        versions => (versions, OURS),
+        "ours" => (OWN_STRATEGY, OWN_STRATEGY),
+        "round-robin" => (OWN_STRATEGY, "round-robin"),
+        "least-outstanding" => (OWN_STRATEGY, "least-outstanding"),
+        versions => (versions, OWN_STRATEGY),
     }
 }
 
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -35,7 +35,7 @@
 /// The largest response body of a service, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 /// How long a connection may have been idle to be reused for a repeatable call.
-const MAX_REUSE_IDLE: Duration = Duration::from_secs(5);
+const MAX_REUSE_IDLE_AGE: Duration = Duration::from_secs(5);
 /// The refusal message for a call under which endpoints died before.
 const POISON_MESSAGE: &str = "endpoints died under this call";
 
@@ -202,7 +202,7 @@
 ) -> Result<Reply, Failure> {
     let hedge_delay = lease.hedge_delay();
     let primary = &Primary::new(&lease);
-    let first = attempt(router, call, lease, Freshness::Within(MAX_REUSE_IDLE));
+    let first = attempt(router, call, lease, Freshness::Within(MAX_REUSE_IDLE_AGE));
     let hedge = || async move {
         let lease = hedge_lease(router, call, primary, attempts)?;
         Some(attempt(router, call, lease, Freshness::New))
--- a/crates/curranthook_router/src/snapshot.rs
+++ b/crates/curranthook_router/src/snapshot.rs
@@ -43,8 +43,8 @@
     /// guessed key towards that of a real one. The final comparison is in constant time
     /// nevertheless, so that security does not depend on how the map works internally.
     pub fn account_by_key_hash(&self, hash: &KeyHash) -> Option<&account::Id> {
-        let (known, id) = self.accounts_by_key_hash.get_key_value(hash)?;
-        bool::from(known.ct_eq(hash)).then_some(id)
+        let (stored_hash, id) = self.accounts_by_key_hash.get_key_value(hash)?;
+        bool::from(stored_hash.ct_eq(hash)).then_some(id)
     }
 
     /// The settings of an account.
--- a/crates/curranthook_router/src/version_health.rs
+++ b/crates/curranthook_router/src/version_health.rs
@@ -67,9 +67,9 @@
 
 /// Passes the ratings from other nodes to the strategy that selects versions.
 fn merge_peer_ratings(router: &Router) {
-    let mut chooser = router.chooser.lock();
+    let mut version_strategy = router.version_strategy.lock();
     for (Subject { version, kind }, counts) in router.node.evidence().of_others() {
         let ratings = choice::Counts { n: counts.n, sum: counts.sum };
-        chooser.merge(&kind, &version, ratings);
+        version_strategy.merge(&kind, &version, ratings);
     }
 }
