--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -244,7 +244,7 @@
     }
 
     /// Whether a connection to `addr` that was opened after `since` has received a response. A
-    /// request that was sent before `since` and still has no response is probably on a silent
+    /// request that was sent at `since` and still has no response is probably on a silent
     /// connection.
     pub fn has_newer_working_connection(&self, addr: SocketAddr, since: Instant) -> bool {
         self.last_responsive_opened_at.lock().get(&addr).is_some_and(|opened| since < *opened)
