--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -7,7 +7,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use curranthook_policy::{
-    choice::{Ask, Candidate, Chooser, Delivery, Rater, Scope},
+    choice::{Candidate, Chooser, Delivery, Rater, Request, Scope},
     endpoint::{Member, Outcome, Pool},
 };
 use curranthook_settings::config::Policy;
@@ -35,7 +35,7 @@
     let candidate =
         |it: usize| Candidate { id: &ids[it], rate: &rates[it], prior: Some(VERSIONS[it].2) };
     let allowed = [0, 1, 2, 3, 4, 5, 6].map(candidate);
-    let ask = Ask {
+    let request = Request {
         kind: &kind,
         target: 0.9,
         allowed: &allowed,
@@ -49,7 +49,8 @@
     let mut chooser = learned(&kind, &ids, now);
     let mut pool = busy(64, now);
 
-    criterion.bench_function("plan, 7 versions", |it| it.iter(|| chooser.plan(black_box(&ask))));
+    criterion
+        .bench_function("plan, 7 versions", |it| it.iter(|| chooser.plan(black_box(&request))));
     criterion.bench_function("pick, 64 endpoints", |it| {
         it.iter(|| pool.pick(black_box(None), &[], now));
     });
@@ -58,7 +59,7 @@
     });
     criterion.bench_function("plan, pick, started, finished", |it| {
         it.iter(|| {
-            let plan = chooser.plan(black_box(&ask));
+            let plan = chooser.plan(black_box(&request));
             let pick = pool.pick(Some(42), &[], now).expect("there are endpoints");
             pool.started(&pick.id, now);
             let outcome = Outcome::Answered { first_byte: Duration::from_millis(80) };
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -6,7 +6,7 @@
 use curranthook_types::{domain, kind, refusal, version};
 
 use crate::{
-    choice::{Ask, Candidate, Chooser, Counts, Plan, Rater, Reason, Sample},
+    choice::{Candidate, Chooser, Counts, Plan, Rater, Reason, Request, Sample},
     endpoint::{self, Member, Miss, Outcome, Pick, Pool},
 };
 
@@ -23,7 +23,7 @@
 /// A way to choose versions.
 pub trait Strategy: std::fmt::Debug + Send {
     /// Chooses the versions for one request.
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason>;
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason>;
 
     /// Takes in the rating of an answer.
     fn learn(&mut self, _kind: &kind::Id, _version: &version::Id, _rating: f64, _now: Instant) {}
@@ -60,8 +60,8 @@
 }
 
 impl Strategy for Chooser {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        self.plan(ask)
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        self.plan(request)
     }
 
     fn learn(&mut self, kind: &kind::Id, version: &version::Id, rating: f64, now: Instant) {
@@ -113,21 +113,21 @@
 pub struct StaticCascade;
 
 impl Strategy for Cheapest {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(cheapest(ask)?))
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        Ok(direct(cheapest(request)?))
     }
 }
 
 impl Strategy for Best {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(best(ask)?))
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        Ok(direct(best(request)?))
     }
 }
 
 impl Strategy for StaticCascade {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        let (first, then) = (cheapest(ask)?, best(ask)?);
-        if first.id == then.id || ask.rater == Rater::Down {
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        let (first, then) = (cheapest(request)?, best(request)?);
+        if first.id == then.id || request.rater == Rater::Down {
             return Ok(direct(then));
         }
         Ok(Plan { then: Some(then.id.clone()), reason: Reason::Fixed, ..direct(first) })
@@ -241,15 +241,15 @@
     }
 }
 
-fn cheapest<'a>(ask: &Ask<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
-    let cost = |it: &&Candidate<'_>| it.rate.cost(ask.prompt_tokens, ask.expected_tokens);
-    ask.allowed.iter().min_by_key(cost).ok_or(refusal::Reason::NotAllowed)
+fn cheapest<'a>(request: &Request<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
+    let cost = |it: &&Candidate<'_>| it.rate.cost(request.prompt_tokens, request.expected_tokens);
+    request.allowed.iter().min_by_key(cost).ok_or(refusal::Reason::NotAllowed)
 }
 
-fn best<'a>(ask: &Ask<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
+fn best<'a>(request: &Request<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
     let quality = |it: &Candidate<'_>| it.prior.unwrap_or(0.0);
     let by_quality = |a: &&Candidate<'_>, b: &&Candidate<'_>| quality(a).total_cmp(&quality(b));
-    ask.allowed.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
+    request.allowed.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
 }
 
 fn direct(candidate: &Candidate<'_>) -> Plan {
--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -20,20 +20,20 @@
     speed::Speed,
 };
 
-mod ask;
 mod cascade;
 mod estimate;
 mod mix;
 mod option;
 mod plan;
+mod request;
 mod second;
 mod served;
 mod speed;
 
 pub use crate::choice::{
-    ask::{Ask, Candidate, Delivery, Rater, Scope},
     estimate::{Counts, Tally},
     plan::{Plan, Reason, Sample},
+    request::{Candidate, Delivery, Rater, Request, Scope},
 };
 
 /// The rating from which an answer counts as good enough. The first answer of a cascade is
@@ -44,12 +44,12 @@
 ///
 /// ```
 /// # use std::time::Duration;
-/// # use curranthook_policy::choice::{Ask, Candidate, Chooser, Delivery, Rater, Reason, Scope};
+/// # use curranthook_policy::choice::{Request, Candidate, Chooser, Delivery, Rater, Reason, Scope};
 /// # use curranthook_types::{kind, price, version};
 /// let mut chooser = Chooser::new(Default::default(), 1);
 /// let (kind, id) = (kind::Id::new("summary"), version::Id::new("tally-llm@1"));
 /// let allowed = [Candidate { id: &id, rate: &price::Rate::default(), prior: Some(0.9) }];
-/// let ask = Ask {
+/// let request = Request {
 ///     kind: &kind,
 ///     target: 0.8,
 ///     allowed: &allowed,
@@ -60,7 +60,7 @@
 ///     rater: Rater::Up,
 ///     scope: Scope::Request,
 /// };
-/// let plan = chooser.plan(&ask).unwrap();
+/// let plan = chooser.plan(&request).unwrap();
 /// assert_eq!((plan.first, plan.reason), (id.clone(), Reason::Only));
 /// ```
 #[derive(Debug)]
@@ -108,26 +108,26 @@
     }
 
     /// Chooses the versions for one request.
-    pub fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        if ask.allowed.is_empty() {
+    pub fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        if request.allowed.is_empty() {
             return Err(refusal::Reason::NotAllowed);
         }
-        if ask.time_left.is_zero() {
+        if request.time_left.is_zero() {
             return Err(refusal::Reason::Deadline);
         }
-        self.score(ask);
+        self.score(request);
         self.credit = (self.credit + self.policy.exploration).min(1.0);
 
-        let Drawn { plain, safe, wanted } = match self.mixed(ask) {
+        let Drawn { plain, safe, wanted } = match self.mixed(request) {
             Some(drawn) => drawn,
             None => {
-                let plain = self.exploit(ask);
-                Drawn { plain, safe: plain, wanted: self.wanted(ask) }
+                let plain = self.exploit(request);
+                Drawn { plain, safe: plain, wanted: self.wanted(request) }
             }
         };
-        let draft = self.explore(ask, &safe).unwrap_or(plain);
-        self.note(ask, &draft, wanted);
-        Ok(self.finish(ask, &draft))
+        let draft = self.explore(request, &safe).unwrap_or(plain);
+        self.note(request, &draft, wanted);
+        Ok(self.finish(request, &draft))
     }
 
     /// Takes in the rating of an answer, from 0 to 1.
@@ -205,34 +205,34 @@
 
     /// Fills `scored` with the allowed versions, cheapest first. Versions too slow for the
     /// time left are dropped, unless all of them are.
-    fn score(&mut self, ask: &Ask<'_>) {
-        let known = self.estimates.get(ask.kind);
+    fn score(&mut self, request: &Request<'_>) {
+        let known = self.estimates.get(request.kind);
         self.scored.clear();
-        for (place, candidate) in ask.allowed.iter().enumerate() {
+        for (place, candidate) in request.allowed.iter().enumerate() {
             let estimate = known.and_then(|it| it.get(candidate.id)).unwrap_or(&Estimate::EMPTY);
             let speed = self.speeds.get(candidate.id).unwrap_or(&Speed::UNKNOWN);
             self.scored.push(Scored {
                 place,
-                cost: candidate.rate.cost(ask.prompt_tokens, ask.expected_tokens).0 as f64,
+                cost: candidate.rate.cost(request.prompt_tokens, request.expected_tokens).0 as f64,
                 belief: estimate.belief(candidate.prior, self.now),
-                time: speed.expected(ask.expected_tokens),
+                time: speed.expected(request.expected_tokens),
             });
         }
-        if self.scored.iter().any(|it| it.time <= ask.time_left) {
-            self.scored.retain(|it| it.time <= ask.time_left);
+        if self.scored.iter().any(|it| it.time <= request.time_left) {
+            self.scored.retain(|it| it.time <= request.time_left);
         }
         self.scored.sort_by(|a, b| a.cost.total_cmp(&b.cost));
     }
 
-    fn exploit(&self, ask: &Ask<'_>) -> Draft {
+    fn exploit(&self, request: &Request<'_>) -> Draft {
         let z = self.confidence();
-        let found = self.scored.iter().find(|it| ask.target <= it.belief.lower(z)).copied();
+        let found = self.scored.iter().find(|it| request.target <= it.belief.lower(z)).copied();
         let sure = if found.is_some() { Sure::Yes } else { Sure::No };
         let direct = found.unwrap_or_else(|| self.best());
-        if ask.allowed.len() == 1 {
+        if request.allowed.len() == 1 {
             return Draft { first: direct, then: None, reason: Reason::Only, sure };
         }
-        if let Some((first, then)) = self.cascade(ask, &direct, sure) {
+        if let Some((first, then)) = self.cascade(request, &direct, sure) {
             return Draft { first, then: Some(then), reason: Reason::Cascade, sure };
         }
         let reason = if sure == Sure::Yes { Reason::Sure } else { Reason::BestEffort };
@@ -240,13 +240,13 @@
     }
 
     /// Tries something that might do as well for less.
-    fn explore(&mut self, ask: &Ask<'_>, plain: &Draft) -> Option<Draft> {
-        if ask.rater == Rater::Down || self.credit < 1.0 {
+    fn explore(&mut self, request: &Request<'_>, plain: &Draft) -> Option<Draft> {
+        if request.rater == Rater::Down || self.credit < 1.0 {
             return None;
         }
         let draft = match plain.then {
-            Some(then) if self.rng.random::<bool>() => self.explore_second(ask, plain, &then),
-            _ => self.explore_first(ask, plain),
+            Some(then) if self.rng.random::<bool>() => self.explore_second(request, plain, &then),
+            _ => self.explore_first(request, plain),
         };
         if draft.is_some() {
             self.credit = 0.0;
@@ -256,24 +256,24 @@
 
     /// A cheaper second stage. Its answer can't be taken back, so this isn't done where
     /// exposure is weighed most.
-    fn explore_second(&self, ask: &Ask<'_>, plain: &Draft, then: &Scored) -> Option<Draft> {
+    fn explore_second(&self, request: &Request<'_>, plain: &Draft, then: &Scored) -> Option<Draft> {
         if self.policy.weigh == Weigh::Exposure {
             return None;
         }
         let between = |it: &&Scored| plain.first.cost < it.cost && it.cost < then.cost;
         let spread = |it: &Scored| {
-            let seen = self.seen(ask, &plain.first, it).unwrap_or(&Estimate::EMPTY);
+            let seen = self.seen(request, &plain.first, it).unwrap_or(&Estimate::EMPTY);
             seen.belief(None, self.now).spread()
         };
         let others = self.scored.iter().filter(between);
         let tried = *others.max_by(|a, b| spread(a).total_cmp(&spread(b)))?;
-        let fits = self.fits(ask, &plain.first, &tried);
+        let fits = self.fits(request, &plain.first, &tried);
         fits.then_some(Draft { then: Some(tried), reason: Reason::Explore, ..*plain })
     }
 
     /// The least known of the versions that cost no more, tried with the plan's version behind
     /// it wherever time allows.
-    fn explore_first(&self, ask: &Ask<'_>, plain: &Draft) -> Option<Draft> {
+    fn explore_first(&self, request: &Request<'_>, plain: &Draft) -> Option<Draft> {
         let safe = plain.then.unwrap_or(plain.first);
         let is_worth_it = |it: &&Scored| {
             it.place != plain.first.place && (it.cost <= safe.cost || plain.sure == Sure::No)
@@ -283,7 +283,7 @@
         // The second stage of a cascade sees only what the first fails at. Now and then it gets
         // a request of its own, or nothing unbiased would be known of it.
         let is_safe = tried.place == safe.place;
-        let then = (!is_safe && self.fits(ask, &tried, &safe)).then_some(safe);
+        let then = (!is_safe && self.fits(request, &tried, &safe)).then_some(safe);
         // An answer that can't be taken back exposes the caller, so where exposure is weighed
         // most nothing is tried without a second stage.
         if !is_safe && then.is_none() && self.policy.weigh == Weigh::Exposure {
@@ -292,15 +292,15 @@
         Some(Draft { first: tried, then, reason: Reason::Explore, ..*plain })
     }
 
-    fn finish(&mut self, ask: &Ask<'_>, draft: &Draft) -> Plan {
-        let id = |it: &Scored| ask.allowed[it.place].id.clone();
-        let is_thin = !draft.first.belief.is_settled() || self.is_second_thin(ask, draft);
+    fn finish(&mut self, request: &Request<'_>, draft: &Draft) -> Plan {
+        let id = |it: &Scored| request.allowed[it.place].id.clone();
+        let is_thin = !draft.first.belief.is_settled() || self.is_second_thin(request, draft);
         let rate = if is_thin || draft.reason == Reason::Explore {
             1.0
         } else {
             self.policy.rating_sample
         };
-        let is_rated = ask.rater == Rater::Up && self.rng.random::<f64>() < rate;
+        let is_rated = request.rater == Rater::Up && self.rng.random::<f64>() < rate;
         Plan {
             first: id(&draft.first),
             then: draft.then.as_ref().map(id),
@@ -309,9 +309,9 @@
         }
     }
 
-    fn is_second_thin(&self, ask: &Ask<'_>, draft: &Draft) -> bool {
+    fn is_second_thin(&self, request: &Request<'_>, draft: &Draft) -> bool {
         let Some(then) = &draft.then else { return false };
-        let seen = self.seen(ask, &draft.first, then);
+        let seen = self.seen(request, &draft.first, then);
         seen.is_none_or(|it| it.belief(None, self.now).is_thin())
     }
 
--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -5,7 +5,7 @@
 
 use curranthook_settings::config::Weigh;
 
-use crate::choice::{Ask, Chooser, Delivery, Rater, Scope, estimate::Estimate, option::Scored};
+use crate::choice::{Chooser, Delivery, Rater, Request, Scope, estimate::Estimate, option::Scored};
 
 /// The longest time that a stream's first byte may be held back for a cascade where latency is
 /// weighed most.
@@ -36,24 +36,24 @@
     /// independent.
     pub(super) fn cascade(
         &self,
-        ask: &Ask<'_>,
+        request: &Request<'_>,
         direct: &Scored,
         sure: Sure,
     ) -> Option<(Scored, Scored)> {
-        if ask.rater == Rater::Down {
+        if request.rater == Rater::Down {
             return None;
         }
-        let promised = ask.target.min(direct.belief.mean());
+        let promised = request.target.min(direct.belief.mean());
         let pairs = self.scored.iter().flat_map(|first| {
             let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
             dearer.map(|then| (*first, *then))
         });
         let good = pairs.filter_map(|(first, then)| {
             let is_cheaper = first.cost_with(&then) < direct.cost;
-            let evidence = self.evidence(ask, &first, &then, promised);
+            let evidence = self.evidence(request, &first, &then, promised);
             let is_proven = evidence == Evidence::Meets && (is_cheaper || sure == Sure::No);
             let is_backed = is_cheaper && then.place == direct.place && evidence != Evidence::Fails;
-            let is_good = (is_proven || is_backed) && self.fits(ask, &first, &then);
+            let is_good = (is_proven || is_backed) && self.fits(request, &first, &then);
             is_good.then_some((is_proven || sure == Sure::Yes, first, then))
         });
         // Meeting the target goes before cost.
@@ -65,8 +65,14 @@
 
     /// What ratings of second answers say of two versions together, once there are enough:
     /// whether they meet the target, or fail even what the second was thought to do alone.
-    fn evidence(&self, ask: &Ask<'_>, first: &Scored, then: &Scored, promised: f64) -> Evidence {
-        let Some(seen) = self.seen(ask, first, then) else {
+    fn evidence(
+        &self,
+        request: &Request<'_>,
+        first: &Scored,
+        then: &Scored,
+        promised: f64,
+    ) -> Evidence {
+        let Some(seen) = self.seen(request, first, then) else {
             return Evidence::Open;
         };
         let z = self.confidence();
@@ -74,7 +80,7 @@
         let together = |one: f64, other: f64| one + (1.0 - one) * other;
         if belief.is_thin() {
             Evidence::Open
-        } else if ask.target <= together(first.belief.lower(z), belief.lower(z)) {
+        } else if request.target <= together(first.belief.lower(z), belief.lower(z)) {
             Evidence::Meets
         } else if together(first.belief.upper(z), belief.upper(z)) < promised {
             Evidence::Fails
@@ -83,19 +89,25 @@
         }
     }
 
-    pub(super) fn seen(&self, ask: &Ask<'_>, first: &Scored, then: &Scored) -> Option<&Estimate> {
-        let after = self.seconds.of(ask.kind)?.get(ask.allowed[first.place].id)?;
-        after.get(ask.allowed[then.place].id)
+    pub(super) fn seen(
+        &self,
+        request: &Request<'_>,
+        first: &Scored,
+        then: &Scored,
+    ) -> Option<&Estimate> {
+        let after = self.seconds.of(request.kind)?.get(request.allowed[first.place].id)?;
+        after.get(request.allowed[then.place].id)
     }
 
     /// Whether a cascade may be used: not in a session, and only with time for both stages and
     /// for holding the first one back.
-    pub(super) fn fits(&self, ask: &Ask<'_>, first: &Scored, then: &Scored) -> bool {
+    pub(super) fn fits(&self, request: &Request<'_>, first: &Scored, then: &Scored) -> bool {
         let held = first.time + RATING_TIME;
-        if ask.scope == Scope::Session || ask.time_left < held + then.time {
+        if request.scope == Scope::Session || request.time_left < held + then.time {
             return false;
         }
-        let is_hurried = ask.delivery == Delivery::Stream && self.policy.weigh == Weigh::Latency;
+        let is_hurried =
+            request.delivery == Delivery::Stream && self.policy.weigh == Weigh::Latency;
         !is_hurried || held <= SMALL_DELAY
     }
 }
--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -8,7 +8,8 @@
 use rand::RngExt as _;
 
 use crate::choice::{
-    Ask, Chooser, Draft, Rater, Reason, Scope, cascade::Sure, estimate::Estimate, option::Scored,
+    Chooser, Draft, Rater, Reason, Request, Scope, cascade::Sure, estimate::Estimate,
+    option::Scored,
 };
 
 /// The number of answers over which a share must hold in spite of chance.
@@ -62,45 +63,45 @@
     /// One of the two ways whose mix meets the target for the least cost, and the better of the
     /// two. Where no way is good enough, that's the best. Nothing if ratings can't correct a
     /// wrong estimate, or if a surer choice is open where exposure is weighed most.
-    pub(super) fn mixed(&mut self, ask: &Ask<'_>) -> Option<Drawn> {
+    pub(super) fn mixed(&mut self, request: &Request<'_>) -> Option<Drawn> {
         // A cascade shows nothing that wasn't rated, but a session can't have one.
-        let has_surer = self.policy.weigh == Weigh::Exposure && ask.scope == Scope::Request;
-        if ask.rater == Rater::Down || has_surer || ask.allowed.len() == 1 {
+        let has_surer = self.policy.weigh == Weigh::Exposure && request.scope == Scope::Request;
+        if request.rater == Rater::Down || has_surer || request.allowed.len() == 1 {
             return None;
         }
-        self.fill_points(ask);
+        self.fill_points(request);
         let best = self.points.iter().map(|it| it.counted).fold(0.0, f64::max);
-        let chance = self.wanted(ask);
+        let chance = self.wanted(request);
         let highest = if chance <= best - NEARLY { best - NEARLY } else { best };
-        let repay = self.excess(ask) / CATCH_UP;
-        let aim = (chance - repay).max(ask.target - LOWEST).min(highest);
+        let repay = self.excess(request) / CATCH_UP;
+        let aim = (chance - repay).max(request.target - LOWEST).min(highest);
         let mix = cheapest(&self.points, aim)?;
         let wanted = chance + mix.uncounted();
         let taken = if self.rng.random::<f64>() < mix.share { mix.high } else { mix.low };
-        let sure = if ask.target <= best { Sure::Yes } else { Sure::No };
+        let sure = if request.target <= best { Sure::Yes } else { Sure::No };
         let draft = |it: &Point| Draft { sure, ..it.draft() };
         let drawn = Drawn { plain: draft(&taken), safe: draft(&mix.high), wanted };
         Some(if sure == Sure::Yes { drawn } else { drawn.with_reason(Reason::BestEffort) })
     }
 
     /// Notes how a request is served, so that later ones make up for it.
-    pub(super) fn note(&mut self, ask: &Ask<'_>, drawn: &Draft, wanted: f64) {
-        let first = ask.allowed[drawn.first.place].id;
-        let then = drawn.then.map(|it| ask.allowed[it.place].id);
-        let (quality, _) = self.quality_of(ask, &drawn.first, drawn.then.as_ref());
-        if !self.served.contains_key(ask.kind) {
-            self.served.insert(ask.kind.clone(), Default::default());
+    pub(super) fn note(&mut self, request: &Request<'_>, drawn: &Draft, wanted: f64) {
+        let first = request.allowed[drawn.first.place].id;
+        let then = drawn.then.map(|it| request.allowed[it.place].id);
+        let (quality, _) = self.quality_of(request, &drawn.first, drawn.then.as_ref());
+        if !self.served.contains_key(request.kind) {
+            self.served.insert(request.kind.clone(), Default::default());
         }
-        let served = self.served.get_mut(ask.kind).expect("inserted above");
+        let served = self.served.get_mut(request.kind).expect("inserted above");
         served.add(first, then, quality, wanted);
     }
 
     /// How many more answers of late were good than wanted. What was given before is valued by
     /// what ratings, of all nodes, say of it now: a version that turns out worse than it looked
     /// leaves a debt, and better answers pay it back.
-    fn excess(&mut self, ask: &Ask<'_>) -> f64 {
-        let Some(served) = self.served.get_mut(ask.kind) else { return 0.0 };
-        let id = |it: &Scored| ask.allowed[it.place].id;
+    fn excess(&mut self, request: &Request<'_>) -> f64 {
+        let Some(served) = self.served.get_mut(request.kind) else { return 0.0 };
+        let id = |it: &Scored| request.allowed[it.place].id;
         served.revalue(|first, then| {
             let is_it = |it: &&Point| id(&it.first) == first && it.then.as_ref().map(id) == then;
             self.points.iter().find(is_it).map(|it| it.quality)
@@ -109,42 +110,47 @@
     }
 
     /// The target, and what chance may take from it.
-    pub(super) fn wanted(&self, ask: &Ask<'_>) -> f64 {
-        let deviation = (ask.target * (1.0 - ask.target) / HORIZON).sqrt();
-        ask.target + self.confidence() * deviation
+    pub(super) fn wanted(&self, request: &Request<'_>) -> f64 {
+        let deviation = (request.target * (1.0 - request.target) / HORIZON).sqrt();
+        request.target + self.confidence() * deviation
     }
 
-    fn fill_points(&mut self, ask: &Ask<'_>) {
+    fn fill_points(&mut self, request: &Request<'_>) {
         let mut points = std::mem::take(&mut self.points);
         points.clear();
         for first in &self.scored {
             let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
-            let fitting = dearer.filter(|it| self.fits(ask, first, it));
+            let fitting = dearer.filter(|it| self.fits(request, first, it));
             let n_before = points.len();
-            points.extend(fitting.map(|then| self.point(ask, first, Some(then))));
+            points.extend(fitting.map(|then| self.point(request, first, Some(then))));
             // An answer of a version that little is known of is rated before it's shown, where
             // that can be done.
             if points.len() == n_before || !first.belief.is_thin() {
-                points.push(self.point(ask, first, None));
+                points.push(self.point(request, first, None));
             }
         }
         self.points = points;
     }
 
-    fn point(&self, ask: &Ask<'_>, first: &Scored, then: Option<&Scored>) -> Point {
-        let (quality, variance) = self.quality_of(ask, first, then);
+    fn point(&self, request: &Request<'_>, first: &Scored, then: Option<&Scored>) -> Point {
+        let (quality, variance) = self.quality_of(request, first, then);
         let cost = then.map_or(first.cost, |it| first.cost_with(it));
         let counted = quality - DOUBT * variance.sqrt();
         Point { first: *first, then: then.copied(), quality, counted, cost }
     }
 
     /// The expected quality, and the variance of that estimate.
-    fn quality_of(&self, ask: &Ask<'_>, first: &Scored, then: Option<&Scored>) -> (f64, f64) {
+    fn quality_of(
+        &self,
+        request: &Request<'_>,
+        first: &Scored,
+        then: Option<&Scored>,
+    ) -> (f64, f64) {
         let alone = first.belief.mean();
         let Some(then) = then else { return (alone, first.belief.variance()) };
         // Until it was seen, the second is taken to fail where the first does.
         let nested = first.nested(then);
-        let seen = self.seen(ask, first, then).unwrap_or(&Estimate::EMPTY);
+        let seen = self.seen(request, first, then).unwrap_or(&Estimate::EMPTY);
         let second = seen.belief(Some(nested), self.now);
         let quality = alone + (1.0 - alone) * second.mean();
         let by_first = (1.0 - second.mean()).powi(2) * first.belief.variance();
--- a/crates/curranthook_policy/src/choice/ask.rs
+++ b/crates/curranthook_policy/src/choice/request.rs
@@ -6,7 +6,7 @@
 
 /// What is asked for, and which versions may be used.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// The kind of work.
     pub kind: &'a kind::Id,
     /// The share of answers that must be good enough.
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use curranthook_policy::choice::{
-    Ask, Candidate, Chooser, Counts, Delivery, Rater, Reason, Sample, Scope,
+    Candidate, Chooser, Counts, Delivery, Rater, Reason, Request, Sample, Scope,
 };
 use curranthook_settings::config::{Policy, Weigh};
 use curranthook_types::{
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::market::{Difficulty, Setup, TARGET, ask, serve};
+use crate::market::{Difficulty, Setup, TARGET, request, serve};
 
 #[yare::parameterized(
     latency = { Weigh::Latency, Difficulty::Independent },
@@ -94,11 +94,11 @@
         Candidate { id: &ids[1], rate: &rates[1], prior: Some(0.99) },
     ];
     let policy = Policy { exploration: 0.0, ..Policy::default() };
-    let whole = ask(&kind, 0.7, &allowed);
-    let stream = Ask { delivery: Delivery::Stream, ..whole };
-    let n_cascades = |ask: &Ask<'_>| {
+    let whole = request(&kind, 0.7, &allowed);
+    let stream = Request { delivery: Delivery::Stream, ..whole };
+    let n_cascades = |request: &Request<'_>| {
         let mut chooser = Chooser::new(policy.clone(), 1);
-        let plans = (0..100).map(|_| chooser.plan(ask).expect("there are versions"));
+        let plans = (0..100).map(|_| chooser.plan(request).expect("there are versions"));
         plans.filter(|it| it.then.is_some()).count()
     };
     assert!(0 < n_cascades(&whole), "time is left for both stages");
@@ -130,12 +130,12 @@
     let truth = [0.5, 0.86, 0.97];
     let allowed =
         [0, 1, 2].map(|it| Candidate { id: &ids[it], rate: &rates[it], prior: Some(claims[it]) });
-    let ask = Ask { scope: Scope::Session, ..ask(&kind, TARGET, &allowed) };
+    let request = Request { scope: Scope::Session, ..request(&kind, TARGET, &allowed) };
     let mut chooser = Chooser::new(Policy { exploration: 0.0, ..Policy::default() }, seed);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (mut n_overclaimed, mut n_good) = (0, 0);
     for _ in 0..2_000 {
-        let plan = chooser.plan(&ask).expect("there are versions");
+        let plan = chooser.plan(&request).expect("there are versions");
         let place = ids.iter().position(|it| *it == plan.first).expect("an allowed version");
         let is_good = rng.random::<f64>() < truth[place];
         if plan.sample == Sample::Rate {
@@ -158,10 +158,10 @@
         rate: &rates[it],
         prior: Some([0.7, 0.9, 0.99][it]),
     });
-    let ask = Ask { scope: Scope::Session, ..ask(&kind, 0.85, &allowed) };
+    let request = Request { scope: Scope::Session, ..request(&kind, 0.85, &allowed) };
     let mut chooser = Chooser::new(Policy { weigh, ..Policy::default() }, 1);
     for _ in 0..1_000 {
-        assert_eq!(chooser.plan(&ask).expect("there are versions").then, None);
+        assert_eq!(chooser.plan(&request).expect("there are versions").then, None);
     }
 }
 
@@ -169,10 +169,10 @@
 fn refusals_have_a_reason() {
     let (kind, id, rate) = (kind::Id::new("k"), version::Id::new("m@1"), Rate::default());
     let mut chooser = Chooser::new(Policy::default(), 1);
-    let none = ask(&kind, 0.9, &[]);
+    let none = request(&kind, 0.9, &[]);
     assert_eq!(chooser.plan(&none), Err(refusal::Reason::NotAllowed));
     let allowed = [Candidate { id: &id, rate: &rate, prior: None }];
-    let late = Ask { time_left: Duration::ZERO, ..ask(&kind, 0.9, &allowed) };
+    let late = Request { time_left: Duration::ZERO, ..request(&kind, 0.9, &allowed) };
     assert_eq!(chooser.plan(&late), Err(refusal::Reason::Deadline));
 }
 
@@ -208,14 +208,14 @@
             chooser.learn(&kind, &ids[version], rating, now);
             chooser.observe(&ids[version], Duration::from_millis(version as u64 * 1_000), 1_000);
         }
-        let ask = Ask {
+        let request = Request {
             time_left: Duration::from_millis(time_left),
             delivery: if is_hurried { Delivery::Stream } else { Delivery::Whole },
-            ..ask(&kind, target, &open)
+            ..request(&kind, target, &open)
         };
         let mut n_explored = 0.0;
         for _ in 0..100 {
-            let plan = chooser.plan(&ask).expect("there are versions");
+            let plan = chooser.plan(&request).expect("there are versions");
             let is_allowed = |id: &version::Id| open.iter().any(|it| it.id == id);
             prop_assert!(is_allowed(&plan.first));
             prop_assert!(plan.then.as_ref().is_none_or(is_allowed));
@@ -223,7 +223,7 @@
             if let Some(then) = &plan.then {
                 let time = |id| seconds[ids.iter().position(|it| it == id).expect("known")];
                 let both = Duration::from_secs(time(&plan.first) + time(then));
-                prop_assert!(both <= ask.time_left, "{plan:?} needs {both:?}");
+                prop_assert!(both <= request.time_left, "{plan:?} needs {both:?}");
             }
             n_explored += f64::from(u8::from(plan.reason == Reason::Explore));
         }
--- a/crates/curranthook_policy/tests/market/mod.rs
+++ b/crates/curranthook_policy/tests/market/mod.rs
@@ -4,7 +4,7 @@
 
 use curranthook_policy::{
     baseline,
-    choice::{Ask, Candidate, Delivery, Rater, Sample, Scope},
+    choice::{Candidate, Delivery, Rater, Request, Sample, Scope},
 };
 use curranthook_settings::config::Policy;
 use curranthook_types::{
@@ -77,11 +77,11 @@
         prior: Some(offers[it].quality),
     });
     let kind = kind::Id::new("summary");
-    let ask = Ask { rater: setup.rater, ..ask(&kind, TARGET, &allowed) };
+    let request = Request { rater: setup.rater, ..request(&kind, TARGET, &allowed) };
     let now = Instant::now();
     let mut tally = Tally::default();
     for _ in 0..setup.n {
-        let plan = strategy.plan(&ask).expect("there are versions");
+        let plan = strategy.plan(&request).expect("there are versions");
         let place = |id| ids.iter().position(|it| it == id).expect("an allowed version");
         let first = place(&plan.first);
         let hardness = rng.random::<f64>();
@@ -108,8 +108,8 @@
 }
 
 /// A request that is in no hurry.
-pub fn ask<'a>(kind: &'a kind::Id, target: f64, allowed: &'a [Candidate<'a>]) -> Ask<'a> {
-    Ask {
+pub fn request<'a>(kind: &'a kind::Id, target: f64, allowed: &'a [Candidate<'a>]) -> Request<'a> {
+    Request {
         kind,
         target,
         allowed,
--- a/crates/curranthook_router/src/choose.rs
+++ b/crates/curranthook_router/src/choose.rs
@@ -116,9 +116,9 @@
         chat: &'b Chat,
         time_left: Duration,
         rater: Rater,
-    ) -> curranthook_policy::choice::Ask<'b> {
+    ) -> curranthook_policy::choice::Request<'b> {
         let in_session = chat.ask.session.is_some() || chat.ask.token.is_some();
-        curranthook_policy::choice::Ask {
+        curranthook_policy::choice::Request {
             kind: &chat.ask.kind,
             target: self.target,
             allowed: &self.candidates,
