--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -34,11 +34,11 @@
     let rates = VERSIONS.map(|it| Rate { prompt: Micros(it.1), completion: Micros(it.1) });
     let candidate =
         |it: usize| Candidate { id: &ids[it], rate: &rates[it], prior: Some(VERSIONS[it].2) };
-    let allowed = [0, 1, 2, 3, 4, 5, 6].map(candidate);
+    let candidates = [0, 1, 2, 3, 4, 5, 6].map(candidate);
     let request = Request {
         kind: &kind,
-        target: 0.9,
-        allowed: &allowed,
+        target_quality: 0.9,
+        candidates: &candidates,
         time_left: Duration::from_secs(30),
         prompt_tokens: 800,
         expected_tokens: 300,
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -243,13 +243,13 @@
 
 fn cheapest<'a>(request: &Request<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
     let cost = |it: &&Candidate<'_>| it.rate.cost(request.prompt_tokens, request.expected_tokens);
-    request.allowed.iter().min_by_key(cost).ok_or(refusal::Reason::NotAllowed)
+    request.candidates.iter().min_by_key(cost).ok_or(refusal::Reason::NotAllowed)
 }
 
 fn best<'a>(request: &Request<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
     let quality = |it: &Candidate<'_>| it.prior.unwrap_or(0.0);
     let by_quality = |a: &&Candidate<'_>, b: &&Candidate<'_>| quality(a).total_cmp(&quality(b));
-    request.allowed.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
+    request.candidates.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
 }
 
 fn direct(candidate: &Candidate<'_>) -> Plan {
--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -48,11 +48,11 @@
 /// # use curranthook_types::{kind, price, version};
 /// let mut chooser = Chooser::new(Default::default(), 1);
 /// let (kind, id) = (kind::Id::new("summary"), version::Id::new("tally-llm@1"));
-/// let allowed = [Candidate { id: &id, rate: &price::Rate::default(), prior: Some(0.9) }];
+/// let candidates = [Candidate { id: &id, rate: &price::Rate::default(), prior: Some(0.9) }];
 /// let request = Request {
 ///     kind: &kind,
-///     target: 0.8,
-///     allowed: &allowed,
+///     target_quality: 0.8,
+///     candidates: &candidates,
 ///     time_left: Duration::from_secs(10),
 ///     prompt_tokens: 100,
 ///     expected_tokens: 100,
@@ -109,7 +109,7 @@
 
     /// Chooses the versions for one request.
     pub fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
-        if request.allowed.is_empty() {
+        if request.candidates.is_empty() {
             return Err(refusal::Reason::NotAllowed);
         }
         if request.time_left.is_zero() {
@@ -208,7 +208,7 @@
     fn score(&mut self, request: &Request<'_>) {
         let known = self.estimates.get(request.kind);
         self.scored.clear();
-        for (place, candidate) in request.allowed.iter().enumerate() {
+        for (place, candidate) in request.candidates.iter().enumerate() {
             let estimate = known.and_then(|it| it.get(candidate.id)).unwrap_or(&Estimate::EMPTY);
             let speed = self.speeds.get(candidate.id).unwrap_or(&Speed::UNKNOWN);
             self.scored.push(Scored {
@@ -226,10 +226,11 @@
 
     fn exploit(&self, request: &Request<'_>) -> Draft {
         let z = self.confidence();
-        let found = self.scored.iter().find(|it| request.target <= it.belief.lower(z)).copied();
+        let found =
+            self.scored.iter().find(|it| request.target_quality <= it.belief.lower(z)).copied();
         let sure = if found.is_some() { Sure::Yes } else { Sure::No };
         let direct = found.unwrap_or_else(|| self.best());
-        if request.allowed.len() == 1 {
+        if request.candidates.len() == 1 {
             return Draft { first: direct, then: None, reason: Reason::Only, sure };
         }
         if let Some((first, then)) = self.cascade(request, &direct, sure) {
@@ -293,7 +294,7 @@
     }
 
     fn finish(&mut self, request: &Request<'_>, draft: &Draft) -> Plan {
-        let id = |it: &Scored| request.allowed[it.place].id.clone();
+        let id = |it: &Scored| request.candidates[it.place].id.clone();
         let is_thin = !draft.first.belief.is_settled() || self.is_second_thin(request, draft);
         let rate = if is_thin || draft.reason == Reason::Explore {
             1.0
--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -43,7 +43,7 @@
         if request.rater == Rater::Down {
             return None;
         }
-        let promised = request.target.min(direct.belief.mean());
+        let promised = request.target_quality.min(direct.belief.mean());
         let pairs = self.scored.iter().flat_map(|first| {
             let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
             dearer.map(|then| (*first, *then))
@@ -80,7 +80,7 @@
         let together = |one: f64, other: f64| one + (1.0 - one) * other;
         if belief.is_thin() {
             Evidence::Open
-        } else if request.target <= together(first.belief.lower(z), belief.lower(z)) {
+        } else if request.target_quality <= together(first.belief.lower(z), belief.lower(z)) {
             Evidence::Meets
         } else if together(first.belief.upper(z), belief.upper(z)) < promised {
             Evidence::Fails
@@ -95,8 +95,8 @@
         first: &Scored,
         then: &Scored,
     ) -> Option<&Estimate> {
-        let after = self.seconds.of(request.kind)?.get(request.allowed[first.place].id)?;
-        after.get(request.allowed[then.place].id)
+        let after = self.seconds.of(request.kind)?.get(request.candidates[first.place].id)?;
+        after.get(request.candidates[then.place].id)
     }
 
     /// Whether a cascade may be used: not in a session, and only with time for both stages and
--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -66,7 +66,7 @@
     pub(super) fn mixed(&mut self, request: &Request<'_>) -> Option<Drawn> {
         // A cascade shows nothing that wasn't rated, but a session can't have one.
         let has_surer = self.policy.weigh == Weigh::Exposure && request.scope == Scope::Request;
-        if request.rater == Rater::Down || has_surer || request.allowed.len() == 1 {
+        if request.rater == Rater::Down || has_surer || request.candidates.len() == 1 {
             return None;
         }
         self.fill_points(request);
@@ -74,11 +74,11 @@
         let chance = self.wanted(request);
         let highest = if chance <= best - NEARLY { best - NEARLY } else { best };
         let repay = self.excess(request) / CATCH_UP;
-        let aim = (chance - repay).max(request.target - LOWEST).min(highest);
+        let aim = (chance - repay).max(request.target_quality - LOWEST).min(highest);
         let mix = cheapest(&self.points, aim)?;
         let wanted = chance + mix.uncounted();
         let taken = if self.rng.random::<f64>() < mix.share { mix.high } else { mix.low };
-        let sure = if request.target <= best { Sure::Yes } else { Sure::No };
+        let sure = if request.target_quality <= best { Sure::Yes } else { Sure::No };
         let draft = |it: &Point| Draft { sure, ..it.draft() };
         let drawn = Drawn { plain: draft(&taken), safe: draft(&mix.high), wanted };
         Some(if sure == Sure::Yes { drawn } else { drawn.with_reason(Reason::BestEffort) })
@@ -86,8 +86,8 @@
 
     /// Notes how a request is served, so that later ones make up for it.
     pub(super) fn note(&mut self, request: &Request<'_>, drawn: &Draft, wanted: f64) {
-        let first = request.allowed[drawn.first.place].id;
-        let then = drawn.then.map(|it| request.allowed[it.place].id);
+        let first = request.candidates[drawn.first.place].id;
+        let then = drawn.then.map(|it| request.candidates[it.place].id);
         let (quality, _) = self.quality_of(request, &drawn.first, drawn.then.as_ref());
         if !self.served.contains_key(request.kind) {
             self.served.insert(request.kind.clone(), Default::default());
@@ -101,7 +101,7 @@
     /// leaves a debt, and better answers pay it back.
     fn excess(&mut self, request: &Request<'_>) -> f64 {
         let Some(served) = self.served.get_mut(request.kind) else { return 0.0 };
-        let id = |it: &Scored| request.allowed[it.place].id;
+        let id = |it: &Scored| request.candidates[it.place].id;
         served.revalue(|first, then| {
             let is_it = |it: &&Point| id(&it.first) == first && it.then.as_ref().map(id) == then;
             self.points.iter().find(is_it).map(|it| it.quality)
@@ -111,8 +111,8 @@
 
     /// The target, and what chance may take from it.
     pub(super) fn wanted(&self, request: &Request<'_>) -> f64 {
-        let deviation = (request.target * (1.0 - request.target) / HORIZON).sqrt();
-        request.target + self.confidence() * deviation
+        let deviation = (request.target_quality * (1.0 - request.target_quality) / HORIZON).sqrt();
+        request.target_quality + self.confidence() * deviation
     }
 
     fn fill_points(&mut self, request: &Request<'_>) {
--- a/crates/curranthook_policy/src/choice/request.rs
+++ b/crates/curranthook_policy/src/choice/request.rs
@@ -10,9 +10,9 @@
     /// The kind of work.
     pub kind: &'a kind::Id,
     /// The share of answers that must be good enough.
-    pub target: f64,
+    pub target_quality: f64,
     /// The versions that may be used: allowed to the account, not withdrawn, not suspect.
-    pub allowed: &'a [Candidate<'a>],
+    pub candidates: &'a [Candidate<'a>],
     /// How long the caller will still wait.
     pub time_left: Duration,
     /// Tokens of the prompt.
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -89,12 +89,12 @@
 fn hurried_streams_are_not_held_back() {
     let (kind, ids) = (kind::Id::new("summary"), ["m@1", "m@2"].map(version::Id::new));
     let rates = [10, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
-    let allowed = [
+    let candidates = [
         Candidate { id: &ids[0], rate: &rates[0], prior: Some(0.7) },
         Candidate { id: &ids[1], rate: &rates[1], prior: Some(0.99) },
     ];
     let policy = Policy { exploration: 0.0, ..Policy::default() };
-    let whole = request(&kind, 0.7, &allowed);
+    let whole = request(&kind, 0.7, &candidates);
     let stream = Request { delivery: Delivery::Stream, ..whole };
     let n_cascades = |request: &Request<'_>| {
         let mut chooser = Chooser::new(policy.clone(), 1);
@@ -128,9 +128,9 @@
     let rates = [100, 120, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
     let claims = [0.95, 0.86, 0.97];
     let truth = [0.5, 0.86, 0.97];
-    let allowed =
+    let candidates =
         [0, 1, 2].map(|it| Candidate { id: &ids[it], rate: &rates[it], prior: Some(claims[it]) });
-    let request = Request { scope: Scope::Session, ..request(&kind, TARGET, &allowed) };
+    let request = Request { scope: Scope::Session, ..request(&kind, TARGET, &candidates) };
     let mut chooser = Chooser::new(Policy { exploration: 0.0, ..Policy::default() }, seed);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (mut n_overclaimed, mut n_good) = (0, 0);
@@ -153,12 +153,12 @@
     let kind = kind::Id::new("summary");
     let ids = ["m@1", "m@2", "m@3"].map(version::Id::new);
     let rates = [10, 100, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
-    let allowed = [0, 1, 2].map(|it| Candidate {
+    let candidates = [0, 1, 2].map(|it| Candidate {
         id: &ids[it],
         rate: &rates[it],
         prior: Some([0.7, 0.9, 0.99][it]),
     });
-    let request = Request { scope: Scope::Session, ..request(&kind, 0.85, &allowed) };
+    let request = Request { scope: Scope::Session, ..request(&kind, 0.85, &candidates) };
     let mut chooser = Chooser::new(Policy { weigh, ..Policy::default() }, 1);
     for _ in 0..1_000 {
         assert_eq!(chooser.plan(&request).expect("there are versions").then, None);
@@ -171,8 +171,8 @@
     let mut chooser = Chooser::new(Policy::default(), 1);
     let none = request(&kind, 0.9, &[]);
     assert_eq!(chooser.plan(&none), Err(refusal::Reason::NotAllowed));
-    let allowed = [Candidate { id: &id, rate: &rate, prior: None }];
-    let late = Request { time_left: Duration::ZERO, ..request(&kind, 0.9, &allowed) };
+    let candidates = [Candidate { id: &id, rate: &rate, prior: None }];
+    let late = Request { time_left: Duration::ZERO, ..request(&kind, 0.9, &candidates) };
     assert_eq!(chooser.plan(&late), Err(refusal::Reason::Deadline));
 }
 
--- a/crates/curranthook_policy/tests/market/mod.rs
+++ b/crates/curranthook_policy/tests/market/mod.rs
@@ -71,13 +71,13 @@
     let offers = [SMALL, MIDDLE, LARGE];
     let ids = offers.map(|it| version::Id::new(it.name));
     let rates = offers.map(|it| Rate { prompt: Micros(0), completion: Micros(it.price) });
-    let allowed = [0, 1, 2].map(|it| Candidate {
+    let candidates = [0, 1, 2].map(|it| Candidate {
         id: &ids[it],
         rate: &rates[it],
         prior: Some(offers[it].quality),
     });
     let kind = kind::Id::new("summary");
-    let request = Request { rater: setup.rater, ..request(&kind, TARGET, &allowed) };
+    let request = Request { rater: setup.rater, ..request(&kind, TARGET, &candidates) };
     let now = Instant::now();
     let mut tally = Tally::default();
     for _ in 0..setup.n {
@@ -108,11 +108,15 @@
 }
 
 /// A request that is in no hurry.
-pub fn request<'a>(kind: &'a kind::Id, target: f64, allowed: &'a [Candidate<'a>]) -> Request<'a> {
+pub fn request<'a>(
+    kind: &'a kind::Id,
+    target_quality: f64,
+    candidates: &'a [Candidate<'a>],
+) -> Request<'a> {
     Request {
         kind,
-        target,
-        allowed,
+        target_quality,
+        candidates,
         time_left: Duration::from_secs(60),
         prompt_tokens: 0,
         expected_tokens: 1_000,
--- a/crates/curranthook_router/src/choose.rs
+++ b/crates/curranthook_router/src/choose.rs
@@ -120,8 +120,8 @@
         let in_session = chat.ask.session.is_some() || chat.ask.token.is_some();
         curranthook_policy::choice::Request {
             kind: &chat.ask.kind,
-            target: self.target,
-            allowed: &self.candidates,
+            target_quality: self.target,
+            candidates: &self.candidates,
             time_left,
             prompt_tokens: self.prompt_tokens,
             expected_tokens: self.expected_tokens,
