--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -72,11 +72,11 @@
         &mut self,
         kind: &kind::Id,
         first: &version::Id,
-        then: &version::Id,
+        second: &version::Id,
         rating: f64,
         now: Instant,
     ) {
-        self.learn_second(kind, first, then, rating, now);
+        self.learn_second(kind, first, second, rating, now);
     }
 
     fn observe(&mut self, version: &version::Id, took: Duration, tokens: u64) {
@@ -126,11 +126,11 @@
 
 impl Strategy for StaticCascade {
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
-        let (first, then) = (cheapest(request)?, best(request)?);
-        if first.id == then.id || request.rater == Rater::Down {
-            return Ok(direct(then));
+        let (first, second) = (cheapest(request)?, best(request)?);
+        if first.id == second.id || request.rater == Rater::Down {
+            return Ok(direct(second));
         }
-        Ok(Plan { then: Some(then.id.clone()), reason: Reason::Fixed, ..direct(first) })
+        Ok(Plan { second: Some(second.id.clone()), reason: Reason::Fixed, ..direct(first) })
     }
 }
 
@@ -253,5 +253,5 @@
 }
 
 fn direct(candidate: &Candidate<'_>) -> Plan {
-    Plan { first: candidate.id.clone(), then: None, sample: Sample::Skip, reason: Reason::Fixed }
+    Plan { first: candidate.id.clone(), second: None, sample: Sample::Skip, reason: Reason::Fixed }
 }
--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -146,12 +146,12 @@
         &mut self,
         kind: &kind::Id,
         first: &version::Id,
-        then: &version::Id,
+        second: &version::Id,
         rating: f64,
         now: Instant,
     ) {
         self.now = self.now.max(Some(now));
-        self.seconds.add(kind, first, then, rating, now);
+        self.seconds.add(kind, first, second, rating, now);
     }
 
     /// Takes in how long a whole answer took.
@@ -231,13 +231,13 @@
         let sure = if found.is_some() { Sure::Yes } else { Sure::No };
         let direct = found.unwrap_or_else(|| self.best());
         if request.candidates.len() == 1 {
-            return Draft { first: direct, then: None, reason: Reason::Only, sure };
+            return Draft { first: direct, second: None, reason: Reason::Only, sure };
         }
-        if let Some((first, then)) = self.cascade(request, &direct, sure) {
-            return Draft { first, then: Some(then), reason: Reason::Cascade, sure };
+        if let Some((first, second)) = self.cascade(request, &direct, sure) {
+            return Draft { first, second: Some(second), reason: Reason::Cascade, sure };
         }
         let reason = if sure == Sure::Yes { Reason::Sure } else { Reason::BestEffort };
-        Draft { first: direct, then: None, reason, sure }
+        Draft { first: direct, second: None, reason, sure }
     }
 
     /// Tries something that might do as well for less.
@@ -245,8 +245,10 @@
         if request.rater == Rater::Down || self.credit < 1.0 {
             return None;
         }
-        let draft = match plain.then {
-            Some(then) if self.rng.random::<bool>() => self.explore_second(request, plain, &then),
+        let draft = match plain.second {
+            Some(second) if self.rng.random::<bool>() => {
+                self.explore_second(request, plain, &second)
+            }
             _ => self.explore_first(request, plain),
         };
         if draft.is_some() {
@@ -257,11 +259,16 @@
 
     /// A cheaper second stage. Its answer can't be taken back, so this isn't done where
     /// exposure is weighed most.
-    fn explore_second(&self, request: &Request<'_>, plain: &Draft, then: &Scored) -> Option<Draft> {
+    fn explore_second(
+        &self,
+        request: &Request<'_>,
+        plain: &Draft,
+        second: &Scored,
+    ) -> Option<Draft> {
         if self.policy.weigh == Weigh::Exposure {
             return None;
         }
-        let between = |it: &&Scored| plain.first.cost < it.cost && it.cost < then.cost;
+        let between = |it: &&Scored| plain.first.cost < it.cost && it.cost < second.cost;
         let spread = |it: &Scored| {
             let seen = self.seen(request, &plain.first, it).unwrap_or(&Estimate::EMPTY);
             seen.belief(None, self.now).spread()
@@ -269,13 +276,13 @@
         let others = self.scored.iter().filter(between);
         let tried = *others.max_by(|a, b| spread(a).total_cmp(&spread(b)))?;
         let fits = self.fits(request, &plain.first, &tried);
-        fits.then_some(Draft { then: Some(tried), reason: Reason::Explore, ..*plain })
+        fits.then_some(Draft { second: Some(tried), reason: Reason::Explore, ..*plain })
     }
 
     /// The least known of the versions that cost no more, tried with the plan's version behind
     /// it wherever time allows.
     fn explore_first(&self, request: &Request<'_>, plain: &Draft) -> Option<Draft> {
-        let safe = plain.then.unwrap_or(plain.first);
+        let safe = plain.second.unwrap_or(plain.first);
         let is_worth_it = |it: &&Scored| {
             it.place != plain.first.place && (it.cost <= safe.cost || plain.sure == Sure::No)
         };
@@ -284,13 +291,13 @@
         // The second stage of a cascade sees only what the first fails at. Now and then it gets
         // a request of its own, or nothing unbiased would be known of it.
         let is_safe = tried.place == safe.place;
-        let then = (!is_safe && self.fits(request, &tried, &safe)).then_some(safe);
+        let second = (!is_safe && self.fits(request, &tried, &safe)).then_some(safe);
         // An answer that can't be taken back exposes the caller, so where exposure is weighed
         // most nothing is tried without a second stage.
-        if !is_safe && then.is_none() && self.policy.weigh == Weigh::Exposure {
+        if !is_safe && second.is_none() && self.policy.weigh == Weigh::Exposure {
             return None;
         }
-        Some(Draft { first: tried, then, reason: Reason::Explore, ..*plain })
+        Some(Draft { first: tried, second, reason: Reason::Explore, ..*plain })
     }
 
     fn finish(&mut self, request: &Request<'_>, draft: &Draft) -> Plan {
@@ -304,15 +311,15 @@
         let is_rated = request.rater == Rater::Up && self.rng.random::<f64>() < rate;
         Plan {
             first: id(&draft.first),
-            then: draft.then.as_ref().map(id),
+            second: draft.second.as_ref().map(id),
             sample: if is_rated { Sample::Rate } else { Sample::Skip },
             reason: draft.reason,
         }
     }
 
     fn is_second_thin(&self, request: &Request<'_>, draft: &Draft) -> bool {
-        let Some(then) = &draft.then else { return false };
-        let seen = self.seen(request, &draft.first, then);
+        let Some(second) = &draft.second else { return false };
+        let seen = self.seen(request, &draft.first, second);
         seen.is_none_or(|it| it.belief(None, self.now).is_thin())
     }
 
@@ -338,7 +345,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Draft {
     first: Scored,
-    then: Option<Scored>,
+    second: Option<Scored>,
     reason: Reason,
     sure: Sure,
 }
--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -46,21 +46,22 @@
         let promised = request.target_quality.min(direct.belief.mean());
         let pairs = self.scored.iter().flat_map(|first| {
             let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
-            dearer.map(|then| (*first, *then))
+            dearer.map(|second| (*first, *second))
         });
-        let good = pairs.filter_map(|(first, then)| {
-            let is_cheaper = first.cost_with(&then) < direct.cost;
-            let evidence = self.evidence(request, &first, &then, promised);
+        let good = pairs.filter_map(|(first, second)| {
+            let is_cheaper = first.cost_with(&second) < direct.cost;
+            let evidence = self.evidence(request, &first, &second, promised);
             let is_proven = evidence == Evidence::Meets && (is_cheaper || sure == Sure::No);
-            let is_backed = is_cheaper && then.place == direct.place && evidence != Evidence::Fails;
-            let is_good = (is_proven || is_backed) && self.fits(request, &first, &then);
-            is_good.then_some((is_proven || sure == Sure::Yes, first, then))
+            let is_backed =
+                is_cheaper && second.place == direct.place && evidence != Evidence::Fails;
+            let is_good = (is_proven || is_backed) && self.fits(request, &first, &second);
+            is_good.then_some((is_proven || sure == Sure::Yes, first, second))
         });
         // Meeting the target goes before cost.
         let order = |a: &(bool, Scored, Scored), b: &(bool, Scored, Scored)| {
             b.0.cmp(&a.0).then(a.1.cost_with(&a.2).total_cmp(&b.1.cost_with(&b.2)))
         };
-        good.min_by(order).map(|(_, first, then)| (first, then))
+        good.min_by(order).map(|(_, first, second)| (first, second))
     }
 
     /// What ratings of second answers say of two versions together, once there are enough:
@@ -69,14 +70,14 @@
         &self,
         request: &Request<'_>,
         first: &Scored,
-        then: &Scored,
+        second: &Scored,
         promised: f64,
     ) -> Evidence {
-        let Some(seen) = self.seen(request, first, then) else {
+        let Some(seen) = self.seen(request, first, second) else {
             return Evidence::Open;
         };
         let z = self.confidence();
-        let belief = seen.belief(Some(first.nested(then)), self.now);
+        let belief = seen.belief(Some(first.nested(second)), self.now);
         let together = |one: f64, other: f64| one + (1.0 - one) * other;
         if belief.is_thin() {
             Evidence::Open
@@ -93,17 +94,17 @@
         &self,
         request: &Request<'_>,
         first: &Scored,
-        then: &Scored,
+        second: &Scored,
     ) -> Option<&Estimate> {
         let after = self.seconds.of(request.kind)?.get(request.candidates[first.place].id)?;
-        after.get(request.candidates[then.place].id)
+        after.get(request.candidates[second.place].id)
     }
 
     /// Whether a cascade may be used: not in a session, and only with time for both stages and
     /// for holding the first one back.
-    pub(super) fn fits(&self, request: &Request<'_>, first: &Scored, then: &Scored) -> bool {
+    pub(super) fn fits(&self, request: &Request<'_>, first: &Scored, second: &Scored) -> bool {
         let held = first.time + RATING_TIME;
-        if request.scope == Scope::Session || request.time_left < held + then.time {
+        if request.scope == Scope::Session || request.time_left < held + second.time {
             return false;
         }
         let is_hurried =
--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Point {
     first: Scored,
-    then: Option<Scored>,
+    second: Option<Scored>,
     quality: f64,
     /// The quality that is counted on: less, the fewer ratings are known.
     counted: f64,
@@ -38,8 +38,8 @@
 
 impl Point {
     fn draft(&self) -> Draft {
-        let reason = if self.then.is_some() { Reason::Cascade } else { Reason::Mix };
-        Draft { first: self.first, then: self.then, reason, sure: Sure::Yes }
+        let reason = if self.second.is_some() { Reason::Cascade } else { Reason::Mix };
+        Draft { first: self.first, second: self.second, reason, sure: Sure::Yes }
     }
 }
 
@@ -87,13 +87,13 @@
     /// Notes how a request is served, so that later ones make up for it.
     pub(super) fn note(&mut self, request: &Request<'_>, drawn: &Draft, wanted: f64) {
         let first = request.candidates[drawn.first.place].id;
-        let then = drawn.then.map(|it| request.candidates[it.place].id);
-        let (quality, _) = self.quality_of(request, &drawn.first, drawn.then.as_ref());
+        let second = drawn.second.map(|it| request.candidates[it.place].id);
+        let (quality, _) = self.quality_of(request, &drawn.first, drawn.second.as_ref());
         if !self.served.contains_key(request.kind) {
             self.served.insert(request.kind.clone(), Default::default());
         }
         let served = self.served.get_mut(request.kind).expect("inserted above");
-        served.add(first, then, quality, wanted);
+        served.add(first, second, quality, wanted);
     }
 
     /// How many more answers of late were good than wanted. What was given before is valued by
@@ -102,8 +102,9 @@
     fn excess(&mut self, request: &Request<'_>) -> f64 {
         let Some(served) = self.served.get_mut(request.kind) else { return 0.0 };
         let id = |it: &Scored| request.candidates[it.place].id;
-        served.revalue(|first, then| {
-            let is_it = |it: &&Point| id(&it.first) == first && it.then.as_ref().map(id) == then;
+        served.revalue(|first, second| {
+            let is_it =
+                |it: &&Point| id(&it.first) == first && it.second.as_ref().map(id) == second;
             self.points.iter().find(is_it).map(|it| it.quality)
         });
         served.excess()
@@ -122,7 +123,7 @@
             let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
             let fitting = dearer.filter(|it| self.fits(request, first, it));
             let n_before = points.len();
-            points.extend(fitting.map(|then| self.point(request, first, Some(then))));
+            points.extend(fitting.map(|second| self.point(request, first, Some(second))));
             // An answer of a version that little is known of is rated before it's shown, where
             // that can be done.
             if points.len() == n_before || !first.belief.is_thin() {
@@ -132,11 +133,11 @@
         self.points = points;
     }
 
-    fn point(&self, request: &Request<'_>, first: &Scored, then: Option<&Scored>) -> Point {
-        let (quality, variance) = self.quality_of(request, first, then);
-        let cost = then.map_or(first.cost, |it| first.cost_with(it));
+    fn point(&self, request: &Request<'_>, first: &Scored, second: Option<&Scored>) -> Point {
+        let (quality, variance) = self.quality_of(request, first, second);
+        let cost = second.map_or(first.cost, |it| first.cost_with(it));
         let counted = quality - DOUBT * variance.sqrt();
-        Point { first: *first, then: then.copied(), quality, counted, cost }
+        Point { first: *first, second: second.copied(), quality, counted, cost }
     }
 
     /// The expected quality, and the variance of that estimate.
@@ -144,13 +145,13 @@
         &self,
         request: &Request<'_>,
         first: &Scored,
-        then: Option<&Scored>,
+        second: Option<&Scored>,
     ) -> (f64, f64) {
         let alone = first.belief.mean();
-        let Some(then) = then else { return (alone, first.belief.variance()) };
+        let Some(second) = second else { return (alone, first.belief.variance()) };
         // Until it was seen, the second is taken to fail where the first does.
-        let nested = first.nested(then);
-        let seen = self.seen(request, first, then).unwrap_or(&Estimate::EMPTY);
+        let nested = first.nested(second);
+        let seen = self.seen(request, first, second).unwrap_or(&Estimate::EMPTY);
         let second = seen.belief(Some(nested), self.now);
         let quality = alone + (1.0 - alone) * second.mean();
         let by_first = (1.0 - second.mean()).powi(2) * first.belief.variance();
--- a/crates/curranthook_policy/src/choice/option.rs
+++ b/crates/curranthook_policy/src/choice/option.rs
@@ -17,13 +17,13 @@
 
 impl Scored {
     /// The quality of `then` on what this version fails at, if they fail at the same requests.
-    pub(crate) fn nested(&self, then: &Self) -> f64 {
-        let (first, second) = (self.belief.mean(), then.belief.mean());
+    pub(crate) fn nested(&self, second: &Self) -> f64 {
+        let (first, second) = (self.belief.mean(), second.belief.mean());
         if 1.0 <= first { second } else { ((second - first) / (1.0 - first)).clamp(0.0, 1.0) }
     }
 
     /// The expected cost with `then` as second stage: `c1 + p * c2`.
-    pub(crate) fn cost_with(&self, then: &Self) -> f64 {
-        self.cost + (1.0 - self.belief.mean()) * then.cost
+    pub(crate) fn cost_with(&self, second: &Self) -> f64 {
+        self.cost + (1.0 - self.belief.mean()) * second.cost
     }
 }
--- a/crates/curranthook_policy/src/choice/plan.rs
+++ b/crates/curranthook_policy/src/choice/plan.rs
@@ -9,7 +9,7 @@
     pub first: version::Id,
     /// The version to ask when the first one's answer is rated too low. The first answer is
     /// held back until it is rated.
-    pub then: Option<version::Id>,
+    pub second: Option<version::Id>,
     /// Whether to have the answer rated after it was given out.
     pub sample: Sample,
     /// Why.
--- a/crates/curranthook_policy/src/choice/second.rs
+++ b/crates/curranthook_policy/src/choice/second.rs
@@ -20,13 +20,13 @@
         &mut self,
         kind: &kind::Id,
         first: &version::Id,
-        then: &version::Id,
+        second: &version::Id,
         rating: f64,
         now: Instant,
     ) {
         let seconds = self.kinds.entry(kind.clone()).or_default();
         let after = seconds.entry(first.clone()).or_default();
-        after.entry(then.clone()).or_default().add(rating, now);
+        after.entry(second.clone()).or_default().add(rating, now);
     }
 
     pub(crate) fn of(&self, kind: &kind::Id) -> Option<&Seconds> {
--- a/crates/curranthook_policy/src/choice/served.rs
+++ b/crates/curranthook_policy/src/choice/served.rs
@@ -16,14 +16,14 @@
 #[derive(Debug)]
 struct Way {
     first: version::Id,
-    then: Option<version::Id>,
+    second: Option<version::Id>,
     n: f64,
     quality: f64,
 }
 
 impl Way {
-    fn is(&self, first: &version::Id, then: Option<&version::Id>) -> bool {
-        self.first == *first && self.then.as_ref() == then
+    fn is(&self, first: &version::Id, second: Option<&version::Id>) -> bool {
+        self.first == *first && self.second.as_ref() == second
     }
 }
 
@@ -31,21 +31,21 @@
     pub(crate) fn add(
         &mut self,
         first: &version::Id,
-        then: Option<&version::Id>,
+        second: Option<&version::Id>,
         quality: f64,
         wanted: f64,
     ) {
         const KEEP: f64 = 1.0 - 1.0 / MEMORY;
         self.wanted = self.wanted * KEEP + wanted;
         self.ways.iter_mut().for_each(|it| it.n *= KEEP);
-        match self.ways.iter_mut().find(|it| it.is(first, then)) {
+        match self.ways.iter_mut().find(|it| it.is(first, second)) {
             Some(way) => {
                 way.n += 1.0;
                 way.quality = quality;
             }
             None => {
-                let (first, then) = (first.clone(), then.cloned());
-                self.ways.push(Way { first, then, n: 1.0, quality });
+                let (first, second) = (first.clone(), second.cloned());
+                self.ways.push(Way { first, second, n: 1.0, quality });
             }
         }
     }
@@ -57,7 +57,7 @@
         quality: impl Fn(&version::Id, Option<&version::Id>) -> Option<f64>,
     ) {
         for way in &mut self.ways {
-            if let Some(quality) = quality(&way.first, way.then.as_ref()) {
+            if let Some(quality) = quality(&way.first, way.second.as_ref()) {
                 way.quality = quality;
             }
         }
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -99,7 +99,7 @@
     let n_cascades = |request: &Request<'_>| {
         let mut chooser = Chooser::new(policy.clone(), 1);
         let plans = (0..100).map(|_| chooser.plan(request).expect("there are versions"));
-        plans.filter(|it| it.then.is_some()).count()
+        plans.filter(|it| it.second.is_some()).count()
     };
     assert!(0 < n_cascades(&whole), "time is left for both stages");
     assert_eq!(n_cascades(&stream), 0);
@@ -161,7 +161,7 @@
     let request = Request { scope: Scope::Session, ..request(&kind, 0.85, &candidates) };
     let mut chooser = Chooser::new(Policy { weigh, ..Policy::default() }, 1);
     for _ in 0..1_000 {
-        assert_eq!(chooser.plan(&request).expect("there are versions").then, None);
+        assert_eq!(chooser.plan(&request).expect("there are versions").second, None);
     }
 }
 
@@ -218,11 +218,11 @@
             let plan = chooser.plan(&request).expect("there are versions");
             let is_allowed = |id: &version::Id| open.iter().any(|it| it.id == id);
             prop_assert!(is_allowed(&plan.first));
-            prop_assert!(plan.then.as_ref().is_none_or(is_allowed));
-            prop_assert_ne!(Some(&plan.first), plan.then.as_ref());
-            if let Some(then) = &plan.then {
+            prop_assert!(plan.second.as_ref().is_none_or(is_allowed));
+            prop_assert_ne!(Some(&plan.first), plan.second.as_ref());
+            if let Some(second) = &plan.second {
                 let time = |id| seconds[ids.iter().position(|it| it == id).expect("known")];
-                let both = Duration::from_secs(time(&plan.first) + time(then));
+                let both = Duration::from_secs(time(&plan.first) + time(second));
                 prop_assert!(both <= request.time_left, "{plan:?} needs {both:?}");
             }
             n_explored += f64::from(u8::from(plan.reason == Reason::Explore));
--- a/crates/curranthook_policy/tests/market/mod.rs
+++ b/crates/curranthook_policy/tests/market/mod.rs
@@ -87,18 +87,24 @@
         let hardness = rng.random::<f64>();
         let mut is_good = hardness < offers[first].quality;
         tally.cost += offers[first].price as f64;
-        if plan.then.is_some() || plan.sample == Sample::Rate {
+        if plan.second.is_some() || plan.sample == Sample::Rate {
             strategy.learn(&kind, &plan.first, f64::from(u8::from(is_good)), now);
         }
-        if let Some(then) = plan.then.filter(|_| !is_good) {
+        if let Some(second) = plan.second.filter(|_| !is_good) {
             let again = match setup.difficulty {
                 Difficulty::Independent => rng.random::<f64>(),
                 Difficulty::Shared => hardness,
             };
-            is_good = again < offers[place(&then)].quality;
-            tally.cost += offers[place(&then)].price as f64;
+            is_good = again < offers[place(&second)].quality;
+            tally.cost += offers[place(&second)].price as f64;
             if plan.sample == Sample::Rate {
-                strategy.learn_second(&kind, &plan.first, &then, f64::from(u8::from(is_good)), now);
+                strategy.learn_second(
+                    &kind,
+                    &plan.first,
+                    &second,
+                    f64::from(u8::from(is_good)),
+                    now,
+                );
             }
         }
         tally.good += f64::from(u8::from(is_good));
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -56,7 +56,7 @@
         text: String::new(),
         _in_flight: in_flight,
     };
-    match plan.then {
+    match plan.second {
         Some(then) => answer.cascade(plan.first, then).await,
         None => answer.direct(plan.first).await,
     }
--- a/crates/curranthook_router/src/choose.rs
+++ b/crates/curranthook_router/src/choose.rs
@@ -151,7 +151,7 @@
     let is_rated = draw < snapshot.config().policy.rating_sample;
     Ok(Plan {
         first: version.clone(),
-        then: None,
+        second: None,
         sample: if is_rated { Sample::Rate } else { Sample::Skip },
         reason: curranthook_policy::choice::Reason::Only,
     })
@@ -160,8 +160,8 @@
 /// The plan for the first request of a session: a session has one version, so no cascade. Ours
 /// plans none; this holds baselines to it.
 pub fn for_session(plan: Plan) -> Plan {
-    match plan.then {
-        Some(then) => Plan { first: then, then: None, ..plan },
+    match plan.second {
+        Some(then) => Plan { first: then, second: None, ..plan },
         None => plan,
     }
 }
