--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -236,7 +236,7 @@
         if let Some((first, second)) = self.cascade(request, &direct, sure) {
             return Draft { first, second: Some(second), reason: Reason::Cascade, sure };
         }
-        let reason = if sure == Sure::Yes { Reason::Sure } else { Reason::BestEffort };
+        let reason = if sure == Sure::Yes { Reason::Confident } else { Reason::BestEffort };
         Draft { first: direct, second: None, reason, sure }
     }
 
--- a/crates/curranthook_policy/src/choice/plan.rs
+++ b/crates/curranthook_policy/src/choice/plan.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// The cheapest version that surely meets the target.
-    Sure,
+    Confident,
     /// A cheap version, with a dearer one behind it.
     Cascade,
     /// One of two ways that together meet the target on average.
@@ -53,7 +53,7 @@
     /// ```
     pub fn name(self) -> &'static str {
         match self {
-            Self::Sure => "sure",
+            Self::Confident => "sure",
             Self::Cascade => "cascade",
             Self::Mix => "mix",
             Self::Explore => "explore",
