--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -74,7 +74,7 @@
     for (id, version) in ids.iter().zip(VERSIONS) {
         (0..200).for_each(|it| {
             let rating = if f64::from(it) < version.2 * 200.0 { 1.0 } else { 0.0 };
-            chooser.learn(kind, id, rating, now);
+            chooser.record_rating(kind, id, rating, now);
         });
         chooser.observe(id, Duration::from_secs(2), 300);
     }
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -26,10 +26,17 @@
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason>;
 
     /// Takes in the rating of an answer.
-    fn learn(&mut self, _kind: &kind::Id, _version: &version::Id, _rating: f64, _now: Instant) {}
+    fn record_rating(
+        &mut self,
+        _kind: &kind::Id,
+        _version: &version::Id,
+        _rating: f64,
+        _now: Instant,
+    ) {
+    }
 
     /// Takes in the rating of a cascade's second answer.
-    fn learn_second(
+    fn record_second_rating(
         &mut self,
         _kind: &kind::Id,
         _first: &version::Id,
@@ -64,11 +71,11 @@
         self.plan(request)
     }
 
-    fn learn(&mut self, kind: &kind::Id, version: &version::Id, rating: f64, now: Instant) {
-        self.learn(kind, version, rating, now);
+    fn record_rating(&mut self, kind: &kind::Id, version: &version::Id, rating: f64, now: Instant) {
+        self.record_rating(kind, version, rating, now);
     }
 
-    fn learn_second(
+    fn record_second_rating(
         &mut self,
         kind: &kind::Id,
         first: &version::Id,
@@ -76,7 +83,7 @@
         rating: f64,
         now: Instant,
     ) {
-        self.learn_second(kind, first, second, rating, now);
+        self.record_second_rating(kind, first, second, rating, now);
     }
 
     fn observe(&mut self, version: &version::Id, took: Duration, tokens: u64) {
--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -132,17 +132,23 @@
 
     /// Takes in the rating of an answer, from 0 to 1.
     ///
-    /// Ratings of a cascade's second answers go to [`Self::learn_second`]: they are of the
+    /// Ratings of a cascade's second answers go to [`Self::record_second_rating`]: they are of the
     /// requests that the first version failed at, harder than the rest, and would make the
     /// second look worse.
-    pub fn learn(&mut self, kind: &kind::Id, version: &version::Id, rating: f64, now: Instant) {
+    pub fn record_rating(
+        &mut self,
+        kind: &kind::Id,
+        version: &version::Id,
+        rating: f64,
+        now: Instant,
+    ) {
         self.now = self.now.max(Some(now));
         self.estimate_mut(kind, version).add(rating, now);
     }
 
     /// Takes in the rating of a cascade's second answer. A cheaper second stage is used once
     /// such ratings show that the two versions together meet the target.
-    pub fn learn_second(
+    pub fn record_second_rating(
         &mut self,
         kind: &kind::Id,
         first: &version::Id,
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -79,8 +79,8 @@
     let (kind, now) = (kind::Id::new("summary"), Instant::now());
     let id = version::Id::new("m@1");
     let mut chooser = Chooser::new(Policy::default(), 1);
-    (0..2_000).for_each(|_| chooser.learn(&kind, &id, 1.0, now));
-    (0..500).for_each(|_| chooser.learn(&kind, &id, 0.0, now));
+    (0..2_000).for_each(|_| chooser.record_rating(&kind, &id, 1.0, now));
+    (0..500).for_each(|_| chooser.record_rating(&kind, &id, 0.0, now));
     let quality = chooser.quality(&kind, &id).expect("it was rated");
     assert!(quality < 0.5, "{quality}");
 }
@@ -104,7 +104,7 @@
     assert!(0 < n_cascades(&whole), "time is left for both stages");
     assert_eq!(n_cascades(&stream), 0);
     let mut careful = Chooser::new(Policy { weigh: Weigh::Exposure, ..policy }, 1);
-    (0..50).for_each(|_| careful.learn(&kind, &ids[1], 1.0, Instant::now()));
+    (0..50).for_each(|_| careful.record_rating(&kind, &ids[1], 1.0, Instant::now()));
     assert_eq!(careful.plan(&stream).map(|it| it.reason), Ok(Reason::Cascade));
 }
 
@@ -139,7 +139,7 @@
         let place = ids.iter().position(|it| *it == plan.first).expect("an allowed version");
         let is_good = rng.random::<f64>() < truth[place];
         if plan.sample == Sample::Rate {
-            chooser.learn(&kind, &plan.first, f64::from(u8::from(is_good)), now);
+            chooser.record_rating(&kind, &plan.first, f64::from(u8::from(is_good)), now);
         }
         n_overclaimed += u32::from(plan.first == ids[0]);
         n_good += u32::from(is_good);
@@ -205,7 +205,7 @@
         let mut seconds = [5; 6];
         for (version, rating) in rated {
             seconds[version] = version as u64;
-            chooser.learn(&kind, &ids[version], rating, now);
+            chooser.record_rating(&kind, &ids[version], rating, now);
             chooser.observe(&ids[version], Duration::from_millis(version as u64 * 1_000), 1_000);
         }
         let request = Request {
--- a/crates/curranthook_policy/tests/market/mod.rs
+++ b/crates/curranthook_policy/tests/market/mod.rs
@@ -88,7 +88,7 @@
         let mut is_good = hardness < offers[first].quality;
         tally.cost += offers[first].price as f64;
         if plan.second.is_some() || plan.sample == Sample::Rate {
-            strategy.learn(&kind, &plan.first, f64::from(u8::from(is_good)), now);
+            strategy.record_rating(&kind, &plan.first, f64::from(u8::from(is_good)), now);
         }
         if let Some(second) = plan.second.filter(|_| !is_good) {
             let again = match setup.difficulty {
@@ -98,7 +98,7 @@
             is_good = again < offers[place(&second)].quality;
             tally.cost += offers[place(&second)].price as f64;
             if plan.sample == Sample::Rate {
-                strategy.learn_second(
+                strategy.record_second_rating(
                     &kind,
                     &plan.first,
                     &second,
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -133,7 +133,7 @@
     /// Takes in what one answer showed.
     pub fn learn(&self, kind: &kind::Id, version: &version::Id, rating: Option<f64>, tokens: u64) {
         if let Some(rating) = rating {
-            self.chooser.lock().learn(kind, version, rating, self.clock.now());
+            self.chooser.lock().record_rating(kind, version, rating, self.clock.now());
         }
         self.count(kind, version, Sample { rating, outcome: Outcome::Answered, tokens });
     }
@@ -146,7 +146,7 @@
         then: &version::Id,
         rating: f64,
     ) {
-        self.chooser.lock().learn_second(kind, first, then, rating, self.clock.now());
+        self.chooser.lock().record_second_rating(kind, first, then, rating, self.clock.now());
     }
 
     /// Whether an answer of `version` should be rated although the policy didn't ask for it:
