--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -76,7 +76,7 @@
             let rating = if f64::from(it) < version.2 * 200.0 { 1.0 } else { 0.0 };
             chooser.record_rating(kind, id, rating, now);
         });
-        chooser.observe(id, Duration::from_secs(2), 300);
+        chooser.record_duration(id, Duration::from_secs(2), 300);
     }
     chooser
 }
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -47,13 +47,13 @@
     }
 
     /// Takes in how long a whole answer took.
-    fn observe(&mut self, _version: &version::Id, _took: Duration, _tokens: u64) {}
+    fn record_duration(&mut self, _version: &version::Id, _took: Duration, _tokens: u64) {}
 
     /// Takes in what all other nodes together have gathered.
     fn merge(&mut self, _kind: &kind::Id, _version: &version::Id, _ratings: Counts) {}
 
     /// Whether enough is known of a version that only samples of its answers need be rated.
-    fn is_settled(&self, _kind: &kind::Id, _version: &version::Id) -> bool {
+    fn is_converged(&self, _kind: &kind::Id, _version: &version::Id) -> bool {
         true
     }
 
@@ -86,16 +86,16 @@
         self.record_second_rating(kind, first, second, rating, now);
     }
 
-    fn observe(&mut self, version: &version::Id, took: Duration, tokens: u64) {
-        self.observe(version, took, tokens);
+    fn record_duration(&mut self, version: &version::Id, took: Duration, tokens: u64) {
+        self.record_duration(version, took, tokens);
     }
 
     fn merge(&mut self, kind: &kind::Id, version: &version::Id, ratings: Counts) {
         self.merge(kind, version, ratings);
     }
 
-    fn is_settled(&self, kind: &kind::Id, version: &version::Id) -> bool {
-        self.is_settled(kind, version)
+    fn is_converged(&self, kind: &kind::Id, version: &version::Id) -> bool {
+        self.is_converged(kind, version)
     }
 
     fn counts(&self) -> Vec<crate::choice::Tally> {
--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -161,7 +161,7 @@
     }
 
     /// Takes in how long a whole answer took.
-    pub fn observe(&mut self, version: &version::Id, took: Duration, tokens: u64) {
+    pub fn record_duration(&mut self, version: &version::Id, took: Duration, tokens: u64) {
         match self.speeds.get_mut(version) {
             Some(it) => it.add(took, tokens),
             None => _ = self.speeds.insert(version.clone(), Speed::first(took, tokens)),
@@ -196,9 +196,9 @@
     }
 
     /// Whether enough is known of a version that only samples of its answers need be rated.
-    pub fn is_settled(&self, kind: &kind::Id, version: &version::Id) -> bool {
+    pub fn is_converged(&self, kind: &kind::Id, version: &version::Id) -> bool {
         let known = self.estimates.get(kind).and_then(|it| it.get(version));
-        known.is_some_and(|it| it.belief(None, self.now).is_settled())
+        known.is_some_and(|it| it.belief(None, self.now).is_converged())
     }
 
     fn estimate_mut(&mut self, kind: &kind::Id, version: &version::Id) -> &mut Estimate {
@@ -308,7 +308,7 @@
 
     fn finish(&mut self, request: &Request<'_>, draft: &Draft) -> Plan {
         let id = |it: &Scored| request.candidates[it.place].id.clone();
-        let is_thin = !draft.first.belief.is_settled() || self.is_second_thin(request, draft);
+        let is_thin = !draft.first.belief.is_converged() || self.is_second_thin(request, draft);
         let rate = if is_thin || draft.reason == Reason::Explore {
             1.0
         } else {
--- a/crates/curranthook_policy/src/choice/estimate.rs
+++ b/crates/curranthook_policy/src/choice/estimate.rs
@@ -154,7 +154,7 @@
         self.mean * (1.0 - self.mean) / self.n
     }
 
-    pub(crate) fn is_settled(&self) -> bool {
+    pub(crate) fn is_converged(&self) -> bool {
         SETTLED <= self.rated
     }
 
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -206,7 +206,7 @@
         for (version, rating) in rated {
             seconds[version] = version as u64;
             chooser.record_rating(&kind, &ids[version], rating, now);
-            chooser.observe(&ids[version], Duration::from_millis(version as u64 * 1_000), 1_000);
+            chooser.record_duration(&ids[version], Duration::from_millis(version as u64 * 1_000), 1_000);
         }
         let request = Request {
             time_left: Duration::from_millis(time_left),
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -241,7 +241,7 @@
 
     fn observe(&self, version: &version::Id, usage: Usage) {
         let took = self.router.clock.now().saturating_duration_since(self.began);
-        self.router.chooser.lock().observe(version, took, usage.completion_tokens);
+        self.router.chooser.lock().record_duration(version, took, usage.completion_tokens);
     }
 
     async fn rate(&self, whole: &Whole) -> Option<f64> {
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -152,7 +152,7 @@
     /// Whether an answer of `version` should be rated although the policy didn't ask for it:
     /// little is known of the version at this kind of work, or the last ratings speak against it.
     pub fn wants_rating(&self, kind: &kind::Id, version: &version::Id) -> bool {
-        if !self.chooser.lock().is_settled(kind, version) {
+        if !self.chooser.lock().is_converged(kind, version) {
             return true;
         }
         let share = self.sampling.lock().get(version).copied().unwrap_or_default();
