--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -38,7 +38,7 @@
 
 /// The rating from which an answer counts as good enough. The first answer of a cascade is
 /// given out from here on and escalated below.
-pub const GOOD_ENOUGH: f64 = 0.5;
+pub const MIN_GOOD_RATING: f64 = 0.5;
 
 /// Chooses versions and learns from ratings.
 ///
