--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -18,7 +18,7 @@
 /// The names that [`strategy`] knows.
 pub const STRATEGIES: [&str; 4] = ["curranthook", "cheapest", "best", "static-cascade"];
 /// The names that [`balance`] knows.
-pub const BALANCES: [&str; 3] = ["curranthook", "round-robin", "least-outstanding"];
+pub const BALANCERS: [&str; 3] = ["curranthook", "round-robin", "least-outstanding"];
 
 /// A way to choose versions.
 pub trait Strategy: std::fmt::Debug + Send {
@@ -159,7 +159,7 @@
 }
 
 /// A way to pick endpoints.
-pub trait Balance: std::fmt::Debug + Send {
+pub trait Balancer: std::fmt::Debug + Send {
     /// Sets the endpoints.
     fn set(&mut self, members: Vec<Member>);
     /// Picks an endpoint.
@@ -190,7 +190,7 @@
     }
 }
 
-impl Balance for Pool {
+impl Balancer for Pool {
     fn set(&mut self, members: Vec<Member>) {
         self.set(members);
     }
@@ -233,13 +233,13 @@
     }
 }
 
-/// The balance of a name, one of [`BALANCES`].
+/// The balance of a name, one of [`BALANCERS`].
 ///
 /// ```
 /// # use curranthook_policy::baseline;
-/// assert!(baseline::balance("round-robin", "zone-a".into(), 1).is_some());
+/// assert!(baseline::balancer("round-robin", "zone-a".into(), 1).is_some());
 /// ```
-pub fn balance(name: &str, local: domain::Id, seed: u64) -> Option<Box<dyn Balance>> {
+pub fn balancer(name: &str, local: domain::Id, seed: u64) -> Option<Box<dyn Balancer>> {
     match name {
         "curranthook" => Some(Box::new(Pool::new(local, seed))),
         "round-robin" => Some(Box::new(RoundRobin::default())),
--- a/crates/curranthook_policy/src/baseline/least_outstanding.rs
+++ b/crates/curranthook_policy/src/baseline/least_outstanding.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    baseline::Balance,
+    baseline::Balancer,
     endpoint::{Id, Member, Miss, Outcome, Pick, Reason},
 };
 
@@ -18,7 +18,7 @@
     leaving: BTreeSet<Id>,
 }
 
-impl Balance for LeastOutstanding {
+impl Balancer for LeastOutstanding {
     fn set(&mut self, members: Vec<Member>) {
         self.members = members;
     }
--- a/crates/curranthook_policy/src/baseline/round_robin.rs
+++ b/crates/curranthook_policy/src/baseline/round_robin.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Instant};
 
 use crate::{
-    baseline::Balance,
+    baseline::Balancer,
     endpoint::{Id, Member, Miss, Outcome, Pick, Reason},
 };
 
@@ -15,7 +15,7 @@
     next: usize,
 }
 
-impl Balance for RoundRobin {
+impl Balancer for RoundRobin {
     fn set(&mut self, members: Vec<Member>) {
         self.members = members;
     }
--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -164,8 +164,8 @@
 /// An endpoint's own word that it is leaving stops new work there at once.
 #[test]
 fn a_leaving_endpoint_gets_nothing() {
-    for name in baseline::BALANCES {
-        let mut balance = baseline::balance(name, "zone-a".into(), 1).expect("a known name");
+    for name in baseline::BALANCERS {
+        let mut balance = baseline::balancer(name, "zone-a".into(), 1).expect("a known name");
         balance.set(members(3));
         balance.set_leaving(&id(1));
         let now = Instant::now();
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/gate.rs
@@ -13,7 +13,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use curranthook_policy::{
-    baseline::{self, Balance},
+    baseline::{self, Balancer},
     endpoint::{Member, Miss, Outcome},
     queue::{Fair, Next},
 };
@@ -53,7 +53,7 @@
 
 impl Gates {
     /// No gate yet. `balance` names the way in which endpoints are picked, as
-    /// [`baseline::balance`] knows it.
+    /// [`baseline::balancer`] knows it.
     pub fn new(
         clock: Arc<dyn Clock>,
         domain: domain::Id,
@@ -84,7 +84,7 @@
         for (target, members) in members {
             let gate = gates.entry(target).or_insert_with_key(|target| {
                 let seed = choose::hash(&format!("{}/{target:?}", self.vm));
-                let pool = baseline::balance(self.balance, self.domain.clone(), seed)
+                let pool = baseline::balancer(self.balance, self.domain.clone(), seed)
                     .expect("the names of the policies are fixed");
                 Arc::new(Gate::new(Arc::clone(&self.clock), pool))
             });
@@ -126,7 +126,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    pool: Box<dyn Balance>,
+    pool: Box<dyn Balancer>,
     addresses: HashMap<endpoint::Id, SocketAddr>,
     queue: Fair<Sender<()>>,
 }
@@ -145,7 +145,7 @@
 }
 
 impl Gate {
-    fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balance>) -> Self {
+    fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balancer>) -> Self {
         let inner = Inner { pool, addresses: HashMap::new(), queue: Fair::new(QUEUE) };
         Self { clock, inner: Mutex::new(inner) }
     }
