--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -119,7 +119,7 @@
     pool.set((0..n_members).map(member));
     let mut stopwatch = Stopwatch::start();
     for _ in 0..N_PICKS {
-        let _picked = black_box(pool.pick(black_box(Some(AFFINITY)), &[], now));
+        let _picked = black_box(pool.select(black_box(Some(AFFINITY)), &[], now));
     }
     stopwatch.lap() * MICROS / f64::from(N_PICKS)
 }
--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -52,18 +52,18 @@
     criterion
         .bench_function("plan, 7 versions", |it| it.iter(|| chooser.plan(black_box(&request))));
     criterion.bench_function("pick, 64 endpoints", |it| {
-        it.iter(|| pool.pick(black_box(None), &[], now));
+        it.iter(|| pool.select(black_box(None), &[], now));
     });
     criterion.bench_function("pick by affinity, 64 endpoints", |it| {
-        it.iter(|| pool.pick(black_box(Some(42)), &[], now));
+        it.iter(|| pool.select(black_box(Some(42)), &[], now));
     });
     criterion.bench_function("plan, pick, started, finished", |it| {
         it.iter(|| {
             let plan = chooser.plan(black_box(&request));
-            let pick = pool.pick(Some(42), &[], now).expect("there are endpoints");
-            pool.started(&pick.id, now);
+            let selection = pool.select(Some(42), &[], now).expect("there are endpoints");
+            pool.started(&selection.id, now);
             let outcome = Outcome::Answered { first_byte: Duration::from_millis(80) };
-            pool.finished(&pick.id, outcome, now);
+            pool.finished(&selection.id, outcome, now);
             plan
         });
     });
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     choice::{Candidate, Chooser, Counts, Plan, Rater, Reason, Request, Sample},
-    endpoint::{self, Member, Miss, Outcome, Pick, Pool},
+    endpoint::{self, Member, Miss, Outcome, Pool, Selection},
 };
 
 mod least_outstanding;
@@ -163,12 +163,12 @@
     /// Sets the endpoints.
     fn set(&mut self, members: Vec<Member>);
     /// Picks an endpoint.
-    fn pick(
+    fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
-    ) -> Result<Pick, Miss>;
+    ) -> Result<Selection, Miss>;
     /// A request was sent to an endpoint.
     fn started(&mut self, id: &endpoint::Id, now: Instant);
     /// An answer began.
@@ -195,13 +195,13 @@
         self.set(members);
     }
 
-    fn pick(
+    fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
-    ) -> Result<Pick, Miss> {
-        self.pick(affinity, exclude, now)
+    ) -> Result<Selection, Miss> {
+        self.select(affinity, exclude, now)
     }
 
     fn started(&mut self, id: &endpoint::Id, now: Instant) {
--- a/crates/curranthook_policy/src/baseline/least_outstanding.rs
+++ b/crates/curranthook_policy/src/baseline/least_outstanding.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     baseline::Balancer,
-    endpoint::{Id, Member, Miss, Outcome, Pick, Reason},
+    endpoint::{Id, Member, Miss, Outcome, Reason, Selection},
 };
 
 /// Picks the endpoint with the fewest requests in flight from this node.
@@ -23,7 +23,7 @@
         self.members = members;
     }
 
-    fn pick(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Pick, Miss> {
+    fn select(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Selection, Miss> {
         if self.members.is_empty() {
             return Err(Miss::Empty);
         }
@@ -31,7 +31,7 @@
         let open = open.filter(|id| !exclude.contains(id) && !self.leaving.contains(*id));
         let least = open.min_by_key(|id| self.in_flight.get(*id).copied().unwrap_or(0));
         let id = least.ok_or(Miss::AllExcluded)?;
-        Ok(Pick { id: id.clone(), reason: Reason::Fixed })
+        Ok(Selection { id: id.clone(), reason: Reason::Fixed })
     }
 
     fn started(&mut self, id: &Id, _: Instant) {
--- a/crates/curranthook_policy/src/baseline/round_robin.rs
+++ b/crates/curranthook_policy/src/baseline/round_robin.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     baseline::Balancer,
-    endpoint::{Id, Member, Miss, Outcome, Pick, Reason},
+    endpoint::{Id, Member, Miss, Outcome, Reason, Selection},
 };
 
 /// Picks endpoints in turn, whatever their load.
@@ -20,7 +20,7 @@
         self.members = members;
     }
 
-    fn pick(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Pick, Miss> {
+    fn select(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Selection, Miss> {
         if self.members.is_empty() {
             return Err(Miss::Empty);
         }
@@ -28,7 +28,7 @@
             let id = &self.members[self.next % self.members.len()].id;
             self.next = self.next.wrapping_add(1);
             if !exclude.contains(id) && !self.leaving.contains(id) {
-                return Ok(Pick { id: id.clone(), reason: Reason::Fixed });
+                return Ok(Selection { id: id.clone(), reason: Reason::Fixed });
             }
         }
         Err(Miss::AllExcluded)
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -40,14 +40,14 @@
 
 /// The endpoint picked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pick {
+pub struct Selection {
     /// The endpoint.
     pub id: Id,
     /// Why.
     pub reason: Reason,
 }
 
-/// Why an endpoint was picked. Each has its counter, `pick.<name>`.
+/// Why an endpoint was picked. Each has its counter, `selection.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// It has the start of the prompt in its cache.
@@ -80,7 +80,7 @@
     }
 }
 
-/// Why no endpoint was picked. Each has its counter, `pick.miss.<name>`.
+/// Why no endpoint was picked. Each has its counter, `selection.miss.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Miss {
     /// There is none.
@@ -140,11 +140,11 @@
 /// let now = Instant::now();
 /// let mut pool = Pool::new("zone-a".into(), 1);
 /// pool.set([Member { id: "engine-1".into(), domain: "zone-a".into(), slots: 16 }]);
-/// let pick = pool.pick(None, &[], now).unwrap();
-/// assert_eq!(pick.reason, Reason::OnlyOne);
-/// pool.started(&pick.id, now);
+/// let selection = pool.select(None, &[], now).unwrap();
+/// assert_eq!(selection.reason, Reason::OnlyOne);
+/// pool.started(&selection.id, now);
 /// let first_byte = Duration::from_millis(80);
-/// pool.finished(&pick.id, Outcome::Answered { first_byte }, now);
+/// pool.finished(&selection.id, Outcome::Answered { first_byte }, now);
 /// ```
 #[derive(Debug)]
 pub struct Pool {
@@ -197,12 +197,12 @@
 
     /// Picks an endpoint. `affinity` is a hash of what its cache should hold, `exclude` those
     /// that this request has tried.
-    pub fn pick(
+    pub fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[Id],
         now: Instant,
-    ) -> Result<Pick, Miss> {
+    ) -> Result<Selection, Miss> {
         if self.tracks.is_empty() {
             return Err(Miss::Empty);
         }
@@ -212,7 +212,7 @@
             return Err(Miss::AllExcluded);
         }
         if let Some(place) = self.tracks.iter().position(|it| is_candidate(it) && it.is_due(now)) {
-            return Ok(self.picked(place, Reason::Probe));
+            return Ok(self.selection_of(place, Reason::Probe));
         }
 
         self.open.clear();
@@ -222,17 +222,17 @@
             }
         }
         let Some(first) = self.open.first().copied() else {
-            return self.pick_left_out(exclude);
+            return self.select_ejected(exclude);
         };
         if self.open.len() == 1 {
             let reason = if n_candidates == 1 { Reason::OnlyOne } else { Reason::PowerOfTwo };
-            return Ok(self.picked(first, reason));
+            return Ok(self.selection_of(first, reason));
         }
         if let Some(place) = affinity.and_then(|key| self.keeper(key, now)) {
-            return Ok(self.picked(place, Reason::Affinity));
+            return Ok(self.selection_of(place, Reason::Affinity));
         }
         let place = self.better_of_two(now);
-        Ok(self.picked(place, Reason::PowerOfTwo))
+        Ok(self.selection_of(place, Reason::PowerOfTwo))
     }
 
     /// A request was sent to an endpoint.
@@ -309,19 +309,20 @@
         Some(&mut self.tracks[place])
     }
 
-    fn picked(&self, place: usize, reason: Reason) -> Pick {
-        Pick { id: self.tracks[place].member.id.clone(), reason }
+    fn selection_of(&self, place: usize, reason: Reason) -> Selection {
+        Selection { id: self.tracks[place].member.id.clone(), reason }
     }
 
     /// With every healthy endpoint excluded, one that was left out is better than none.
-    fn pick_left_out(&self, exclude: &[Id]) -> Result<Pick, Miss> {
+    fn select_ejected(&self, exclude: &[Id]) -> Result<Selection, Miss> {
         let mut candidates =
             self.tracks.iter().filter(|it| !it.is_leaving && !exclude.contains(&it.member.id));
         if candidates.clone().any(|it| !it.is_ejected()) {
             return Err(Miss::AllBusy);
         }
         let idle = candidates.find(|it| it.in_flight == 0);
-        idle.map(|it| Pick { id: it.member.id.clone(), reason: Reason::Probe }).ok_or(Miss::AllBusy)
+        idle.map(|it| Selection { id: it.member.id.clone(), reason: Reason::Probe })
+            .ok_or(Miss::AllBusy)
     }
 
     /// The endpoint that the key belongs to, by rendezvous hashing, unless it is loaded above
--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -35,12 +35,12 @@
     let (mut pool, mut now) = (pool(10), Instant::now());
     let mut n_slow = 0;
     for _ in 0..2_000 {
-        let pick = pool.pick(None, &[], now).expect("there are endpoints");
-        let is_slow = pick.id == id(3);
+        let selection = pool.select(None, &[], now).expect("there are endpoints");
+        let is_slow = selection.id == id(3);
         n_slow += usize::from(is_slow);
-        pool.started(&pick.id, now);
+        pool.started(&selection.id, now);
         now += Duration::from_millis(10);
-        pool.finished(&pick.id, answered(if is_slow { 800 } else { 80 }), now);
+        pool.finished(&selection.id, answered(if is_slow { 800 } else { 80 }), now);
     }
     assert!(n_slow < 40, "{n_slow} of 2,000 requests went to the slow endpoint");
     assert!(0 < n_slow, "it is tried now and then");
@@ -53,12 +53,13 @@
     let (mut pool, mut now) = (pool(10), Instant::now());
     let mut n_slow = 0;
     for key in 0..2_000 {
-        let pick = pool.pick(Some(hash::pair(key, 0)), &[], now).expect("there are endpoints");
-        let is_slow = pick.id == id(3);
+        let selection =
+            pool.select(Some(hash::pair(key, 0)), &[], now).expect("there are endpoints");
+        let is_slow = selection.id == id(3);
         n_slow += usize::from(is_slow);
-        pool.started(&pick.id, now);
+        pool.started(&selection.id, now);
         now += Duration::from_millis(10);
-        pool.finished(&pick.id, answered(if is_slow { 800 } else { 80 }), now);
+        pool.finished(&selection.id, answered(if is_slow { 800 } else { 80 }), now);
     }
     assert_eq!(pool.n_left_out(), 1);
     assert!(n_slow < 40, "{n_slow} of 2,000 requests went to the slow endpoint");
@@ -77,12 +78,12 @@
     assert_eq!(pool.n_left_out(), 1, "a report of its load is no direct contact");
 
     let later = start + Duration::from_secs(2);
-    let pick = pool.pick(None, &[], later).expect("there are endpoints");
-    assert_eq!((pick.reason, &pick.id), (Reason::Probe, &id(0)));
-    pool.started(&pick.id, later);
-    let other = pool.pick(None, &[], later).expect("there are endpoints");
+    let selection = pool.select(None, &[], later).expect("there are endpoints");
+    assert_eq!((selection.reason, &selection.id), (Reason::Probe, &id(0)));
+    pool.started(&selection.id, later);
+    let other = pool.select(None, &[], later).expect("there are endpoints");
     assert_ne!(other.id, id(0), "one probe at a time");
-    pool.finished(&pick.id, answered(50), later);
+    pool.finished(&selection.id, answered(50), later);
     assert_eq!(pool.n_left_out(), 0);
 }
 
@@ -128,8 +129,8 @@
 fn a_node_takes_its_part_of_a_full_endpoint() {
     let (mut pool, mut now) = (pool(1), Instant::now());
     let fill = |pool: &mut Pool, now| {
-        while let Ok(pick) = pool.pick(None, &[], now) {
-            pool.started(&pick.id, now);
+        while let Ok(selection) = pool.select(None, &[], now) {
+            pool.started(&selection.id, now);
         }
         pool.in_flight(&id(0))
     };
@@ -153,8 +154,8 @@
     let (mut pool, now) = (pool(2), Instant::now());
     pool.hint(&id(0), 8, now);
     let n_busy = |pool: &mut Pool, now| {
-        let picks = (0..100).map(|_| pool.pick(None, &[], now).expect("there is room"));
-        picks.filter(|it| it.id == id(0)).count()
+        let selections = (0..100).map(|_| pool.select(None, &[], now).expect("there is room"));
+        selections.filter(|it| it.id == id(0)).count()
     };
     assert_eq!(n_busy(&mut pool, now), 0, "it is full");
     let later = now + Duration::from_secs(20);
@@ -170,12 +171,12 @@
         balance.set_leaving(&id(1));
         let now = Instant::now();
         for _ in 0..100 {
-            let pick = balance.pick(None, &[], now).expect("two stay");
-            assert_ne!(pick.id, id(1), "{name}");
+            let selection = balance.select(None, &[], now).expect("two stay");
+            assert_ne!(selection.id, id(1), "{name}");
         }
         balance.set_leaving(&id(0));
         balance.set_leaving(&id(2));
-        assert_eq!(balance.pick(None, &[], now), Err(Miss::AllExcluded), "{name}");
+        assert_eq!(balance.select(None, &[], now), Err(Miss::AllExcluded), "{name}");
     }
 }
 
@@ -192,8 +193,8 @@
     pool.set_leaving(&id(2));
     pool.set_leaving(&id(3));
     for _ in 0..4 {
-        let pick = pool.pick(None, &[], now).expect("half of those that stay are open");
-        pool.started(&pick.id, now);
+        let selection = pool.select(None, &[], now).expect("half of those that stay are open");
+        pool.started(&selection.id, now);
     }
     assert_eq!(pool.n_left_out(), 1);
 }
@@ -201,13 +202,13 @@
 #[test]
 fn prompts_stay_where_they_are_cached_until_it_is_full() {
     let (mut pool, now) = (pool(8), Instant::now());
-    let home = pool.pick(Some(42), &[], now).expect("there are endpoints");
+    let home = pool.select(Some(42), &[], now).expect("there are endpoints");
     assert_eq!(home.reason, Reason::Affinity);
     let mut n_home = 0;
     for _ in 0..40 {
-        let pick = pool.pick(Some(42), &[], now).expect("there is room");
-        n_home += usize::from(pick.id == home.id);
-        pool.started(&pick.id, now);
+        let selection = pool.select(Some(42), &[], now).expect("there is room");
+        n_home += usize::from(selection.id == home.id);
+        pool.started(&selection.id, now);
     }
     assert!((2..=8).contains(&n_home), "{n_home} of 40 at the home of the prompt");
 }
@@ -216,13 +217,13 @@
 fn full_pools_say_so() {
     let (mut pool, now) = (pool(2), Instant::now());
     for _ in 0..16 {
-        let pick = pool.pick(None, &[], now).expect("there is room");
-        pool.started(&pick.id, now);
+        let selection = pool.select(None, &[], now).expect("there is room");
+        pool.started(&selection.id, now);
     }
-    assert_eq!(pool.pick(None, &[], now), Err(Miss::AllBusy));
-    assert_eq!(pool.pick(None, &[id(0), id(1)], now), Err(Miss::AllExcluded));
+    assert_eq!(pool.select(None, &[], now), Err(Miss::AllBusy));
+    assert_eq!(pool.select(None, &[id(0), id(1)], now), Err(Miss::AllExcluded));
     pool.set([]);
-    assert_eq!(pool.pick(None, &[], now), Err(Miss::Empty));
+    assert_eq!(pool.select(None, &[], now), Err(Miss::Empty));
 }
 
 #[test]
@@ -230,8 +231,8 @@
     let mut pool = pool(10_000);
     assert_eq!(pool.len(), SUBSET);
     let now = Instant::now();
-    let pick = pool.pick(None, &[], now).expect("there are endpoints");
-    pool.started(&pick.id, now);
+    let selection = pool.select(None, &[], now).expect("there are endpoints");
+    pool.started(&selection.id, now);
     let busy = |pool: &Pool| (0..10_000).filter(|it| pool.in_flight(&id(*it)) == 1).count();
     assert_eq!(busy(&pool), 1);
     pool.set(members(9_999));
@@ -265,9 +266,9 @@
         for (place, event, millis) in events {
             now += Duration::from_millis(millis);
             let exclude = [id(place)];
-            if let Ok(pick) = pool.pick(Some(millis), &exclude, now) {
-                prop_assert_ne!(&pick.id, &exclude[0]);
-                pool.started(&pick.id, now);
+            if let Ok(selection) = pool.select(Some(millis), &exclude, now) {
+                prop_assert_ne!(&selection.id, &exclude[0]);
+                pool.started(&selection.id, now);
                 let outcome = match event {
                     0 => Outcome::Failed,
                     1 => Outcome::Unreachable,
@@ -275,7 +276,7 @@
                     3 => Outcome::Cancelled,
                     _ => answered(millis),
                 };
-                pool.finished(&pick.id, outcome, now);
+                pool.finished(&selection.id, outcome, now);
             }
             prop_assert!(pool.n_left_out() * 2 <= n);
         }
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/gate.rs
@@ -227,7 +227,7 @@
 
     fn try_enter(self: &Arc<Self>, entry: Entry<'_>, now: Instant) -> Result<Lease, Miss> {
         let mut inner = self.inner.lock();
-        let pick = inner.pool.pick(entry.affinity, entry.exclude, now)?;
+        let pick = inner.pool.select(entry.affinity, entry.exclude, now)?;
         let Some(addr) = inner.addresses.get(&pick.id).copied() else { return Err(Miss::Empty) };
         inner.pool.started(&pick.id, now);
         Ok(Lease {
@@ -254,7 +254,7 @@
         inner.queue.served(now);
         // The endpoint may have less room than before. Whoever were woken then would lose its
         // place in the queue for nothing.
-        if inner.pool.pick(None, &[], now).is_err() {
+        if inner.pool.select(None, &[], now).is_err() {
             return;
         }
         // Whoever gave up has dropped its receiver; go on to the next one.
