--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     choice::{Candidate, Chooser, Counts, Plan, Rater, Reason, Request, Sample},
-    endpoint::{self, Member, Miss, Outcome, Pool, Selection},
+    endpoint::{self, Member, Outcome, Pool, Selection, Unavailable},
 };
 
 mod least_outstanding;
@@ -168,7 +168,7 @@
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
-    ) -> Result<Selection, Miss>;
+    ) -> Result<Selection, Unavailable>;
     /// A request was sent to an endpoint.
     fn started(&mut self, id: &endpoint::Id, now: Instant);
     /// An answer began.
@@ -200,7 +200,7 @@
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
-    ) -> Result<Selection, Miss> {
+    ) -> Result<Selection, Unavailable> {
         self.select(affinity, exclude, now)
     }
 
--- a/crates/curranthook_policy/src/baseline/least_outstanding.rs
+++ b/crates/curranthook_policy/src/baseline/least_outstanding.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     baseline::Balancer,
-    endpoint::{Id, Member, Miss, Outcome, Reason, Selection},
+    endpoint::{Id, Member, Outcome, Reason, Selection, Unavailable},
 };
 
 /// Picks the endpoint with the fewest requests in flight from this node.
@@ -23,14 +23,19 @@
         self.members = members;
     }
 
-    fn select(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Selection, Miss> {
+    fn select(
+        &mut self,
+        _: Option<u64>,
+        exclude: &[Id],
+        _: Instant,
+    ) -> Result<Selection, Unavailable> {
         if self.members.is_empty() {
-            return Err(Miss::Empty);
+            return Err(Unavailable::Empty);
         }
         let open = self.members.iter().map(|it| &it.id);
         let open = open.filter(|id| !exclude.contains(id) && !self.leaving.contains(*id));
         let least = open.min_by_key(|id| self.in_flight.get(*id).copied().unwrap_or(0));
-        let id = least.ok_or(Miss::AllExcluded)?;
+        let id = least.ok_or(Unavailable::AllExcluded)?;
         Ok(Selection { id: id.clone(), reason: Reason::Fixed })
     }
 
--- a/crates/curranthook_policy/src/baseline/round_robin.rs
+++ b/crates/curranthook_policy/src/baseline/round_robin.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     baseline::Balancer,
-    endpoint::{Id, Member, Miss, Outcome, Reason, Selection},
+    endpoint::{Id, Member, Outcome, Reason, Selection, Unavailable},
 };
 
 /// Picks endpoints in turn, whatever their load.
@@ -20,9 +20,14 @@
         self.members = members;
     }
 
-    fn select(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Selection, Miss> {
+    fn select(
+        &mut self,
+        _: Option<u64>,
+        exclude: &[Id],
+        _: Instant,
+    ) -> Result<Selection, Unavailable> {
         if self.members.is_empty() {
-            return Err(Miss::Empty);
+            return Err(Unavailable::Empty);
         }
         for _ in 0..self.members.len() {
             let id = &self.members[self.next % self.members.len()].id;
@@ -31,7 +36,7 @@
                 return Ok(Selection { id: id.clone(), reason: Reason::Fixed });
             }
         }
-        Err(Miss::AllExcluded)
+        Err(Unavailable::AllExcluded)
     }
 
     fn started(&mut self, _: &Id, _: Instant) {}
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -82,7 +82,7 @@
 
 /// Why no endpoint was picked. Each has its counter, `selection.miss.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Miss {
+pub enum Unavailable {
     /// There is none.
     Empty,
     /// All are leaving or were tried before.
@@ -91,12 +91,12 @@
     AllBusy,
 }
 
-impl Miss {
+impl Unavailable {
     /// The last part of the counter's name.
     ///
     /// ```
-    /// # use curranthook_policy::endpoint::Miss;
-    /// assert_eq!(Miss::AllBusy.name(), "all_busy");
+    /// # use curranthook_policy::endpoint::Unavailable;
+    /// assert_eq!(Unavailable::AllBusy.name(), "all_busy");
     /// ```
     pub fn name(self) -> &'static str {
         match self {
@@ -202,14 +202,14 @@
         affinity: Option<u64>,
         exclude: &[Id],
         now: Instant,
-    ) -> Result<Selection, Miss> {
+    ) -> Result<Selection, Unavailable> {
         if self.tracks.is_empty() {
-            return Err(Miss::Empty);
+            return Err(Unavailable::Empty);
         }
         let is_candidate = |it: &Track| !it.is_leaving && !exclude.contains(&it.member.id);
         let n_candidates = self.tracks.iter().filter(|it| is_candidate(it)).count();
         if n_candidates == 0 {
-            return Err(Miss::AllExcluded);
+            return Err(Unavailable::AllExcluded);
         }
         if let Some(place) = self.tracks.iter().position(|it| is_candidate(it) && it.is_due(now)) {
             return Ok(self.selection_of(place, Reason::Probe));
@@ -314,15 +314,15 @@
     }
 
     /// With every healthy endpoint excluded, one that was left out is better than none.
-    fn select_ejected(&self, exclude: &[Id]) -> Result<Selection, Miss> {
+    fn select_ejected(&self, exclude: &[Id]) -> Result<Selection, Unavailable> {
         let mut candidates =
             self.tracks.iter().filter(|it| !it.is_leaving && !exclude.contains(&it.member.id));
         if candidates.clone().any(|it| !it.is_ejected()) {
-            return Err(Miss::AllBusy);
+            return Err(Unavailable::AllBusy);
         }
         let idle = candidates.find(|it| it.in_flight == 0);
         idle.map(|it| Selection { id: it.member.id.clone(), reason: Reason::Probe })
-            .ok_or(Miss::AllBusy)
+            .ok_or(Unavailable::AllBusy)
     }
 
     /// The endpoint that the key belongs to, by rendezvous hashing, unless it is loaded above
--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -4,7 +4,7 @@
 
 use curranthook_policy::{
     baseline,
-    endpoint::{Id, Member, Miss, Outcome, Pool, Reason, SUBSET},
+    endpoint::{Id, Member, Outcome, Pool, Reason, SUBSET, Unavailable},
     hash,
 };
 use proptest::prelude::*;
@@ -176,7 +176,7 @@
         }
         balance.set_leaving(&id(0));
         balance.set_leaving(&id(2));
-        assert_eq!(balance.select(None, &[], now), Err(Miss::AllExcluded), "{name}");
+        assert_eq!(balance.select(None, &[], now), Err(Unavailable::AllExcluded), "{name}");
     }
 }
 
@@ -220,10 +220,10 @@
         let selection = pool.select(None, &[], now).expect("there is room");
         pool.started(&selection.id, now);
     }
-    assert_eq!(pool.select(None, &[], now), Err(Miss::AllBusy));
-    assert_eq!(pool.select(None, &[id(0), id(1)], now), Err(Miss::AllExcluded));
+    assert_eq!(pool.select(None, &[], now), Err(Unavailable::AllBusy));
+    assert_eq!(pool.select(None, &[id(0), id(1)], now), Err(Unavailable::AllExcluded));
     pool.set([]);
-    assert_eq!(pool.select(None, &[], now), Err(Miss::Empty));
+    assert_eq!(pool.select(None, &[], now), Err(Unavailable::Empty));
 }
 
 #[test]
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/gate.rs
@@ -14,7 +14,7 @@
 use async_io::Timer;
 use curranthook_policy::{
     baseline::{self, Balancer},
-    endpoint::{Member, Miss, Outcome},
+    endpoint::{Member, Outcome, Unavailable},
     queue::{Fair, Next},
 };
 use curranthook_types::{Clock, Refusal, domain, endpoint, refusal::Reason, version, vm};
@@ -181,12 +181,13 @@
             // Newcomers go behind those that wait. If they took what gets free, those that wait
             // would do so until their deadlines under overload.
             let is_behind = place.is_none() && !self.inner.lock().queue.is_empty();
-            let entered = if is_behind { Err(Miss::AllBusy) } else { self.try_enter(entry, now) };
+            let entered =
+                if is_behind { Err(Unavailable::AllBusy) } else { self.try_enter(entry, now) };
             match entered {
                 Ok(lease) => return Ok(lease),
-                Err(Miss::Empty) => return Err(no_endpoint("no endpoint is in service")),
-                Err(Miss::AllExcluded) => return Err(no_endpoint("each endpoint failed")),
-                Err(Miss::AllBusy) => {}
+                Err(Unavailable::Empty) => return Err(no_endpoint("no endpoint is in service")),
+                Err(Unavailable::AllExcluded) => return Err(no_endpoint("each endpoint failed")),
+                Err(Unavailable::AllBusy) => {}
             }
             let turn = match &place {
                 Some(it) => it,
@@ -225,10 +226,12 @@
         self.inner.lock().pool.slow_after(id)
     }
 
-    fn try_enter(self: &Arc<Self>, entry: Entry<'_>, now: Instant) -> Result<Lease, Miss> {
+    fn try_enter(self: &Arc<Self>, entry: Entry<'_>, now: Instant) -> Result<Lease, Unavailable> {
         let mut inner = self.inner.lock();
         let pick = inner.pool.select(entry.affinity, entry.exclude, now)?;
-        let Some(addr) = inner.addresses.get(&pick.id).copied() else { return Err(Miss::Empty) };
+        let Some(addr) = inner.addresses.get(&pick.id).copied() else {
+            return Err(Unavailable::Empty);
+        };
         inner.pool.started(&pick.id, now);
         Ok(Lease {
             gate: Arc::clone(self),
