--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -1,7 +1,7 @@
 //! The cost of deciding on one request: which version, and which of 64 endpoints.
 
 use std::{
-    hint::black_box,
+    report_load::black_box,
     time::{Duration, Instant},
 };
 
@@ -96,7 +96,7 @@
             let first_byte = Duration::from_millis(50 + step);
             pool.finished(&it.id, Outcome::Answered { first_byte }, now);
         }
-        pool.hint(&it.id, 4, now);
+        pool.report_load(&it.id, 4, now);
     }
     pool
 }
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -172,7 +172,7 @@
     /// A request was sent to an endpoint.
     fn started(&mut self, id: &endpoint::Id, now: Instant);
     /// An answer began.
-    fn began(&mut self, _id: &endpoint::Id, _first_byte: Duration, _now: Instant) {}
+    fn answer_started(&mut self, _id: &endpoint::Id, _first_byte: Duration, _now: Instant) {}
     /// A request at an endpoint ended.
     fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, now: Instant);
     /// An endpoint is leaving.
@@ -181,10 +181,10 @@
     fn clear_leaving(&mut self, id: &endpoint::Id);
 
     /// An endpoint reported its load.
-    fn hint(&mut self, _id: &endpoint::Id, _load: u64, _now: Instant) {}
+    fn report_load(&mut self, _id: &endpoint::Id, _load: u64, _now: Instant) {}
 
     /// How long to wait for an endpoint's first byte.
-    fn slow_after(&self, _id: &endpoint::Id) -> Duration {
+    fn first_byte_timeout(&self, _id: &endpoint::Id) -> Duration {
         const FIXED: Duration = Duration::from_secs(2);
         FIXED
     }
@@ -208,8 +208,8 @@
         self.started(id, now);
     }
 
-    fn began(&mut self, id: &endpoint::Id, first_byte: Duration, now: Instant) {
-        self.began(id, first_byte, now);
+    fn answer_started(&mut self, id: &endpoint::Id, first_byte: Duration, now: Instant) {
+        self.answer_started(id, first_byte, now);
     }
 
     fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, now: Instant) {
@@ -224,12 +224,12 @@
         self.clear_leaving(id);
     }
 
-    fn hint(&mut self, id: &endpoint::Id, load: u64, now: Instant) {
-        self.hint(id, load, now);
+    fn report_load(&mut self, id: &endpoint::Id, load: u64, now: Instant) {
+        self.report_load(id, load, now);
     }
 
-    fn slow_after(&self, id: &endpoint::Id) -> Duration {
-        self.slow_after(id)
+    fn first_byte_timeout(&self, id: &endpoint::Id) -> Duration {
+        self.first_byte_timeout(id)
     }
 }
 
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -115,7 +115,7 @@
         /// The time to its first byte.
         first_byte: Duration,
     },
-    /// With an answer whose first byte was told before, by [`Pool::began`].
+    /// With an answer whose first byte was told before, by [`Pool::answer_started`].
     Done,
     /// It was given up before its first byte, which another attempt beside it gave sooner.
     Overtaken {
@@ -244,7 +244,7 @@
 
     /// An answer began. Told now and not with its end, a slow endpoint is noticed before the
     /// first of its slow answers is whole.
-    pub fn began(&mut self, id: &Id, first_byte: Duration, now: Instant) {
+    pub fn answer_started(&mut self, id: &Id, first_byte: Duration, now: Instant) {
         let Some(place) = self.places.get(id).copied() else {
             return;
         };
@@ -266,9 +266,9 @@
     }
 
     /// An endpoint reported its load: all requests that it holds, from whatever node.
-    pub fn hint(&mut self, id: &Id, load: u64, now: Instant) {
+    pub fn report_load(&mut self, id: &Id, load: u64, now: Instant) {
         if let Some(it) = self.track_mut(id) {
-            it.hint(load, now);
+            it.report_load(load, now);
         }
     }
 
@@ -289,13 +289,16 @@
 
     /// How long to wait for an endpoint's first byte before another connection or endpoint is
     /// tried: well above what it took of late.
-    pub fn slow_after(&self, id: &Id) -> Duration {
-        let own = self.places.get(id).and_then(|place| self.tracks[*place].first_byte.slow_after());
+    pub fn first_byte_timeout(&self, id: &Id) -> Duration {
+        let own = self
+            .places
+            .get(id)
+            .and_then(|place| self.tracks[*place].first_byte.first_byte_timeout());
         own.unwrap_or(first_byte::UNKNOWN)
     }
 
     /// How many endpoints are left out for being slow or failing.
-    pub fn n_left_out(&self) -> usize {
+    pub fn n_ejected(&self) -> usize {
         self.tracks.iter().filter(|it| it.is_ejected()).count()
     }
 
--- a/crates/curranthook_policy/src/endpoint/first_byte.rs
+++ b/crates/curranthook_policy/src/endpoint/first_byte.rs
@@ -16,7 +16,7 @@
     n: usize,
     mean: f64,
     /// Worked out as a time is added, which is rarer than it is read.
-    slow_after: Duration,
+    first_byte_timeout: Duration,
 }
 
 impl FirstByte {
@@ -26,7 +26,7 @@
         self.mean = if self.n == 0 { seconds } else { self.mean + WEIGHT * (seconds - self.mean) };
         self.recent[self.n % KEPT] = seconds as f32;
         self.n += 1;
-        self.slow_after = self.limit();
+        self.first_byte_timeout = self.limit();
     }
 
     /// Begins anew with one time, for an endpoint that was slow and is no longer.
@@ -51,8 +51,8 @@
         ENOUGH <= self.n
     }
 
-    pub(crate) fn slow_after(&self) -> Option<Duration> {
-        self.is_known().then_some(self.slow_after)
+    pub(crate) fn first_byte_timeout(&self) -> Option<Duration> {
+        self.is_known().then_some(self.first_byte_timeout)
     }
 
     fn limit(&self) -> Duration {
--- a/crates/curranthook_policy/src/endpoint/track.rs
+++ b/crates/curranthook_policy/src/endpoint/track.rs
@@ -111,14 +111,14 @@
             Outcome::Failed | Outcome::Unreachable => self.n_failures += 1,
             // It holds as many as it can; others sent what we did not.
             Outcome::Refused => {
-                self.hint(self.member.slots as u64, now);
+                self.report_load(self.member.slots as u64, now);
                 self.window.refused(now);
             }
             Outcome::Cancelled => {}
         }
     }
 
-    pub(crate) fn hint(&mut self, load: u64, now: Instant) {
+    pub(crate) fn report_load(&mut self, load: u64, now: Instant) {
         let others = (load as f64 - self.in_flight as f64).max(0.0);
         self.others = Some((others, now));
         let slots = self.slots();
--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -61,7 +61,7 @@
         now += Duration::from_millis(10);
         pool.finished(&selection.id, answered(if is_slow { 800 } else { 80 }), now);
     }
-    assert_eq!(pool.n_left_out(), 1);
+    assert_eq!(pool.n_ejected(), 1);
     assert!(n_slow < 40, "{n_slow} of 2,000 requests went to the slow endpoint");
 }
 
@@ -73,9 +73,9 @@
         pool.started(&id(0), start);
         pool.finished(&id(0), Outcome::Unreachable, start);
     }
-    assert_eq!(pool.n_left_out(), 1);
-    pool.hint(&id(0), 0, start);
-    assert_eq!(pool.n_left_out(), 1, "a report of its load is no direct contact");
+    assert_eq!(pool.n_ejected(), 1);
+    pool.report_load(&id(0), 0, start);
+    assert_eq!(pool.n_ejected(), 1, "a report of its load is no direct contact");
 
     let later = start + Duration::from_secs(2);
     let selection = pool.select(None, &[], later).expect("there are endpoints");
@@ -84,7 +84,7 @@
     let other = pool.select(None, &[], later).expect("there are endpoints");
     assert_ne!(other.id, id(0), "one probe at a time");
     pool.finished(&selection.id, answered(50), later);
-    assert_eq!(pool.n_left_out(), 0);
+    assert_eq!(pool.n_ejected(), 0);
 }
 
 /// An endpoint becomes slow, and each of its callers is rescued by a second attempt elsewhere. No
@@ -95,16 +95,16 @@
     let (mut pool, now) = (pool(4), Instant::now());
     for place in (0..4).cycle().take(80) {
         pool.started(&id(place), now);
-        pool.began(&id(place), Duration::from_millis(40), now);
+        pool.answer_started(&id(place), Duration::from_millis(40), now);
         pool.finished(&id(place), Outcome::Done, now);
     }
-    let waited = pool.slow_after(&id(0));
+    let waited = pool.first_byte_timeout(&id(0));
     for _ in 0..2 {
-        assert_eq!(pool.n_left_out(), 0);
+        assert_eq!(pool.n_ejected(), 0);
         pool.started(&id(0), now);
         pool.finished(&id(0), Outcome::Overtaken { waited }, now);
     }
-    assert_eq!(pool.n_left_out(), 1);
+    assert_eq!(pool.n_ejected(), 1);
 }
 
 /// An answer's end comes long after its first byte where the endpoint is slow.
@@ -117,9 +117,9 @@
     }
     for _ in 0..3 {
         pool.started(&id(0), now);
-        pool.began(&id(0), Duration::from_millis(400), now);
+        pool.answer_started(&id(0), Duration::from_millis(400), now);
     }
-    assert_eq!(pool.n_left_out(), 1);
+    assert_eq!(pool.n_ejected(), 1);
     assert_eq!(pool.in_flight(&id(0)), 3, "they still run");
 }
 
@@ -137,12 +137,12 @@
     assert_eq!(fill(&mut pool, now), 8);
     for _ in 0..8 {
         now += Duration::from_secs(1);
-        pool.hint(&id(0), 32, now);
+        pool.report_load(&id(0), 32, now);
         pool.finished(&id(0), answered(80), now);
     }
     assert_eq!(fill(&mut pool, now), 1, "the endpoint holds four times what it can run");
     for _ in 0..100 {
-        pool.hint(&id(0), 1, now);
+        pool.report_load(&id(0), 1, now);
     }
     assert_eq!(fill(&mut pool, now), 8, "it has room again");
 }
@@ -152,7 +152,7 @@
 #[test]
 fn load_reports_age() {
     let (mut pool, now) = (pool(2), Instant::now());
-    pool.hint(&id(0), 8, now);
+    pool.report_load(&id(0), 8, now);
     let n_busy = |pool: &mut Pool, now| {
         let selections = (0..100).map(|_| pool.select(None, &[], now).expect("there is room"));
         selections.filter(|it| it.id == id(0)).count()
@@ -189,14 +189,14 @@
         pool.started(&id(place), now);
         pool.finished(&id(place), Outcome::Failed, now);
     }
-    assert_eq!(pool.n_left_out(), 2);
+    assert_eq!(pool.n_ejected(), 2);
     pool.set_leaving(&id(2));
     pool.set_leaving(&id(3));
     for _ in 0..4 {
         let selection = pool.select(None, &[], now).expect("half of those that stay are open");
         pool.started(&selection.id, now);
     }
-    assert_eq!(pool.n_left_out(), 1);
+    assert_eq!(pool.n_ejected(), 1);
 }
 
 #[test]
@@ -242,12 +242,12 @@
 #[test]
 fn the_limit_for_the_first_byte_follows_the_endpoint() {
     let (mut pool, now) = (pool(1), Instant::now());
-    assert_eq!(pool.slow_after(&id(0)), Duration::from_secs(2));
+    assert_eq!(pool.first_byte_timeout(&id(0)), Duration::from_secs(2));
     for _ in 0..40 {
         pool.started(&id(0), now);
         pool.finished(&id(0), answered(100), now);
     }
-    let limit = pool.slow_after(&id(0));
+    let limit = pool.first_byte_timeout(&id(0));
     let (least, most) = (Duration::from_millis(200), Duration::from_millis(400));
     assert!((least..most).contains(&limit), "{limit:?}");
 }
@@ -278,7 +278,7 @@
                 };
                 pool.finished(&selection.id, outcome, now);
             }
-            prop_assert!(pool.n_left_out() * 2 <= n);
+            prop_assert!(pool.n_ejected() * 2 <= n);
         }
     }
 }
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/gate.rs
@@ -223,7 +223,7 @@
 
     /// How long the first byte of an answer from `id` may take before another try is made.
     pub fn slow_after(&self, id: &endpoint::Id) -> Duration {
-        self.inner.lock().pool.slow_after(id)
+        self.inner.lock().pool.first_byte_timeout(id)
     }
 
     fn try_enter(self: &Arc<Self>, entry: Entry<'_>, now: Instant) -> Result<Lease, Unavailable> {
@@ -322,7 +322,7 @@
 
     /// Notes what the endpoint said of its load.
     pub fn hint(&self, load: u64) {
-        self.gate.inner.lock().pool.hint(&self.endpoint, load, self.gate.clock.now());
+        self.gate.inner.lock().pool.report_load(&self.endpoint, load, self.gate.clock.now());
     }
 
     /// Notes that the first byte of the answer came, and says after how long.
@@ -331,7 +331,7 @@
         let first_byte = now.saturating_duration_since(self.started);
         if self.stage == Stage::Waiting {
             self.stage = Stage::Begun;
-            self.gate.inner.lock().pool.began(&self.endpoint, first_byte, now);
+            self.gate.inner.lock().pool.answer_started(&self.endpoint, first_byte, now);
         }
         first_byte
     }
