--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -116,7 +116,7 @@
         slots: 16,
     };
     let mut pool = Pool::new("domain-0".into(), 1);
-    pool.set((0..n_members).map(member));
+    pool.set_members((0..n_members).map(member));
     let mut stopwatch = Stopwatch::start();
     for _ in 0..N_PICKS {
         let _picked = black_box(pool.select(black_box(Some(AFFINITY)), &[], now));
--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -89,7 +89,7 @@
         slots: 16,
     };
     let members: Vec<Member> = (0..n).map(member).collect();
-    pool.set(members.iter().cloned());
+    pool.set_members(members.iter().cloned());
     for it in &members {
         for step in 0..20 {
             pool.started(&it.id, now);
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -161,7 +161,7 @@
 /// A way to pick endpoints.
 pub trait Balancer: std::fmt::Debug + Send {
     /// Sets the endpoints.
-    fn set(&mut self, members: Vec<Member>);
+    fn set_members(&mut self, members: Vec<Member>);
     /// Picks an endpoint.
     fn select(
         &mut self,
@@ -191,8 +191,8 @@
 }
 
 impl Balancer for Pool {
-    fn set(&mut self, members: Vec<Member>) {
-        self.set(members);
+    fn set_members(&mut self, members: Vec<Member>) {
+        self.set_members(members);
     }
 
     fn select(
--- a/crates/curranthook_policy/src/baseline/least_outstanding.rs
+++ b/crates/curranthook_policy/src/baseline/least_outstanding.rs
@@ -19,7 +19,7 @@
 }
 
 impl Balancer for LeastOutstanding {
-    fn set(&mut self, members: Vec<Member>) {
+    fn set_members(&mut self, members: Vec<Member>) {
         self.members = members;
     }
 
--- a/crates/curranthook_policy/src/baseline/round_robin.rs
+++ b/crates/curranthook_policy/src/baseline/round_robin.rs
@@ -16,7 +16,7 @@
 }
 
 impl Balancer for RoundRobin {
-    fn set(&mut self, members: Vec<Member>) {
+    fn set_members(&mut self, members: Vec<Member>) {
         self.members = members;
     }
 
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -22,7 +22,7 @@
 /// How many endpoints a node knows of a version at most. With ten thousand endpoints and many
 /// nodes, each node keeps its own part: load is learned from one's own answers, which would be
 /// too few for each of ten thousand.
-pub const SUBSET: usize = 64;
+pub const MAX_SUBSET: usize = 64;
 
 /// An endpoint keeps its prompts until its load is above the mean by this factor.
 const AFFINITY_FACTOR: f64 = 1.25;
@@ -116,9 +116,9 @@
         first_byte: Duration,
     },
     /// With an answer whose first byte was told before, by [`Pool::answer_started`].
-    Done,
+    Completed,
     /// It was given up before its first byte, which another attempt beside it gave sooner.
-    Overtaken {
+    HedgeLost {
         /// For how long it was waited for.
         waited: Duration,
     },
@@ -139,7 +139,7 @@
 /// # use curranthook_policy::endpoint::{Member, Outcome, Pool, Reason};
 /// let now = Instant::now();
 /// let mut pool = Pool::new("zone-a".into(), 1);
-/// pool.set([Member { id: "engine-1".into(), domain: "zone-a".into(), slots: 16 }]);
+/// pool.set_members([Member { id: "engine-1".into(), domain: "zone-a".into(), slots: 16 }]);
 /// let selection = pool.select(None, &[], now).unwrap();
 /// assert_eq!(selection.reason, Reason::OnlyOne);
 /// pool.started(&selection.id, now);
@@ -172,7 +172,7 @@
     }
 
     /// Sets the endpoints. What is known of those that stay is kept.
-    pub fn set(&mut self, members: impl IntoIterator<Item = Member>) {
+    pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>) {
         let mut known: HashMap<Id, Track> =
             self.tracks.drain(..).map(|it| (it.member.id.clone(), it)).collect();
         let chosen = subset(members, self.seed);
@@ -258,7 +258,7 @@
             return;
         };
         self.tracks[place].finish(outcome, now);
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Completed {
             // It was reviewed as it began.
             return;
         }
@@ -359,10 +359,10 @@
 /// the list moves only what has to move.
 fn subset(members: impl IntoIterator<Item = Member>, seed: u64) -> Vec<Member> {
     let mut members: Vec<Member> = members.into_iter().collect();
-    if SUBSET < members.len() {
+    if MAX_SUBSET < members.len() {
         let weight = |it: &Member| hash::pair(hash::bytes(it.id.as_str().as_bytes()), seed);
         members.sort_by_cached_key(|it| Reverse(weight(it)));
-        members.truncate(SUBSET);
+        members.truncate(MAX_SUBSET);
     }
     members.sort_by(|a, b| a.id.cmp(&b.id));
     members.dedup_by(|a, b| a.id == b.id);
--- a/crates/curranthook_policy/src/endpoint/track.rs
+++ b/crates/curranthook_policy/src/endpoint/track.rs
@@ -106,8 +106,8 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
             Outcome::Answered { first_byte } => self.begin(first_byte),
-            Outcome::Overtaken { waited } => self.overtaken.add(waited),
-            Outcome::Done => {}
+            Outcome::HedgeLost { waited } => self.overtaken.add(waited),
+            Outcome::Completed => {}
             Outcome::Failed | Outcome::Unreachable => self.n_failures += 1,
             // It holds as many as it can; others sent what we did not.
             Outcome::Refused => {
--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -4,7 +4,7 @@
 
 use curranthook_policy::{
     baseline,
-    endpoint::{Id, Member, Outcome, Pool, Reason, SUBSET, Unavailable},
+    endpoint::{Id, MAX_SUBSET, Member, Outcome, Pool, Reason, Unavailable},
     hash,
 };
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
 
 fn pool(n: usize) -> Pool {
     let mut pool = Pool::new("zone-a".into(), 7);
-    pool.set(members(n));
+    pool.set_members(members(n));
     pool
 }
 
@@ -96,13 +96,13 @@
     for place in (0..4).cycle().take(80) {
         pool.started(&id(place), now);
         pool.answer_started(&id(place), Duration::from_millis(40), now);
-        pool.finished(&id(place), Outcome::Done, now);
+        pool.finished(&id(place), Outcome::Completed, now);
     }
     let waited = pool.first_byte_timeout(&id(0));
     for _ in 0..2 {
         assert_eq!(pool.n_ejected(), 0);
         pool.started(&id(0), now);
-        pool.finished(&id(0), Outcome::Overtaken { waited }, now);
+        pool.finished(&id(0), Outcome::HedgeLost { waited }, now);
     }
     assert_eq!(pool.n_ejected(), 1);
 }
@@ -167,7 +167,7 @@
 fn a_leaving_endpoint_gets_nothing() {
     for name in baseline::BALANCERS {
         let mut balance = baseline::balancer(name, "zone-a".into(), 1).expect("a known name");
-        balance.set(members(3));
+        balance.set_members(members(3));
         balance.set_leaving(&id(1));
         let now = Instant::now();
         for _ in 0..100 {
@@ -222,20 +222,20 @@
     }
     assert_eq!(pool.select(None, &[], now), Err(Unavailable::AllBusy));
     assert_eq!(pool.select(None, &[id(0), id(1)], now), Err(Unavailable::AllExcluded));
-    pool.set([]);
+    pool.set_members([]);
     assert_eq!(pool.select(None, &[], now), Err(Unavailable::Empty));
 }
 
 #[test]
 fn a_node_keeps_a_part_of_many_endpoints() {
     let mut pool = pool(10_000);
-    assert_eq!(pool.len(), SUBSET);
+    assert_eq!(pool.len(), MAX_SUBSET);
     let now = Instant::now();
     let selection = pool.select(None, &[], now).expect("there are endpoints");
     pool.started(&selection.id, now);
     let busy = |pool: &Pool| (0..10_000).filter(|it| pool.in_flight(&id(*it)) == 1).count();
     assert_eq!(busy(&pool), 1);
-    pool.set(members(9_999));
+    pool.set_members(members(9_999));
     assert_eq!(busy(&pool), 1, "what is known of those that stay is kept");
 }
 
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/gate.rs
@@ -154,7 +154,7 @@
         let mut inner = self.inner.lock();
         inner.queue.set_capacity(capacity);
         inner.addresses = members.iter().map(|(it, addr)| (it.id.clone(), *addr)).collect();
-        inner.pool.set(members.into_iter().map(|(it, _)| it).collect());
+        inner.pool.set_members(members.into_iter().map(|(it, _)| it).collect());
     }
 
     fn set_leaving(&self, leaving: &HashSet<SocketAddr>) {
@@ -339,7 +339,7 @@
     /// Gives the endpoint back.
     pub fn finish(mut self, outcome: Outcome) {
         let outcome = match (self.stage, outcome) {
-            (Stage::Begun, Outcome::Answered { .. }) => Outcome::Done,
+            (Stage::Begun, Outcome::Answered { .. }) => Outcome::Completed,
             (_, outcome) => outcome,
         };
         self.stage = Stage::Done;
@@ -353,7 +353,7 @@
     fn given_up(&self) -> Outcome {
         let waited = self.gate.clock.now().saturating_duration_since(self.started);
         if self.stage == Stage::Waiting && self.slow_after() <= waited {
-            Outcome::Overtaken { waited }
+            Outcome::HedgeLost { waited }
         } else {
             Outcome::Cancelled
         }
