--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -1,7 +1,7 @@
 //! The cost of deciding on one request: which version, and which of 64 endpoints.
 
 use std::{
-    report_load::black_box,
+    hint::black_box,
     time::{Duration, Instant},
 };
 
