--- a/crates/curranthook_policy/src/limit.rs
+++ b/crates/curranthook_policy/src/limit.rs
@@ -39,13 +39,13 @@
     pub fn new(limit: &Limit, nodes: usize, now: Instant) -> Self {
         let mut bucket =
             Self { rate: 0.0, burst: 0.0, share: 0.0, tokens: 0.0, at: now, demand: 0.0 };
-        bucket.set_rate(limit, nodes);
+        bucket.set_limit(limit, nodes);
         bucket.tokens = bucket.capacity();
         bucket
     }
 
     /// Takes over a limit or a number of nodes that changed; the share is even again.
-    pub fn set_rate(&mut self, limit: &Limit, nodes: usize) {
+    pub fn set_limit(&mut self, limit: &Limit, nodes: usize) {
         self.rate = limit.requests.max(0.0);
         self.burst = limit.burst.max(0.0);
         self.share = 1.0 / nodes.max(1) as f64;
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -110,7 +110,7 @@
         let bucket = buckets
             .entry(account.clone())
             .or_insert_with(|| Bucket::new(&settings.limit, nodes, now));
-        bucket.set_rate(&settings.limit, nodes);
+        bucket.set_limit(&settings.limit, nodes);
         bucket.set_share(share, 1.0, nodes);
         bucket.take(now).map_err(|after| {
             let message = "the account is over its limit of requests";
