--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -366,7 +366,7 @@
         let took = self.gateway.now().saturating_duration_since(self.ask.since);
         if outcome == WHOLE {
             // Endpoints that ended while they ran it had another reason, then.
-            self.gateway.poison.lock().release(self.ask.fingerprint);
+            self.gateway.poison.lock().clear(self.ask.fingerprint);
         }
         self.gateway.metrics.ended(outcome, took);
         self.gateway.log.write(&Event::Ended {
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -104,7 +104,7 @@
             return;
         }
         let now = self.gateway.now();
-        self.gateway.poison.lock().charge(self.ask.fingerprint, endpoint, now);
+        self.gateway.poison.lock().record_crash(self.ask.fingerprint, endpoint, now);
         self.gateway.log.write(&Event::PoisonCharged {
             request: &self.ask.head.id,
             endpoint: endpoint.as_str(),
--- a/crates/curranthook_peers/src/poison.rs
+++ b/crates/curranthook_peers/src/poison.rs
@@ -43,13 +43,13 @@
 
     /// Charges a fingerprint with an endpoint that died under it.
     pub fn charge(&self, fingerprint: Fingerprint, endpoint: &endpoint::Id) {
-        self.register.lock().charge(fingerprint, endpoint, self.clock.now());
+        self.register.lock().record_crash(fingerprint, endpoint, self.clock.now());
     }
 
     /// Takes a fingerprint's charges back: an endpoint answered the request, so those that died
     /// had another cause, such as a restart.
     pub fn release(&self, fingerprint: &Fingerprint) {
-        self.register.lock().release(*fingerprint);
+        self.register.lock().clear(*fingerprint);
     }
 
     /// Whether enough endpoints died under it.
--- a/crates/curranthook_policy/src/poison.rs
+++ b/crates/curranthook_policy/src/poison.rs
@@ -46,10 +46,10 @@
 /// # use curranthook_policy::poison::Register;
 /// let (now, body) = (Instant::now(), [7; 16]);
 /// let mut register = Register::new(1_000);
-/// register.charge(body, &"engine-1".into(), now);
-/// register.charge(body, &"engine-1".into(), now);
+/// register.record_crash(body, &"engine-1".into(), now);
+/// register.record_crash(body, &"engine-1".into(), now);
 /// assert!(!register.is_poison(body, now));
-/// register.charge(body, &"engine-2".into(), now);
+/// register.record_crash(body, &"engine-2".into(), now);
 /// assert!(register.is_poison(body, now));
 /// ```
 #[derive(Debug)]
@@ -73,7 +73,12 @@
     }
 
     /// An endpoint died under this request.
-    pub fn charge(&mut self, fingerprint: Fingerprint, endpoint: &endpoint::Id, now: Instant) {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        endpoint: &endpoint::Id,
+        now: Instant,
+    ) {
         self.expire(now);
         let endpoints = BTreeSet::from([endpoint.clone()]);
         self.join(fingerprint, Charge { endpoints, state: State::Charged, since: now });
@@ -89,7 +94,7 @@
     }
 
     /// An endpoint answered this request.
-    pub fn release(&mut self, fingerprint: Fingerprint) {
+    pub fn clear(&mut self, fingerprint: Fingerprint) {
         if let Some(it) = self.charges.get_mut(&fingerprint) {
             it.state = State::Released;
         }
--- a/crates/curranthook_policy/tests/overload.rs
+++ b/crates/curranthook_policy/tests/overload.rs
@@ -154,13 +154,13 @@
 fn a_poison_request_stops_everywhere() {
     let (now, body) = (Instant::now(), [1; 16]);
     let (mut here, mut there) = (Register::new(10), Register::new(10));
-    here.charge(body, &"engine-1".into(), now);
-    there.charge(body, &"engine-2".into(), now);
+    here.record_crash(body, &"engine-1".into(), now);
+    there.record_crash(body, &"engine-2".into(), now);
     assert!(!here.is_poison(body, now) && !there.is_poison(body, now));
     there.merge(here.export(now), now);
     assert!(there.is_poison(body, now), "two endpoints, as seen by two nodes");
     assert!(!there.is_poison(body, now + Duration::from_secs(3_600)), "it expires");
-    there.release(body);
+    there.clear(body);
     there.merge(here.export(now), now);
     assert!(!there.is_poison(body, now), "an endpoint answered it");
 }
@@ -171,8 +171,8 @@
     const ON_THE_WAY: Duration = Duration::from_secs(30);
     let (start, body) = (Instant::now(), [1; 16]);
     let (mut here, mut there) = (Register::new(10), Register::new(10));
-    here.charge(body, &"engine-1".into(), start);
-    here.charge(body, &"engine-2".into(), start);
+    here.record_crash(body, &"engine-1".into(), start);
+    here.record_crash(body, &"engine-2".into(), start);
     for minute in 0..90 {
         let now = start + Duration::from_secs(60) * minute;
         there.merge(here.export(now), now + ON_THE_WAY);
@@ -253,9 +253,9 @@
         let now = Instant::now();
         let parts: Vec<Register> = charges.iter().map(|(body, endpoint, is_released)| {
             let mut register = Register::new(100);
-            register.charge([*body; 16], &format!("engine-{endpoint}").as_str().into(), now);
+            register.record_crash([*body; 16], &format!("engine-{endpoint}").as_str().into(), now);
             if *is_released {
-                register.release([*body; 16]);
+                register.clear([*body; 16]);
             }
             register
         }).collect();
