--- a/crates/curranthook_policy/src/poison.rs
+++ b/crates/curranthook_policy/src/poison.rs
@@ -12,9 +12,9 @@
 pub type Fingerprint = [u8; 16];
 
 /// How many different endpoints must have died under a request.
-const ENDPOINTS: usize = 2;
+const MIN_CRASHED_ENDPOINTS: usize = 2;
 /// How long a charge stands.
-const EXPIRY: Duration = Duration::from_secs(600);
+const RECORD_TTL: Duration = Duration::from_secs(600);
 
 /// What a node knows of one request, for other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,9 +34,11 @@
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// It does.
-    Charged,
+    #[serde(rename = "charged")]
+    Active,
     /// An endpoint answered the request, so the deaths had another cause.
-    Released,
+    #[serde(rename = "released")]
+    Cleared,
 }
 
 /// Charges against requests, by fingerprint. The oldest are dropped when there are too many.
@@ -55,12 +57,12 @@
 #[derive(Debug)]
 pub struct Register {
     capacity: usize,
-    charges: BTreeMap<Fingerprint, Charge>,
+    records: BTreeMap<Fingerprint, Record>,
     by_age: BTreeSet<(Instant, Fingerprint)>,
 }
 
 #[derive(Debug)]
-struct Charge {
+struct Record {
     endpoints: BTreeSet<endpoint::Id>,
     state: State,
     since: Instant,
@@ -69,7 +71,7 @@
 impl Register {
     /// A register of at most `capacity` requests.
     pub fn new(capacity: usize) -> Self {
-        Self { capacity, charges: BTreeMap::new(), by_age: BTreeSet::new() }
+        Self { capacity, records: BTreeMap::new(), by_age: BTreeSet::new() }
     }
 
     /// An endpoint died under this request.
@@ -81,74 +83,74 @@
     ) {
         self.expire(now);
         let endpoints = BTreeSet::from([endpoint.clone()]);
-        self.join(fingerprint, Charge { endpoints, state: State::Charged, since: now });
+        self.merge_record(fingerprint, Record { endpoints, state: State::Active, since: now });
     }
 
     /// Whether this request must not be run any more.
     pub fn is_poison(&self, fingerprint: Fingerprint, now: Instant) -> bool {
-        self.charges.get(&fingerprint).is_some_and(|it| {
-            it.state == State::Charged
-                && ENDPOINTS <= it.endpoints.len()
-                && now.saturating_duration_since(it.since) < EXPIRY
+        self.records.get(&fingerprint).is_some_and(|it| {
+            it.state == State::Active
+                && MIN_CRASHED_ENDPOINTS <= it.endpoints.len()
+                && now.saturating_duration_since(it.since) < RECORD_TTL
         })
     }
 
     /// An endpoint answered this request.
     pub fn clear(&mut self, fingerprint: Fingerprint) {
-        if let Some(it) = self.charges.get_mut(&fingerprint) {
-            it.state = State::Released;
+        if let Some(it) = self.records.get_mut(&fingerprint) {
+            it.state = State::Cleared;
         }
     }
 
     /// Everything known, for other nodes.
     pub fn export(&self, now: Instant) -> Vec<Entry> {
-        let entries = self.charges.iter().map(|(fingerprint, it)| Entry {
+        let entries = self.records.iter().map(|(fingerprint, it)| Entry {
             fingerprint: *fingerprint,
             endpoints: it.endpoints.clone(),
             state: it.state,
             age: now.saturating_duration_since(it.since),
         });
-        entries.filter(|it| it.age < EXPIRY).collect()
+        entries.filter(|it| it.age < RECORD_TTL).collect()
     }
 
     /// Takes in what another node knows. Order and repeats don't matter.
     pub fn merge(&mut self, entries: impl IntoIterator<Item = Entry>, now: Instant) {
         self.expire(now);
-        for it in entries.into_iter().filter(|it| it.age < EXPIRY) {
+        for it in entries.into_iter().filter(|it| it.age < RECORD_TTL) {
             let since = now.checked_sub(it.age).unwrap_or(now);
-            let charge = Charge { endpoints: it.endpoints, state: it.state, since };
-            self.join(it.fingerprint, charge);
+            let record = Record { endpoints: it.endpoints, state: it.state, since };
+            self.merge_record(it.fingerprint, record);
         }
     }
 
-    fn join(&mut self, fingerprint: Fingerprint, charge: Charge) {
-        let known = self.charges.remove(&fingerprint);
-        if let Some(known) = &known {
-            self.by_age.remove(&(known.since, fingerprint));
+    fn merge_record(&mut self, fingerprint: Fingerprint, record: Record) {
+        let existing = self.records.remove(&fingerprint);
+        if let Some(existing) = &existing {
+            self.by_age.remove(&(existing.since, fingerprint));
         }
-        let mut joined = match known {
-            None => charge,
-            Some(known) => Charge {
-                endpoints: known.endpoints.into_iter().chain(charge.endpoints).collect(),
-                state: known.state.max(charge.state),
+        let mut merged = match existing {
+            None => record,
+            Some(existing) => Record {
+                endpoints: existing.endpoints.into_iter().chain(record.endpoints).collect(),
+                state: existing.state.max(record.state),
                 // The earlier time: with the later one, nodes that send an entry to and fro
                 // would keep it young for ever by the time it spends on the way.
-                since: known.since.min(charge.since),
+                since: existing.since.min(record.since),
             },
         };
-        while ENDPOINTS < joined.endpoints.len() {
-            joined.endpoints.pop_last();
+        while MIN_CRASHED_ENDPOINTS < merged.endpoints.len() {
+            merged.endpoints.pop_last();
         }
-        self.by_age.insert((joined.since, fingerprint));
-        self.charges.insert(fingerprint, joined);
-        while self.capacity < self.charges.len() {
+        self.by_age.insert((merged.since, fingerprint));
+        self.records.insert(fingerprint, merged);
+        while self.capacity < self.records.len() {
             self.drop_oldest();
         }
     }
 
     fn expire(&mut self, now: Instant) {
         while let Some((since, _)) = self.by_age.first()
-            && EXPIRY <= now.saturating_duration_since(*since)
+            && RECORD_TTL <= now.saturating_duration_since(*since)
         {
             self.drop_oldest();
         }
@@ -156,7 +158,7 @@
 
     fn drop_oldest(&mut self) {
         if let Some((_, fingerprint)) = self.by_age.pop_first() {
-            self.charges.remove(&fingerprint);
+            self.records.remove(&fingerprint);
         }
     }
 }
