--- a/crates/curranthook_policy/src/queue.rs
+++ b/crates/curranthook_policy/src/queue.rs
@@ -159,7 +159,7 @@
 
     /// An endpoint became free. The times between these calls, while requests wait, give the
     /// rate of service.
-    pub fn served(&mut self, now: Instant) {
+    pub fn record_service(&mut self, now: Instant) {
         self.service.add(now);
         if self.waiting.is_empty() {
             self.service.pause();
@@ -167,7 +167,7 @@
     }
 
     /// How long a request of a new account would wait.
-    pub fn wait(&self, now: Instant) -> Duration {
+    pub fn expected_wait(&self, now: Instant) -> Duration {
         let ahead = self.ahead(self.virtual_time.saturating_add(UNIT as u64));
         self.service.interval(now).saturating_mul(ahead)
     }
--- a/crates/curranthook_policy/tests/overload.rs
+++ b/crates/curranthook_policy/tests/overload.rs
@@ -46,7 +46,7 @@
         } {
             n_late += 1;
         }
-        queue.served(now);
+        queue.record_service(now);
     }
     assert!(4_900 <= served.values().sum::<u32>(), "endpoints stay busy: {served:?}");
     assert!(980 <= served[&small], "small account gets what it asks for: {served:?}");
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/gate.rs
@@ -254,7 +254,7 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         inner.pool.finished(endpoint, outcome, now);
-        inner.queue.served(now);
+        inner.queue.record_service(now);
         // The endpoint may have less room than before. Whoever were woken then would lose its
         // place in the queue for nothing.
         if inner.pool.select(None, &[], now).is_err() {
