--- a/crates/curranthook_policy/src/retry.rs
+++ b/crates/curranthook_policy/src/retry.rs
@@ -5,7 +5,7 @@
 use curranthook_types::retry::Reason;
 
 /// No request is tried more often than this.
-pub const MAX_TRIES: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Retries that a node may make. Each success earns a fraction of one. When endpoints fail for
 /// everyone, successes stop and so do retries; without that, retries would multiply the load
@@ -28,7 +28,7 @@
 
 /// The budget is spent; the reason is the one that was asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spent(pub Reason);
+pub struct Exhausted(pub Reason);
 
 impl Budget {
     /// The most that can be saved up.
@@ -53,7 +53,7 @@
 
     /// Takes one retry. Some cost nothing: an escalation is part of its plan, and an endpoint that
     /// is gone or going has done no work that would be done again.
-    pub fn spend(&mut self, reason: Reason, now: Instant) -> Result<(), Spent> {
+    pub fn spend(&mut self, reason: Reason, now: Instant) -> Result<(), Exhausted> {
         let since = now.saturating_duration_since(self.at);
         self.at = self.at.max(now);
         self.earn(since.as_secs_f64() * Self::FLOOR_PER_SECOND);
@@ -61,7 +61,7 @@
             return Ok(());
         }
         if self.tokens < 1.0 {
-            return Err(Spent(reason));
+            return Err(Exhausted(reason));
         }
         self.tokens -= 1.0;
         Ok(())
@@ -94,11 +94,11 @@
 
 /// What the caller has seen of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shown {
+pub enum Delivered {
     /// Nothing.
     Nothing,
     /// A part of a stream.
-    Part,
+    Partial,
 }
 
 /// A failed attempt.
@@ -109,9 +109,9 @@
     /// What the endpoint can have seen.
     pub sent: Sent,
     /// What the caller has seen.
-    pub shown: Shown,
+    pub delivered: Delivered,
     /// How often it was tried, this time included.
-    pub tries: u32,
+    pub attempts: u32,
     /// How long the caller will still wait.
     pub time_left: Duration,
 }
@@ -139,7 +139,7 @@
     /// It may have run and may not run twice.
     MayHaveRun,
     /// It was tried often enough.
-    Tries,
+    Attempts,
     /// The deadline is too near.
     Deadline,
 }
@@ -154,7 +154,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::MayHaveRun => "may_have_run",
-            Self::Tries => "tries",
+            Self::Attempts => "tries",
             Self::Deadline => "deadline",
         }
     }
@@ -164,32 +164,32 @@
 ///
 /// ```
 /// # use std::time::Duration;
-/// # use curranthook_policy::retry::{Attempt, Decision, Repeat, Sent, Shown, Stop, may};
+/// # use curranthook_policy::retry::{Attempt, Decision, Repeat, Sent, Delivered, Stop, decide};
 /// let attempt = Attempt {
 ///     repeat: Repeat::AtMostOnce,
 ///     sent: Sent::MayHaveRun,
-///     shown: Shown::Nothing,
-///     tries: 1,
+///     delivered: Delivered::Nothing,
+///     attempts: 1,
 ///     time_left: Duration::from_secs(5),
 /// };
-/// assert_eq!(may(&attempt), Decision::Stop(Stop::MayHaveRun));
-/// assert_eq!(may(&Attempt { sent: Sent::Unsent, ..attempt }), Decision::Retry);
+/// assert_eq!(decide(&attempt), Decision::Stop(Stop::MayHaveRun));
+/// assert_eq!(decide(&Attempt { sent: Sent::Unsent, ..attempt }), Decision::Retry);
 /// ```
-pub fn may(attempt: &Attempt) -> Decision {
+pub fn decide(attempt: &Attempt) -> Decision {
     const LEAST_TIME: Duration = Duration::from_millis(10);
 
     if attempt.sent == Sent::MayHaveRun && attempt.repeat == Repeat::AtMostOnce {
         return Decision::Stop(Stop::MayHaveRun);
     }
-    if MAX_TRIES <= attempt.tries {
-        return Decision::Stop(Stop::Tries);
+    if MAX_ATTEMPTS <= attempt.attempts {
+        return Decision::Stop(Stop::Attempts);
     }
     if attempt.time_left < LEAST_TIME {
         return Decision::Stop(Stop::Deadline);
     }
-    match attempt.shown {
-        Shown::Nothing => Decision::Retry,
+    match attempt.delivered {
+        Delivered::Nothing => Decision::Retry,
         // The caller holds a part of this answer. A new one would differ from it.
-        Shown::Part => Decision::Resume,
+        Delivered::Partial => Decision::Resume,
     }
 }
--- a/crates/curranthook_policy/tests/overload.rs
+++ b/crates/curranthook_policy/tests/overload.rs
@@ -9,7 +9,7 @@
     limit::Bucket,
     poison::Register,
     queue::{Fair, Next},
-    retry::{Attempt, Budget, Decision, Repeat, Sent, Shown, Stop, may},
+    retry::{Attempt, Budget, Decision, Delivered, Repeat, Sent, Stop, decide},
 };
 use curranthook_settings::config::Limit;
 use curranthook_types::{account, retry};
@@ -114,19 +114,19 @@
 }
 
 #[yare::parameterized(
-    unsent = { Repeat::AtMostOnce, Sent::Unsent, Shown::Nothing, 1, Decision::Retry },
-    not_started = { Repeat::AtMostOnce, Sent::NotStarted, Shown::Nothing, 1, Decision::Retry },
-    may_have_run = { Repeat::AtMostOnce, Sent::MayHaveRun, Shown::Nothing, 1, Decision::Stop(Stop::MayHaveRun) },
-    idempotent = { Repeat::Idempotent, Sent::MayHaveRun, Shown::Nothing, 1, Decision::Retry },
-    shown = { Repeat::Idempotent, Sent::MayHaveRun, Shown::Part, 1, Decision::Resume },
-    too_often = { Repeat::Idempotent, Sent::Unsent, Shown::Nothing, 3, Decision::Stop(Stop::Tries) },
+    unsent = { Repeat::AtMostOnce, Sent::Unsent, Delivered::Nothing, 1, Decision::Retry },
+    not_started = { Repeat::AtMostOnce, Sent::NotStarted, Delivered::Nothing, 1, Decision::Retry },
+    may_have_run = { Repeat::AtMostOnce, Sent::MayHaveRun, Delivered::Nothing, 1, Decision::Stop(Stop::MayHaveRun) },
+    idempotent = { Repeat::Idempotent, Sent::MayHaveRun, Delivered::Nothing, 1, Decision::Retry },
+    delivered = { Repeat::Idempotent, Sent::MayHaveRun, Delivered::Partial, 1, Decision::Resume },
+    too_often = { Repeat::Idempotent, Sent::Unsent, Delivered::Nothing, 3, Decision::Stop(Stop::Attempts) },
 )]
-fn attempts(repeat: Repeat, sent: Sent, shown: Shown, tries: u32, expected: Decision) {
-    let attempt = Attempt { repeat, sent, shown, tries, time_left: PATIENCE };
-    assert_eq!(may(&attempt), expected);
-    if expected != Decision::Stop(Stop::MayHaveRun) && tries < 3 {
+fn attempts(repeat: Repeat, sent: Sent, delivered: Delivered, attempts: u32, expected: Decision) {
+    let attempt = Attempt { repeat, sent, delivered, attempts, time_left: PATIENCE };
+    assert_eq!(decide(&attempt), expected);
+    if expected != Decision::Stop(Stop::MayHaveRun) && attempts < 3 {
         let late = Attempt { time_left: Duration::ZERO, ..attempt };
-        assert_eq!(may(&late), Decision::Stop(Stop::Deadline));
+        assert_eq!(decide(&late), Decision::Stop(Stop::Deadline));
     }
 }
 
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -7,7 +7,7 @@
     client::{Connection, Freshness},
     timeout,
 };
-use curranthook_policy::retry::{self, Decision, MAX_TRIES, Repeat, Sent, Shown, Stop};
+use curranthook_policy::retry::{self, Decision, Delivered, MAX_ATTEMPTS, Repeat, Sent, Stop};
 use curranthook_types::{
     Refusal, chat, endpoint, header,
     refusal::{Reason, Run},
@@ -121,11 +121,11 @@
         let attempt = retry::Attempt {
             repeat: Repeat::Idempotent,
             sent: if failed.begun == Begun::No { Sent::NotStarted } else { Sent::MayHaveRun },
-            shown: if shown == 0 { Shown::Nothing } else { Shown::Part },
-            tries: self.tries,
+            delivered: if shown == 0 { Delivered::Nothing } else { Delivered::Partial },
+            attempts: self.tries,
             time_left: self.time_left(),
         };
-        match retry::may(&attempt) {
+        match retry::decide(&attempt) {
             Decision::Stop(Stop::Deadline) => {
                 Err(self.refusal(Reason::Deadline, "the deadline passed"))
             }
@@ -167,7 +167,7 @@
         // after the wait for an endpoint.
         self.check(version)?;
         let mut lease = self.lease(version).await;
-        let may_go_round = self.run == Run::Unknown && self.tries < MAX_TRIES;
+        let may_go_round = self.run == Run::Unknown && self.tries < MAX_ATTEMPTS;
         if may_go_round && !self.exclude.is_empty() && is_no_endpoint(&lease) {
             // Each endpoint was tried. A connection that broke doesn't mean that its endpoint is
             // gone, and to ask there again is better than an answer that breaks off. Going round
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -8,7 +8,7 @@
 use curranthook_http::{Body, body, client::Freshness};
 use curranthook_policy::{
     endpoint::Outcome,
-    retry::{self, Decision, Repeat, Sent, Shown},
+    retry::{self, Decision, Delivered, Repeat, Sent},
 };
 use curranthook_types::{
     Refusal,
@@ -254,8 +254,8 @@
         let attempt = retry::Attempt {
             repeat,
             sent,
-            shown: Shown::Nothing,
-            tries: self.n_begun,
+            delivered: Delivered::Nothing,
+            attempts: self.n_begun,
             time_left: call.ask.time_left(router.clock.now()),
         };
         let refusal = |code, message: &str| {
@@ -264,7 +264,7 @@
         if router.node.poison().is_poison(&call.fingerprint()) {
             return refusal(Reason::Poison, POISON);
         }
-        if let Decision::Stop(_) = retry::may(&attempt) {
+        if let Decision::Stop(_) = retry::decide(&attempt) {
             return refusal(Reason::EndpointFailed, &failed.message);
         }
         let now = router.clock.now();
