--- a/crates/curranthook_policy/src/rollout.rs
+++ b/crates/curranthook_policy/src/rollout.rs
@@ -52,7 +52,7 @@
     /// Ratings of the new version that a stage must have seen.
     pub min_ratings: u64,
     /// How long a stage lasts at least.
-    pub min_time: Duration,
+    pub min_duration: Duration,
     /// How much lower the new version's mean rating may be.
     pub tolerance: f64,
 }
@@ -62,7 +62,7 @@
         Self {
             min_answers: 100,
             min_ratings: 30,
-            min_time: Duration::from_secs(60),
+            min_duration: Duration::from_secs(60),
             tolerance: 0.05,
         }
     }
@@ -120,16 +120,16 @@
         from: &Counts,
         to: &Counts,
         verdict: verdict::State,
-        in_stage: Duration,
+        stage_age: Duration,
     ) -> Decision {
         if let verdict::State::Suspect(reason) = verdict {
             return Decision::Abort(reason);
         }
-        self.hold(from, to, in_stage).map_or(Decision::Advance, Decision::Hold)
+        self.hold(from, to, stage_age).map_or(Decision::Advance, Decision::Hold)
     }
 
-    fn hold(&self, from: &Counts, to: &Counts, in_stage: Duration) -> Option<Hold> {
-        if in_stage < self.min_time {
+    fn hold(&self, from: &Counts, to: &Counts, stage_age: Duration) -> Option<Hold> {
+        if stage_age < self.min_duration {
             return Some(Hold::Time);
         }
         if to.calls < self.min_answers {
--- a/crates/curranthook_policy/tests/rollout.rs
+++ b/crates/curranthook_policy/tests/rollout.rs
@@ -35,9 +35,9 @@
     failing = { counts(50, 0.9, 100), State::Clear, HOUR, Decision::Hold(Hold::Errors) },
     bad = { counts(50, 0.9, 0), State::Suspect(Reason::Rating), HOUR, Decision::Abort(Reason::Rating) },
 )]
-fn gates(to: Counts, verdict: State, in_stage: Duration, expected: Decision) {
+fn gates(to: Counts, verdict: State, stage_age: Duration, expected: Decision) {
     let from = counts(1_000, 0.9, 0);
-    assert_eq!(Gate::default().decide(&from, &to, verdict, in_stage), expected);
+    assert_eq!(Gate::default().decide(&from, &to, verdict, stage_age), expected);
 }
 
 proptest! {
--- a/crates/curranthook_steward/src/bin/curranthook-steward.rs
+++ b/crates/curranthook_steward/src/bin/curranthook-steward.rs
@@ -39,7 +39,7 @@
     let options = serve::Options {
         router: arguments.router.unwrap_or(settings.peer_listen),
         gate: Gate {
-            min_time: Duration::from_millis(arguments.stage_ms),
+            min_duration: Duration::from_millis(arguments.stage_ms),
             min_answers: arguments.stage_answers,
             min_ratings: arguments.stage_ratings,
             ..Gate::default()
--- a/crates/curranthook_steward/src/rollout.rs
+++ b/crates/curranthook_steward/src/rollout.rs
@@ -48,8 +48,8 @@
             let key = (model.clone(), it.stage);
             let base = self.base.entry(key).or_insert((from, to));
             let (from, to) = (since(&from, &base.0), since(&to, &base.1));
-            let in_stage = Duration::from_millis(now_millis.saturating_sub(it.since_millis));
-            match gate.decide(&from, &to, verdict(&it.to), in_stage) {
+            let stage_age = Duration::from_millis(now_millis.saturating_sub(it.since_millis));
+            match gate.decide(&from, &to, verdict(&it.to), stage_age) {
                 Decision::Advance => steps.push((model.clone(), Step::Advance(it.stage))),
                 Decision::Abort(_) => steps.push((model.clone(), Step::Abort)),
                 Decision::Hold(_) => {}
