--- a/crates/curranthook_policy/src/verdict.rs
+++ b/crates/curranthook_policy/src/verdict.rs
@@ -169,7 +169,7 @@
     /// same origin changes nothing, so order and repeats don't matter.
     pub fn merge_counts(&mut self, origin: &Origin, counts: Counts) {
         let known = self.origins.get(origin).copied().unwrap_or_default();
-        if !known.is_before(&counts) {
+        if !known.is_older_than(&counts) {
             return;
         }
         self.origins.insert(origin.clone(), counts);
@@ -178,13 +178,13 @@
 
     /// Drops the entry of a node that is gone for good; what it counted stays in the total.
     /// Counts of it that arrive later would be counted twice.
-    pub fn forget(&mut self, origin: &Origin) {
+    pub fn remove_origin(&mut self, origin: &Origin) {
         self.origins.remove(origin);
     }
 
     /// Another node found the version bad. Nodes see the same answers at different times, so
     /// the first to be sure speaks for all.
-    pub fn suspect(&mut self, reason: Reason) {
+    pub fn set_suspect(&mut self, reason: Reason) {
         if self.state == State::Clear {
             self.state = State::Suspect(reason);
         }
@@ -208,7 +208,7 @@
     /// The share of answers to have rated: `base` as long as nothing is amiss, up to all of
     /// them for a version that is new or has just been rated low. With a tenth of answers
     /// rated, a bad version would give out ten for each bit of evidence.
-    pub fn sampling(&self, base: f64) -> f64 {
+    pub fn sampling_rate(&self, base: f64) -> f64 {
         let is_known = match self.reference {
             Reference::Own => Self::WARM_UP <= self.total.n,
             Reference::Other(_) => true,
@@ -244,7 +244,7 @@
         if let Some(rate) = past.error_rate().filter(|_| Self::WARM_UP <= past.calls) {
             self.errors.add(step.calls, step.errors as f64, rate + Self::ERROR_MARGIN);
         }
-        if let Some(length) = past.length().filter(|_| Self::WARM_UP <= past.calls) {
+        if let Some(length) = past.mean_length().filter(|_| Self::WARM_UP <= past.calls) {
             let n = step.answers();
             self.short.add(n, step.lengths, length - Self::LENGTH_MARGIN);
             self.long.add(n, step.lengths, length + Self::LENGTH_MARGIN);
--- a/crates/curranthook_policy/src/verdict/counts.rs
+++ b/crates/curranthook_policy/src/verdict/counts.rs
@@ -58,7 +58,7 @@
     }
 
     /// The mean answer length, on the scale of [`Self::lengths`].
-    pub fn length(&self) -> Option<f64> {
+    pub fn mean_length(&self) -> Option<f64> {
         let n = self.answers();
         (0 < n).then(|| self.lengths / n as f64)
     }
@@ -104,7 +104,7 @@
 
     /// Whether this is an older count than `other`, of the same origin. Both numbers only
     /// grow.
-    pub fn is_before(&self, other: &Self) -> bool {
+    pub fn is_older_than(&self, other: &Self) -> bool {
         (self.calls, self.n) < (other.calls, other.n)
     }
 }
--- a/crates/curranthook_policy/tests/fleet/mod.rs
+++ b/crates/curranthook_policy/tests/fleet/mod.rs
@@ -84,7 +84,7 @@
         let router = open[self.rng.random_range(0..open.len())];
         let share = match self.setup.sampling {
             Sampling::Fixed => self.setup.base,
-            Sampling::Adaptive => self.tests[router].sampling(self.setup.base),
+            Sampling::Adaptive => self.tests[router].sampling_rate(self.setup.base),
         };
         let sample = draw(&mut self.rng, quality, share);
         self.n_ratings += u64::from(sample.rating.is_some());
@@ -110,7 +110,7 @@
         }
         // The suspicion of one router travels with the digest and counts for all.
         if let Some(reason) = found {
-            self.tests.iter_mut().for_each(|it| it.suspect(reason));
+            self.tests.iter_mut().for_each(|it| it.set_suspect(reason));
         }
     }
 }
--- a/crates/curranthook_policy/tests/verdict.rs
+++ b/crates/curranthook_policy/tests/verdict.rs
@@ -73,11 +73,11 @@
 fn ratings_are_asked_for_when_they_are_bad() {
     let mut test = Test::new(Config::default(), long_past(0.9));
     let sample = |rating| Sample { rating: Some(rating), outcome: Outcome::Answered, tokens: 200 };
-    assert_eq!(test.sampling(0.1), 1.0, "a new version is rated always");
+    assert_eq!(test.sampling_rate(0.1), 1.0, "a new version is rated always");
     (0..60).for_each(|_| test.add(sample(1.0)));
-    assert!(test.sampling(0.1) < 0.2, "a good version is rated seldom");
+    assert!(test.sampling_rate(0.1) < 0.2, "a good version is rated seldom");
     test.add(sample(0.0));
-    assert!(0.9 < test.sampling(0.1), "one bad rating calls for more");
+    assert!(0.9 < test.sampling_rate(0.1), "one bad rating calls for more");
 }
 
 fn counts(n: u64) -> Counts {
--- a/crates/curranthook_router/src/watch.rs
+++ b/crates/curranthook_router/src/watch.rs
@@ -38,7 +38,7 @@
             }
             urgency = urgency.max(test.urgency());
             // The policy's own samples come on top, so only what goes beyond them counts here.
-            router.sampling.lock().insert(id.clone(), test.sampling(0.0));
+            router.sampling.lock().insert(id.clone(), test.sampling_rate(0.0));
             if let State::Suspect(reason) = test.state()
                 && !router.node.suspects().contains(id)
                 && !snapshot.document.withdrawn.contains(id)
