--- a/crates/curranthook_policy/src/baseline/least_outstanding.rs
+++ b/crates/curranthook_policy/src/baseline/least_outstanding.rs
@@ -6,8 +6,8 @@
 };
 
 use crate::{
-    baseline::Balance,
-    endpoint::{Id, Member, Miss, Outcome, Pick, Reason},
+    baseline::Balancer,
+    endpoint::{Id, Member, Outcome, Reason, Selection, Unavailable},
 };
 
 /// Picks the endpoint with the fewest requests in flight from this node.
@@ -18,20 +18,25 @@
     leaving: BTreeSet<Id>,
 }
 
-impl Balance for LeastOutstanding {
-    fn set(&mut self, members: Vec<Member>) {
+impl Balancer for LeastOutstanding {
+    fn set_members(&mut self, members: Vec<Member>) {
         self.members = members;
     }
 
-    fn pick(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Pick, Miss> {
+    fn select(
+        &mut self,
+        _: Option<u64>,
+        exclude: &[Id],
+        _: Instant,
+    ) -> Result<Selection, Unavailable> {
         if self.members.is_empty() {
-            return Err(Miss::Empty);
+            return Err(Unavailable::Empty);
         }
         let open = self.members.iter().map(|it| &it.id);
         let open = open.filter(|id| !exclude.contains(id) && !self.leaving.contains(*id));
         let least = open.min_by_key(|id| self.in_flight.get(*id).copied().unwrap_or(0));
-        let id = least.ok_or(Miss::AllExcluded)?;
-        Ok(Pick { id: id.clone(), reason: Reason::Fixed })
+        let id = least.ok_or(Unavailable::AllExcluded)?;
+        Ok(Selection { id: id.clone(), reason: Reason::Fixed })
     }
 
     fn started(&mut self, id: &Id, _: Instant) {
--- a/crates/curranthook_policy/src/baseline/round_robin.rs
+++ b/crates/curranthook_policy/src/baseline/round_robin.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, time::Instant};
 
 use crate::{
-    baseline::Balance,
-    endpoint::{Id, Member, Miss, Outcome, Pick, Reason},
+    baseline::Balancer,
+    endpoint::{Id, Member, Outcome, Reason, Selection, Unavailable},
 };
 
 /// Picks endpoints in turn, whatever their load.
@@ -15,23 +15,28 @@
     next: usize,
 }
 
-impl Balance for RoundRobin {
-    fn set(&mut self, members: Vec<Member>) {
+impl Balancer for RoundRobin {
+    fn set_members(&mut self, members: Vec<Member>) {
         self.members = members;
     }
 
-    fn pick(&mut self, _: Option<u64>, exclude: &[Id], _: Instant) -> Result<Pick, Miss> {
+    fn select(
+        &mut self,
+        _: Option<u64>,
+        exclude: &[Id],
+        _: Instant,
+    ) -> Result<Selection, Unavailable> {
         if self.members.is_empty() {
-            return Err(Miss::Empty);
+            return Err(Unavailable::Empty);
         }
         for _ in 0..self.members.len() {
             let id = &self.members[self.next % self.members.len()].id;
             self.next = self.next.wrapping_add(1);
             if !exclude.contains(id) && !self.leaving.contains(id) {
-                return Ok(Pick { id: id.clone(), reason: Reason::Fixed });
+                return Ok(Selection { id: id.clone(), reason: Reason::Fixed });
             }
         }
-        Err(Miss::AllExcluded)
+        Err(Unavailable::AllExcluded)
     }
 
     fn started(&mut self, _: &Id, _: Instant) {}
--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -5,7 +5,7 @@
 
 use curranthook_settings::config::Weigh;
 
-use crate::choice::{Ask, Chooser, Delivery, Rater, Scope, estimate::Estimate, option::Scored};
+use crate::choice::{Chooser, Delivery, Rater, Request, Scope, estimate::Estimate, option::Scored};
 
 /// The longest time that a stream's first byte may be held back for a cascade where latency is
 /// weighed most.
@@ -36,45 +36,52 @@
     /// independent.
     pub(super) fn cascade(
         &self,
-        ask: &Ask<'_>,
+        request: &Request<'_>,
         direct: &Scored,
         sure: Sure,
     ) -> Option<(Scored, Scored)> {
-        if ask.rater == Rater::Down {
+        if request.rater == Rater::Down {
             return None;
         }
-        let promised = ask.target.min(direct.belief.mean());
+        let promised = request.target_quality.min(direct.belief.mean());
         let pairs = self.scored.iter().flat_map(|first| {
             let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
-            dearer.map(|then| (*first, *then))
+            dearer.map(|second| (*first, *second))
         });
-        let good = pairs.filter_map(|(first, then)| {
-            let is_cheaper = first.cost_with(&then) < direct.cost;
-            let evidence = self.evidence(ask, &first, &then, promised);
+        let good = pairs.filter_map(|(first, second)| {
+            let is_cheaper = first.cost_with(&second) < direct.cost;
+            let evidence = self.evidence(request, &first, &second, promised);
             let is_proven = evidence == Evidence::Meets && (is_cheaper || sure == Sure::No);
-            let is_backed = is_cheaper && then.place == direct.place && evidence != Evidence::Fails;
-            let is_good = (is_proven || is_backed) && self.fits(ask, &first, &then);
-            is_good.then_some((is_proven || sure == Sure::Yes, first, then))
+            let is_backed =
+                is_cheaper && second.place == direct.place && evidence != Evidence::Fails;
+            let is_good = (is_proven || is_backed) && self.fits(request, &first, &second);
+            is_good.then_some((is_proven || sure == Sure::Yes, first, second))
         });
         // Meeting the target goes before cost.
         let order = |a: &(bool, Scored, Scored), b: &(bool, Scored, Scored)| {
             b.0.cmp(&a.0).then(a.1.cost_with(&a.2).total_cmp(&b.1.cost_with(&b.2)))
         };
-        good.min_by(order).map(|(_, first, then)| (first, then))
+        good.min_by(order).map(|(_, first, second)| (first, second))
     }
 
     /// What ratings of second answers say of two versions together, once there are enough:
     /// whether they meet the target, or fail even what the second was thought to do alone.
-    fn evidence(&self, ask: &Ask<'_>, first: &Scored, then: &Scored, promised: f64) -> Evidence {
-        let Some(seen) = self.seen(ask, first, then) else {
+    fn evidence(
+        &self,
+        request: &Request<'_>,
+        first: &Scored,
+        second: &Scored,
+        promised: f64,
+    ) -> Evidence {
+        let Some(seen) = self.seen(request, first, second) else {
             return Evidence::Open;
         };
         let z = self.confidence();
-        let belief = seen.belief(Some(first.nested(then)), self.now);
+        let belief = seen.belief(Some(first.nested(second)), self.now);
         let together = |one: f64, other: f64| one + (1.0 - one) * other;
         if belief.is_thin() {
             Evidence::Open
-        } else if ask.target <= together(first.belief.lower(z), belief.lower(z)) {
+        } else if request.target_quality <= together(first.belief.lower(z), belief.lower(z)) {
             Evidence::Meets
         } else if together(first.belief.upper(z), belief.upper(z)) < promised {
             Evidence::Fails
@@ -83,19 +90,25 @@
         }
     }
 
-    pub(super) fn seen(&self, ask: &Ask<'_>, first: &Scored, then: &Scored) -> Option<&Estimate> {
-        let after = self.seconds.of(ask.kind)?.get(ask.allowed[first.place].id)?;
-        after.get(ask.allowed[then.place].id)
+    pub(super) fn seen(
+        &self,
+        request: &Request<'_>,
+        first: &Scored,
+        second: &Scored,
+    ) -> Option<&Estimate> {
+        let after = self.seconds.of(request.kind)?.get(request.candidates[first.place].id)?;
+        after.get(request.candidates[second.place].id)
     }
 
     /// Whether a cascade may be used: not in a session, and only with time for both stages and
     /// for holding the first one back.
-    pub(super) fn fits(&self, ask: &Ask<'_>, first: &Scored, then: &Scored) -> bool {
+    pub(super) fn fits(&self, request: &Request<'_>, first: &Scored, second: &Scored) -> bool {
         let held = first.time + RATING_TIME;
-        if ask.scope == Scope::Session || ask.time_left < held + then.time {
+        if request.scope == Scope::Session || request.time_left < held + second.time {
             return false;
         }
-        let is_hurried = ask.delivery == Delivery::Stream && self.policy.weigh == Weigh::Latency;
+        let is_hurried =
+            request.delivery == Delivery::Stream && self.policy.weigh == Weigh::Latency;
         !is_hurried || held <= SMALL_DELAY
     }
 }
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use curranthook_policy::choice::{
-    Ask, Candidate, Chooser, Counts, Delivery, Rater, Reason, Sample, Scope,
+    Candidate, Chooser, Counts, Delivery, Rater, Reason, Request, Sample, Scope,
 };
 use curranthook_settings::config::{Policy, Weigh};
 use curranthook_types::{
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::market::{Difficulty, Setup, TARGET, ask, serve};
+use crate::market::{Difficulty, Setup, TARGET, request, serve};
 
 #[yare::parameterized(
     latency = { Weigh::Latency, Difficulty::Independent },
@@ -79,8 +79,8 @@
     let (kind, now) = (kind::Id::new("summary"), Instant::now());
     let id = version::Id::new("m@1");
     let mut chooser = Chooser::new(Policy::default(), 1);
-    (0..2_000).for_each(|_| chooser.learn(&kind, &id, 1.0, now));
-    (0..500).for_each(|_| chooser.learn(&kind, &id, 0.0, now));
+    (0..2_000).for_each(|_| chooser.record_rating(&kind, &id, 1.0, now));
+    (0..500).for_each(|_| chooser.record_rating(&kind, &id, 0.0, now));
     let quality = chooser.quality(&kind, &id).expect("it was rated");
     assert!(quality < 0.5, "{quality}");
 }
@@ -89,22 +89,22 @@
 fn hurried_streams_are_not_held_back() {
     let (kind, ids) = (kind::Id::new("summary"), ["m@1", "m@2"].map(version::Id::new));
     let rates = [10, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
-    let allowed = [
+    let candidates = [
         Candidate { id: &ids[0], rate: &rates[0], prior: Some(0.7) },
         Candidate { id: &ids[1], rate: &rates[1], prior: Some(0.99) },
     ];
     let policy = Policy { exploration: 0.0, ..Policy::default() };
-    let whole = ask(&kind, 0.7, &allowed);
-    let stream = Ask { delivery: Delivery::Stream, ..whole };
-    let n_cascades = |ask: &Ask<'_>| {
+    let whole = request(&kind, 0.7, &candidates);
+    let stream = Request { delivery: Delivery::Stream, ..whole };
+    let n_cascades = |request: &Request<'_>| {
         let mut chooser = Chooser::new(policy.clone(), 1);
-        let plans = (0..100).map(|_| chooser.plan(ask).expect("there are versions"));
-        plans.filter(|it| it.then.is_some()).count()
+        let plans = (0..100).map(|_| chooser.plan(request).expect("there are versions"));
+        plans.filter(|it| it.second.is_some()).count()
     };
     assert!(0 < n_cascades(&whole), "time is left for both stages");
     assert_eq!(n_cascades(&stream), 0);
     let mut careful = Chooser::new(Policy { weigh: Weigh::Exposure, ..policy }, 1);
-    (0..50).for_each(|_| careful.learn(&kind, &ids[1], 1.0, Instant::now()));
+    (0..50).for_each(|_| careful.record_rating(&kind, &ids[1], 1.0, Instant::now()));
     assert_eq!(careful.plan(&stream).map(|it| it.reason), Ok(Reason::Cascade));
 }
 
@@ -128,18 +128,18 @@
     let rates = [100, 120, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
     let claims = [0.95, 0.86, 0.97];
     let truth = [0.5, 0.86, 0.97];
-    let allowed =
+    let candidates =
         [0, 1, 2].map(|it| Candidate { id: &ids[it], rate: &rates[it], prior: Some(claims[it]) });
-    let ask = Ask { scope: Scope::Session, ..ask(&kind, TARGET, &allowed) };
+    let request = Request { scope: Scope::Session, ..request(&kind, TARGET, &candidates) };
     let mut chooser = Chooser::new(Policy { exploration: 0.0, ..Policy::default() }, seed);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (mut n_overclaimed, mut n_good) = (0, 0);
     for _ in 0..2_000 {
-        let plan = chooser.plan(&ask).expect("there are versions");
+        let plan = chooser.plan(&request).expect("there are versions");
         let place = ids.iter().position(|it| *it == plan.first).expect("an allowed version");
         let is_good = rng.random::<f64>() < truth[place];
         if plan.sample == Sample::Rate {
-            chooser.learn(&kind, &plan.first, f64::from(u8::from(is_good)), now);
+            chooser.record_rating(&kind, &plan.first, f64::from(u8::from(is_good)), now);
         }
         n_overclaimed += u32::from(plan.first == ids[0]);
         n_good += u32::from(is_good);
@@ -153,15 +153,15 @@
     let kind = kind::Id::new("summary");
     let ids = ["m@1", "m@2", "m@3"].map(version::Id::new);
     let rates = [10, 100, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
-    let allowed = [0, 1, 2].map(|it| Candidate {
+    let candidates = [0, 1, 2].map(|it| Candidate {
         id: &ids[it],
         rate: &rates[it],
         prior: Some([0.7, 0.9, 0.99][it]),
     });
-    let ask = Ask { scope: Scope::Session, ..ask(&kind, 0.85, &allowed) };
+    let request = Request { scope: Scope::Session, ..request(&kind, 0.85, &candidates) };
     let mut chooser = Chooser::new(Policy { weigh, ..Policy::default() }, 1);
     for _ in 0..1_000 {
-        assert_eq!(chooser.plan(&ask).expect("there are versions").then, None);
+        assert_eq!(chooser.plan(&request).expect("there are versions").second, None);
     }
 }
 
@@ -169,10 +169,10 @@
 fn refusals_have_a_reason() {
     let (kind, id, rate) = (kind::Id::new("k"), version::Id::new("m@1"), Rate::default());
     let mut chooser = Chooser::new(Policy::default(), 1);
-    let none = ask(&kind, 0.9, &[]);
+    let none = request(&kind, 0.9, &[]);
     assert_eq!(chooser.plan(&none), Err(refusal::Reason::NotAllowed));
-    let allowed = [Candidate { id: &id, rate: &rate, prior: None }];
-    let late = Ask { time_left: Duration::ZERO, ..ask(&kind, 0.9, &allowed) };
+    let candidates = [Candidate { id: &id, rate: &rate, prior: None }];
+    let late = Request { time_left: Duration::ZERO, ..request(&kind, 0.9, &candidates) };
     assert_eq!(chooser.plan(&late), Err(refusal::Reason::Deadline));
 }
 
@@ -205,25 +205,25 @@
         let mut seconds = [5; 6];
         for (version, rating) in rated {
             seconds[version] = version as u64;
-            chooser.learn(&kind, &ids[version], rating, now);
-            chooser.observe(&ids[version], Duration::from_millis(version as u64 * 1_000), 1_000);
+            chooser.record_rating(&kind, &ids[version], rating, now);
+            chooser.record_duration(&ids[version], Duration::from_millis(version as u64 * 1_000), 1_000);
         }
-        let ask = Ask {
+        let request = Request {
             time_left: Duration::from_millis(time_left),
             delivery: if is_hurried { Delivery::Stream } else { Delivery::Whole },
-            ..ask(&kind, target, &open)
+            ..request(&kind, target, &open)
         };
         let mut n_explored = 0.0;
         for _ in 0..100 {
-            let plan = chooser.plan(&ask).expect("there are versions");
+            let plan = chooser.plan(&request).expect("there are versions");
             let is_allowed = |id: &version::Id| open.iter().any(|it| it.id == id);
             prop_assert!(is_allowed(&plan.first));
-            prop_assert!(plan.then.as_ref().is_none_or(is_allowed));
-            prop_assert_ne!(Some(&plan.first), plan.then.as_ref());
-            if let Some(then) = &plan.then {
+            prop_assert!(plan.second.as_ref().is_none_or(is_allowed));
+            prop_assert_ne!(Some(&plan.first), plan.second.as_ref());
+            if let Some(second) = &plan.second {
                 let time = |id| seconds[ids.iter().position(|it| it == id).expect("known")];
-                let both = Duration::from_secs(time(&plan.first) + time(then));
-                prop_assert!(both <= ask.time_left, "{plan:?} needs {both:?}");
+                let both = Duration::from_secs(time(&plan.first) + time(second));
+                prop_assert!(both <= request.time_left, "{plan:?} needs {both:?}");
             }
             n_explored += f64::from(u8::from(plan.reason == Reason::Explore));
         }
--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -7,7 +7,7 @@
     client::{Connection, Freshness},
     timeout,
 };
-use curranthook_policy::retry::{self, Decision, MAX_TRIES, Repeat, Sent, Shown, Stop};
+use curranthook_policy::retry::{self, Decision, Delivered, MAX_ATTEMPTS, Repeat, Sent, Stop};
 use curranthook_types::{
     Refusal, chat, endpoint, header,
     refusal::{Reason, Run},
@@ -135,11 +135,11 @@
             } else {
                 Sent::MayHaveRun
             },
-            shown: if n_tokens_sent == 0 { Shown::Nothing } else { Shown::Part },
-            tries: self.n_attempts,
+            delivered: if n_tokens_sent == 0 { Delivered::Nothing } else { Delivered::Partial },
+            attempts: self.n_attempts,
             time_left: self.time_left(),
         };
-        match retry::may(&attempt) {
+        match retry::decide(&attempt) {
             Decision::Stop(Stop::Deadline) => {
                 Err(self.refusal(Reason::Deadline, "the deadline passed"))
             }
@@ -181,7 +181,7 @@
         // wait for an endpoint.
         self.check_allowed(version)?;
         let mut lease = self.lease_endpoint(version).await;
-        let may_retry_excluded = self.execution == Run::Unknown && self.n_attempts < MAX_TRIES;
+        let may_retry_excluded = self.execution == Run::Unknown && self.n_attempts < MAX_ATTEMPTS;
         if may_retry_excluded && !self.excluded.is_empty() && is_no_endpoint(&lease) {
             // Every endpoint was tried. A closed connection does not mean that the endpoint is
             // gone, and trying it again is better than an incomplete response. Starting over counts
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -56,7 +56,7 @@
         text: String::new(),
         _in_flight: in_flight,
     };
-    match plan.then {
+    match plan.second {
         Some(then) => handler.cascade(plan.first, then).await,
         None => handler.direct(plan.first).await,
     }
@@ -247,7 +247,11 @@
 
     fn record_latency(&self, version: &version::Id, usage: Usage) {
         let latency = self.router.clock.now().saturating_duration_since(self.started_at);
-        self.router.version_strategy.lock().observe(version, latency, usage.completion_tokens);
+        self.router.version_strategy.lock().record_duration(
+            version,
+            latency,
+            usage.completion_tokens,
+        );
     }
 
     async fn rate(&self, collected: &Collected) -> Option<f64> {
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -13,8 +13,8 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use curranthook_policy::{
-    baseline::{self, Balance},
-    endpoint::{Member, Miss, Outcome},
+    baseline::{self, Balancer},
+    endpoint::{Member, Outcome, Unavailable},
     queue::{Fair, Next},
 };
 use curranthook_types::{Clock, Refusal, domain, endpoint, refusal::Reason, version, vm};
@@ -54,7 +54,7 @@
 
 impl Dispatchers {
     /// Creates a router's dispatchers, none at first. `balance` names the strategy for selecting
-    /// endpoints, as [`baseline::balance`] knows it.
+    /// endpoints, as [`baseline::balancer`] knows it.
     pub fn new(
         clock: Arc<dyn Clock>,
         domain: domain::Id,
@@ -92,7 +92,7 @@
         for (target, members) in members {
             let dispatcher = dispatchers.entry(target).or_insert_with_key(|target| {
                 let seed = selection::stable_hash(&format!("{}/{target:?}", self.vm));
-                let pool = baseline::balance(self.balance, self.domain.clone(), seed)
+                let pool = baseline::balancer(self.balance, self.domain.clone(), seed)
                     .expect("the names of the policies are fixed");
                 Arc::new(Dispatcher::new(Arc::clone(&self.clock), pool))
             });
@@ -134,7 +134,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    pool: Box<dyn Balance>,
+    pool: Box<dyn Balancer>,
     addresses: HashMap<endpoint::Id, SocketAddr>,
     queue: Fair<Sender<()>>,
 }
@@ -154,7 +154,7 @@
 }
 
 impl Dispatcher {
-    fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balance>) -> Self {
+    fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balancer>) -> Self {
         let inner =
             Inner { pool, addresses: HashMap::new(), queue: Fair::new(DEFAULT_QUEUE_CAPACITY) };
         Self { clock, inner: Mutex::new(inner) }
@@ -164,7 +164,7 @@
         let mut inner = self.inner.lock();
         inner.queue.set_capacity(capacity);
         inner.addresses = members.iter().map(|(it, addr)| (it.id.clone(), *addr)).collect();
-        inner.pool.set(members.into_iter().map(|(it, _)| it).collect());
+        inner.pool.set_members(members.into_iter().map(|(it, _)| it).collect());
     }
 
     fn set_leaving(&self, leaving: &HashSet<SocketAddr>) {
@@ -191,13 +191,16 @@
             // A new request is queued behind the waiting ones. If new requests took the endpoints
             // that become free, the waiting ones would wait until their deadlines under overload.
             let has_waiters = queue_slot.is_none() && !self.inner.lock().queue.is_empty();
-            let acquired =
-                if has_waiters { Err(Miss::AllBusy) } else { self.try_acquire_at(params, now) };
+            let acquired = if has_waiters {
+                Err(Unavailable::AllBusy)
+            } else {
+                self.try_acquire_at(params, now)
+            };
             match acquired {
                 Ok(lease) => return Ok(lease),
-                Err(Miss::Empty) => return Err(no_endpoint("no endpoint is in service")),
-                Err(Miss::AllExcluded) => return Err(no_endpoint("each endpoint failed")),
-                Err(Miss::AllBusy) => {}
+                Err(Unavailable::Empty) => return Err(no_endpoint("no endpoint is in service")),
+                Err(Unavailable::AllExcluded) => return Err(no_endpoint("each endpoint failed")),
+                Err(Unavailable::AllBusy) => {}
             }
             let wakeup = match &queue_slot {
                 Some(it) => it,
@@ -238,14 +241,18 @@
 
     /// How long the first byte of a response from `id` may take before a hedged attempt is made.
     pub fn hedge_delay(&self, id: &endpoint::Id) -> Duration {
-        self.inner.lock().pool.slow_after(id)
+        self.inner.lock().pool.first_byte_timeout(id)
     }
 
-    fn try_acquire_at(self: &Arc<Self>, params: Params<'_>, now: Instant) -> Result<Lease, Miss> {
+    fn try_acquire_at(
+        self: &Arc<Self>,
+        params: Params<'_>,
+        now: Instant,
+    ) -> Result<Lease, Unavailable> {
         let mut inner = self.inner.lock();
-        let chosen = inner.pool.pick(params.affinity, params.excluded, now)?;
+        let chosen = inner.pool.select(params.affinity, params.excluded, now)?;
         let Some(addr) = inner.addresses.get(&chosen.id).copied() else {
-            return Err(Miss::Empty);
+            return Err(Unavailable::Empty);
         };
         inner.pool.started(&chosen.id, now);
         Ok(Lease {
@@ -269,10 +276,10 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         inner.pool.finished(endpoint, outcome, now);
-        inner.queue.served(now);
+        inner.queue.record_service(now);
         // The endpoint may have less capacity than before. A request notified now would lose its
         // place in the queue without getting an endpoint.
-        if inner.pool.pick(None, &[], now).is_err() {
+        if inner.pool.select(None, &[], now).is_err() {
             return;
         }
         // A request that was cancelled has dropped its receiver; notify the next one instead.
@@ -337,7 +344,11 @@
 
     /// Records the load that the endpoint reported.
     pub fn record_load(&self, load: u64) {
-        self.dispatcher.inner.lock().pool.hint(&self.endpoint, load, self.dispatcher.clock.now());
+        self.dispatcher.inner.lock().pool.report_load(
+            &self.endpoint,
+            load,
+            self.dispatcher.clock.now(),
+        );
     }
 
     /// Records that the first byte of the response arrived, and returns the time it took.
@@ -346,7 +357,7 @@
         let first_byte = now.saturating_duration_since(self.started);
         if self.progress == Progress::AwaitingFirstByte {
             self.progress = Progress::Responding;
-            self.dispatcher.inner.lock().pool.began(&self.endpoint, first_byte, now);
+            self.dispatcher.inner.lock().pool.answer_started(&self.endpoint, first_byte, now);
         }
         first_byte
     }
@@ -354,7 +365,7 @@
     /// Returns the endpoint with the outcome of the attempt.
     pub fn finish(mut self, outcome: Outcome) {
         let outcome = match (self.progress, outcome) {
-            (Progress::Responding, Outcome::Answered { .. }) => Outcome::Done,
+            (Progress::Responding, Outcome::Answered { .. }) => Outcome::Completed,
             (_, outcome) => outcome,
         };
         self.progress = Progress::Released;
@@ -369,7 +380,7 @@
     fn outcome_if_dropped(&self) -> Outcome {
         let waited = self.dispatcher.clock.now().saturating_duration_since(self.started);
         if self.progress == Progress::AwaitingFirstByte && self.hedge_delay() <= waited {
-            Outcome::Overtaken { waited }
+            Outcome::HedgeLost { waited }
         } else {
             Outcome::Cancelled
         }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -116,7 +116,7 @@
         let bucket = rate_limits
             .entry(account.clone())
             .or_insert_with(|| Bucket::new(&settings.limit, nodes, now));
-        bucket.set_rate(&settings.limit, nodes);
+        bucket.set_limit(&settings.limit, nodes);
         bucket.set_share(share, 1.0, nodes);
         bucket.take(now).map_err(|after| {
             let message = "the account is over its limit of requests";
@@ -145,7 +145,7 @@
         tokens: u64,
     ) {
         if let Some(rating) = rating {
-            self.version_strategy.lock().learn(kind, version, rating, self.clock.now());
+            self.version_strategy.lock().record_rating(kind, version, rating, self.clock.now());
         }
         self.add_sample(kind, version, Sample { rating, outcome: Outcome::Answered, tokens });
     }
@@ -158,14 +158,20 @@
         then: &version::Id,
         rating: f64,
     ) {
-        self.version_strategy.lock().learn_second(kind, first, then, rating, self.clock.now());
+        self.version_strategy.lock().record_second_rating(
+            kind,
+            first,
+            then,
+            rating,
+            self.clock.now(),
+        );
     }
 
     /// Whether a response of `version` should be rated although the policy did not request it:
     /// there is little evidence on the version for this kind of work, or its recent ratings are
     /// poor.
     pub fn should_rate(&self, kind: &kind::Id, version: &version::Id) -> bool {
-        if !self.version_strategy.lock().is_settled(kind, version) {
+        if !self.version_strategy.lock().is_converged(kind, version) {
             return true;
         }
         let share = self.rating_shares.lock().get(version).copied().unwrap_or_default();
--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -119,12 +119,12 @@
         chat: &'b Chat,
         time_left: Duration,
         rater: Rater,
-    ) -> curranthook_policy::choice::Ask<'b> {
+    ) -> curranthook_policy::choice::Request<'b> {
         let in_session = chat.metadata.session.is_some() || chat.metadata.token.is_some();
-        curranthook_policy::choice::Ask {
+        curranthook_policy::choice::Request {
             kind: &chat.metadata.kind,
-            target: self.target,
-            allowed: &self.candidates,
+            target_quality: self.target,
+            candidates: &self.candidates,
             time_left,
             prompt_tokens: self.prompt_tokens,
             expected_tokens: self.expected_tokens,
@@ -158,7 +158,7 @@
     let is_rated = draw < snapshot.config().policy.rating_sample;
     Ok(Plan {
         first: version.clone(),
-        then: None,
+        second: None,
         sample: if is_rated { Sample::Rate } else { Sample::Skip },
         reason: curranthook_policy::choice::Reason::Only,
     })
@@ -167,8 +167,8 @@
 /// The plan for the first request of a session: a session has one version, so there is no cascade.
 /// The router's own strategy plans none for sessions; this enforces it for baselines.
 pub fn without_cascade(plan: Plan) -> Plan {
-    match plan.then {
-        Some(then) => Plan { first: then, then: None, ..plan },
+    match plan.second {
+        Some(then) => Plan { first: then, second: None, ..plan },
         None => plan,
     }
 }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -8,7 +8,7 @@
 use curranthook_http::{Body, body, client::Freshness};
 use curranthook_policy::{
     endpoint::Outcome,
-    retry::{self, Decision, Repeat, Sent, Shown},
+    retry::{self, Decision, Delivered, Repeat, Sent},
 };
 use curranthook_types::{
     Refusal,
@@ -269,8 +269,8 @@
         let attempt = retry::Attempt {
             repeat,
             sent,
-            shown: Shown::Nothing,
-            tries: self.n_maybe_executed,
+            delivered: Delivered::Nothing,
+            attempts: self.n_maybe_executed,
             time_left: call.metadata.time_left(router.clock.now()),
         };
         let refusal = |code, message: &str| {
@@ -279,7 +279,7 @@
         if router.node.poison().is_poison(&call.fingerprint()) {
             return refusal(Reason::Poison, POISON_MESSAGE);
         }
-        if let Decision::Stop(_) = retry::may(&attempt) {
+        if let Decision::Stop(_) = retry::decide(&attempt) {
             return refusal(Reason::EndpointFailed, &failure.message);
         }
         let now = router.clock.now();
--- a/crates/curranthook_router/src/version_health.rs
+++ b/crates/curranthook_router/src/version_health.rs
@@ -40,7 +40,7 @@
             urgency = urgency.max(test.urgency());
             // The policy takes its own samples in addition, so only the share beyond those is
             // stored.
-            router.rating_shares.lock().insert(id.clone(), test.sampling(0.0));
+            router.rating_shares.lock().insert(id.clone(), test.sampling_rate(0.0));
             if let State::Suspect(reason) = test.state()
                 && !router.node.suspects().contains(id)
                 && !snapshot.document.withdrawn.contains(id)
