--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -57,7 +57,7 @@
         _in_flight: in_flight,
     };
     match plan.second {
-        Some(then) => handler.cascade(plan.first, then).await,
+        Some(second) => handler.cascade(plan.first, second).await,
         None => handler.direct(plan.first).await,
     }
 }
@@ -180,11 +180,11 @@
     }
 
     /// Requests a response of `first`, rates it before any of it is sent, and requests one of
-    /// `then` if it is not good enough. What is sent comes from only one version.
+    /// `second` if it is not good enough. What is sent comes from only one version.
     async fn cascade(
         mut self,
         first: version::Id,
-        then: version::Id,
+        second: version::Id,
     ) -> Result<Response<Body>, Refusal> {
         self.stage = Stage::First;
         let first_reply = match self.collect(Completion::new(first.clone())).await {
@@ -207,7 +207,7 @@
         self.router.metrics.count_retry(retry::Reason::Escalated);
         self.call.reset_attempts();
         self.started_at = self.router.clock.now();
-        match (self.collect(Completion::new(then)).await, first_reply) {
+        match (self.collect(Completion::new(second)).await, first_reply) {
             (Ok(second_reply), first_reply) => {
                 // If there was no first response, the second version handled an ordinary request.
                 self.stage = first_reply.map_or(Stage::Direct, |_| Stage::Second(first));
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -47,25 +47,25 @@
     clock: Arc<dyn Clock>,
     domain: domain::Id,
     vm: vm::Id,
-    balance: &'static str,
+    balancer_name: &'static str,
     leaving: Mutex<HashSet<SocketAddr>>,
     dispatchers: RwLock<HashMap<Target, Arc<Dispatcher>>>,
 }
 
 impl Dispatchers {
-    /// Creates a router's dispatchers, none at first. `balance` names the strategy for selecting
+    /// Creates a router's dispatchers, none at first. `balancer_name` names the strategy for selecting
     /// endpoints, as [`baseline::balancer`] knows it.
     pub fn new(
         clock: Arc<dyn Clock>,
         domain: domain::Id,
         vm: vm::Id,
-        balance: &'static str,
+        balancer_name: &'static str,
     ) -> Self {
         Self {
             clock,
             domain,
             vm,
-            balance,
+            balancer_name,
             leaving: Mutex::default(),
             dispatchers: RwLock::default(),
         }
@@ -92,9 +92,9 @@
         for (target, members) in members {
             let dispatcher = dispatchers.entry(target).or_insert_with_key(|target| {
                 let seed = selection::stable_hash(&format!("{}/{target:?}", self.vm));
-                let pool = baseline::balancer(self.balance, self.domain.clone(), seed)
+                let balancer = baseline::balancer(self.balancer_name, self.domain.clone(), seed)
                     .expect("the names of the policies are fixed");
-                Arc::new(Dispatcher::new(Arc::clone(&self.clock), pool))
+                Arc::new(Dispatcher::new(Arc::clone(&self.clock), balancer))
             });
             dispatcher.set_members(members, capacity);
             dispatcher.set_leaving(&self.leaving.lock());
@@ -134,7 +134,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    pool: Box<dyn Balancer>,
+    balancer: Box<dyn Balancer>,
     addresses: HashMap<endpoint::Id, SocketAddr>,
     queue: Fair<Sender<()>>,
 }
@@ -154,9 +154,9 @@
 }
 
 impl Dispatcher {
-    fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balancer>) -> Self {
+    fn new(clock: Arc<dyn Clock>, balancer: Box<dyn Balancer>) -> Self {
         let inner =
-            Inner { pool, addresses: HashMap::new(), queue: Fair::new(DEFAULT_QUEUE_CAPACITY) };
+            Inner { balancer, addresses: HashMap::new(), queue: Fair::new(DEFAULT_QUEUE_CAPACITY) };
         Self { clock, inner: Mutex::new(inner) }
     }
 
@@ -164,19 +164,19 @@
         let mut inner = self.inner.lock();
         inner.queue.set_capacity(capacity);
         inner.addresses = members.iter().map(|(it, addr)| (it.id.clone(), *addr)).collect();
-        inner.pool.set_members(members.into_iter().map(|(it, _)| it).collect());
+        inner.balancer.set_members(members.into_iter().map(|(it, _)| it).collect());
     }
 
     fn set_leaving(&self, leaving: &HashSet<SocketAddr>) {
         let inner = &mut *self.inner.lock();
         let marked = inner.addresses.iter().filter(|(_, addr)| leaving.contains(*addr));
-        marked.for_each(|(id, _)| inner.pool.set_leaving(id));
+        marked.for_each(|(id, _)| inner.balancer.set_leaving(id));
     }
 
     fn clear_leaving(&self, addr: SocketAddr) {
         let inner = &mut *self.inner.lock();
         let cleared = inner.addresses.iter().filter(|(_, it)| **it == addr);
-        cleared.for_each(|(id, _)| inner.pool.clear_leaving(id));
+        cleared.for_each(|(id, _)| inner.balancer.clear_leaving(id));
     }
 
     /// Leases an endpoint, after waiting in the queue if all are busy. A request that cannot be
@@ -241,7 +241,7 @@
 
     /// How long the first byte of a response from `id` may take before a hedged attempt is made.
     pub fn hedge_delay(&self, id: &endpoint::Id) -> Duration {
-        self.inner.lock().pool.first_byte_timeout(id)
+        self.inner.lock().balancer.first_byte_timeout(id)
     }
 
     fn try_acquire_at(
@@ -250,11 +250,11 @@
         now: Instant,
     ) -> Result<Lease, Unavailable> {
         let mut inner = self.inner.lock();
-        let chosen = inner.pool.select(params.affinity, params.excluded, now)?;
+        let chosen = inner.balancer.select(params.affinity, params.excluded, now)?;
         let Some(addr) = inner.addresses.get(&chosen.id).copied() else {
             return Err(Unavailable::Empty);
         };
-        inner.pool.started(&chosen.id, now);
+        inner.balancer.started(&chosen.id, now);
         Ok(Lease {
             dispatcher: Arc::clone(self),
             endpoint: chosen.id,
@@ -275,11 +275,11 @@
     fn release(&self, endpoint: &endpoint::Id, outcome: Outcome) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        inner.pool.finished(endpoint, outcome, now);
+        inner.balancer.finished(endpoint, outcome, now);
         inner.queue.record_service(now);
         // The endpoint may have less capacity than before. A request notified now would lose its
         // place in the queue without getting an endpoint.
-        if inner.pool.select(None, &[], now).is_err() {
+        if inner.balancer.select(None, &[], now).is_err() {
             return;
         }
         // A request that was cancelled has dropped its receiver; notify the next one instead.
@@ -344,7 +344,7 @@
 
     /// Records the load that the endpoint reported.
     pub fn record_load(&self, load: u64) {
-        self.dispatcher.inner.lock().pool.report_load(
+        self.dispatcher.inner.lock().balancer.report_load(
             &self.endpoint,
             load,
             self.dispatcher.clock.now(),
@@ -357,7 +357,7 @@
         let first_byte = now.saturating_duration_since(self.started);
         if self.progress == Progress::AwaitingFirstByte {
             self.progress = Progress::Responding;
-            self.dispatcher.inner.lock().pool.answer_started(&self.endpoint, first_byte, now);
+            self.dispatcher.inner.lock().balancer.answer_started(&self.endpoint, first_byte, now);
         }
         first_byte
     }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -155,13 +155,13 @@
         &self,
         kind: &kind::Id,
         first: &version::Id,
-        then: &version::Id,
+        second: &version::Id,
         rating: f64,
     ) {
         self.version_strategy.lock().record_second_rating(
             kind,
             first,
-            then,
+            second,
             rating,
             self.clock.now(),
         );
--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -168,7 +168,7 @@
 /// The router's own strategy plans none for sessions; this enforces it for baselines.
 pub fn without_cascade(plan: Plan) -> Plan {
     match plan.second {
-        Some(then) => Plan { first: then, second: None, ..plan },
+        Some(second) => Plan { first: second, second: None, ..plan },
         None => plan,
     }
 }
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -158,12 +158,12 @@
         vms: Arc::new(Client::new(platform.vms, platform_pool)),
         seed,
     });
-    let (strategy_name, balance_name) = strategy_names(&options.policy);
+    let (strategy_name, balancer_name) = strategy_names(&options.policy);
     let version_strategy = baseline::strategy(strategy_name, Policy::default(), seed);
     let version_strategy =
         version_strategy.with_context(|| format!("unknown policy {}", options.policy))?;
     let (domain, vm) = (settings.failure_domain.clone(), settings.vm.clone());
-    let dispatchers = Dispatchers::new(Arc::clone(&clock), domain, vm, balance_name);
+    let dispatchers = Dispatchers::new(Arc::clone(&clock), domain, vm, balancer_name);
     Ok(Arc::new(Router {
         metrics: Metrics::new(settings.statsd).context("opening the metrics socket")?,
         pins: pin::Store::new(Arc::clone(&claims) as _),
