--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -53,8 +53,8 @@
 }
 
 impl Dispatchers {
-    /// Creates a router's dispatchers, none at first. `balancer_name` names the strategy for selecting
-    /// endpoints, as [`baseline::balancer`] knows it.
+    /// Creates a router's dispatchers, none at first. `balancer_name` names the strategy for
+    /// selecting endpoints, as [`baseline::balancer`] knows it.
     pub fn new(
         clock: Arc<dyn Clock>,
         domain: domain::Id,
