--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -197,7 +197,7 @@
     head.headers.get(header::REQUEST_ID).is_some_and(|it| it != request.as_str())
 }
 
-/// The first attempt of a hedged request, beside which a second one is made.
+/// The first attempt of a hedged request.
 #[derive(Debug)]
 pub struct Primary {
     /// The endpoint of the attempt.
--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -226,8 +226,8 @@
         self.try_acquire_at(params, self.clock.now()).ok()
     }
 
-    /// Leases an endpoint for a hedged attempt beside the one at `first`, if one is free now:
-    /// preferably another endpoint, else the same one, since only its connection may be silent.
+    /// Leases an endpoint for a hedged attempt in parallel with the one at `first`, if one is free
+    /// now: preferably another endpoint, else the same one, since only its connection may be silent.
     pub fn try_acquire_hedge(
         self: &Arc<Self>,
         params: Params<'_>,
--- a/crates/curranthook_router/src/hedge.rs
+++ b/crates/curranthook_router/src/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: a second attempt beside one that is unusually late.
+//! Hedged requests: a second attempt in parallel with one that is unusually late.
 //!
 //! An open connection can go silent for good; the only sign is a late response. A second attempt on
 //! a new connection then succeeds long before the caller's deadline.
@@ -13,9 +13,9 @@
 /// The delay before `second` is called again after it returned no attempt.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs `first` and, if it takes longer than `hedge_delay`, the attempt that `second` returns
-/// beside it; while `second` returns `None`, it is called again. The attempt that succeeds first
-/// wins; the other is dropped, and its connection closed.
+/// Runs `first` and, if it takes longer than `hedge_delay`, the attempt that `second` returns in
+/// parallel with it; while `second` returns `None`, it is called again. The attempt that succeeds
+/// first wins; the other is dropped, and its connection closed.
 pub async fn run<T, F, S>(
     hedge_delay: Duration,
     first: impl Future<Output = Result<T, Failure>>,
--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -64,7 +64,9 @@
     let router = build(settings, &options, &ex, peer_server.addr(), stop.clone())?;
     println!(
         "{}",
-        serde_json::json!({"listening": {"callers": caller_server.addr(), "peers": peer_server.addr()}})
+        serde_json::json!({
+            "listening": {"callers": caller_server.addr(), "peers": peer_server.addr()}
+        })
     );
 
     let platform = &router.settings.platform;
