--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -15,12 +15,12 @@
 
 use crate::{
     Gateway,
-    ask::Ask,
     dialect::{self, Execution, Outgoing, Reply, Seal},
     directory::Outcome,
     document::Repeat,
     event::Event,
     lease::{Completeness, Lease},
+    request::Request,
 };
 
 /// How long an idle connection may be trusted with a request that can be repeated. Endpoints
@@ -104,7 +104,7 @@
 /// Sends `ask` to the endpoint of `lease` and waits for the head of the answer.
 pub async fn run(
     gateway: &Arc<Gateway>,
-    ask: &Ask,
+    request: &Request,
     repeat: Repeat,
     mut lease: Lease,
     outgoing: &Outgoing<'_>,
@@ -114,7 +114,7 @@
     // it, or something between may have lost it, and nobody could tell whether it ran.
     let freshness =
         if repeat.is_repeatable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
-    let request = gateway.dialect.request(ask, outgoing);
+    let outbound = gateway.dialect.request(request, outgoing);
     let mut conn = match gateway.pool.take(lease.addr, freshness).await {
         Ok(conn) => conn,
         Err(_nothing_sent) => {
@@ -128,8 +128,8 @@
         lease.close(Outcome::Unreachable);
         return Err(not_run(Cause::Connect));
     }
-    let limit = ask.time_left(gateway.now());
-    let response = match timeout::run(limit, conn.send(request)).await {
+    let limit = request.time_left(gateway.now());
+    let response = match timeout::run(limit, conn.send(outbound)).await {
         Ok(Ok(response)) => response,
         Ok(Err(e)) => return Err(broken(lease, &conn, &e, since(sent, gateway.now()))),
         Err(timeout::Elapsed) => {
@@ -141,7 +141,7 @@
     let reply = gateway.dialect.reply(&head);
     log_unknown_headers(gateway, &lease.id, &head);
     lease.began(reply.load);
-    let refused = refused(ask, &reply);
+    let refused = refused(request, &reply);
     let is_misdirected = refused.as_ref().is_some_and(|it| it.cause == Cause::Misdirected);
     if !is_misdirected {
         let is_whole = refused.is_none() && reply.status.is_success();
@@ -183,14 +183,14 @@
 }
 
 /// Whether the head of an answer is none that a caller may get.
-fn refused(ask: &Ask, reply: &Reply) -> Option<Failed> {
+fn refused(request: &Request, reply: &Reply) -> Option<Failed> {
     if reply.execution == Execution::NotRun {
         let is_misdirected = reply.status == http::StatusCode::MISDIRECTED_REQUEST;
         return Some(not_run(if is_misdirected { Cause::Misdirected } else { Cause::Full }));
     }
     // An answer that comes late on a kept connection stands where the next one is expected. Its
     // id tells; passed on, a caller would read somebody else's answer.
-    if reply.id.as_deref() != Some(ask.head.id.as_str()) {
+    if reply.id.as_deref() != Some(request.head.id.as_str()) {
         return Some(may_have_run(Cause::Foreign));
     }
     (reply.seal == Seal::Missing).then(|| may_have_run(Cause::Unsealed))
--- a/crates/curranthook_gateway/src/dialect.rs
+++ b/crates/curranthook_gateway/src/dialect.rs
@@ -10,9 +10,9 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
 use crate::{
-    ask::{Ask, Head},
     entry::State,
     refusal::Refusal,
+    request::{Head, Request},
 };
 
 /// Translates between the stages and the wire.
@@ -20,7 +20,7 @@
     /// Reads a caller's head.
     fn head(&self, head: &http::request::Parts) -> Result<Head, Invalid>;
     /// Writes a request to an endpoint.
-    fn request(&self, ask: &Ask, send: &Outgoing<'_>) -> http::Request<Bytes>;
+    fn request(&self, request: &Request, send: &Outgoing<'_>) -> http::Request<Bytes>;
     /// Reads the head of an endpoint's answer.
     fn reply(&self, head: &http::response::Parts) -> Reply;
     /// The headers of an endpoint's answer that no decoder reads.
--- a/crates/curranthook_gateway/src/front.rs
+++ b/crates/curranthook_gateway/src/front.rs
@@ -9,13 +9,12 @@
 
 use crate::{
     Gateway,
-    ask::Ask,
     document::Denied,
     event::Event,
     gateway::Current,
     job::{End, Job, millis},
     refusal::{Ran, Reason, Refusal},
-    starting, stream, unary,
+    request, starting, stream, unary,
 };
 
 /// How long callers wait that don't say.
@@ -101,17 +100,17 @@
         let (route, account) = admit(&current, &head)?;
         let patience = head.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
         let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
-        let ask = Ask::new(head, body, since, patience);
-        if gateway.poison.lock().is_poison(ask.fingerprint, since) {
+        let request = request::Request::new(head, body, since, patience);
+        if gateway.poison.lock().is_poison(request.fingerprint, since) {
             return Err(refuse(Reason::Poison));
         }
-        Job::new(gateway, &current, ask, route, account.map(|it| it.id), priority)
+        Job::new(gateway, &current, request, route, account.map(|it| it.id), priority)
     }
 }
 
 fn admit(
     current: &Current,
-    head: &crate::ask::Head,
+    head: &request::Head,
 ) -> Result<(Arc<crate::document::Route>, Option<crate::document::Account>), Refusal> {
     let admitted = current.document.admit(&head.host, head.uri.path(), head.key.as_deref());
     let (route, account) = admitted.map_err(|denied| {
@@ -153,7 +152,7 @@
     // Another endpoint may go on with it, so its length isn't known.
     headers.remove(header::CONTENT_LENGTH);
     let status = open.reply.status;
-    let took = job.gateway.now().saturating_duration_since(job.ask.since);
+    let took = job.gateway.now().saturating_duration_since(job.request.since);
     job.gateway.metrics.first_byte(took);
     Ok(respond(status, headers, stream::body(job, open)))
 }
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -10,7 +10,6 @@
 
 use crate::{
     Gateway,
-    ask::{Ask, Model},
     attempt::{self, Cause, Failed, Open},
     cascade,
     dialect::{Execution, Outgoing},
@@ -24,6 +23,7 @@
     offer::{self, Wanted, Wants},
     pace::{First, Pace},
     refusal::{Ran, Reason, Refusal},
+    request::{Model, Request},
     rollouts::{Kind, Rule},
 };
 
@@ -62,7 +62,7 @@
     /// The node.
     pub gateway: Arc<Gateway>,
     /// The request.
-    pub ask: Ask,
+    pub request: Request,
     /// Its route.
     pub route: Arc<Route>,
     /// Who calls.
@@ -92,18 +92,18 @@
     pub fn new(
         gateway: &Arc<Gateway>,
         current: &Current,
-        ask: Ask,
+        request: Request,
         route: Arc<Route>,
         account: Option<account::Id>,
         priority: u8,
     ) -> Result<Self, Refusal> {
-        let place = hash::unit(hash::bytes(ask.head.id.as_bytes()));
+        let place = hash::unit(hash::bytes(request.head.id.as_bytes()));
         let service = route.service(place).map(str::to_owned);
         let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Ran::No))?;
-        let models = Models::new(&current.document, &service, &route, &ask.head.model);
+        let models = Models::new(&current.document, &service, &route, &request.head.model);
         gateway.budget.lock().asked(&service, gateway.now());
         Ok(Self {
-            last_event: ask.head.last_event,
+            last_event: request.head.last_event,
             account,
             priority,
             attempts: 0,
@@ -118,14 +118,14 @@
             heard: None,
             _in_flight: gateway.enter(),
             gateway: Arc::clone(gateway),
-            ask,
+            request,
             route,
         })
     }
 
     /// The time left for it.
     pub fn time_left(&self) -> Duration {
-        self.ask.time_left(self.gateway.now())
+        self.request.time_left(self.gateway.now())
     }
 
     /// Sends it until an endpoint answers it.
@@ -240,11 +240,11 @@
             service: &self.service,
             rule,
             tried: &self.tried,
-            subject: offer::subject(self.ask.subject(), name),
-            shared_tokens: self.ask.shared_tokens(),
-            prompt_tokens: self.ask.prompt_tokens(),
+            subject: offer::subject(self.request.subject(), name),
+            shared_tokens: self.request.shared_tokens(),
+            prompt_tokens: self.request.prompt_tokens(),
             model: model.map(|it| Wants { weight: it.weight, pace: self.pace(it) }),
-            salt: hash::bytes(self.ask.head.id.as_bytes()),
+            salt: hash::bytes(self.request.head.id.as_bytes()),
         }
     }
 
@@ -257,12 +257,12 @@
             endpoint: &id,
             account: self.account.as_ref(),
             time_left: self.time_left(),
-            model: model.filter(|_| self.ask.head.model == Model::Any),
+            model: model.filter(|_| self.request.head.model == Model::Any),
             priority: candidate.map(|it| cascade::urgency(self.priority, it.weight)),
             last_event: self.last_event,
         };
         self.gateway.log.write(&Event::Sent {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             route: &self.route.name,
             endpoint: id.as_str(),
             version: &lease.version,
@@ -274,7 +274,7 @@
             left_ms: millis(outgoing.time_left),
             configuration: self.configuration,
         });
-        attempt::run(&self.gateway, &self.ask, self.route.repeat, lease, &outgoing).await
+        attempt::run(&self.gateway, &self.request, self.route.repeat, lease, &outgoing).await
     }
 
     /// Whether the caller gets this answer; if not, another attempt follows.
@@ -342,14 +342,14 @@
 
     /// A hash that all requests of the same session have.
     fn session(&self) -> u64 {
-        let own = || hash::bytes(self.ask.head.id.as_bytes());
+        let own = || hash::bytes(self.request.head.id.as_bytes());
         let route = hash::bytes(self.route.prefix.as_bytes());
-        self.ask.subject().map_or_else(own, |it| hash::pair(it, route))
+        self.request.subject().map_or_else(own, |it| hash::pair(it, route))
     }
 
     fn log_failed(&self, endpoint: &endpoint::Id, failed: &Failed, took: Duration) {
         self.gateway.log.write(&Event::AttemptFailed {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             endpoint: endpoint.as_str(),
             why: failed.cause.name(),
             execution: match failed.execution {
@@ -363,14 +363,14 @@
     /// Logs and counts its end.
     pub fn ended(&self, end: &End<'_>) {
         let End { status, outcome, endpoint, .. } = *end;
-        let took = self.gateway.now().saturating_duration_since(self.ask.since);
+        let took = self.gateway.now().saturating_duration_since(self.request.since);
         if outcome == WHOLE {
             // Endpoints that ended while they ran it had another reason, then.
-            self.gateway.poison.lock().release(self.ask.fingerprint);
+            self.gateway.poison.lock().release(self.request.fingerprint);
         }
         self.gateway.metrics.ended(outcome, took);
         self.gateway.log.write(&Event::Ended {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             route: &self.route.name,
             status,
             outcome,
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -30,7 +30,7 @@
             return false;
         }
         self.gateway.log.write(&Event::Escalated {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             model: &model,
             confidence,
             first_ms: millis(expected.first),
@@ -44,10 +44,10 @@
     /// What is to be expected of the largest model, if that is better than the answer that has begun.
     fn better(&self, confidence: u8, rule: &Rule, heard: &Heard) -> Option<Outlook> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
-        let elapsed = self.gateway.now().saturating_duration_since(self.ask.since);
+        let elapsed = self.gateway.now().saturating_duration_since(self.request.since);
         let aim = Aim {
             objective: self.route.objective,
-            deadline: self.ask.deadline.saturating_duration_since(self.ask.since),
+            deadline: self.request.deadline.saturating_duration_since(self.request.since),
         };
         let first = elapsed + self.first_event(rule, large, heard)?;
         let small = self.outlook(small, elapsed, 0.0);
@@ -65,7 +65,7 @@
     }
 
     fn outlook(&self, model: &Candidate, first: Duration, price: f64) -> Outlook {
-        let events = self.models.events(self.ask.output_tokens());
+        let events = self.models.events(self.request.output_tokens());
         Outlook { first, last: first + self.pace(model).rest(events), price }
     }
 }
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -66,7 +66,7 @@
             return Next::Respond(self.refusal(Reason::Timeout));
         }
         let now = self.gateway.now();
-        if self.gateway.poison.lock().is_poison(self.ask.fingerprint, now) {
+        if self.gateway.poison.lock().is_poison(self.request.fingerprint, now) {
             return Next::Respond(self.refusal(Reason::Poison));
         }
         if !self.route.repeat.is_repeatable() || !self.may_run_again(failed.cause.name()) {
@@ -104,14 +104,14 @@
             return;
         }
         let now = self.gateway.now();
-        self.gateway.poison.lock().charge(self.ask.fingerprint, endpoint, now);
+        self.gateway.poison.lock().charge(self.request.fingerprint, endpoint, now);
         self.gateway.log.write(&Event::PoisonCharged {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             endpoint: endpoint.as_str(),
         });
     }
 
     fn not_repeated(&self, why: &str) {
-        self.gateway.log.write(&Event::NotRepeated { request: &self.ask.head.id, why });
+        self.gateway.log.write(&Event::NotRepeated { request: &self.request.head.id, why });
     }
 }
--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -26,7 +26,6 @@
 pub mod advertised;
 pub mod affinity;
 pub mod apply;
-pub mod ask;
 pub mod attempt;
 pub mod budget;
 pub mod cascade;
@@ -58,6 +57,7 @@
 pub mod rate_limit;
 pub mod refusal;
 pub mod relays;
+pub mod request;
 pub mod returns;
 pub mod rollouts;
 pub mod serve;
--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -1,8 +1,8 @@
 //! The models that may answer a request, and the one that is asked now.
 
 use crate::{
-    ask::Model,
     document::{Document, Route},
+    request::Model,
 };
 
 /// The models that may answer, the smallest first; empty for plain services.
--- a/crates/curranthook_gateway/src/ask.rs
+++ b/crates/curranthook_gateway/src/request.rs
@@ -68,7 +68,7 @@
 
 /// A request that was let in.
 #[derive(Debug)]
-pub struct Ask {
+pub struct Request {
     /// What its head said.
     pub head: Head,
     /// Its whole body.
@@ -81,7 +81,7 @@
     pub fingerprint: Fingerprint,
 }
 
-impl Ask {
+impl Request {
     /// A request that was read at `since` and is given up on after `patience`.
     pub fn new(head: Head, body: Bytes, since: Instant, patience: Duration) -> Self {
         let fingerprint = fingerprint(&head, &body);
