--- a/crates/curranthook_gateway/src/front.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -26,14 +26,14 @@
 
 /// Answers callers.
 #[derive(Debug)]
-pub struct Front {
+pub struct Frontend {
     /// The node.
     pub gateway: Arc<Gateway>,
     /// Whether it still takes requests; set when the last ones end.
     pub closed: std::sync::atomic::AtomicBool,
 }
 
-impl Handler for Front {
+impl Handler for Frontend {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> Boxed<Response<Body>> {
         Box::pin(async move {
             let gateway = &self.gateway;
@@ -54,7 +54,7 @@
     }
 }
 
-impl Front {
+impl Frontend {
     fn log_refused(&self, head: &Parts, refusal: &Refusal) {
         let gateway = &self.gateway;
         let read = gateway.dialect.head(head).ok();
--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -36,7 +36,7 @@
 pub mod entry;
 pub mod event;
 pub mod fleet;
-pub mod front;
+pub mod frontend;
 pub mod gateway;
 pub mod job;
 pub mod lead;
--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -23,7 +23,7 @@
 use crate::{
     Gateway,
     event::Event,
-    front::Front,
+    frontend::Frontend,
     lead,
     load_reports::{self, Reports},
     peers,
@@ -105,11 +105,11 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     log_start(&gateway);
     let (trigger, stop) = stop::new();
-    let front = Arc::new(Front { gateway: Arc::clone(&gateway), closed: false.into() });
+    let frontend = Arc::new(Frontend { gateway: Arc::clone(&gateway), closed: false.into() });
     let callers = listeners.callers;
     let served = {
-        let (ex, front) = (Arc::clone(&gateway.ex), Arc::clone(&front));
-        gateway.ex.spawn(async move { callers.serve(&ex, front, stop).await })
+        let (ex, frontend) = (Arc::clone(&gateway.ex), Arc::clone(&frontend));
+        gateway.ex.spawn(async move { callers.serve(&ex, frontend, stop).await })
     };
     detach(&gateway, listeners.readiness, Arc::new(Readiness(Arc::clone(&gateway))));
     if let Some(server) = listeners.peers {
@@ -130,7 +130,7 @@
     gateway.log.write(&Event::Stopping { in_flight: gateway.in_flight() });
     let limit = gateway.settings.grace.saturating_sub(RESERVE);
     Timer::after(LINGER.min(limit)).await;
-    front.closed.store(true, Ordering::Relaxed);
+    frontend.closed.store(true, Ordering::Relaxed);
     trigger.set();
     drain(&gateway, limit.saturating_sub(LINGER)).await;
     gateway.log.write(&Event::Stopped { in_flight: gateway.in_flight() });
