--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -14,7 +14,7 @@
     gateway::Current,
     job::{End, Job, millis},
     refusal::{Ran, Reason, Refusal},
-    request, starting, stream, unary,
+    request, startup, stream, unary,
 };
 
 /// How long callers wait that don't say.
@@ -81,9 +81,9 @@
             log::debug!("a caller's head can't be read: {e}");
             refuse(Reason::Invalid)
         })?;
-        starting::wait(gateway, head.patience).await;
+        startup::wait(gateway, head.patience).await;
         let Some(current) = gateway.current.load_full() else {
-            return Err(starting::refusal(gateway));
+            return Err(startup::refusal(gateway));
         };
         // Before the body: whoever may not call at all isn't read any further.
         admit(&current, &head)?;
--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -34,7 +34,7 @@
     rollouts::Rollouts,
     settings::Settings,
     signal::Signal,
-    starting::Waiting,
+    startup::Waiters,
     steps::Plan,
     store::{Decoder, Rev, Store, Table},
     unknown_headers::UnknownHeaders,
@@ -122,7 +122,7 @@
     /// What endpoints said that nobody reads.
     pub unknown_headers: Mutex<UnknownHeaders>,
     /// Requests that wait for the first configuration.
-    pub starting: Waiting,
+    pub startup_waiters: Waiters,
     /// When the process started.
     pub started: Instant,
     stopping: AtomicBool,
@@ -182,7 +182,7 @@
             changed: Signal::default(),
             peers: Mutex::default(),
             unknown_headers: Mutex::default(),
-            starting: Waiting::default(),
+            startup_waiters: Waiters::default(),
             started,
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -65,7 +65,7 @@
 pub mod signal;
 pub mod slow_start;
 pub mod splitter;
-pub mod starting;
+pub mod startup;
 pub mod steps;
 pub mod store;
 pub mod stream;
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -7,7 +7,7 @@
     cascade::{self, Aim, Outlook},
     place::{self, Candidate, Distance, Holders, Work},
     splitter::Splitter,
-    starting::{self, Waiting},
+    startup::{self, Waiters},
 };
 use yare::parameterized;
 
@@ -76,7 +76,7 @@
     let work = work(7, 300);
     let home = place::choose(&all, &work).unwrap();
     all[home].wait = Duration::from_millis(200);
-    assert_eq!(place::choose(&all, &work), Some(home), "waiting is shorter than reading");
+    assert_eq!(place::choose(&all, &work), Some(home), "waiters is shorter than reading");
     all[home].wait = Duration::from_millis(400);
     assert_ne!(place::choose(&all, &work), Some(home));
 }
@@ -142,12 +142,12 @@
 /// the others hear at once when to come back, until one of those that wait is answered or leaves.
 #[test]
 fn only_so_many_requests_wait_for_a_configuration() {
-    let waiting = Waiting::default();
-    let mut places: Vec<_> = (0..2_000).filter_map(|_| waiting.enter()).collect();
-    assert_eq!(places.len(), starting::MAX_WAITING);
-    assert!(waiting.enter().is_none());
-    places.pop();
-    assert!(waiting.enter().is_some(), "a place that was left is free again");
+    let waiters = Waiters::default();
+    let mut slots: Vec<_> = (0..2_000).filter_map(|_| waiters.try_enter()).collect();
+    assert_eq!(slots.len(), startup::MAX_WAITERS);
+    assert!(waiters.try_enter().is_none());
+    slots.pop();
+    assert!(waiters.try_enter().is_some(), "a place that was left is free again");
 }
 
 /// Bytes come in pieces of any size. What is passed on is the same, whole events only, and what
