--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -17,7 +17,6 @@
 
 use crate::{
     affinity::Affinity,
-    budget::Budget,
     dialect::Dialect,
     directory::Directory,
     document::{Document, Service},
@@ -30,6 +29,7 @@
     mirror::Mirror,
     outage::Outage,
     pace::Paces,
+    retry_budget::Budget,
     returns::Returns,
     rollouts::Rollouts,
     settings::Settings,
@@ -96,7 +96,7 @@
     /// How fast models are.
     pub paces: Mutex<Paces>,
     /// Repeats.
-    pub budget: Mutex<Budget>,
+    pub retry_budget: Mutex<Budget>,
     /// When refused callers may come back.
     pub returns: Mutex<Returns>,
     /// Requests that end endpoints.
@@ -158,7 +158,7 @@
         Arc::new(Self {
             pool,
             rollouts: Mutex::new(Rollouts::new(Plan::new(settings.exposure))),
-            budget: Mutex::new(Budget::new(settings.repeats)),
+            retry_budget: Mutex::new(Budget::new(settings.repeats)),
             poison: Mutex::new(Register::new(POISON_CAPACITY)),
             ex,
             clock,
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -101,7 +101,7 @@
         let service = route.service(place).map(str::to_owned);
         let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Ran::No))?;
         let models = Models::new(&current.document, &service, &route, &request.head.model);
-        gateway.budget.lock().asked(&service, gateway.now());
+        gateway.retry_budget.lock().record_request(&service, gateway.now());
         Ok(Self {
             last_event: request.head.last_event,
             account,
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -86,7 +86,7 @@
 
     fn spend(&self, why: &'static str) -> bool {
         let (n_nodes, now) = (self.gateway.n_nodes(), self.gateway.now());
-        if !self.gateway.budget.lock().spend(&self.service, n_nodes, now) {
+        if !self.gateway.retry_budget.lock().try_spend(&self.service, n_nodes, now) {
             self.not_repeated("budget");
             return false;
         }
--- a/crates/curranthook_gateway/src/settings.rs
+++ b/crates/curranthook_gateway/src/settings.rs
@@ -4,7 +4,7 @@
 
 use curranthook_types::domain;
 
-use crate::budget::Bound;
+use crate::retry_budget;
 
 /// A node's settings.
 #[derive(Debug, Clone, PartialEq)]
@@ -29,7 +29,7 @@
     /// Some other nodes, for a start while the store is away. They may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// Bound on repeats.
-    pub repeats: Bound,
+    pub repeats: retry_budget::Limit,
     /// The largest share of a service's requests that a bad version may get during its roll-out.
     pub exposure: f64,
     /// Whether the whole fleet starts for the first time, so that no node has written its address yet.
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use curranthook_gateway::{
-    budget::{Bound, Budget},
     cascade::{self, Aim, Outlook},
     place::{self, Candidate, Distance, Holders, Work},
+    retry_budget::{Budget, Limit},
     splitter::Splitter,
     startup::{self, Waiters},
 };
@@ -117,24 +117,26 @@
 /// a fleet together stay within the bound, in any span of its length.
 #[test]
 fn a_fleet_keeps_the_bound_on_repeats() {
-    let bound = Bound { ratio: 0.9, slack: 52.0, window: Duration::from_secs(10) };
+    let limit = Limit { ratio: 0.9, slack: 52.0, window: Duration::from_secs(10) };
     let (start, n_nodes) = (Instant::now(), 6);
-    let mut nodes: Vec<_> = (0..n_nodes).map(|_| Budget::new(bound)).collect();
-    let mut repeats = Vec::new();
-    let mut asked = 0;
+    let mut nodes: Vec<_> = (0..n_nodes).map(|_| Budget::new(limit)).collect();
+    let mut retries = Vec::new();
+    let mut requests = 0;
     for tick in 0..400_u64 {
         let now = start + Duration::from_millis(tick * 50);
         for node in &mut nodes {
-            node.asked("models", now);
-            asked += 1;
-            (0..3).filter(|_| node.spend("models", n_nodes, now)).for_each(|_| repeats.push(now));
+            node.record_request("models", now);
+            requests += 1;
+            (0..3)
+                .filter(|_| node.try_spend("models", n_nodes, now))
+                .for_each(|_| retries.push(now));
         }
     }
-    let per_window = f64::from(asked) / 2.0;
+    let requests_per_window = f64::from(requests) / 2.0;
     for from in (0..200).map(|it| start + Duration::from_millis(it * 50)) {
-        let inside = |at: &&Instant| from <= **at && **at < from + bound.window;
-        let n = repeats.iter().filter(inside).count() as f64;
-        assert!(n <= bound.ratio * per_window + bound.slack, "{n} repeats in a window");
+        let inside = |at: &&Instant| from <= **at && **at < from + limit.window;
+        let n = retries.iter().filter(inside).count() as f64;
+        assert!(n <= limit.ratio * requests_per_window + limit.slack, "{n} retries in a window");
     }
 }
 
