--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -30,7 +30,7 @@
     outage::Outage,
     pace::Paces,
     retry_budget::Budget,
-    returns::Returns,
+    retry_schedule::Schedule,
     rollouts::Rollouts,
     settings::Settings,
     signal::Signal,
@@ -98,7 +98,7 @@
     /// Repeats.
     pub retry_budget: Mutex<Budget>,
     /// When refused callers may come back.
-    pub returns: Mutex<Returns>,
+    pub retry_schedule: Mutex<Schedule>,
     /// Requests that end endpoints.
     pub poison: Mutex<Register>,
     /// Roll-outs.
@@ -170,7 +170,7 @@
             metrics: Metrics::default(),
             current: ArcSwapOption::empty(),
             directory: Mutex::default(),
-            returns: Mutex::default(),
+            retry_schedule: Mutex::default(),
             affinity: Mutex::default(),
             paces: Mutex::default(),
             mirror: Mutex::default(),
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -191,7 +191,8 @@
         let (n_nodes, now) = (self.gateway.n_nodes(), self.gateway.now());
         let by_pause = throttled.resumes.map(|it| it.saturating_duration_since(now));
         let own_rate = Some(throttled.rate / n_nodes as f64).filter(|it| 0.0 < *it);
-        let by_rate = own_rate.map(|it| self.gateway.returns.lock().book(&self.service, it, now));
+        let by_rate =
+            own_rate.map(|it| self.gateway.retry_schedule.lock().reserve(&self.service, it, now));
         let after = by_pause.into_iter().chain(by_rate).min();
         self.refusal(Reason::Throttled).with_retry_after(after.unwrap_or(RETRY_AWAY))
     }
--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -58,7 +58,7 @@
 pub mod relays;
 pub mod request;
 pub mod retry_budget;
-pub mod returns;
+pub mod retry_schedule;
 pub mod rollouts;
 pub mod serve;
 pub mod settings;
