--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -51,7 +51,7 @@
 pub mod pace;
 pub mod peers;
 pub mod permit;
-pub mod place;
+pub mod placement;
 pub mod prefill;
 pub mod rate_limit;
 pub mod refusal;
--- a/crates/curranthook_gateway/src/offer.rs
+++ b/crates/curranthook_gateway/src/offer.rs
@@ -15,7 +15,7 @@
     load_reports::Heard,
     pace::Pace,
     permit,
-    place::{self, Candidate, Distance, Holders, Work},
+    placement::{self, CacheHolders, Candidate, Locality, Task},
     prefill::Prompt,
     rate_limit,
     rollouts::Rule,
@@ -60,18 +60,18 @@
 
 impl Wanted<'_> {
     /// The prompt as an engine reads it that keeps the shared parts, or doesn't.
-    fn prompt(&self, holds_parts: bool) -> Prompt {
-        Prompt::new(self.prompt_tokens, if holds_parts { self.shared_tokens } else { 0 })
+    fn prompt(&self, has_prefix_cached: bool) -> Prompt {
+        Prompt::new(self.prompt_tokens, if has_prefix_cached { self.shared_tokens } else { 0 })
     }
 
-    fn prefill(&self, holds_parts: bool) -> Duration {
-        let prompt = self.prompt(holds_parts);
+    fn prefill(&self, has_prefix_cached: bool) -> Duration {
+        let prompt = self.prompt(has_prefix_cached);
         self.model.map_or(Duration::ZERO, |it| it.pace.speed.prefill(prompt))
     }
 
-    fn work(&self, holders: Holders) -> Work {
+    fn task(&self, holders: CacheHolders) -> Task {
         let shared = self.prefill(false).saturating_sub(self.prefill(true));
-        Work { subject: self.subject, shared, holders, salt: self.salt }
+        Task { prefix_hash: self.subject, prefix_prefill: shared, holders, salt: self.salt }
     }
 }
 
@@ -111,10 +111,10 @@
         list.retain(|it| heard.waiting.contains_key(&it.entry.id));
     }
     let (holders, candidates) = candidates(gateway, &list, wanted, heard, now);
-    let index = place::choose(&candidates, &wanted.work(holders))?;
+    let index = placement::choose(&candidates, &wanted.task(holders))?;
     let endpoint = list[index];
     Some(Offer {
-        prompt: wanted.prompt(candidates[index].holds_parts),
+        prompt: wanted.prompt(candidates[index].has_prefix_cached),
         busy: endpoint.busy(now),
         waited: waiting(endpoint, wanted, of_others(gateway, &endpoint.entry.id, heard, now)),
         endpoint,
@@ -133,7 +133,7 @@
     let all: Vec<&Tracked> = directory.ready(wanted.service).collect();
     let list = eligible(&all, wanted, now);
     let (holders, candidates) = candidates(gateway, &list, wanted, &Heard::default(), now);
-    let best = place::best(&candidates, &wanted.work(holders), SHORTLIST);
+    let best = placement::best(&candidates, &wanted.task(holders), SHORTLIST);
     best.into_iter().map(|it| list[it].entry.id.clone()).collect()
 }
 
@@ -211,21 +211,21 @@
     wanted: &Wanted<'_>,
     heard: &Heard,
     now: Instant,
-) -> (Holders, Vec<Candidate>) {
+) -> (CacheHolders, Vec<Candidate>) {
     let own = || {
         let subject = wanted.subject?;
         Some(gateway.affinity.lock().holders(subject, now))
     };
     // The nodes of a small fleet tell all others what they sent to be read.
     let is_known = heard.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
-    let holders = if is_known { Holders::Known } else { Holders::Guessed };
+    let holders = if is_known { CacheHolders::Known } else { CacheHolders::Guessed };
     let holding = heard.holders.clone().or_else(own).unwrap_or_default();
     let candidate = |it: &&Tracked| Candidate {
-        seed: it.seed,
+        id_hash: it.seed,
         wait: wait(it, wanted, of_others(gateway, &it.entry.id, heard, now), now),
-        failures: it.failures,
-        distance: distance(gateway, it),
-        holds_parts: holding.contains(&it.entry.id),
+        failure_rate: it.failures,
+        locality: locality(gateway, it),
+        has_prefix_cached: holding.contains(&it.entry.id),
     };
     (holders, list.iter().map(candidate).collect())
 }
@@ -290,8 +290,12 @@
     if is_small { waiting / 8 } else { waiting }
 }
 
-fn distance(gateway: &Gateway, it: &Tracked) -> Distance {
-    if it.entry.domain == gateway.settings.domain { Distance::Near } else { Distance::Far }
+fn locality(gateway: &Gateway, it: &Tracked) -> Locality {
+    if it.entry.domain == gateway.settings.domain {
+        Locality::SameDomain
+    } else {
+        Locality::OtherDomain
+    }
 }
 
 /// The hash that places a request: of the model and of the parts that it shares.
--- a/crates/curranthook_gateway/src/place.rs
+++ b/crates/curranthook_gateway/src/placement.rs
@@ -15,42 +15,42 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// A hash of its id.
-    pub seed: u64,
+    pub id_hash: u64,
     /// How long work that is there already will keep the request waiting.
     pub wait: Duration,
     /// The share of requests that failed there lately.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// Where it stands.
-    pub distance: Distance,
+    pub locality: Locality,
     /// Whether this node knows that the shared parts were read there.
-    pub holds_parts: bool,
+    pub has_prefix_cached: bool,
 }
 
 /// Where an endpoint stands, seen from the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Distance {
+pub enum Locality {
     /// In the same failure domain.
-    Near,
+    SameDomain,
     /// In another.
-    Far,
+    OtherDomain,
 }
 
 /// A request to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Work {
+pub struct Task {
     /// The hash of the parts of its prompt that it shares with others, and of the model.
-    pub subject: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// How long the prefill of those parts takes.
-    pub shared: Duration,
+    pub prefix_prefill: Duration,
     /// What is known of where they were read.
-    pub holders: Holders,
+    pub holders: CacheHolders,
     /// A number that differs between requests, to break ties.
     pub salt: u64,
 }
 
 /// What is known of the endpoints that keep shared parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holders {
+pub enum CacheHolders {
     /// The candidates that hold them are marked, and no others do.
     Known,
     /// Others may; most likely the home does.
@@ -63,47 +63,47 @@
 const FAILING_PENALTY: Duration = Duration::from_millis(1_500);
 /// Below this share of failures an endpoint counts as sound; endpoints fail some requests for
 /// reasons of the requests' own.
-const MAX_HEALTHY_FAILURES: f64 = 0.3;
+const MAX_HEALTHY_FAILURE_RATE: f64 = 0.3;
 
 /// The best candidate.
 ///
 /// ```
 /// # use std::time::Duration;
-/// # use curranthook_gateway::place::{self, Candidate, Distance, Holders, Work};
+/// # use curranthook_gateway::placement::{self, Candidate, Locality, CacheHolders, Task};
 /// let idle = Candidate {
-///     seed: 1,
+///     id_hash: 1,
 ///     wait: Duration::ZERO,
-///     failures: 0.0,
-///     distance: Distance::Near,
-///     holds_parts: false,
+///     failure_rate: 0.0,
+///     locality: Locality::SameDomain,
+///     has_prefix_cached: false,
 /// };
-/// let busy = Candidate { seed: 2, wait: Duration::from_secs(1), ..idle };
-/// let holders = Holders::Guessed;
-/// let work = Work { subject: None, shared: Duration::ZERO, holders, salt: 7 };
-/// assert_eq!(place::choose(&[busy, idle], &work), Some(1));
+/// let busy = Candidate { id_hash: 2, wait: Duration::from_secs(1), ..idle };
+/// let holders = CacheHolders::Guessed;
+/// let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt: 7 };
+/// assert_eq!(placement::choose(&[busy, idle], &task), Some(1));
 /// ```
-pub fn choose(candidates: &[Candidate], work: &Work) -> Option<usize> {
-    costs(candidates, work).min().map(|it| it.index)
+pub fn choose(candidates: &[Candidate], task: &Task) -> Option<usize> {
+    costs(candidates, task).min().map(|it| it.index)
 }
 
 /// The `n` best candidates, the best first.
 ///
 /// ```
 /// # use std::time::Duration;
-/// # use curranthook_gateway::place::{self, Candidate, Distance, Holders, Work};
-/// let at = |seed, wait| Candidate {
-///     seed,
+/// # use curranthook_gateway::placement::{self, Candidate, Locality, CacheHolders, Task};
+/// let at = |id_hash, wait| Candidate {
+///     id_hash,
 ///     wait: Duration::from_millis(wait),
-///     failures: 0.0,
-///     distance: Distance::Near,
-///     holds_parts: false,
+///     failure_rate: 0.0,
+///     locality: Locality::SameDomain,
+///     has_prefix_cached: false,
 /// };
-/// let holders = Holders::Guessed;
-/// let work = Work { subject: None, shared: Duration::ZERO, holders, salt: 7 };
-/// assert_eq!(place::best(&[at(1, 300), at(2, 100), at(3, 200)], &work, 2), [1, 2]);
+/// let holders = CacheHolders::Guessed;
+/// let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt: 7 };
+/// assert_eq!(placement::best(&[at(1, 300), at(2, 100), at(3, 200)], &task, 2), [1, 2]);
 /// ```
-pub fn best(candidates: &[Candidate], work: &Work, n: usize) -> Vec<usize> {
-    let mut all: Vec<_> = costs(candidates, work).collect();
+pub fn best(candidates: &[Candidate], task: &Task, n: usize) -> Vec<usize> {
+    let mut all: Vec<_> = costs(candidates, task).collect();
     all.sort_unstable();
     all.truncate(n);
     all.into_iter().map(|it| it.index).collect()
@@ -113,25 +113,27 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
     time: Duration,
-    tie: u64,
+    tie_breaker: u64,
     index: usize,
 }
 
-fn costs(candidates: &[Candidate], work: &Work) -> impl Iterator<Item = Cost> {
-    let home = work.subject.and_then(|subject| {
-        let weights = candidates.iter().map(|it| hash::pair(subject, it.seed));
+fn costs(candidates: &[Candidate], task: &Task) -> impl Iterator<Item = Cost> {
+    let preferred = task.prefix_hash.and_then(|prefix_hash| {
+        let weights = candidates.iter().map(|it| hash::pair(prefix_hash, it.id_hash));
         weights.enumerate().max_by_key(|(_, weight)| *weight).map(|(index, _)| index)
     });
     candidates.iter().enumerate().map(move |(index, it)| {
-        let is_home = home == Some(index) && work.holders == Holders::Guessed;
-        let prefill = if is_home || it.holds_parts { Duration::ZERO } else { work.shared };
-        let failing = FAILING_PENALTY.mul_f64((it.failures - MAX_HEALTHY_FAILURES).max(0.0));
-        let travel =
-            if it.distance == Distance::Near { Duration::ZERO } else { CROSS_DOMAIN_PENALTY };
-        let tie = match work.subject {
-            Some(subject) => u64::MAX - hash::pair(subject, it.seed),
-            None => hash::pair(work.salt, it.seed),
+        let is_preferred = preferred == Some(index) && task.holders == CacheHolders::Guessed;
+        let prefill =
+            if is_preferred || it.has_prefix_cached { Duration::ZERO } else { task.prefix_prefill };
+        let failure_penalty =
+            FAILING_PENALTY.mul_f64((it.failure_rate - MAX_HEALTHY_FAILURE_RATE).max(0.0));
+        let cross_domain =
+            if it.locality == Locality::SameDomain { Duration::ZERO } else { CROSS_DOMAIN_PENALTY };
+        let tie_breaker = match task.prefix_hash {
+            Some(prefix_hash) => u64::MAX - hash::pair(prefix_hash, it.id_hash),
+            None => hash::pair(task.salt, it.id_hash),
         };
-        Cost { time: it.wait + prefill + failing + travel, tie, index }
+        Cost { time: it.wait + prefill + failure_penalty + cross_domain, tie_breaker, index }
     })
 }
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -4,26 +4,31 @@
 
 use curranthook_gateway::{
     cascade::{self, Aim, Outlook},
-    place::{self, Candidate, Distance, Holders, Work},
+    placement::{self, CacheHolders, Candidate, Locality, Task},
     retry_budget::{Budget, Limit},
     splitter::Splitter,
     startup::{self, Waiters},
 };
 use yare::parameterized;
 
-fn idle(seed: u64) -> Candidate {
+fn idle(id_hash: u64) -> Candidate {
     Candidate {
-        seed,
+        id_hash,
         wait: Duration::ZERO,
-        failures: 0.0,
-        distance: Distance::Near,
-        holds_parts: false,
+        failure_rate: 0.0,
+        locality: Locality::SameDomain,
+        has_prefix_cached: false,
     }
 }
 
-fn work(subject: u64, shared_ms: u64) -> Work {
-    let shared = Duration::from_millis(shared_ms);
-    Work { subject: Some(subject), shared, holders: Holders::Guessed, salt: subject }
+fn task(prefix_hash: u64, prefill_ms: u64) -> Task {
+    let prefix_prefill = Duration::from_millis(prefill_ms);
+    Task {
+        prefix_hash: Some(prefix_hash),
+        prefix_prefill,
+        holders: CacheHolders::Guessed,
+        salt: prefix_hash,
+    }
 }
 
 /// Two nodes that see the same endpoints in another order send the same parts to the same one.
@@ -31,9 +36,9 @@
 fn nodes_agree_on_homes_without_a_message() {
     let ours: Vec<_> = (1..=12).map(idle).collect();
     let theirs: Vec<_> = ours.iter().rev().copied().collect();
-    for subject in 0..200 {
-        let work = work(subject, 300);
-        let at = |all: &[Candidate]| all[place::choose(all, &work).unwrap()].seed;
+    for prefix_hash in 0..200 {
+        let task = task(prefix_hash, 300);
+        let at = |all: &[Candidate]| all[placement::choose(all, &task).unwrap()].id_hash;
         assert_eq!(at(&ours), at(&theirs));
     }
 }
@@ -43,25 +48,25 @@
 #[test]
 fn parts_are_sent_where_they_are_known_to_be() {
     let mut all: Vec<_> = (1..=12).map(idle).collect();
-    let guessed = work(7, 600);
-    let home = place::choose(&all, &guessed).unwrap();
+    let guessed = task(7, 600);
+    let home = placement::choose(&all, &guessed).unwrap();
     all[home].wait = Duration::from_millis(300);
-    assert_eq!(place::choose(&all, &guessed), Some(home));
-    let known = Work { holders: Holders::Known, ..guessed };
-    assert_ne!(place::choose(&all, &known), Some(home));
+    assert_eq!(placement::choose(&all, &guessed), Some(home));
+    let known = Task { holders: CacheHolders::Known, ..guessed };
+    assert_ne!(placement::choose(&all, &known), Some(home));
     let other = (home + 5) % all.len();
-    all[other].holds_parts = true;
-    assert_eq!(place::choose(&all, &known), Some(other));
+    all[other].has_prefix_cached = true;
+    assert_eq!(placement::choose(&all, &known), Some(other));
 }
 
 /// One endpoint of twelve goes. Only what had its home there moves; the rest is still found.
 #[test]
 fn the_loss_of_an_endpoint_moves_only_its_own() {
     let all: Vec<_> = (1..=12).map(idle).collect();
-    let moved = (0..1_200).filter(|subject| {
-        let work = work(*subject, 300);
-        let before = all[place::choose(&all, &work).unwrap()].seed;
-        let after = all[..11][place::choose(&all[..11], &work).unwrap()].seed;
+    let moved = (0..1_200).filter(|prefix_hash| {
+        let task = task(*prefix_hash, 300);
+        let before = all[placement::choose(&all, &task).unwrap()].id_hash;
+        let after = all[..11][placement::choose(&all[..11], &task).unwrap()].id_hash;
         before != after
     });
     let moved = moved.count();
@@ -73,12 +78,12 @@
 #[test]
 fn a_busy_home_is_passed_over() {
     let mut all: Vec<_> = (1..=4).map(idle).collect();
-    let work = work(7, 300);
-    let home = place::choose(&all, &work).unwrap();
+    let task = task(7, 300);
+    let home = placement::choose(&all, &task).unwrap();
     all[home].wait = Duration::from_millis(200);
-    assert_eq!(place::choose(&all, &work), Some(home), "waiters is shorter than reading");
+    assert_eq!(placement::choose(&all, &task), Some(home), "waiters is shorter than reading");
     all[home].wait = Duration::from_millis(400);
-    assert_ne!(place::choose(&all, &work), Some(home));
+    assert_ne!(placement::choose(&all, &task), Some(home));
 }
 
 /// An endpoint fails most requests while its health check is good. Callers would see it in one
@@ -86,11 +91,11 @@
 #[test]
 fn a_failing_endpoint_is_left_alone() {
     let mut all: Vec<_> = (1..=4).map(idle).collect();
-    all[2].failures = 0.6;
+    all[2].failure_rate = 0.6;
     for salt in 0..100 {
-        let holders = Holders::Guessed;
-        let work = Work { subject: None, shared: Duration::ZERO, holders, salt };
-        assert_ne!(place::choose(&all, &work), Some(2));
+        let holders = CacheHolders::Guessed;
+        let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt };
+        assert_ne!(placement::choose(&all, &task), Some(2));
     }
 }
 
--- a/crates/curranthook_gateway/tests/shared_engines.rs
+++ b/crates/curranthook_gateway/tests/shared_engines.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, time::Duration};
 
-use curranthook_gateway::place::{self, Candidate, Distance, Holders, Work};
+use curranthook_gateway::placement::{self, CacheHolders, Candidate, Locality, Task};
 use curranthook_policy::hash;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -67,10 +67,10 @@
         ends.max().unwrap_or_default()
     }
 
-    fn read(&mut self, subject: u64, node: usize, now: Duration) -> Duration {
+    fn read(&mut self, prefix: u64, node: usize, now: Duration) -> Duration {
         self.prefills.retain(|(end, _)| now < *end);
         let start = now + self.wait(now, |_| true);
-        let shared = if self.holds.insert(subject) { READING.0 } else { Duration::ZERO };
+        let shared = if self.holds.insert(prefix) { READING.0 } else { Duration::ZERO };
         let end = start + shared + READING.1;
         self.prefills.push((end, node));
         end
@@ -78,33 +78,34 @@
 }
 
 /// Places requests for a while.
-fn play(sight: Sight, holders: Holders, subjects: Subjects, seed: u64) -> Fared {
+fn play(sight: Sight, holders: CacheHolders, subjects: Subjects, seed: u64) -> Fared {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut engines = vec![Engine::default(); N_ENGINES];
     let (mut now, mut n_late, mut n_all, mut sum) = (Duration::ZERO, 0, 0, Duration::ZERO);
     while now < LENGTH {
         now += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / RATE);
         let node = rng.random_range(0..N_NODES);
-        let subject = (rng.random::<f64>().powf(subjects.skew) * subjects.n as f64) as u64;
-        let work = Work { subject: Some(subject), shared: READING.0, holders, salt: 0 };
+        let prefix = (rng.random::<f64>().powf(subjects.skew) * subjects.n as f64) as u64;
+        let task = Task { prefix_hash: Some(prefix), prefix_prefill: READING.0, holders, salt: 0 };
         let offer = |index: usize, sees_all: bool| Candidate {
-            seed: hash::bytes(format!("engine-{index}").as_bytes()),
+            id_hash: hash::bytes(format!("engine-{index}").as_bytes()),
             wait: engines[index].wait(now, |it| sees_all || it == node),
-            failures: 0.0,
-            distance: Distance::Near,
-            holds_parts: holders == Holders::Known && engines[index].holds.contains(&subject),
+            failure_rate: 0.0,
+            locality: Locality::SameDomain,
+            has_prefix_cached: holders == CacheHolders::Known
+                && engines[index].holds.contains(&prefix),
         };
         let all = |sees_all| (0..N_ENGINES).map(|it| offer(it, sees_all)).collect::<Vec<_>>();
         let index = match sight {
-            Sight::Own => place::choose(&all(false), &work).unwrap(),
-            Sight::Whole => place::choose(&all(true), &work).unwrap(),
+            Sight::Own => placement::choose(&all(false), &task).unwrap(),
+            Sight::Whole => placement::choose(&all(true), &task).unwrap(),
             Sight::Asked => {
-                let best = place::best(&all(false), &work, SHORTLIST);
+                let best = placement::best(&all(false), &task, SHORTLIST);
                 let offers: Vec<_> = best.iter().map(|it| offer(*it, true)).collect();
-                best[place::choose(&offers, &work).unwrap()]
+                best[placement::choose(&offers, &task).unwrap()]
             }
         };
-        let first = engines[index].read(subject, node, now) - now;
+        let first = engines[index].read(prefix, node, now) - now;
         n_all += 1;
         n_late += u32::from(OBJECTIVE < first);
         sum += first;
@@ -118,7 +119,7 @@
 /// that sees everything. Late first events: 6 in 100 by its own sight alone, none with answers.
 #[parameterized(first = { 1 }, second = { 2 }, third = { 3 })]
 fn asking_about_a_few_engines_keeps_callers_from_queues(seed: u64) {
-    let late = |sight| play(sight, Holders::Guessed, SUBJECTS, seed).late;
+    let late = |sight| play(sight, CacheHolders::Guessed, SUBJECTS, seed).late;
     let (own, asked, whole) = (late(Sight::Own), late(Sight::Asked), late(Sight::Whole));
     assert!(asked < own / 5.0, "late: {own} without, {asked} with answers");
     assert!(asked < whole + 0.02, "late: {asked} with answers, {whole} with all in sight");
@@ -130,6 +131,6 @@
 #[parameterized(first = { 1 }, second = { 2 }, third = { 3 })]
 fn telling_what_was_read_shortens_the_wait(seed: u64) {
     let mean = |holders| play(Sight::Asked, holders, MANY_SUBJECTS, seed).mean;
-    let (guessed, known) = (mean(Holders::Guessed), mean(Holders::Known));
+    let (guessed, known) = (mean(CacheHolders::Guessed), mean(CacheHolders::Known));
     assert!(known < guessed.mul_f64(0.95), "first events after {known:?}, {guessed:?} by guess");
 }
--- a/crates/curranthook_gateway/tests/unfitted.rs
+++ b/crates/curranthook_gateway/tests/unfitted.rs
@@ -4,7 +4,7 @@
 
 use curranthook_gateway::{
     pace::{First, Paces},
-    place::{self, Candidate, Distance, Holders, Work},
+    placement::{self, CacheHolders, Candidate, Locality, Task},
     prefill::Prompt,
 };
 
@@ -78,18 +78,23 @@
 fn engines_of_half_the_speed_are_chosen_alike() {
     for salt in 0..200_u64 {
         let offer = |index: u64, speed: u32| Candidate {
-            seed: index + 1,
+            id_hash: index + 1,
             wait: Duration::from_millis(100 + salt * index * 13 % 700) * speed,
-            failures: 0.0,
-            distance: Distance::Near,
-            holds_parts: salt % 5 == index,
+            failure_rate: 0.0,
+            locality: Locality::SameDomain,
+            has_prefix_cached: salt % 5 == index,
         };
         let choose = |speed: u32| {
-            let shared = Duration::from_millis(250) * speed;
+            let prefix_prefill = Duration::from_millis(250) * speed;
             let offers: Vec<_> = (0..6).map(|it| offer(it, speed)).collect();
-            place::choose(
+            placement::choose(
                 &offers,
-                &Work { subject: Some(salt), shared, holders: Holders::Guessed, salt },
+                &Task {
+                    prefix_hash: Some(salt),
+                    prefix_prefill,
+                    holders: CacheHolders::Guessed,
+                    salt,
+                },
             )
         };
         assert_eq!(choose(1), choose(2));
