--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -22,13 +22,13 @@
     document::{Document, Service},
     event::Log,
     fleet,
+    latency::Estimator,
     load_owners::Owners,
     load_reports::Reports,
     load_table::LoadTable,
     metrics::Metrics,
     mirror::Mirror,
     outage::Outage,
-    pace::Paces,
     retry_budget::Budget,
     retry_schedule::Schedule,
     rollouts::Rollouts,
@@ -94,7 +94,7 @@
     /// Where prompts were read.
     pub affinity: Mutex<Affinity>,
     /// How fast models are.
-    pub paces: Mutex<Paces>,
+    pub latency_estimator: Mutex<Estimator>,
     /// Repeats.
     pub retry_budget: Mutex<Budget>,
     /// When refused callers may come back.
@@ -172,7 +172,7 @@
             directory: Mutex::default(),
             retry_schedule: Mutex::default(),
             affinity: Mutex::default(),
-            paces: Mutex::default(),
+            latency_estimator: Mutex::default(),
             mirror: Mutex::default(),
             outage: Mutex::default(),
             load_table: Mutex::default(),
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -17,11 +17,11 @@
     document::Route,
     event::Event,
     gateway::{Current, InFlight},
+    latency::{Estimate, FirstEvent},
     lease::Lease,
     load_reports::{self, Heard},
     models::{Candidate, Models},
     offer::{self, Wanted, Wants},
-    pace::{First, Pace},
     refusal::{Ran, Reason, Refusal},
     request::{Model, Request},
     rollouts::{Kind, Rule},
@@ -244,7 +244,7 @@
             subject: offer::subject(self.request.subject(), name),
             shared_tokens: self.request.shared_tokens(),
             prompt_tokens: self.request.prompt_tokens(),
-            model: model.map(|it| Wants { weight: it.weight, pace: self.pace(it) }),
+            model: model.map(|it| Wants { weight: it.weight, latency: self.latency(it) }),
             salt: hash::bytes(self.request.head.id.as_bytes()),
         }
     }
@@ -300,14 +300,14 @@
             if let Some(expected) = lease.expected {
                 self.gateway.metrics.estimated(expected, open.first_byte);
             }
-            let first = First {
+            let first = FirstEvent {
                 prompt: lease.prompt,
-                busy: lease.busy,
-                waited: lease.waited,
-                took: open.first_byte,
+                outstanding: lease.busy,
+                queue_delay: lease.waited,
+                elapsed: open.first_byte,
             };
-            let mut paces = self.gateway.paces.lock();
-            paces.began(&self.service, &it.name, it.weight, first);
+            let mut estimator = self.gateway.latency_estimator.lock();
+            estimator.record_first_event(&self.service, &it.name, it.weight, first);
         }
         if open.reply.status.is_success() && self.escalates(open.reply.confidence).await {
             open.close(Outcome::Answered);
@@ -316,15 +316,15 @@
         Some(open)
     }
 
-    fn pace(&self, model: &Candidate) -> Pace {
-        self.gateway.paces.lock().of(&self.service, &model.name, model.weight)
+    fn latency(&self, model: &Candidate) -> Estimate {
+        self.gateway.latency_estimator.lock().estimate(&self.service, &model.name, model.weight)
     }
 
     /// An answer of `events` ended `took` after its first event.
     pub fn streamed(&self, version: &str, events: u32, took: Duration) {
         if let Some(it) = self.models.current() {
-            let mut paces = self.gateway.paces.lock();
-            paces.ended(&self.service, &it.name, it.weight, events, took);
+            let mut estimator = self.gateway.latency_estimator.lock();
+            estimator.record_stream(&self.service, &it.name, it.weight, events, took);
         }
         if let Some(each) = took.checked_div(events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -61,11 +61,11 @@
         let wanted = self.wanted(rule, Some(model));
         let directory = self.gateway.directory.lock();
         let offer = offer::best(&self.gateway, &directory, &wanted, heard)?;
-        Some(offer.first_event(&wanted.model?.pace))
+        Some(offer.first_event(&wanted.model?.latency))
     }
 
     fn outlook(&self, model: &Candidate, first: Duration, price: f64) -> Outlook {
         let events = self.models.events(self.request.output_tokens());
-        Outlook { first, last: first + self.pace(model).rest(events), price }
+        Outlook { first, last: first + self.latency(model).remaining_events(events), price }
     }
 }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -63,9 +63,9 @@
         offer::renew_permits(gateway, &mut directory, wanted.service, now);
         let offer = offer::best(gateway, &directory, wanted, heard)?;
         let Offer { prompt, busy, waited, .. } = offer;
-        let pace = wanted.model.map(|it| it.pace);
-        let expected = pace.map(|it| offer.first_event(&it));
-        let pending = pace.map_or(Duration::ZERO, |it| it.speed.prefill(prompt));
+        let latency = wanted.model.map(|it| it.latency);
+        let expected = latency.map(|it| offer.first_event(&it));
+        let pending = latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
         let entry = offer.endpoint.entry.clone();
         directory.started(&entry.id, pending, now);
         if let Some(subject) = wanted.subject {
--- a/crates/curranthook_gateway/src/offer.rs
+++ b/crates/curranthook_gateway/src/offer.rs
@@ -11,9 +11,9 @@
 use crate::{
     Gateway, cascade,
     directory::{Directory, Permits, Tracked},
+    latency::Estimate,
     load_owners,
     load_reports::Heard,
-    pace::Pace,
     permit,
     placement::{self, CacheHolders, Candidate, Locality, Task},
     prefill::Prompt,
@@ -55,7 +55,7 @@
     /// Its price against the dearest one's.
     pub weight: f64,
     /// How fast it has been.
-    pub pace: Pace,
+    pub latency: Estimate,
 }
 
 impl Wanted<'_> {
@@ -66,7 +66,7 @@
 
     fn prefill(&self, has_prefix_cached: bool) -> Duration {
         let prompt = self.prompt(has_prefix_cached);
-        self.model.map_or(Duration::ZERO, |it| it.pace.speed.prefill(prompt))
+        self.model.map_or(Duration::ZERO, |it| it.latency.coefficients.prefill_time(prompt))
     }
 
     fn task(&self, holders: CacheHolders) -> Task {
@@ -90,8 +90,8 @@
 
 impl Offer<'_> {
     /// When the first event of a model of `pace` is likely to come.
-    pub fn first_event(&self, pace: &Pace) -> Duration {
-        pace.first(self.prompt, self.busy, self.waited)
+    pub fn first_event(&self, latency: &Estimate) -> Duration {
+        latency.first_event(self.prompt, self.busy, self.waited)
     }
 }
 
@@ -275,7 +275,8 @@
 fn wait(it: &Tracked, wanted: &Wanted<'_>, of_others: Duration, now: Instant) -> Duration {
     let busy = it.busy(now);
     if let Some(model) = wanted.model {
-        return waiting(it, wanted, of_others) + model.pace.speed.per_running() * busy;
+        return waiting(it, wanted, of_others)
+            + model.latency.coefficients.delay_per_running() * busy;
     }
     let slots = it.entry.slots.max(1);
     let waiting = (busy + 1).saturating_sub(slots);
--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use curranthook_gateway::{
-    pace::{First, Pace, Paces},
+    latency::{Estimate, Estimator, FirstEvent},
     prefill::{Filter, Prompt},
 };
 use rand::{Rng, RngExt, SeedableRng};
@@ -36,11 +36,11 @@
 const STEEP: Engine = Engine { per_thousand: 15.0, per_million_pairs: 3.0, ..FAST };
 
 impl Engine {
-    fn first(&self, prompt: Prompt, busy: u32, rng: &mut impl Rng) -> Duration {
-        let (read, kept) = (prompt.read as f64, prompt.kept as f64);
-        let pairs = read * (kept + read / 2.0) / 1e6;
-        let fixed = self.constant + self.per_running * f64::from(busy);
-        let own = fixed + self.per_thousand * read / 1e3 + self.per_million_pairs * pairs;
+    fn first_event(&self, prompt: Prompt, outstanding: u32, rng: &mut impl Rng) -> Duration {
+        let (uncached, cached) = (prompt.uncached as f64, prompt.cached as f64);
+        let pairs = uncached * (cached + uncached / 2.0) / 1e6;
+        let fixed = self.constant + self.per_running * f64::from(outstanding);
+        let own = fixed + self.per_thousand * uncached / 1e3 + self.per_million_pairs * pairs;
         let other = match rng.random_bool(self.overtaken) {
             true => Exp::new(1.0 / 400.0).unwrap().sample(rng),
             false => 0.0,
@@ -53,19 +53,24 @@
 fn prompt(rng: &mut impl Rng) -> Prompt {
     let own: f64 = LogNormal::new(8.3, 0.9).unwrap().sample(rng);
     let shared = rng.random_range(1_000..9_000);
-    let kept = if rng.random_bool(0.4) { shared } else { 0 };
-    Prompt::new(shared + own.min(54_000.0) as u64, kept)
+    let cached = if rng.random_bool(0.4) { shared } else { 0 };
+    Prompt::new(shared + own.min(54_000.0) as u64, cached)
 }
 
-fn learned(engine: Engine, n: usize, rng: &mut impl Rng) -> Pace {
-    let mut paces = Paces::default();
+fn learned(engine: Engine, n: usize, rng: &mut impl Rng) -> Estimate {
+    let mut estimator = Estimator::default();
     for _ in 0..n {
-        let (prompt, busy) = (prompt(rng), rng.random_range(0..8));
-        let waited = Duration::from_millis(rng.random_range(0..4) * 100);
-        let took = waited + engine.first(prompt, busy, rng);
-        paces.began("engines", "large", 1.0, First { prompt, busy, waited, took });
+        let (prompt, outstanding) = (prompt(rng), rng.random_range(0..8));
+        let queue_delay = Duration::from_millis(rng.random_range(0..4) * 100);
+        let elapsed = queue_delay + engine.first_event(prompt, outstanding, rng);
+        estimator.record_first_event(
+            "engines",
+            "large",
+            1.0,
+            FirstEvent { prompt, outstanding, queue_delay, elapsed },
+        );
     }
-    paces.of("engines", "large", 1.0)
+    estimator.estimate("engines", "large", 1.0)
 }
 
 /// Engines differ from site to site, and long prompts take more than their share, since each token
@@ -81,13 +86,13 @@
 )]
 fn first_events_are_expected_when_they_come(engine: Engine, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let pace = learned(engine, 60, &mut rng);
+    let estimate = learned(engine, 60, &mut rng);
     let mut errors: Vec<f64> = (0..1_000)
         .map(|_| {
-            let (prompt, busy) = (prompt(&mut rng), rng.random_range(0..8));
-            let took = engine.first(prompt, busy, &mut rng);
-            let expected = pace.first(prompt, busy, Duration::ZERO);
-            took.abs_diff(expected).as_secs_f64() / took.as_secs_f64()
+            let (prompt, outstanding) = (prompt(&mut rng), rng.random_range(0..8));
+            let elapsed = engine.first_event(prompt, outstanding, &mut rng);
+            let expected = estimate.first_event(prompt, outstanding, Duration::ZERO);
+            elapsed.abs_diff(expected).as_secs_f64() / elapsed.as_secs_f64()
         })
         .collect();
     errors.sort_by(f64::total_cmp);
@@ -99,12 +104,12 @@
 #[parameterized(fast = { FAST, 5 }, slow = { SLOW, 6 }, steep = { STEEP, 7 })]
 fn the_longest_prompts_are_expected_right(engine: Engine, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let pace = learned(engine, 120, &mut rng);
+    let estimate = learned(engine, 120, &mut rng);
     let calm = Engine { overtaken: 0.0, ..engine };
     let longest = Prompt::new(50_000, 0);
-    let took = calm.first(longest, 3, &mut rng);
-    let expected = pace.first(longest, 3, Duration::ZERO);
-    assert!(took.abs_diff(expected) < took / 4, "{took:?}, expected {expected:?}");
+    let elapsed = calm.first_event(longest, 3, &mut rng);
+    let expected = estimate.first_event(longest, 3, Duration::ZERO);
+    assert!(elapsed.abs_diff(expected) < elapsed / 4, "{elapsed:?}, expected {expected:?}");
 }
 
 /// A caller claims a prompt of a billion tokens and is answered at once. If that were believed,
@@ -112,12 +117,12 @@
 #[test]
 fn false_claims_teach_nothing() {
     let mut filter = Filter::new(1.0);
-    let (honest, took) = (Prompt::new(20_000, 0), Duration::from_secs(1));
-    (0..50).for_each(|_| filter.learn(honest, 0, Duration::ZERO, took));
-    let before = filter.speed();
+    let (honest, elapsed) = (Prompt::new(20_000, 0), Duration::from_secs(1));
+    (0..50).for_each(|_| filter.update(honest, 0, Duration::ZERO, elapsed));
+    let before = filter.coefficients();
     let lie = Prompt::new(1_000_000_000, 0);
-    (0..50).for_each(|_| filter.learn(lie, 0, Duration::ZERO, Duration::from_millis(50)));
-    assert_eq!(filter.speed(), before);
+    (0..50).for_each(|_| filter.update(lie, 0, Duration::ZERO, Duration::from_millis(50)));
+    assert_eq!(filter.coefficients(), before);
 }
 
 /// Engines are replaced by ones of half the speed. What nodes expect follows within some dozens of
@@ -129,10 +134,11 @@
     let mut rng = Pcg64::seed_from_u64(8);
     for speed in [1, 2] {
         for _ in 0..150 {
-            let took = Duration::from_secs_f64(rng.random_range(0.9..1.1)) * speed;
-            filter.learn(prompt, 0, Duration::ZERO, took);
+            let elapsed = Duration::from_secs_f64(rng.random_range(0.9..1.1)) * speed;
+            filter.update(prompt, 0, Duration::ZERO, elapsed);
         }
-        let expected = filter.speed().first(prompt, 0).as_secs_f64() / f64::from(speed);
+        let expected =
+            filter.coefficients().first_event(prompt, 0).as_secs_f64() / f64::from(speed);
         assert!((0.85..1.15).contains(&expected), "{expected} at {speed}");
     }
 }
--- a/crates/curranthook_gateway/tests/unfitted.rs
+++ b/crates/curranthook_gateway/tests/unfitted.rs
@@ -3,7 +3,7 @@
 use std::{fs, path::Path, time::Duration};
 
 use curranthook_gateway::{
-    pace::{First, Paces},
+    latency::{Estimator, FirstEvent},
     placement::{self, CacheHolders, Candidate, Locality, Task},
     prefill::Prompt,
 };
@@ -60,14 +60,15 @@
 #[test]
 fn names_change_no_estimate() {
     let learned = |service: &str, model: &str| {
-        let mut paces = Paces::default();
+        let mut estimator = Estimator::default();
         for n in 1..50_u32 {
             let prompt = Prompt::new(u64::from(n) * 317 % 9_000, 0);
-            let took = Duration::from_millis(100 + u64::from(n) * 7 % 300);
-            let first = First { prompt, busy: n % 7, waited: Duration::ZERO, took };
-            paces.began(service, model, 0.5, first);
+            let elapsed = Duration::from_millis(100 + u64::from(n) * 7 % 300);
+            let first =
+                FirstEvent { prompt, outstanding: n % 7, queue_delay: Duration::ZERO, elapsed };
+            estimator.record_first_event(service, model, 0.5, first);
         }
-        paces.of(service, model, 0.5)
+        estimator.estimate(service, model, 0.5)
     };
     assert_eq!(learned("a", "b"), learned("engines", "large"));
 }
