--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -21,10 +21,10 @@
     lease::Lease,
     load_reports::{self, Heard},
     models::{Candidate, Models},
-    offer::{self, Wanted, Wants},
     refusal::{Ran, Reason, Refusal},
     request::{Model, Request},
     rollouts::{Kind, Rule},
+    selection::{self, Criteria, TargetModel},
 };
 
 use self::retry::Next;
@@ -83,7 +83,7 @@
     has_failed: bool,
     configuration: u64,
     /// What other nodes told while the next attempt was decided on.
-    heard: Option<Heard>,
+    peer_reports: Option<Heard>,
     _in_flight: InFlight,
 }
 
@@ -115,7 +115,7 @@
             ran: Ran::No,
             has_failed: false,
             configuration: current.document.version,
-            heard: None,
+            peer_reports: None,
             _in_flight: gateway.enter(),
             gateway: Arc::clone(gateway),
             request,
@@ -173,23 +173,23 @@
     async fn place(&mut self) -> Result<Lease, Refusal> {
         let session = self.session();
         let rule = self.gateway.rollouts.lock().rule(&self.service, session);
-        let heard = self.heard.take();
-        let wanted = self.wanted(&rule, self.models.current());
-        let heard = match heard {
-            Some(heard) => heard,
-            None => self.hear(&wanted).await,
+        let peer_reports = self.peer_reports.take();
+        let criteria = self.criteria(&rule, self.models.current());
+        let peer_reports = match peer_reports {
+            Some(peer_reports) => peer_reports,
+            None => self.hear(&criteria).await,
         };
-        let lease = Lease::take(&self.gateway, &wanted, &heard);
-        lease.ok_or_else(|| self.unplaced(&wanted))
+        let lease = Lease::take(&self.gateway, &criteria, &peer_reports);
+        lease.ok_or_else(|| self.unplaced(&criteria))
     }
 
     /// The refusal of a request that no endpoint takes.
-    fn unplaced(&self, wanted: &Wanted<'_>) -> Refusal {
-        let Some(throttled) = offer::throttled(&self.gateway, wanted) else {
+    fn unplaced(&self, criteria: &Criteria<'_>) -> Refusal {
+        let Some(throttled) = selection::throttled(&self.gateway, criteria) else {
             return self.refusal(Reason::NoEndpoint).with_retry_after(RETRY_AWAY);
         };
         let (n_nodes, now) = (self.gateway.n_nodes(), self.gateway.now());
-        let by_pause = throttled.resumes.map(|it| it.saturating_duration_since(now));
+        let by_pause = throttled.resumes_at.map(|it| it.saturating_duration_since(now));
         let own_rate = Some(throttled.rate / n_nodes as f64).filter(|it| 0.0 < *it);
         let by_rate =
             own_rate.map(|it| self.gateway.retry_schedule.lock().reserve(&self.service, it, now));
@@ -199,52 +199,55 @@
 
     /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
     /// have told already.
-    async fn hear(&self, wanted: &Wanted<'_>) -> Heard {
-        let mut heard = Heard::default();
+    async fn hear(&self, criteria: &Criteria<'_>) -> Heard {
+        let mut peer_reports = Heard::default();
         for _ in 0..MAX_QUESTIONS {
-            let shortlist = offer::shortlist(&self.gateway, wanted);
+            let shortlist = selection::shortlist(&self.gateway, criteria);
             if shortlist.is_empty() {
                 return Heard::default();
             }
-            heard = self.ask_others(shortlist, wanted.subject).await;
-            if heard.unreachable.is_empty() {
+            peer_reports = self.ask_others(shortlist, criteria.prefix_hash).await;
+            if peer_reports.unreachable.is_empty() {
                 break;
             }
             let now = self.gateway.now();
             let mut directory = self.gateway.directory.lock();
-            heard.unreachable.iter().for_each(|it| directory.avoid(it, now));
+            peer_reports.unreachable.iter().for_each(|it| directory.avoid(it, now));
             // One that can be reached is enough.
-            if heard.waiting.keys().any(|it| !heard.unreachable.contains(it)) {
+            if peer_reports.waiting.keys().any(|it| !peer_reports.unreachable.contains(it)) {
                 break;
             }
         }
-        heard
+        peer_reports
     }
 
-    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, subject: Option<u64>) -> Heard {
-        let mut heard = load_reports::ask(&self.gateway, shortlist, subject).await;
-        let is_unheard = |it: &endpoint::Id| !heard.waiting.contains_key(it);
-        let holders = heard.holders.iter().flatten();
-        let unheard: Vec<_> = holders.filter(|it| is_unheard(it)).cloned().collect();
-        if !unheard.is_empty() {
-            let of_holders = load_reports::ask(&self.gateway, unheard, None).await;
-            heard.waiting.extend(of_holders.waiting);
-            heard.unreachable.extend(of_holders.unreachable);
+    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, prefix_hash: Option<u64>) -> Heard {
+        let mut peer_reports = load_reports::ask(&self.gateway, shortlist, prefix_hash).await;
+        let is_unreported = |it: &endpoint::Id| !peer_reports.waiting.contains_key(it);
+        let holders = peer_reports.holders.iter().flatten();
+        let unreported: Vec<_> = holders.filter(|it| is_unreported(it)).cloned().collect();
+        if !unreported.is_empty() {
+            let of_holders = load_reports::ask(&self.gateway, unreported, None).await;
+            peer_reports.waiting.extend(of_holders.waiting);
+            peer_reports.unreachable.extend(of_holders.unreachable);
         }
-        heard
+        peer_reports
     }
 
     /// What is to be placed if `model` is asked.
-    fn wanted<'a>(&'a self, rule: &'a Rule, model: Option<&Candidate>) -> Wanted<'a> {
+    fn criteria<'a>(&'a self, rule: &'a Rule, model: Option<&Candidate>) -> Criteria<'a> {
         let name = model.map_or("", |it| it.name.as_str());
-        Wanted {
+        Criteria {
             service: &self.service,
             rule,
             tried: &self.tried,
-            subject: offer::subject(self.request.subject(), name),
-            shared_tokens: self.request.shared_tokens(),
+            prefix_hash: selection::prefix_hash(self.request.prefix_hash(), name),
+            prefix_tokens: self.request.prefix_tokens(),
             prompt_tokens: self.request.prompt_tokens(),
-            model: model.map(|it| Wants { weight: it.weight, latency: self.latency(it) }),
+            model: model.map(|it| TargetModel {
+                relative_price: it.relative_price,
+                latency: self.latency(it),
+            }),
             salt: hash::bytes(self.request.head.id.as_bytes()),
         }
     }
@@ -259,7 +262,7 @@
             account: self.account.as_ref(),
             time_left: self.time_left(),
             model: model.filter(|_| self.request.head.model == Model::Any),
-            priority: candidate.map(|it| cascade::urgency(self.priority, it.weight)),
+            priority: candidate.map(|it| cascade::urgency(self.priority, it.relative_price)),
             last_event: self.last_event,
         };
         self.gateway.log.write(&Event::Sent {
@@ -269,7 +272,7 @@
             version: &lease.version,
             model: model.unwrap_or_default(),
             attempt: self.attempts,
-            busy: lease.busy,
+            busy: lease.outstanding,
             expected_ms: lease.expected.map(millis),
             resumed_after: self.last_event,
             left_ms: millis(outgoing.time_left),
@@ -302,12 +305,12 @@
             }
             let first = FirstEvent {
                 prompt: lease.prompt,
-                outstanding: lease.busy,
-                queue_delay: lease.waited,
+                outstanding: lease.outstanding,
+                queue_delay: lease.queue_delay,
                 elapsed: open.first_byte,
             };
             let mut estimator = self.gateway.latency_estimator.lock();
-            estimator.record_first_event(&self.service, &it.name, it.weight, first);
+            estimator.record_first_event(&self.service, &it.name, it.relative_price, first);
         }
         if open.reply.status.is_success() && self.escalates(open.reply.confidence).await {
             open.close(Outcome::Answered);
@@ -317,14 +320,18 @@
     }
 
     fn latency(&self, model: &Candidate) -> Estimate {
-        self.gateway.latency_estimator.lock().estimate(&self.service, &model.name, model.weight)
+        self.gateway.latency_estimator.lock().estimate(
+            &self.service,
+            &model.name,
+            model.relative_price,
+        )
     }
 
     /// An answer of `events` ended `took` after its first event.
     pub fn streamed(&self, version: &str, events: u32, took: Duration) {
         if let Some(it) = self.models.current() {
             let mut estimator = self.gateway.latency_estimator.lock();
-            estimator.record_stream(&self.service, &it.name, it.weight, events, took);
+            estimator.record_stream(&self.service, &it.name, it.relative_price, events, took);
         }
         if let Some(each) = took.checked_div(events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
@@ -345,7 +352,7 @@
     fn session(&self) -> u64 {
         let own = || hash::bytes(self.request.head.id.as_bytes());
         let route = hash::bytes(self.route.prefix.as_bytes());
-        self.request.subject().map_or_else(own, |it| hash::pair(it, route))
+        self.request.prefix_hash().map_or_else(own, |it| hash::pair(it, route))
     }
 
     fn log_failed(&self, endpoint: &endpoint::Id, failed: &Failed, took: Duration) {
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -8,8 +8,8 @@
     event::Event,
     load_reports::Heard,
     models::Candidate,
-    offer,
     rollouts::Rule,
+    selection,
 };
 
 impl Job {
@@ -23,8 +23,8 @@
         if self.better(confidence, &rule, &Heard::default()).is_none() {
             return false;
         }
-        let heard = self.hear(&self.wanted(&rule, Some(large))).await;
-        let Some(expected) = self.better(confidence, &rule, &heard) else { return false };
+        let peer_reports = self.hear(&self.criteria(&rule, Some(large))).await;
+        let Some(expected) = self.better(confidence, &rule, &peer_reports) else { return false };
         let model = large.name.clone();
         if !self.may_run_again("confidence") {
             return false;
@@ -37,19 +37,19 @@
             last_ms: millis(expected.last),
         });
         self.models.switch_to_largest();
-        self.heard = Some(heard);
+        self.peer_reports = Some(peer_reports);
         true
     }
 
     /// What is to be expected of the largest model, if that is better than the answer that has begun.
-    fn better(&self, confidence: u8, rule: &Rule, heard: &Heard) -> Option<Outlook> {
+    fn better(&self, confidence: u8, rule: &Rule, peer_reports: &Heard) -> Option<Outlook> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.request.since);
         let aim = Aim {
             objective: self.route.objective,
             deadline: self.request.deadline.saturating_duration_since(self.request.since),
         };
-        let first = elapsed + self.first_event(rule, large, heard)?;
+        let first = elapsed + self.first_event(rule, large, peer_reports)?;
         let small = self.outlook(small, elapsed, 0.0);
         let large = self.outlook(large, first, cascade::LARGE_PRICE);
         cascade::escalates(confidence, &small, &large, &aim).then_some(large)
@@ -57,15 +57,20 @@
 
     /// When the first event of `model` is likely to come, at the endpoint that it would get now; none if
     /// there is no endpoint for it.
-    fn first_event(&self, rule: &Rule, model: &Candidate, heard: &Heard) -> Option<Duration> {
-        let wanted = self.wanted(rule, Some(model));
+    fn first_event(
+        &self,
+        rule: &Rule,
+        model: &Candidate,
+        peer_reports: &Heard,
+    ) -> Option<Duration> {
+        let criteria = self.criteria(rule, Some(model));
         let directory = self.gateway.directory.lock();
-        let offer = offer::best(&self.gateway, &directory, &wanted, heard)?;
-        Some(offer.first_event(&wanted.model?.latency))
+        let choice = selection::best(&self.gateway, &directory, &criteria, peer_reports)?;
+        Some(choice.first_event(&criteria.model?.latency))
     }
 
     fn outlook(&self, model: &Candidate, first: Duration, price: f64) -> Outlook {
-        let events = self.models.events(self.request.output_tokens());
-        Outlook { first, last: first + self.latency(model).remaining_events(events), price }
+        let n_events = self.models.event_count(self.request.output_tokens());
+        Outlook { first, last: first + self.latency(model).remaining_events(n_events), price }
     }
 }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -14,9 +14,9 @@
     entry::State,
     event::Event,
     load_reports::Heard,
-    offer::{self, Offer, Wanted},
     prefill::Prompt,
     rate_limit,
+    selection::{self, Choice, Criteria},
 };
 
 /// A place at an endpoint. Dropping it gives it back.
@@ -30,11 +30,11 @@
     /// Its version.
     pub version: String,
     /// How busy it seemed.
-    pub busy: u32,
+    pub outstanding: u32,
     /// The prompt that it reads.
     pub prompt: Prompt,
     /// The work that waited there.
-    pub waited: Duration,
+    pub queue_delay: Duration,
     /// When its first event is likely to come; none for plain services.
     pub expected: Option<Duration>,
     /// How many idle connections this node may keep there.
@@ -56,26 +56,30 @@
 
 impl Lease {
     /// A place at the best endpoint for a request, if there is one (see [`offer::best`]).
-    pub fn take(gateway: &Arc<Gateway>, wanted: &Wanted<'_>, heard: &Heard) -> Option<Self> {
+    pub fn take(
+        gateway: &Arc<Gateway>,
+        criteria: &Criteria<'_>,
+        peer_reports: &Heard,
+    ) -> Option<Self> {
         let now = gateway.now();
         let mut directory = gateway.directory.lock();
         directory.sweep(now);
-        offer::renew_permits(gateway, &mut directory, wanted.service, now);
-        let offer = offer::best(gateway, &directory, wanted, heard)?;
-        let Offer { prompt, busy, waited, .. } = offer;
-        let latency = wanted.model.map(|it| it.latency);
-        let expected = latency.map(|it| offer.first_event(&it));
+        selection::renew_permits(gateway, &mut directory, criteria.service, now);
+        let choice = selection::best(gateway, &directory, criteria, peer_reports)?;
+        let Choice { prompt, outstanding, queue_delay, .. } = choice;
+        let latency = criteria.model.map(|it| it.latency);
+        let expected = latency.map(|it| choice.first_event(&it));
         let pending = latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
-        let entry = offer.endpoint.entry.clone();
+        let entry = choice.endpoint.entry.clone();
         directory.started(&entry.id, pending, now);
-        if let Some(subject) = wanted.subject {
-            gateway.affinity.lock().read(subject, &entry.id, now);
+        if let Some(prefix_hash) = criteria.prefix_hash {
+            gateway.affinity.lock().read(prefix_hash, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
-                reports.read(Read { subject, endpoint: entry.id.clone() });
+                reports.read(Read { subject: prefix_hash, endpoint: entry.id.clone() });
             }
         }
         gateway.waiting_changed.wake();
-        let max_connections = gateway.service(wanted.service, |it| it.max_connections);
+        let max_connections = gateway.service(criteria.service, |it| it.max_connections);
         let max_idle = max_connections.map(|it| connections::max_idle(it, gateway.n_nodes()));
         Some(Self {
             gateway: Arc::clone(gateway),
@@ -83,9 +87,9 @@
             addr: entry.addr,
             version: entry.version,
             born: entry.born,
-            busy,
+            outstanding,
             prompt,
-            waited,
+            queue_delay,
             expected,
             max_idle: max_idle.unwrap_or(usize::MAX),
             pending,
--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -19,25 +19,26 @@
     /// Its name.
     pub name: String,
     /// Its price against the dearest one's, from 0 to 1.
-    pub weight: f64,
+    pub relative_price: f64,
 }
 
 impl Models {
     /// The models for a request that asks for `asked` on `route`.
-    pub fn new(document: &Document, service: &str, route: &Route, asked: &Model) -> Self {
-        let names = match asked {
+    pub fn new(document: &Document, service: &str, route: &Route, requested: &Model) -> Self {
+        let names = match requested {
             Model::None => Vec::new(),
             Model::Any => route.models.clone(),
             Model::Named(name) => vec![name.clone()],
         };
         let service = document.services.get(service);
-        let cost = |name: &str| service.and_then(|it| it.models.get(name)).copied();
+        let price = |name: &str| service.and_then(|it| it.models.get(name)).copied();
         let dearest = service.and_then(|it| it.models.values().copied().reduce(f64::max));
-        let weight = |name: &str| {
-            let share = cost(name).zip(dearest);
-            share.map_or(1.0, |(cost, dearest)| cost / dearest.max(f64::MIN_POSITIVE))
+        let relative_price = |name: &str| {
+            let prices = price(name).zip(dearest);
+            prices.map_or(1.0, |(price, dearest)| price / dearest.max(f64::MIN_POSITIVE))
         };
-        let list = names.into_iter().map(|name| Candidate { weight: weight(&name), name });
+        let list =
+            names.into_iter().map(|name| Candidate { relative_price: relative_price(&name), name });
         Self {
             list: list.collect(),
             current: 0,
@@ -66,7 +67,7 @@
     }
 
     /// How many events an answer of `tokens` has.
-    pub fn events(&self, tokens: u64) -> u64 {
+    pub fn event_count(&self, tokens: u64) -> u64 {
         tokens.checked_div(u64::from(self.tokens_per_event)).unwrap_or(0)
     }
 }
--- a/crates/curranthook_gateway/src/request.rs
+++ b/crates/curranthook_gateway/src/request.rs
@@ -95,34 +95,34 @@
 
     /// What its prompt shares with others, as one hash of all parts but the last. It stands for
     /// the session or subject of the request too.
-    pub fn subject(&self) -> Option<u64> {
-        let (_own, shared) = self.head.parts.split_last()?;
-        (!shared.is_empty()).then(|| shared.iter().fold(0, |it, part| hash::pair(it, part.hash)))
+    pub fn prefix_hash(&self) -> Option<u64> {
+        let (_own, prefix) = self.head.parts.split_last()?;
+        (!prefix.is_empty()).then(|| prefix.iter().fold(0, |it, part| hash::pair(it, part.hash)))
     }
 
     /// The tokens of the parts that it shares.
-    pub fn shared_tokens(&self) -> u64 {
-        let shared = self.head.parts.split_last().map_or(&[][..], |(_own, shared)| shared);
-        sum(shared)
+    pub fn prefix_tokens(&self) -> u64 {
+        let prefix = self.head.parts.split_last().map_or(&[][..], |(_own, prefix)| prefix);
+        total_tokens(prefix)
     }
 
     /// All tokens of its prompt.
     pub fn prompt_tokens(&self) -> u64 {
-        self.head.tokens.map_or_else(|| sum(&self.head.parts), |it| it.prompt)
+        self.head.tokens.map_or_else(|| total_tokens(&self.head.parts), |it| it.prompt)
     }
 
     /// How many tokens are likely to be generated.
     pub fn output_tokens(&self) -> u64 {
-        let most = self.head.tokens.map(|it| it.max_output);
-        match (self.head.expected_output, most) {
-            (Some(expected), Some(most)) => expected.min(most),
-            (expected, most) => expected.or(most).unwrap_or(0),
+        let max = self.head.tokens.map(|it| it.max_output);
+        match (self.head.expected_output, max) {
+            (Some(expected), Some(max)) => expected.min(max),
+            (expected, max) => expected.or(max).unwrap_or(0),
         }
     }
 }
 
 /// The tokens of all parts. A caller may claim any number for each.
-fn sum(parts: &[Part]) -> u64 {
+fn total_tokens(parts: &[Part]) -> u64 {
     parts.iter().fold(0, |sum, it| sum.saturating_add(it.tokens))
 }
 
