--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -262,7 +262,8 @@
             account: self.account.as_ref(),
             time_left: self.time_left(),
             model: model.filter(|_| self.request.head.model == Model::Any),
-            priority: candidate.map(|it| cascade::urgency(self.priority, it.relative_price)),
+            priority: candidate
+                .map(|it| cascade::engine_priority(self.priority, it.relative_price)),
             last_event: self.last_event,
         };
         self.gateway.log.write(&Event::Sent {
@@ -312,7 +313,7 @@
             let mut estimator = self.gateway.latency_estimator.lock();
             estimator.record_first_event(&self.service, &it.name, it.relative_price, first);
         }
-        if open.reply.status.is_success() && self.escalates(open.reply.confidence).await {
+        if open.reply.status.is_success() && self.try_escalate(open.reply.confidence).await {
             open.close(Outcome::Answered);
             return None;
         }
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -4,7 +4,7 @@
 
 use super::{Job, millis};
 use crate::{
-    cascade::{self, Aim, Outlook},
+    cascade::{self, Forecast, Targets},
     event::Event,
     load_reports::Heard,
     models::Candidate,
@@ -14,17 +14,19 @@
 
 impl Job {
     /// Whether the largest model is asked in place of the one that has begun.
-    pub(super) async fn escalates(&mut self, confidence: Option<u8>) -> bool {
+    pub(super) async fn try_escalate(&mut self, confidence: Option<u8>) -> bool {
         let can_repeat = self.route.repeat.is_repeatable() && self.last_event.is_none();
         let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session());
         // Work of other nodes only delays the larger model, so most answers are kept without asking.
-        if self.better(confidence, &rule, &Heard::default()).is_none() {
+        if self.better_forecast(confidence, &rule, &Heard::default()).is_none() {
             return false;
         }
         let peer_reports = self.hear(&self.criteria(&rule, Some(large))).await;
-        let Some(expected) = self.better(confidence, &rule, &peer_reports) else { return false };
+        let Some(expected) = self.better_forecast(confidence, &rule, &peer_reports) else {
+            return false;
+        };
         let model = large.name.clone();
         if !self.may_run_again("confidence") {
             return false;
@@ -33,8 +35,8 @@
             request: &self.request.head.id,
             model: &model,
             confidence,
-            first_ms: millis(expected.first),
-            last_ms: millis(expected.last),
+            first_ms: millis(expected.first_event),
+            last_ms: millis(expected.last_event),
         });
         self.models.switch_to_largest();
         self.peer_reports = Some(peer_reports);
@@ -42,17 +44,22 @@
     }
 
     /// What is to be expected of the largest model, if that is better than the answer that has begun.
-    fn better(&self, confidence: u8, rule: &Rule, peer_reports: &Heard) -> Option<Outlook> {
+    fn better_forecast(
+        &self,
+        confidence: u8,
+        rule: &Rule,
+        peer_reports: &Heard,
+    ) -> Option<Forecast> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.request.since);
-        let aim = Aim {
+        let targets = Targets {
             objective: self.route.objective,
             deadline: self.request.deadline.saturating_duration_since(self.request.since),
         };
-        let first = elapsed + self.first_event(rule, large, peer_reports)?;
-        let small = self.outlook(small, elapsed, 0.0);
-        let large = self.outlook(large, first, cascade::LARGE_PRICE);
-        cascade::escalates(confidence, &small, &large, &aim).then_some(large)
+        let large_first_event = elapsed + self.first_event(rule, large, peer_reports)?;
+        let small = self.forecast(small, elapsed, 0.0);
+        let large = self.forecast(large, large_first_event, cascade::LARGE_MODEL_COST);
+        cascade::should_escalate(confidence, &small, &large, &targets).then_some(large)
     }
 
     /// When the first event of `model` is likely to come, at the endpoint that it would get now; none if
@@ -69,8 +76,12 @@
         Some(choice.first_event(&criteria.model?.latency))
     }
 
-    fn outlook(&self, model: &Candidate, first: Duration, price: f64) -> Outlook {
+    fn forecast(&self, model: &Candidate, first_event: Duration, cost: f64) -> Forecast {
         let n_events = self.models.event_count(self.request.output_tokens());
-        Outlook { first, last: first + self.latency(model).remaining_events(n_events), price }
+        Forecast {
+            first_event,
+            last_event: first_event + self.latency(model).remaining_events(n_events),
+            cost,
+        }
     }
 }
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use curranthook_gateway::{
-    cascade::{self, Aim, Outlook},
+    cascade::{self, Forecast, Targets},
     placement::{self, CacheHolders, Candidate, Locality, Task},
     retry_budget::{Budget, Limit},
     splitter::Splitter,
@@ -112,10 +112,11 @@
 )]
 fn a_larger_model_is_asked_if_it_helps(confidence: u8, first: u64, last: u64, expected: bool) {
     let ms = Duration::from_millis;
-    let aim = Aim { objective: ms(2_000), deadline: ms(15_000) };
-    let small = Outlook { first: ms(100), last: ms(900), price: 0.0 };
-    let large = Outlook { first: ms(first), last: ms(last), price: cascade::LARGE_PRICE };
-    assert_eq!(cascade::escalates(confidence, &small, &large, &aim), expected);
+    let targets = Targets { objective: ms(2_000), deadline: ms(15_000) };
+    let small = Forecast { first_event: ms(100), last_event: ms(900), cost: 0.0 };
+    let large =
+        Forecast { first_event: ms(first), last_event: ms(last), cost: cascade::LARGE_MODEL_COST };
+    assert_eq!(cascade::should_escalate(confidence, &small, &large, &targets), expected);
 }
 
 /// All endpoints fail for a while, and every request would be sent again and again. The nodes of
