--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -114,7 +114,7 @@
     // it, or something between may have lost it, and nobody could tell whether it ran.
     let freshness =
         if repeat.is_repeatable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
-    let outbound = gateway.dialect.request(request, outgoing);
+    let outbound = gateway.dialect.build_request(request, outgoing);
     let mut conn = match gateway.pool.take(lease.addr, freshness).await {
         Ok(conn) => conn,
         Err(_nothing_sent) => {
@@ -138,7 +138,7 @@
         }
     };
     let (head, body) = response.into_parts();
-    let reply = gateway.dialect.reply(&head);
+    let reply = gateway.dialect.parse_response_head(&head);
     log_unknown_headers(gateway, &lease.id, &head);
     lease.began(reply.load);
     let refused = refused(request, &reply);
@@ -158,7 +158,7 @@
 }
 
 fn log_unknown_headers(gateway: &Gateway, id: &endpoint::Id, head: &Parts) {
-    let unknown = gateway.dialect.unknown(&head.headers);
+    let unknown = gateway.dialect.unknown_headers(&head.headers);
     for (name, value) in unknown {
         let (name, value) = (name.as_str(), value.to_str().unwrap_or_default());
         if gateway.unknown_headers.lock().is_new(id, name, value) {
@@ -190,7 +190,7 @@
     }
     // An answer that comes late on a kept connection stands where the next one is expected. Its
     // id tells; passed on, a caller would read somebody else's answer.
-    if reply.id.as_deref() != Some(request.head.id.as_str()) {
+    if reply.request_id.as_deref() != Some(request.head.id.as_str()) {
         return Some(may_have_run(Cause::Foreign));
     }
     (reply.seal == Seal::Missing).then(|| may_have_run(Cause::Unsealed))
@@ -223,7 +223,7 @@
     /// Takes the connection back into use if the endpoint keeps it, once the answer was read to
     /// its end.
     pub fn finish(self, gateway: &Gateway, repeat: Repeat, outcome: Outcome) {
-        if matches!(self.reply.connection, dialect::Connection::Kept(_)) {
+        if matches!(self.reply.connection, dialect::Connection::KeepAlive(_)) {
             // Requests that can't be repeated leave connections behind and never take one of them.
             let max_idle = if repeat.is_repeatable() { usize::MAX } else { self.lease.max_idle };
             gateway.pool.put_within(self.conn, max_idle);
--- a/crates/curranthook_gateway/src/dialect.rs
+++ b/crates/curranthook_gateway/src/dialect.rs
@@ -18,31 +18,32 @@
 /// Translates between the stages and the wire.
 pub trait Dialect: Debug + Send + Sync {
     /// Reads a caller's head.
-    fn head(&self, head: &http::request::Parts) -> Result<Head, Invalid>;
+    fn parse_request_head(&self, head: &http::request::Parts) -> Result<Head, InvalidHeader>;
     /// Writes a request to an endpoint.
-    fn request(&self, request: &Request, send: &Outgoing<'_>) -> http::Request<Bytes>;
+    fn build_request(&self, request: &Request, outgoing: &Outgoing<'_>) -> http::Request<Bytes>;
     /// Reads the head of an endpoint's answer.
-    fn reply(&self, head: &http::response::Parts) -> Reply;
+    fn parse_response_head(&self, head: &http::response::Parts) -> Reply;
     /// The headers of an endpoint's answer that no decoder reads.
-    fn unknown<'a>(&self, headers: &'a HeaderMap) -> Vec<(&'a HeaderName, &'a HeaderValue)>;
+    fn unknown_headers<'a>(&self, headers: &'a HeaderMap)
+    -> Vec<(&'a HeaderName, &'a HeaderValue)>;
     /// The headers of an endpoint's answer that its caller gets.
-    fn passed_on(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
     /// Adds to `headers` what a refusal says.
-    fn refused(&self, refusal: &Refusal, headers: &mut HeaderMap);
+    fn add_refusal_headers(&self, refusal: &Refusal, headers: &mut HeaderMap);
     /// Adds to `headers` that no more requests are taken on this connection.
-    fn closing(&self, headers: &mut HeaderMap) {
+    fn add_closing_headers(&self, headers: &mut HeaderMap) {
         headers.insert(http::header::CONNECTION, HeaderValue::from_static("close"));
     }
 }
 
 /// A head that can't be understood.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("header {name}: {why}")]
-pub struct Invalid {
+#[error("header {name}: {reason}")]
+pub struct InvalidHeader {
     /// The header.
     pub name: &'static str,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
 /// What a node adds to a request that it sends to an endpoint.
@@ -68,7 +69,7 @@
     /// Its status.
     pub status: StatusCode,
     /// The request it says it answers.
-    pub id: Option<String>,
+    pub request_id: Option<String>,
     /// Whether the endpoint says that it didn't run the request.
     pub execution: Execution,
     /// Whether it bears the endpoint's seal, without which it's nobody's answer.
@@ -109,9 +110,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Connection {
     /// It takes another request, if that comes within this time.
-    Kept(Option<Duration>),
+    KeepAlive(Option<Duration>),
     /// It closes it.
-    Closed,
+    Close,
 }
 
 /// How busy an endpoint said it was.
--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -47,7 +47,7 @@
             };
             let mut res = answered.unwrap_or_else(|refusal| refuse(gateway, &refusal));
             if gateway.is_stopping() {
-                gateway.dialect.closing(res.headers_mut());
+                gateway.dialect.add_closing_headers(res.headers_mut());
             }
             res
         })
@@ -57,7 +57,7 @@
 impl Frontend {
     fn log_refused(&self, head: &Parts, refusal: &Refusal) {
         let gateway = &self.gateway;
-        let read = gateway.dialect.head(head).ok();
+        let read = gateway.dialect.parse_request_head(head).ok();
         gateway.log.write(&Event::Refused {
             request: read.as_ref().map_or("", |it| it.id.as_str()),
             path: head.uri.path(),
@@ -77,7 +77,7 @@
             return Err(refuse(Reason::Stopping).with_retry_after(RETRY_STOPPING));
         }
         let since = gateway.now();
-        let head = gateway.dialect.head(head).map_err(|e| {
+        let head = gateway.dialect.parse_request_head(head).map_err(|e| {
             log::debug!("a caller's head can't be read: {e}");
             refuse(Reason::Invalid)
         })?;
@@ -130,7 +130,7 @@
     } else {
         match unary::read(&mut job).await {
             Ok((head, bytes)) => {
-                let headers = gateway.dialect.passed_on(&head.headers);
+                let headers = gateway.dialect.response_headers(&head.headers);
                 Ok(respond(head.status, headers, body::full(bytes)))
             }
             Err(refusal) => Err((job, refusal)),
@@ -148,7 +148,7 @@
         Ok(open) => open,
         Err(refusal) => return Err((job, refusal)),
     };
-    let mut headers = job.gateway.dialect.passed_on(&open.head.headers);
+    let mut headers = job.gateway.dialect.response_headers(&open.head.headers);
     // Another endpoint may go on with it, so its length isn't known.
     headers.remove(header::CONTENT_LENGTH);
     let status = open.reply.status;
@@ -169,6 +169,6 @@
     gateway.metrics.refused(refusal.reason);
     let text = serde_json::json!({ "error": refusal.reason.name() });
     let mut res = body::json(refusal.status.as_u16(), &text);
-    gateway.dialect.refused(refusal, res.headers_mut());
+    gateway.dialect.add_refusal_headers(refusal, res.headers_mut());
     res
 }
