--- a/crates/curranthook_gateway/src/dialect.rs
+++ b/crates/curranthook_gateway/src/dialect.rs
@@ -60,7 +60,7 @@
     /// How urgent the request is; 0 is the most urgent.
     pub priority: Option<u8>,
     /// The last event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The head of an endpoint's answer.
--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -18,11 +18,11 @@
 };
 
 /// How long callers wait that don't say.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a body may take to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// When to come back to a fleet of which this node is leaving: at once, to another node.
-const RETRY_STOPPING: Duration = Duration::from_millis(50);
+const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
 
 /// Answers callers.
 #[derive(Debug)]
@@ -38,14 +38,14 @@
         Box::pin(async move {
             let gateway = &self.gateway;
             let (head, body) = req.into_parts();
-            let answered = match self.admit(&head, body).await {
+            let result = match self.admit(&head, body).await {
                 Ok(job) => answer(job).await,
                 Err(refusal) => {
                     self.log_refused(&head, &refusal);
                     Err(refusal)
                 }
             };
-            let mut res = answered.unwrap_or_else(|refusal| refuse(gateway, &refusal));
+            let mut res = result.unwrap_or_else(|refusal| refuse(gateway, &refusal));
             if gateway.is_stopping() {
                 gateway.dialect.add_closing_headers(res.headers_mut());
             }
@@ -57,9 +57,9 @@
 impl Frontend {
     fn log_refused(&self, head: &Parts, refusal: &Refusal) {
         let gateway = &self.gateway;
-        let read = gateway.dialect.parse_request_head(head).ok();
+        let parsed = gateway.dialect.parse_request_head(head).ok();
         gateway.log.write(&Event::Refused {
-            request: read.as_ref().map_or("", |it| it.id.as_str()),
+            request: parsed.as_ref().map_or("", |it| it.id.as_str()),
             path: head.uri.path(),
             status: refusal.status.as_u16(),
             reason: refusal.reason.name(),
@@ -74,14 +74,14 @@
         let gateway = &self.gateway;
         let refuse = |reason| Refusal::new(reason, Ran::No);
         if self.closed.load(std::sync::atomic::Ordering::Relaxed) {
-            return Err(refuse(Reason::Stopping).with_retry_after(RETRY_STOPPING));
+            return Err(refuse(Reason::Stopping).with_retry_after(RETRY_AFTER_STOPPING));
         }
-        let since = gateway.now();
+        let received_at = gateway.now();
         let head = gateway.dialect.parse_request_head(head).map_err(|e| {
             log::debug!("a caller's head can't be read: {e}");
             refuse(Reason::Invalid)
         })?;
-        startup::wait(gateway, head.patience).await;
+        startup::wait(gateway, head.timeout).await;
         let Some(current) = gateway.current.load_full() else {
             return Err(startup::refusal(gateway));
         };
@@ -98,10 +98,10 @@
         // Once more: a body may take its time, and the configuration may change meanwhile.
         let current = gateway.current.load_full().unwrap_or(current);
         let (route, account) = admit(&current, &head)?;
-        let patience = head.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
+        let timeout = head.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
-        let request = request::Request::new(head, body, since, patience);
-        if gateway.poison.lock().is_poison(request.fingerprint, since) {
+        let request = request::Request::new(head, body, received_at, timeout);
+        if gateway.poison.lock().is_poison(request.fingerprint, received_at) {
             return Err(refuse(Reason::Poison));
         }
         Job::new(gateway, &current, request, route, account.map(|it| it.id), priority)
@@ -112,7 +112,7 @@
     current: &Current,
     head: &request::Head,
 ) -> Result<(Arc<crate::document::Route>, Option<crate::document::Account>), Refusal> {
-    let admitted = current.document.admit(&head.host, head.uri.path(), head.key.as_deref());
+    let admitted = current.document.admit(&head.host, head.uri.path(), head.api_key.as_deref());
     let (route, account) = admitted.map_err(|denied| {
         let reason = match denied {
             Denied::NoRoute => Reason::NoRoute,
@@ -125,7 +125,7 @@
 
 async fn answer(mut job: Job) -> Result<Response<Body>, Refusal> {
     let gateway = Arc::clone(&job.gateway);
-    let answered = if job.route.repeat.is_stream() {
+    let result = if job.route.repeat.is_stream() {
         open_stream(job).await
     } else {
         match unary::read(&mut job).await {
@@ -136,7 +136,7 @@
             Err(refusal) => Err((job, refusal)),
         }
     };
-    answered.map_err(|(job, refusal)| {
+    result.map_err(|(job, refusal)| {
         let (status, outcome) = (refusal.status.as_u16(), refusal.reason.name());
         job.ended(&End { status, outcome, ..End::default() });
         refusal
@@ -152,7 +152,7 @@
     // Another endpoint may go on with it, so its length isn't known.
     headers.remove(header::CONTENT_LENGTH);
     let status = open.reply.status;
-    let took = job.gateway.now().saturating_duration_since(job.request.since);
+    let took = job.gateway.now().saturating_duration_since(job.request.received_at);
     job.gateway.metrics.first_byte(took);
     Ok(respond(status, headers, stream::body(job, open)))
 }
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -70,7 +70,7 @@
     /// How urgent it is.
     pub priority: u8,
     /// The last event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// How many attempts there were.
     pub attempts: u32,
     service: String,
@@ -103,7 +103,7 @@
         let models = Models::new(&current.document, &service, &route, &request.head.model);
         gateway.retry_budget.lock().record_request(&service, gateway.now());
         Ok(Self {
-            last_event: request.head.last_event,
+            last_event_id: request.head.last_event_id,
             account,
             priority,
             attempts: 0,
@@ -264,7 +264,7 @@
             model: model.filter(|_| self.request.head.model == Model::Any),
             priority: candidate
                 .map(|it| cascade::engine_priority(self.priority, it.relative_price)),
-            last_event: self.last_event,
+            last_event_id: self.last_event_id,
         };
         self.gateway.log.write(&Event::Sent {
             request: &self.request.head.id,
@@ -275,7 +275,7 @@
             attempt: self.attempts,
             busy: lease.outstanding,
             expected_ms: lease.expected.map(millis),
-            resumed_after: self.last_event,
+            resumed_after: self.last_event_id,
             left_ms: millis(outgoing.time_left),
             configuration: self.configuration,
         });
@@ -372,7 +372,7 @@
     /// Logs and counts its end.
     pub fn ended(&self, end: &End<'_>) {
         let End { status, outcome, endpoint, .. } = *end;
-        let took = self.gateway.now().saturating_duration_since(self.request.since);
+        let took = self.gateway.now().saturating_duration_since(self.request.received_at);
         if outcome == WHOLE {
             // Endpoints that ended while they ran it had another reason, then.
             self.gateway.poison.lock().release(self.request.fingerprint);
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -15,7 +15,7 @@
 impl Job {
     /// Whether the largest model is asked in place of the one that has begun.
     pub(super) async fn try_escalate(&mut self, confidence: Option<u8>) -> bool {
-        let can_repeat = self.route.repeat.is_repeatable() && self.last_event.is_none();
+        let can_repeat = self.route.repeat.is_repeatable() && self.last_event_id.is_none();
         let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session());
@@ -51,10 +51,10 @@
         peer_reports: &Heard,
     ) -> Option<Forecast> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
-        let elapsed = self.gateway.now().saturating_duration_since(self.request.since);
+        let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
         let targets = Targets {
             objective: self.route.objective,
-            deadline: self.request.deadline.saturating_duration_since(self.request.since),
+            deadline: self.request.deadline.saturating_duration_since(self.request.received_at),
         };
         let large_first_event = elapsed + self.first_event(rule, large, peer_reports)?;
         let small = self.forecast(small, elapsed, 0.0);
--- a/crates/curranthook_gateway/src/request.rs
+++ b/crates/curranthook_gateway/src/request.rs
@@ -19,19 +19,19 @@
     /// The host that was asked for.
     pub host: String,
     /// The key that the caller showed.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Which model it wants.
     pub model: Model,
     /// How large the work is.
     pub tokens: Option<Tokens>,
     /// How many tokens the caller expects to be generated; often far off.
-    pub expected_output: Option<u64>,
+    pub expected_output_tokens: Option<u64>,
     /// The parts of its prompt, in order.
-    pub parts: Vec<Part>,
+    pub prompt_parts: Vec<Part>,
     /// The last event that the caller has of the stream, if it goes on with one.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// The headers that are passed on: neither those of the connection nor those that are the
     /// system's to set.
     pub headers: HeaderMap,
@@ -76,16 +76,16 @@
     /// When its caller or its route gives up, whichever is sooner.
     pub deadline: Instant,
     /// When it was read.
-    pub since: Instant,
+    pub received_at: Instant,
     /// A hash that the same request has at every node, whenever it comes.
     pub fingerprint: Fingerprint,
 }
 
 impl Request {
     /// A request that was read at `since` and is given up on after `patience`.
-    pub fn new(head: Head, body: Bytes, since: Instant, patience: Duration) -> Self {
+    pub fn new(head: Head, body: Bytes, received_at: Instant, timeout: Duration) -> Self {
         let fingerprint = fingerprint(&head, &body);
-        Self { head, body, deadline: since + patience, since, fingerprint }
+        Self { head, body, deadline: received_at + timeout, received_at, fingerprint }
     }
 
     /// The time left until the deadline.
@@ -96,25 +96,25 @@
     /// What its prompt shares with others, as one hash of all parts but the last. It stands for
     /// the session or subject of the request too.
     pub fn prefix_hash(&self) -> Option<u64> {
-        let (_own, prefix) = self.head.parts.split_last()?;
+        let (_own, prefix) = self.head.prompt_parts.split_last()?;
         (!prefix.is_empty()).then(|| prefix.iter().fold(0, |it, part| hash::pair(it, part.hash)))
     }
 
     /// The tokens of the parts that it shares.
     pub fn prefix_tokens(&self) -> u64 {
-        let prefix = self.head.parts.split_last().map_or(&[][..], |(_own, prefix)| prefix);
+        let prefix = self.head.prompt_parts.split_last().map_or(&[][..], |(_own, prefix)| prefix);
         total_tokens(prefix)
     }
 
     /// All tokens of its prompt.
     pub fn prompt_tokens(&self) -> u64 {
-        self.head.tokens.map_or_else(|| total_tokens(&self.head.parts), |it| it.prompt)
+        self.head.tokens.map_or_else(|| total_tokens(&self.head.prompt_parts), |it| it.prompt)
     }
 
     /// How many tokens are likely to be generated.
     pub fn output_tokens(&self) -> u64 {
         let max = self.head.tokens.map(|it| it.max_output);
-        match (self.head.expected_output, max) {
+        match (self.head.expected_output_tokens, max) {
             (Some(expected), Some(max)) => expected.min(max),
             (expected, max) => expected.or(max).unwrap_or(0),
         }
@@ -127,14 +127,14 @@
 }
 
 fn fingerprint(head: &Head, body: &[u8]) -> Fingerprint {
-    let mut sum = Sha256::new();
-    sum.update(head.host.as_bytes());
-    sum.update(head.uri.to_string().as_bytes());
-    sum.update(head.key.as_deref().unwrap_or_default().as_bytes());
-    sum.update(body);
-    let mut short = Fingerprint::default();
-    short.copy_from_slice(&sum.finalize()[..size_of::<Fingerprint>()]);
-    short
+    let mut hasher = Sha256::new();
+    hasher.update(head.host.as_bytes());
+    hasher.update(head.uri.to_string().as_bytes());
+    hasher.update(head.api_key.as_deref().unwrap_or_default().as_bytes());
+    hasher.update(body);
+    let mut truncated = Fingerprint::default();
+    truncated.copy_from_slice(&hasher.finalize()[..size_of::<Fingerprint>()]);
+    truncated
 }
 
 /// The hash of a part's id.
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -53,7 +53,7 @@
 pub fn body(job: Job, open: Open) -> Body {
     let relay = Relay {
         status: open.reply.status.as_u16(),
-        first: job.gateway.now().saturating_duration_since(job.request.since),
+        first: job.gateway.now().saturating_duration_since(job.request.received_at),
         events: 0,
         since: job.gateway.now(),
         got_on: job.gateway.now(),
@@ -117,12 +117,13 @@
                         self.events += events.count;
                         self.passed_on += events.count;
                         let now = self.job.gateway.now();
-                        self.last_event = now.saturating_duration_since(self.job.request.since);
+                        self.last_event =
+                            now.saturating_duration_since(self.job.request.received_at);
                         // Comments that keep a connection open bring the caller nothing.
-                        if events.last_id.is_some() || self.job.last_event.is_none() {
+                        if events.last_id.is_some() || self.job.last_event_id.is_none() {
                             self.got_on = now;
                         }
-                        self.job.last_event = events.last_id.or(self.job.last_event);
+                        self.job.last_event_id = events.last_id.or(self.job.last_event_id);
                         Read::Events(events.bytes)
                     }
                     None => Read::Part,
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -22,7 +22,7 @@
     loop {
         let mut open = job.open().await?;
         let id = open.lease.id.clone();
-        let first = job.gateway.now().saturating_duration_since(job.request.since);
+        let first = job.gateway.now().saturating_duration_since(job.request.received_at);
         let limit = job.time_left();
         let cause = match timeout::run(limit, body::read_mut(&mut open.body, MAX_ANSWER)).await {
             Ok(Ok(bytes)) => {
