--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -99,7 +99,7 @@
 impl Start {
     /// The start that an entry is of.
     pub fn of(entry: &Entry) -> Self {
-        Self { id: entry.id.clone(), addr: entry.addr, born: entry.born }
+        Self { id: entry.id.clone(), addr: entry.addr, born: entry.started_ms }
     }
 }
 
--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -117,7 +117,7 @@
         service: entry.map_or("", |it| it.service.as_str()),
         state,
         version: entry.map_or("", |it| it.version.as_str()),
-        born: entry.and_then(|it| it.born),
+        born: entry.and_then(|it| it.started_ms),
         rev: row.rev.0,
     });
 }
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -87,7 +87,7 @@
         let versions = self.versions.entry(entry.service.clone()).or_default();
         let from = if versions.is_empty() { now } else { now + UNKNOWN_VERSION };
         let known_from = *versions.entry(entry.version.clone()).or_insert(from);
-        let (id, warm_in) = (entry.id.clone(), entry.warm_in);
+        let (id, warm_in) = (entry.id.clone(), entry.slow_start);
         match self.endpoints.get_mut(&id) {
             // The same id after a restart is another endpoint: nothing known of it holds.
             Some(it) if Start::of(&it.entry) == Start::of(&entry) => {
@@ -109,8 +109,8 @@
     fn drop_older(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
         let known = self.by_addr.insert(entry.addr, entry.id.clone());
         let other = known.filter(|it| *it != entry.id)?;
-        let born = self.endpoints.get(&other)?.entry.born;
-        let (own, others) = entry.born.zip(born)?;
+        let born = self.endpoints.get(&other)?.entry.started_ms;
+        let (own, others) = entry.started_ms.zip(born)?;
         let older = match own.cmp(&others) {
             Ordering::Greater => other,
             Ordering::Less => {
--- a/crates/curranthook_gateway/src/entry.rs
+++ b/crates/curranthook_gateway/src/entry.rs
@@ -22,9 +22,9 @@
     /// Whether it takes new work.
     pub state: State,
     /// How long it stays slow after its start.
-    pub warm_in: Duration,
+    pub slow_start: Duration,
     /// When it started, in milliseconds of the wall clock; tells incarnations of one id apart.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// Whether an endpoint takes new work.
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -40,7 +40,7 @@
     /// How many idle connections this node may keep there.
     pub max_idle: usize,
     /// Which start of the endpoint it's for.
-    born: Option<u64>,
+    started_ms: Option<u64>,
     pending: Duration,
     outcome: Outcome,
 }
@@ -86,7 +86,7 @@
             id: entry.id,
             addr: entry.addr,
             version: entry.version,
-            born: entry.born,
+            started_ms: entry.started_ms,
             outstanding,
             prompt,
             queue_delay,
@@ -99,7 +99,7 @@
 
     /// Takes in what the endpoint says of itself in an answer.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
-        let start = Start { id: self.id.clone(), addr: self.addr, born: self.born };
+        let start = Start { id: self.id.clone(), addr: self.addr, born: self.started_ms };
         let (endpoint, now) = (self.id.as_str(), self.gateway.now());
         let at = self.gateway.store_time().unwrap_or_default();
         let notice = rate_limit::Notice { rate: reply.rate_limit, at };
--- a/crates/curranthook_gateway/tests/beliefs.rs
+++ b/crates/curranthook_gateway/tests/beliefs.rs
@@ -27,8 +27,8 @@
         version: version.to_owned(),
         slots: 8,
         state: State::Ready,
-        warm_in: Duration::ZERO,
-        born: None,
+        slow_start: Duration::ZERO,
+        started_ms: None,
     }
 }
 
@@ -114,7 +114,7 @@
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.set(entry("e-1", "v1"), now);
     directory.finished(&"e-1".into(), Outcome::Unreachable, Duration::ZERO, now);
-    directory.set(Entry { born: Some(7), ..entry("e-1", "v1") }, now);
+    directory.set(Entry { started_ms: Some(7), ..entry("e-1", "v1") }, now);
     assert!(!directory.tracked(&"e-1".into()).unwrap().is_out(now));
 }
 
@@ -123,9 +123,9 @@
 #[parameterized(in_order = { 1, 2 }, out_of_order = { 2, 1 })]
 fn the_newest_endpoint_has_the_address(first: u64, second: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    for born in [first, second] {
-        let id = format!("e-{born}");
-        directory.set(Entry { born: Some(born), ..entry(&id, "v1") }, now);
+    for started_ms in [first, second] {
+        let id = format!("e-{started_ms}");
+        directory.set(Entry { started_ms: Some(started_ms), ..entry(&id, "v1") }, now);
     }
     let ready: Vec<_> = directory.ready("models").map(|it| it.entry.id.as_str()).collect();
     assert_eq!(ready, ["e-2"]);
--- a/crates/curranthook_gateway/tests/support/mod.rs
+++ b/crates/curranthook_gateway/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use curranthook_gateway::entry::{Entry, State};
 
 /// The entry of an endpoint that started at `born` and stays in slow start for `warm_in`.
-pub fn entry(born: u64, warm_in: Duration) -> Entry {
+pub fn entry(started_ms: u64, slow_start: Duration) -> Entry {
     Entry {
         id: "e-1".into(),
         service: "models".to_owned(),
@@ -19,8 +19,8 @@
         version: "v1".to_owned(),
         slots: 8,
         state: State::Ready,
-        warm_in,
-        born: Some(born),
+        slow_start,
+        started_ms: Some(started_ms),
     }
 }
 
