--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -13,7 +13,7 @@
     event::Event,
     gateway::Current,
     job::{End, Job, millis},
-    refusal::{Ran, Reason, Refusal},
+    refusal::{Reason, Refusal, Started},
     request, startup, stream, unary,
 };
 
@@ -72,7 +72,7 @@
     /// Reads a request and lets it in.
     async fn admit(&self, head: &Parts, body: Incoming) -> Result<Job, Refusal> {
         let gateway = &self.gateway;
-        let refuse = |reason| Refusal::new(reason, Ran::No);
+        let refuse = |reason| Refusal::new(reason, Started::No);
         if self.closed.load(std::sync::atomic::Ordering::Relaxed) {
             return Err(refuse(Reason::Stopping).with_retry_after(RETRY_AFTER_STOPPING));
         }
@@ -118,7 +118,7 @@
             Denied::NoRoute => Reason::NoRoute,
             Denied::UnknownKey => Reason::UnknownKey,
         };
-        Refusal::new(reason, Ran::No)
+        Refusal::new(reason, Started::No)
     })?;
     Ok((Arc::clone(route), account.cloned()))
 }
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -21,7 +21,7 @@
     lease::Lease,
     load_reports::{self, Heard},
     models::{Candidate, Models},
-    refusal::{Ran, Reason, Refusal},
+    refusal::{Reason, Refusal, Started},
     request::{Model, Request},
     rollouts::{Kind, Rule},
     selection::{self, Criteria, TargetModel},
@@ -78,7 +78,7 @@
     tried: Vec<endpoint::Id>,
     runs: u32,
     rejections: u32,
-    ran: Ran,
+    started: Started,
     /// Whether an endpoint answered it with an error.
     has_failed: bool,
     configuration: u64,
@@ -99,7 +99,7 @@
     ) -> Result<Self, Refusal> {
         let place = hash::unit(hash::bytes(request.head.id.as_bytes()));
         let service = route.service(place).map(str::to_owned);
-        let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Ran::No))?;
+        let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Started::No))?;
         let models = Models::new(&current.document, &service, &route, &request.head.model);
         gateway.retry_budget.lock().record_request(&service, gateway.now());
         Ok(Self {
@@ -112,7 +112,7 @@
             tried: Vec::new(),
             runs: 0,
             rejections: 0,
-            ran: Ran::No,
+            started: Started::No,
             has_failed: false,
             configuration: current.document.version,
             peer_reports: None,
@@ -136,17 +136,17 @@
             }
             let lease = self.place().await?;
             let (id, version) = (lease.id.clone(), lease.version.clone());
-            let started = self.gateway.now();
+            let sent_at = self.gateway.now();
             match self.attempt(lease).await {
                 Ok(open) => {
                     self.runs += 1;
-                    self.ran = Ran::Maybe;
+                    self.started = Started::Maybe;
                     if let Some(open) = self.judge(open, &version).await {
                         return Ok(open);
                     }
                 }
                 Err(failed) => {
-                    let took = self.gateway.now().saturating_duration_since(started);
+                    let took = self.gateway.now().saturating_duration_since(sent_at);
                     self.log_failed(&id, &failed, took);
                     if let Next::Respond(refusal) = self.on_failure(&id, &failed).await {
                         return Err(refusal);
@@ -346,7 +346,7 @@
 
     /// The refusal for `reason` after what happened so far.
     pub fn refusal(&self, reason: Reason) -> Refusal {
-        Refusal::new(reason, self.ran)
+        Refusal::new(reason, self.started)
     }
 
     /// A hash that all requests of the same session have.
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -11,7 +11,7 @@
     attempt::{Cause, Failed},
     dialect::Execution,
     event::Event,
-    refusal::{Ran, Reason, Refusal},
+    refusal::{Reason, Refusal, Started},
 };
 
 /// How often a request may be turned away by endpoints that didn't run it.
@@ -34,7 +34,7 @@
     pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failed: &Failed) -> Next {
         if failed.execution == Execution::MayHaveRun {
             self.runs += 1;
-            self.ran = Ran::Maybe;
+            self.started = Started::Maybe;
             return self.on_maybe_run(endpoint, failed).await;
         }
         self.rejections += 1;
--- a/crates/curranthook_gateway/src/refusal.rs
+++ b/crates/curranthook_gateway/src/refusal.rs
@@ -74,7 +74,7 @@
 
 /// Whether any endpoint may have begun to work on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Ran {
+pub enum Started {
     /// Surely none has.
     #[default]
     No,
@@ -86,20 +86,20 @@
     /// The refusal for `reason`. `ran` decides what its status may promise.
     ///
     /// ```
-    /// # use curranthook_gateway::refusal::{Ran, Reason, Refusal};
-    /// assert_eq!(Refusal::new(Reason::Full, Ran::No).status, 503);
-    /// assert_eq!(Refusal::new(Reason::Full, Ran::Maybe).status, 502);
-    /// assert_eq!(Refusal::new(Reason::Timeout, Ran::Maybe).status, 504);
+    /// # use curranthook_gateway::refusal::{Started, Reason, Refusal};
+    /// assert_eq!(Refusal::new(Reason::Full, Started::No).status, 503);
+    /// assert_eq!(Refusal::new(Reason::Full, Started::Maybe).status, 502);
+    /// assert_eq!(Refusal::new(Reason::Timeout, Started::Maybe).status, 504);
     /// ```
-    pub fn new(reason: Reason, ran: Ran) -> Self {
-        let status = match (reason, ran) {
+    pub fn new(reason: Reason, started: Started) -> Self {
+        let status = match (reason, started) {
             (Reason::NoRoute, _) => StatusCode::NOT_FOUND,
             (Reason::UnknownKey, _) => StatusCode::UNAUTHORIZED,
             (Reason::Invalid, _) => StatusCode::BAD_REQUEST,
             (Reason::TooLarge, _) => StatusCode::PAYLOAD_TOO_LARGE,
-            (_, Ran::No) => StatusCode::SERVICE_UNAVAILABLE,
-            (Reason::Timeout | Reason::Expired, Ran::Maybe) => StatusCode::GATEWAY_TIMEOUT,
-            (_, Ran::Maybe) => StatusCode::BAD_GATEWAY,
+            (_, Started::No) => StatusCode::SERVICE_UNAVAILABLE,
+            (Reason::Timeout | Reason::Expired, Started::Maybe) => StatusCode::GATEWAY_TIMEOUT,
+            (_, Started::Maybe) => StatusCode::BAD_GATEWAY,
         };
         Self { reason, status, retry_after: None }
     }
--- a/crates/curranthook_gateway/src/startup.rs
+++ b/crates/curranthook_gateway/src/startup.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     Gateway,
-    refusal::{Ran, Reason, Refusal},
+    refusal::{Reason, Refusal, Started},
 };
 
 /// How long the first read of the store may take. It takes 0.13 s where the store is up; this leaves
@@ -90,7 +90,8 @@
 
 /// The refusal of a node that has no configuration.
 pub fn refusal(gateway: &Gateway) -> Refusal {
-    Refusal::new(Reason::NotReady, Ran::No).with_retry_after(retry_after(time_since_start(gateway)))
+    Refusal::new(Reason::NotReady, Started::No)
+        .with_retry_after(retry_after(time_since_start(gateway)))
 }
 
 /// When callers come back to a node that has been without the store for `age`.
