--- a/crates/curranthook_gateway/src/affinity.rs
+++ b/crates/curranthook_gateway/src/affinity.rs
@@ -9,17 +9,18 @@
 use serde::{Deserialize, Serialize};
 
 /// How long parts are taken to be kept. Engines drop the parts that were used least recently.
-const KEPT: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 /// How many subjects are remembered; the oldest are forgotten first.
-const CAPACITY: usize = 4_096;
+const MAX_PREFIXES: usize = 4_096;
 /// How many endpoints are remembered for a subject.
-const PLACES: usize = 3;
+const MAX_ENDPOINTS_PER_PREFIX: usize = 3;
 
 /// Parts that were sent to an endpoint to be read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Read {
+pub struct Record {
     /// The hash of the model and the parts.
-    pub subject: u64,
+    #[serde(rename = "subject")]
+    pub prefix_hash: u64,
     /// The endpoint.
     pub endpoint: endpoint::Id,
 }
@@ -27,25 +28,25 @@
 /// The endpoints that read the parts of each subject.
 #[derive(Debug, Default)]
 pub struct Affinity {
-    places: HashMap<u64, Vec<(endpoint::Id, Instant)>>,
-    order: VecDeque<u64>,
+    endpoints: HashMap<u64, Vec<(endpoint::Id, Instant)>>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl Affinity {
     /// The parts of `subject` were read at `endpoint`.
-    pub fn read(&mut self, subject: u64, endpoint: &endpoint::Id, now: Instant) {
-        let places = self.places.entry(subject).or_insert_with(|| {
-            self.order.push_back(subject);
+    pub fn record(&mut self, prefix_hash: u64, endpoint: &endpoint::Id, now: Instant) {
+        let endpoints = self.endpoints.entry(prefix_hash).or_insert_with(|| {
+            self.insertion_order.push_back(prefix_hash);
             Vec::new()
         });
-        places.retain(|(id, _)| id != endpoint);
-        places.push((endpoint.clone(), now));
-        if PLACES < places.len() {
-            places.remove(0);
+        endpoints.retain(|(id, _)| id != endpoint);
+        endpoints.push((endpoint.clone(), now));
+        if MAX_ENDPOINTS_PER_PREFIX < endpoints.len() {
+            endpoints.remove(0);
         }
-        while CAPACITY < self.order.len() {
-            if let Some(oldest) = self.order.pop_front() {
-                self.places.remove(&oldest);
+        while MAX_PREFIXES < self.insertion_order.len() {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.endpoints.remove(&oldest);
             }
         }
     }
@@ -56,13 +57,13 @@
     /// # use std::time::Instant;
     /// # use curranthook_gateway::affinity::Affinity;
     /// let (mut affinity, now) = (Affinity::default(), Instant::now());
-    /// affinity.read(7, &"engine-1".into(), now);
+    /// affinity.record(7, &"engine-1".into(), now);
     /// assert_eq!(affinity.holders(7, now), ["engine-1".into()]);
     /// assert!(affinity.holders(8, now).is_empty());
     /// ```
-    pub fn holders(&self, subject: u64, now: Instant) -> Vec<endpoint::Id> {
-        let places = self.places.get(&subject).map_or(&[][..], Vec::as_slice);
-        let is_kept = |at: Instant| now.saturating_duration_since(at) < KEPT;
-        places.iter().filter(|(_, at)| is_kept(*at)).map(|(id, _)| id.clone()).collect()
+    pub fn holders(&self, prefix_hash: u64, now: Instant) -> Vec<endpoint::Id> {
+        let endpoints = self.endpoints.get(&prefix_hash).map_or(&[][..], Vec::as_slice);
+        let is_retained = |at: Instant| now.saturating_duration_since(at) < RETENTION;
+        endpoints.iter().filter(|(_, at)| is_retained(*at)).map(|(id, _)| id.clone()).collect()
     }
 }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -7,7 +7,7 @@
 use crate::{
     Gateway,
     advertised::Start,
-    affinity::Read,
+    affinity::Record,
     connections,
     dialect::{Load, Reply},
     directory::Outcome,
@@ -73,9 +73,9 @@
         let entry = choice.endpoint.entry.clone();
         directory.started(&entry.id, pending, now);
         if let Some(prefix_hash) = criteria.prefix_hash {
-            gateway.affinity.lock().read(prefix_hash, &entry.id, now);
+            gateway.affinity.lock().record(prefix_hash, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
-                reports.read(Read { subject: prefix_hash, endpoint: entry.id.clone() });
+                reports.read(Record { prefix_hash, endpoint: entry.id.clone() });
             }
         }
         gateway.waiting_changed.wake();
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-use crate::{Gateway, affinity::Read, load_owners, rate_limit};
+use crate::{Gateway, affinity::Record, load_owners, rate_limit};
 
 use self::limits::Limit;
 pub use self::questions::ask;
@@ -63,7 +63,7 @@
         waiting: Waiting,
         /// What it has sent to be read since.
         #[serde(default)]
-        reads: Vec<Read>,
+        reads: Vec<Record>,
         /// The endpoints to which it couldn't open a connection since.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
@@ -119,7 +119,7 @@
     next: AtomicU64,
     asked: Mutex<HashMap<u64, Sender<(u64, Heard)>>>,
     /// What this node sent to be read and hasn't told yet.
-    reads: Mutex<Vec<Read>>,
+    reads: Mutex<Vec<Record>>,
     /// The endpoints that it couldn't reach and hasn't told of yet.
     unreachable: Mutex<Vec<endpoint::Id>>,
     /// What it heard of limits and hasn't told yet.
@@ -140,7 +140,7 @@
     }
 
     /// Notes that parts were sent to be read, to be told with the next report.
-    pub fn read(&self, read: Read) {
+    pub fn read(&self, read: Record) {
         let mut reads = self.reads.lock();
         if reads.len() < MAX_READS {
             reads.push(read);
@@ -224,7 +224,7 @@
             unreachable.iter().for_each(|it| directory.reported_unreachable(it, now));
             drop(directory);
             let mut affinity = gateway.affinity.lock();
-            reads.iter().for_each(|it| affinity.read(it.subject, &it.endpoint, now));
+            reads.iter().for_each(|it| affinity.record(it.prefix_hash, &it.endpoint, now));
         }
         Message::Limits { limits } => {
             limits.iter().for_each(|it| limits::hear(gateway, reports, it));
@@ -299,7 +299,7 @@
 #[derive(Debug, Clone, Default)]
 struct Share {
     waiting: Waiting,
-    reads: Vec<Read>,
+    reads: Vec<Record>,
     unreachable: Vec<endpoint::Id>,
 }
 
@@ -327,7 +327,7 @@
         }
     }
     for read in all.reads {
-        let owner = owners.of_subject(read.subject, now).filter(|it| Some(*it) != own);
+        let owner = owners.of_subject(read.prefix_hash, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
             shares.entry(addr).or_default().reads.push(read);
         }
