--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -214,7 +214,7 @@
         let read = async {
             loop {
                 let changed = self.changed.wait();
-                if self.mirror.lock().knows(Table::Fleet) {
+                if self.mirror.lock().has_read(Table::Fleet) {
                     return;
                 }
                 changed.await;
@@ -230,7 +230,7 @@
 
     /// Whether it knows all that it needs to serve requests.
     pub fn is_serving(&self) -> bool {
-        self.current.load().is_some() && self.mirror.lock().is_read()
+        self.current.load().is_some() && self.mirror.lock().has_read_all()
     }
 
     /// Whether it was told to stop.
--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Gateway, apply,
-    mirror::Unknown,
+    mirror::ChangesError,
     store::{Batch, Error, Rev, Table},
 };
 
@@ -83,8 +83,8 @@
             };
             match self.answer(&question).await {
                 Ok(told) => body::json(200, &told),
-                Err(Unknown::Earlier) => body::json(410, &serde_json::json!({})),
-                Err(Unknown::Stale) => body::json(503, &serde_json::json!({})),
+                Err(ChangesError::HistoryMissing) => body::json(410, &serde_json::json!({})),
+                Err(ChangesError::Stale) => body::json(503, &serde_json::json!({})),
             }
         })
     }
@@ -94,7 +94,7 @@
     /// Waits until there is something to tell, the wait is over, or this node has itself not
     /// heard from the store for too long: the asker then looks elsewhere, so that a relay that
     /// is cut off doesn't keep the others from news.
-    async fn answer(&self, question: &Question) -> Result<Told, Unknown> {
+    async fn answer(&self, question: &Question) -> Result<Told, ChangesError> {
         let end = self.gateway.now() + question.wait;
         loop {
             let changed = self.gateway.changed.wait();
@@ -123,15 +123,15 @@
     /// together.
     fn is_unread(&self, question: &Question) -> bool {
         let is_child = question.max_age.is_some();
-        is_child && question.since.is_none() && !self.gateway.mirror.lock().knows(question.table)
+        is_child && question.since.is_none() && !self.gateway.mirror.lock().has_read(question.table)
     }
 
-    fn told(&self, question: &Question) -> Result<Told, Unknown> {
+    fn told(&self, question: &Question) -> Result<Told, ChangesError> {
         let (table, now) = (question.table, self.gateway.now());
         let mirror = self.gateway.mirror.lock();
         let age = mirror.age(now);
         if question.max_age.is_some_and(|max| !mirror.is_fresh(table, max, now)) {
-            return Err(Unknown::Stale);
+            return Err(ChangesError::Stale);
         }
         let batch = match question.since {
             Some(since) => mirror.changes(table, since)?,
@@ -178,7 +178,7 @@
 ) -> Result<Batch, Error> {
     let told = fetch(gateway, parent, question).await?;
     if let Some(at) = told.age.and_then(|age| gateway.now().checked_sub(age)) {
-        gateway.mirror.lock().confirm(at);
+        gateway.mirror.lock().record_answer(at);
     }
     Ok(Batch { now: told.now, ..told.batch })
 }
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -275,7 +275,7 @@
 
     async fn failed(&mut self, error: &Error) {
         self.failures += 1;
-        self.gateway.mirror.lock().interrupted(self.table);
+        self.gateway.mirror.lock().mark_interrupted(self.table);
         self.gateway.outage.lock().lost(self.gateway.now());
         // One lost answer is no outage; its repeat tells.
         if self.failures == 2 && !self.is_away {
@@ -328,7 +328,7 @@
     gateway.metrics.store_call(table, &result);
     if result.is_ok() && table == Table::Operator {
         let now = gateway.now();
-        gateway.mirror.lock().confirm(now);
+        gateway.mirror.lock().record_answer(now);
     }
     result
 }
--- a/crates/curranthook_gateway/tests/beliefs.rs
+++ b/crates/curranthook_gateway/tests/beliefs.rs
@@ -5,7 +5,7 @@
 use curranthook_gateway::{
     directory::{Directory, Outcome},
     entry::{Entry, State},
-    mirror::{Mirror, Unknown},
+    mirror::{ChangesError, Mirror},
     store::{Batch, Rev, Row, Table},
 };
 use yare::parameterized;
@@ -67,9 +67,9 @@
 #[test]
 fn a_parent_that_began_later_says_so() {
     let mut mirror = Mirror::default();
-    assert_eq!(mirror.changes(Table::Fleet, Rev(1)), Err(Unknown::Earlier));
+    assert_eq!(mirror.changes(Table::Fleet, Rev(1)), Err(ChangesError::HistoryMissing));
     mirror.replace(Table::Fleet, batch(9, vec![]));
-    assert_eq!(mirror.changes(Table::Fleet, Rev(4)), Err(Unknown::Earlier));
+    assert_eq!(mirror.changes(Table::Fleet, Rev(4)), Err(ChangesError::HistoryMissing));
     assert!(mirror.changes(Table::Fleet, Rev(9)).is_ok());
 }
 
--- a/crates/curranthook_gateway/tests/relays.rs
+++ b/crates/curranthook_gateway/tests/relays.rs
@@ -180,7 +180,7 @@
         }
         let (batch, age) = (known.batch(Table::Operator), known.age(now).unwrap());
         let own = &mut nodes[node].mirror;
-        own.confirm(now - age);
+        own.record_answer(now - age);
         own.merge(Table::Operator, batch);
         return;
     }
@@ -189,9 +189,9 @@
         let rev = Rev(written.len() as u64);
         let row = Row { key: "config".to_owned(), rev, value: Some(Vec::new()) };
         mirror.merge(Table::Operator, Batch { rows: vec![row], rev, now: None });
-        mirror.confirm(now);
+        mirror.record_answer(now);
     } else {
-        mirror.interrupted(Table::Operator);
+        mirror.mark_interrupted(Table::Operator);
     }
 }
 
