--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -29,15 +29,15 @@
 
 /// Within this time a connection that was closed while it was idle shows it: a few round trips
 /// between failure domains.
-const AT_ONCE: Duration = Duration::from_millis(10);
+const STALE_DETECTION_TIME: Duration = Duration::from_millis(10);
 
 /// How long a new connection must hold before a request that can't be repeated is sent on it: a round
 /// trip between failure domains and the time in which an endpoint accepts a connection or resets it.
-const SETTLE: Duration = Duration::from_millis(8);
+const SETTLE_TIME: Duration = Duration::from_millis(8);
 
 /// An answer that has begun.
 #[derive(Debug)]
-pub struct Open {
+pub struct Exchange {
     /// The place at the endpoint.
     pub lease: Lease,
     /// The connection.
@@ -54,7 +54,7 @@
 
 /// Why an attempt has no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Failed {
+pub struct Failure {
     /// What went wrong.
     pub cause: Cause,
     /// Whether the request may have run.
@@ -67,15 +67,15 @@
     /// No connection.
     Connect,
     /// A kept connection turned out to be closed.
-    Stale,
+    StaleConnection,
     /// The endpoint is full.
     Full,
     /// Another endpoint has the address.
     Misdirected,
     /// The connection broke.
-    Cut,
+    Disconnected,
     /// The answer is another request's.
-    Foreign,
+    WrongRequest,
     /// The answer isn't the endpoint's own.
     Unsealed,
     /// No answer in time.
@@ -89,11 +89,11 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Connect => "connect",
-            Self::Stale => "stale",
+            Self::StaleConnection => "stale",
             Self::Full => "full",
             Self::Misdirected => "misdirected",
-            Self::Cut => "cut",
-            Self::Foreign => "foreign",
+            Self::Disconnected => "cut",
+            Self::WrongRequest => "foreign",
             Self::Unsealed => "unsealed",
             Self::Timeout => "timeout",
             Self::Error => "error",
@@ -108,8 +108,8 @@
     repeat: Repeat,
     mut lease: Lease,
     outgoing: &Outgoing<'_>,
-) -> Result<Open, Failed> {
-    let sent = gateway.now();
+) -> Result<Exchange, Failure> {
+    let sent_at = gateway.now();
     // What can't be repeated is never trusted to a kept connection: the endpoint may be closing
     // it, or something between may have lost it, and nobody could tell whether it ran.
     let freshness =
@@ -123,7 +123,7 @@
         }
     };
     if !repeat.is_repeatable()
-        && let Err(_nothing_sent) = conn.settle(SETTLE).await
+        && let Err(_nothing_sent) = conn.settle(SETTLE_TIME).await
     {
         lease.close(Outcome::Unreachable);
         return Err(not_run(Cause::Connect));
@@ -131,7 +131,7 @@
     let limit = request.time_left(gateway.now());
     let response = match timeout::run(limit, conn.send(outbound)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(e)) => return Err(broken(lease, &conn, &e, since(sent, gateway.now()))),
+        Ok(Err(e)) => return Err(send_failure(lease, &conn, &e, elapsed(sent_at, gateway.now()))),
         Err(timeout::Elapsed) => {
             lease.close(Outcome::Dropped);
             return Err(may_have_run(Cause::Timeout));
@@ -140,21 +140,21 @@
     let (head, body) = response.into_parts();
     let reply = gateway.dialect.parse_response_head(&head);
     log_unknown_headers(gateway, &lease.id, &head);
-    lease.began(reply.load);
-    let refused = refused(request, &reply);
-    let is_misdirected = refused.as_ref().is_some_and(|it| it.cause == Cause::Misdirected);
+    lease.record_first_byte(reply.load);
+    let failure = reply_failure(request, &reply);
+    let is_misdirected = failure.as_ref().is_some_and(|it| it.cause == Cause::Misdirected);
     if !is_misdirected {
-        let is_whole = refused.is_none() && reply.status.is_success();
-        let completeness = if is_whole { Completeness::Whole } else { Completeness::Partial };
+        let is_complete = failure.is_none() && reply.status.is_success();
+        let completeness = if is_complete { Completeness::Whole } else { Completeness::Partial };
         lease.record_advertised(&reply, completeness);
     }
-    if let Some(failed) = refused {
-        lease.close(outcome(failed.cause));
-        return Err(failed);
+    if let Some(failure) = failure {
+        lease.close(outcome(failure.cause));
+        return Err(failure);
     }
     gateway.pool.answered(&conn);
-    let first_byte = since(sent, gateway.now());
-    Ok(Open { lease, conn, reply, head, body, first_byte })
+    let first_byte = elapsed(sent_at, gateway.now());
+    Ok(Exchange { lease, conn, reply, head, body, first_byte })
 }
 
 fn log_unknown_headers(gateway: &Gateway, id: &endpoint::Id, head: &Parts) {
@@ -167,23 +167,28 @@
     }
 }
 
-fn broken(lease: Lease, conn: &Connection, error: &client::Error, took: Duration) -> Failed {
+fn send_failure(
+    lease: Lease,
+    conn: &Connection,
+    error: &client::Error,
+    elapsed_time: Duration,
+) -> Failure {
     if error.is_unsent() {
         lease.close(Outcome::Dropped);
-        return not_run(Cause::Stale);
+        return not_run(Cause::StaleConnection);
     }
-    if conn.is_reused() && took < AT_ONCE {
+    if conn.is_reused() && elapsed_time < STALE_DETECTION_TIME {
         // Closed in the moment of use, most likely; that says nothing against the endpoint. Later,
         // the endpoint had the request and lost its answer.
         lease.close(Outcome::Dropped);
-        return may_have_run(Cause::Stale);
+        return may_have_run(Cause::StaleConnection);
     }
     lease.close(Outcome::Unreachable);
-    may_have_run(Cause::Cut)
+    may_have_run(Cause::Disconnected)
 }
 
 /// Whether the head of an answer is none that a caller may get.
-fn refused(request: &Request, reply: &Reply) -> Option<Failed> {
+fn reply_failure(request: &Request, reply: &Reply) -> Option<Failure> {
     if reply.execution == Execution::NotRun {
         let is_misdirected = reply.status == http::StatusCode::MISDIRECTED_REQUEST;
         return Some(not_run(if is_misdirected { Cause::Misdirected } else { Cause::Full }));
@@ -191,7 +196,7 @@
     // An answer that comes late on a kept connection stands where the next one is expected. Its
     // id tells; passed on, a caller would read somebody else's answer.
     if reply.request_id.as_deref() != Some(request.head.id.as_str()) {
-        return Some(may_have_run(Cause::Foreign));
+        return Some(may_have_run(Cause::WrongRequest));
     }
     (reply.seal == Seal::Missing).then(|| may_have_run(Cause::Unsealed))
 }
@@ -201,25 +206,25 @@
         Cause::Full => Outcome::Full,
         Cause::Misdirected => Outcome::Gone,
         Cause::Connect => Outcome::NoConnection,
-        Cause::Cut => Outcome::Unreachable,
-        Cause::Stale | Cause::Foreign | Cause::Timeout => Outcome::Dropped,
+        Cause::Disconnected => Outcome::Unreachable,
+        Cause::StaleConnection | Cause::WrongRequest | Cause::Timeout => Outcome::Dropped,
         Cause::Unsealed | Cause::Error => Outcome::Failed,
     }
 }
 
-fn not_run(cause: Cause) -> Failed {
-    Failed { cause, execution: Execution::NotRun }
+fn not_run(cause: Cause) -> Failure {
+    Failure { cause, execution: Execution::NotRun }
 }
 
-fn may_have_run(cause: Cause) -> Failed {
-    Failed { cause, execution: Execution::MayHaveRun }
+fn may_have_run(cause: Cause) -> Failure {
+    Failure { cause, execution: Execution::MayHaveRun }
 }
 
-fn since(start: Instant, now: Instant) -> Duration {
+fn elapsed(start: Instant, now: Instant) -> Duration {
     now.saturating_duration_since(start)
 }
 
-impl Open {
+impl Exchange {
     /// Takes the connection back into use if the endpoint keeps it, once the answer was read to
     /// its end.
     pub fn finish(self, gateway: &Gateway, repeat: Repeat, outcome: Outcome) {
--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -144,17 +144,17 @@
 }
 
 async fn open_stream(mut job: Job) -> Result<Response<Body>, (Job, Refusal)> {
-    let open = match job.open().await {
-        Ok(open) => open,
+    let exchange = match job.execute().await {
+        Ok(exchange) => exchange,
         Err(refusal) => return Err((job, refusal)),
     };
-    let mut headers = job.gateway.dialect.response_headers(&open.head.headers);
+    let mut headers = job.gateway.dialect.response_headers(&exchange.head.headers);
     // Another endpoint may go on with it, so its length isn't known.
     headers.remove(header::CONTENT_LENGTH);
-    let status = open.reply.status;
+    let status = exchange.reply.status;
     let took = job.gateway.now().saturating_duration_since(job.request.received_at);
     job.gateway.metrics.first_byte(took);
-    Ok(respond(status, headers, stream::body(job, open)))
+    Ok(respond(status, headers, stream::body(job, exchange)))
 }
 
 fn respond(status: http::StatusCode, headers: http::HeaderMap, body: Body) -> Response<Body> {
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     Gateway,
-    attempt::{self, Cause, Failed, Open},
+    attempt::{self, Cause, Exchange, Failure},
     cascade,
     dialect::{Execution, Outgoing},
     directory::Outcome,
@@ -129,7 +129,7 @@
     }
 
     /// Sends it until an endpoint answers it.
-    pub async fn open(&mut self) -> Result<Open, Refusal> {
+    pub async fn execute(&mut self) -> Result<Exchange, Refusal> {
         loop {
             if self.time_left().is_zero() {
                 return Err(self.refusal(Reason::Timeout));
@@ -138,17 +138,17 @@
             let (id, version) = (lease.id.clone(), lease.version.clone());
             let sent_at = self.gateway.now();
             match self.attempt(lease).await {
-                Ok(open) => {
+                Ok(exchange) => {
                     self.runs += 1;
                     self.started = Started::Maybe;
-                    if let Some(open) = self.judge(open, &version).await {
-                        return Ok(open);
+                    if let Some(exchange) = self.judge(exchange, &version).await {
+                        return Ok(exchange);
                     }
                 }
-                Err(failed) => {
+                Err(failure) => {
                     let took = self.gateway.now().saturating_duration_since(sent_at);
-                    self.log_failed(&id, &failed, took);
-                    if let Next::Respond(refusal) = self.on_failure(&id, &failed).await {
+                    self.log_failed(&id, &failure, took);
+                    if let Next::Respond(refusal) = self.on_failure(&id, &failure).await {
                         return Err(refusal);
                     }
                 }
@@ -162,9 +162,9 @@
         endpoint: &endpoint::Id,
         cause: Cause,
     ) -> Result<(), Refusal> {
-        let failed = Failed { cause, execution: Execution::MayHaveRun };
-        self.log_failed(endpoint, &failed, Duration::ZERO);
-        match self.on_maybe_run(endpoint, &failed).await {
+        let failure = Failure { cause, execution: Execution::MayHaveRun };
+        self.log_failed(endpoint, &failure, Duration::ZERO);
+        match self.on_maybe_run(endpoint, &failure).await {
             Next::Retry => Ok(()),
             Next::Respond(refusal) => Err(refusal),
         }
@@ -179,7 +179,7 @@
             Some(peer_reports) => peer_reports,
             None => self.hear(&criteria).await,
         };
-        let lease = Lease::take(&self.gateway, &criteria, &peer_reports);
+        let lease = Lease::acquire(&self.gateway, &criteria, &peer_reports);
         lease.ok_or_else(|| self.unplaced(&criteria))
     }
 
@@ -252,7 +252,7 @@
         }
     }
 
-    async fn attempt(&mut self, lease: Lease) -> Result<Open, Failed> {
+    async fn attempt(&mut self, lease: Lease) -> Result<Exchange, Failure> {
         self.attempts += 1;
         let candidate = self.models.current();
         let model = candidate.map(|it| it.name.as_str());
@@ -274,7 +274,7 @@
             model: model.unwrap_or_default(),
             attempt: self.attempts,
             busy: lease.outstanding,
-            expected_ms: lease.expected.map(millis),
+            expected_ms: lease.expected_first_event.map(millis),
             resumed_after: self.last_event_id,
             left_ms: millis(outgoing.time_left),
             configuration: self.configuration,
@@ -283,41 +283,42 @@
     }
 
     /// Whether the caller gets this answer; if not, another attempt follows.
-    async fn judge(&mut self, open: Open, version: &str) -> Option<Open> {
-        let is_error = open.reply.status.is_server_error();
+    async fn judge(&mut self, exchange: Exchange, version: &str) -> Option<Exchange> {
+        let is_error = exchange.reply.status.is_server_error();
         // A request that fails for a reason of its own fails again; it's evidence once.
         if !self.has_failed {
-            let took = (!is_error).then_some(open.first_byte);
+            let took = (!is_error).then_some(exchange.first_byte);
             self.gateway.rollouts.lock().began(&self.service, version, self.kind(), took);
         }
         self.has_failed |= is_error;
         if is_error {
             if self.route.repeat.is_repeatable() && self.may_run_again("error") {
-                self.tried.push(open.lease.id.clone());
-                open.close(Outcome::Failed);
+                self.tried.push(exchange.lease.id.clone());
+                exchange.close(Outcome::Failed);
                 return None;
             }
-            return Some(open);
+            return Some(exchange);
         }
         if let Some(it) = self.models.current() {
-            let lease = &open.lease;
-            if let Some(expected) = lease.expected {
-                self.gateway.metrics.estimated(expected, open.first_byte);
+            let lease = &exchange.lease;
+            if let Some(expected) = lease.expected_first_event {
+                self.gateway.metrics.estimated(expected, exchange.first_byte);
             }
             let first = FirstEvent {
                 prompt: lease.prompt,
                 outstanding: lease.outstanding,
                 queue_delay: lease.queue_delay,
-                elapsed: open.first_byte,
+                elapsed: exchange.first_byte,
             };
             let mut estimator = self.gateway.latency_estimator.lock();
             estimator.record_first_event(&self.service, &it.name, it.relative_price, first);
         }
-        if open.reply.status.is_success() && self.try_escalate(open.reply.confidence).await {
-            open.close(Outcome::Answered);
+        if exchange.reply.status.is_success() && self.try_escalate(exchange.reply.confidence).await
+        {
+            exchange.close(Outcome::Answered);
             return None;
         }
-        Some(open)
+        Some(exchange)
     }
 
     fn latency(&self, model: &Candidate) -> Estimate {
@@ -356,12 +357,12 @@
         self.request.prefix_hash().map_or_else(own, |it| hash::pair(it, route))
     }
 
-    fn log_failed(&self, endpoint: &endpoint::Id, failed: &Failed, took: Duration) {
+    fn log_failed(&self, endpoint: &endpoint::Id, failure: &Failure, took: Duration) {
         self.gateway.log.write(&Event::AttemptFailed {
             request: &self.request.head.id,
             endpoint: endpoint.as_str(),
-            why: failed.cause.name(),
-            execution: match failed.execution {
+            why: failure.cause.name(),
+            execution: match failure.execution {
                 Execution::NotRun => "not_run",
                 Execution::MayHaveRun => "may_have_run",
             },
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -8,7 +8,7 @@
 
 use super::Job;
 use crate::{
-    attempt::{Cause, Failed},
+    attempt::{Cause, Failure},
     dialect::Execution,
     event::Event,
     refusal::{Reason, Refusal, Started},
@@ -31,45 +31,49 @@
 
 impl Job {
     /// What follows an attempt at `endpoint` that failed.
-    pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failed: &Failed) -> Next {
-        if failed.execution == Execution::MayHaveRun {
+    pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failure: &Failure) -> Next {
+        if failure.execution == Execution::MayHaveRun {
             self.runs += 1;
             self.started = Started::Maybe;
-            return self.on_maybe_run(endpoint, failed).await;
+            return self.on_maybe_run(endpoint, failure).await;
         }
         self.rejections += 1;
-        if failed.cause != Cause::Stale {
+        if failure.cause != Cause::StaleConnection {
             self.tried.push(endpoint.clone());
         }
-        let reason = match failed.cause {
+        let reason = match failure.cause {
             Cause::Full => Reason::Full,
             _ => Reason::NoEndpoint,
         };
-        let arrived = matches!(failed.cause, Cause::Full | Cause::Misdirected);
-        let is_spent = arrived && !self.spend(failed.cause.name());
+        let arrived = matches!(failure.cause, Cause::Full | Cause::Misdirected);
+        let is_spent = arrived && !self.spend(failure.cause.name());
         if MAX_REJECTIONS <= self.rejections || is_spent {
             return Next::Respond(self.refusal(reason).with_retry_after(RETRY_FULL));
         }
-        self.gateway.metrics.retried(failed.cause.name());
+        self.gateway.metrics.retried(failure.cause.name());
         Next::Retry
     }
 
     /// What follows an attempt at `endpoint` that may have run.
-    pub(super) async fn on_maybe_run(&mut self, endpoint: &endpoint::Id, failed: &Failed) -> Next {
-        if failed.cause == Cause::Cut {
+    pub(super) async fn on_maybe_run(
+        &mut self,
+        endpoint: &endpoint::Id,
+        failure: &Failure,
+    ) -> Next {
+        if failure.cause == Cause::Disconnected {
             self.charge(endpoint).await;
         }
-        if failed.cause != Cause::Stale {
+        if failure.cause != Cause::StaleConnection {
             self.tried.push(endpoint.clone());
         }
-        if failed.cause == Cause::Timeout {
+        if failure.cause == Cause::Timeout {
             return Next::Respond(self.refusal(Reason::Timeout));
         }
         let now = self.gateway.now();
         if self.gateway.poison.lock().is_poison(self.request.fingerprint, now) {
             return Next::Respond(self.refusal(Reason::Poison));
         }
-        if !self.route.repeat.is_repeatable() || !self.may_run_again(failed.cause.name()) {
+        if !self.route.repeat.is_repeatable() || !self.may_run_again(failure.cause.name()) {
             return Next::Respond(self.refusal(Reason::EndpointFailed));
         }
         Next::Retry
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -36,12 +36,12 @@
     /// The work that waited there.
     pub queue_delay: Duration,
     /// When its first event is likely to come; none for plain services.
-    pub expected: Option<Duration>,
+    pub expected_first_event: Option<Duration>,
     /// How many idle connections this node may keep there.
     pub max_idle: usize,
     /// Which start of the endpoint it's for.
     started_ms: Option<u64>,
-    pending: Duration,
+    pending_prefill: Duration,
     outcome: Outcome,
 }
 
@@ -56,7 +56,7 @@
 
 impl Lease {
     /// A place at the best endpoint for a request, if there is one (see [`offer::best`]).
-    pub fn take(
+    pub fn acquire(
         gateway: &Arc<Gateway>,
         criteria: &Criteria<'_>,
         peer_reports: &Heard,
@@ -68,10 +68,11 @@
         let choice = selection::best(gateway, &directory, criteria, peer_reports)?;
         let Choice { prompt, outstanding, queue_delay, .. } = choice;
         let latency = criteria.model.map(|it| it.latency);
-        let expected = latency.map(|it| choice.first_event(&it));
-        let pending = latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
+        let expected_first_event = latency.map(|it| choice.first_event(&it));
+        let pending_prefill =
+            latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
         let entry = choice.endpoint.entry.clone();
-        directory.started(&entry.id, pending, now);
+        directory.started(&entry.id, pending_prefill, now);
         if let Some(prefix_hash) = criteria.prefix_hash {
             gateway.affinity.lock().record(prefix_hash, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
@@ -90,9 +91,9 @@
             outstanding,
             prompt,
             queue_delay,
-            expected,
+            expected_first_event,
             max_idle: max_idle.unwrap_or(usize::MAX),
-            pending,
+            pending_prefill,
             outcome: Outcome::Dropped,
         })
     }
@@ -113,15 +114,15 @@
             self.gateway.log.write(&Event::Paused { endpoint, length_ms });
         }
         // An answer that went wrong may lack what its endpoint says in all others.
-        let tells_limit = completeness == Completeness::Whole || notice.rate.is_some();
-        let is_news = tells_limit && directory.set_rate_limit(&start, &notice, now);
+        let states_limit = completeness == Completeness::Whole || notice.rate.is_some();
+        let is_changed = states_limit && directory.set_rate_limit(&start, &notice, now);
         drop(directory);
-        if is_news {
-            self.tell_rate_limit(notice);
+        if is_changed {
+            self.report_rate_limit(notice);
         }
     }
 
-    fn tell_rate_limit(&self, notice: rate_limit::Notice) {
+    fn report_rate_limit(&self, notice: rate_limit::Notice) {
         let (endpoint, rate) = (self.id.as_str(), notice.rate);
         self.gateway.log.write(&Event::RateLimit { endpoint, rate, from: "answer" });
         if let Some(reports) = self.gateway.load_reports.get() {
@@ -131,10 +132,10 @@
     }
 
     /// The first byte of an answer came.
-    pub fn began(&mut self, load: Option<Load>) {
+    pub fn record_first_byte(&mut self, load: Option<Load>) {
         let now = self.gateway.now();
-        let pending = std::mem::take(&mut self.pending);
-        self.gateway.directory.lock().began(&self.id, pending, load, now);
+        let pending_prefill = std::mem::take(&mut self.pending_prefill);
+        self.gateway.directory.lock().began(&self.id, pending_prefill, load, now);
         self.gateway.waiting_changed.wake();
     }
 
@@ -148,7 +149,7 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut directory = self.gateway.directory.lock();
-        directory.finished(&self.id, self.outcome, self.pending, now);
+        directory.finished(&self.id, self.outcome, self.pending_prefill, now);
         let is_lost = matches!(self.outcome, Outcome::NoConnection | Outcome::Gone);
         if is_lost
             && directory.reaches_others(now)
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -12,7 +12,7 @@
 use hyper::body::Frame;
 
 use crate::{
-    attempt::{Cause, Open},
+    attempt::{Cause, Exchange},
     directory::Outcome,
     job::{self, End, Job},
     refusal::Refusal,
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct Relay {
     job: Job,
-    open: Option<Open>,
+    exchange: Option<Exchange>,
     splitter: Splitter,
     status: u16,
     first: Duration,
@@ -50,15 +50,15 @@
 }
 
 /// The body of an answer that has begun.
-pub fn body(job: Job, open: Open) -> Body {
+pub fn body(job: Job, exchange: Exchange) -> Body {
     let relay = Relay {
-        status: open.reply.status.as_u16(),
+        status: exchange.reply.status.as_u16(),
         first: job.gateway.now().saturating_duration_since(job.request.received_at),
         events: 0,
         since: job.gateway.now(),
         got_on: job.gateway.now(),
         job,
-        open: Some(open),
+        exchange: Some(exchange),
         splitter: Splitter::default(),
         passed_on: 0,
         last_event: Duration::ZERO,
@@ -84,8 +84,8 @@
     /// The next whole events; none at the end.
     async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
         loop {
-            if self.open.is_none() {
-                self.open = Some(self.resume().await?);
+            if self.exchange.is_none() {
+                self.exchange = Some(self.resume().await?);
                 let now = self.job.gateway.now();
                 (self.events, self.since, self.got_on) = (0, now, now);
             }
@@ -94,7 +94,7 @@
                 Read::Part => continue,
                 Read::End => {
                     let took = self.job.gateway.now().saturating_duration_since(self.since);
-                    let version = self.open.as_ref().map_or("", |it| it.lease.version.as_str());
+                    let version = self.exchange.as_ref().map_or("", |it| it.lease.version.as_str());
                     self.job.streamed(version, self.events, took);
                     self.end(job::WHOLE, Outcome::Answered);
                     return Ok(None);
@@ -108,8 +108,10 @@
 
     async fn read(&mut self) -> Read {
         let limit = self.job.time_left().min(self.silence_left());
-        let Some(open) = self.open.as_mut() else { return Read::Failed(Cause::Cut) };
-        match timeout::run(limit, open.body.frame()).await {
+        let Some(exchange) = self.exchange.as_mut() else {
+            return Read::Failed(Cause::Disconnected);
+        };
+        match timeout::run(limit, exchange.body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 let Ok(data) = frame.into_data() else { return Read::Part };
                 match self.splitter.push(&data) {
@@ -130,19 +132,19 @@
                 }
             }
             Ok(None) if self.splitter.is_empty() => Read::End,
-            Ok(None | Some(Err(_))) => Read::Failed(Cause::Cut),
+            Ok(None | Some(Err(_))) => Read::Failed(Cause::Disconnected),
             Err(timeout::Elapsed) => Read::Failed(Cause::Timeout),
         }
     }
 
     /// The endpoint failed: leaves it, and ends the answer if no other may go on.
     async fn leave(&mut self, cause: Cause) -> Result<(), Broken> {
-        let Some(open) = self.open.take() else { return Ok(()) };
-        let id = open.lease.id.clone();
-        open.close(Outcome::Unreachable);
+        let Some(exchange) = self.exchange.take() else { return Ok(()) };
+        let id = exchange.lease.id.clone();
+        exchange.close(Outcome::Unreachable);
         // Silence within the time that is left is no end of the time.
         let cause = match cause {
-            Cause::Timeout if !self.job.time_left().is_zero() => Cause::Cut,
+            Cause::Timeout if !self.job.time_left().is_zero() => Cause::Disconnected,
             other => other,
         };
         if let Err(refusal) = self.job.broke_off(&id, cause).await {
@@ -151,11 +153,11 @@
         Ok(())
     }
 
-    async fn resume(&mut self) -> Result<Open, Broken> {
-        match self.job.open().await {
-            Ok(open) if open.reply.status.is_success() => Ok(open),
-            Ok(open) => {
-                open.close(Outcome::Failed);
+    async fn resume(&mut self) -> Result<Exchange, Broken> {
+        match self.job.execute().await {
+            Ok(exchange) if exchange.reply.status.is_success() => Ok(exchange),
+            Ok(exchange) => {
+                exchange.close(Outcome::Failed);
                 let refusal = self.job.refusal(crate::refusal::Reason::EndpointFailed);
                 Err(self.broken(refusal))
             }
@@ -171,8 +173,8 @@
 
     fn end(&mut self, outcome: &'static str, of_endpoint: Outcome) {
         self.is_done = true;
-        let open = self.open.take();
-        let endpoint = open.as_ref().map(|it| it.lease.id.clone());
+        let exchange = self.exchange.take();
+        let endpoint = exchange.as_ref().map(|it| it.lease.id.clone());
         let endpoint = endpoint.as_ref().map_or("", |it| it.as_str());
         self.job.ended(&End {
             status: self.status,
@@ -182,11 +184,11 @@
             events: self.passed_on,
             last_event: self.last_event,
         });
-        match (open, of_endpoint) {
-            (Some(open), Outcome::Answered) => {
-                open.finish(&self.job.gateway, self.job.route.repeat, of_endpoint);
+        match (exchange, of_endpoint) {
+            (Some(exchange), Outcome::Answered) => {
+                exchange.finish(&self.job.gateway, self.job.route.repeat, of_endpoint);
             }
-            (Some(open), _) => open.close(of_endpoint),
+            (Some(exchange), _) => exchange.close(of_endpoint),
             (None, _) => {}
         }
     }
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -20,17 +20,18 @@
 /// Reads the answer to `job`.
 pub async fn read(job: &mut Job) -> Result<(Parts, Bytes), Refusal> {
     loop {
-        let mut open = job.open().await?;
-        let id = open.lease.id.clone();
+        let mut exchange = job.execute().await?;
+        let id = exchange.lease.id.clone();
         let first = job.gateway.now().saturating_duration_since(job.request.received_at);
         let limit = job.time_left();
-        let cause = match timeout::run(limit, body::read_mut(&mut open.body, MAX_ANSWER)).await {
+        let cause = match timeout::run(limit, body::read_mut(&mut exchange.body, MAX_ANSWER)).await
+        {
             Ok(Ok(bytes)) => {
-                let head = open.head.clone();
+                let head = exchange.head.clone();
                 let status = head.status;
                 let is_error = status.is_server_error();
                 let outcome = if is_error { Outcome::Failed } else { Outcome::Answered };
-                open.finish(&job.gateway, job.route.repeat, outcome);
+                exchange.finish(&job.gateway, job.route.repeat, outcome);
                 job.ended(&End {
                     status: status.as_u16(),
                     outcome: WHOLE,
@@ -41,15 +42,15 @@
                 return Ok((head, bytes));
             }
             Ok(Err(body::ReadError::TooLarge { .. })) => {
-                open.close(Outcome::Dropped);
+                exchange.close(Outcome::Dropped);
                 return Err(job.refusal(Reason::EndpointFailed));
             }
             Ok(Err(body::ReadError::Broken(_))) => {
-                open.close(Outcome::Failed);
-                Cause::Cut
+                exchange.close(Outcome::Failed);
+                Cause::Disconnected
             }
             Err(timeout::Elapsed) => {
-                open.close(Outcome::Dropped);
+                exchange.close(Outcome::Dropped);
                 Cause::Timeout
             }
         };
