--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -138,7 +138,7 @@
     };
     result.map_err(|(job, refusal)| {
         let (status, outcome) = (refusal.status.as_u16(), refusal.reason.name());
-        job.ended(&End { status, outcome, ..End::default() });
+        job.record_end(&End { status, outcome, ..End::default() });
         refusal
     })
 }
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -30,13 +30,13 @@
 use self::retry::Next;
 
 /// When to come back while no endpoint can be reached: about the time in which one is noticed.
-const RETRY_AWAY: Duration = Duration::from_millis(700);
+const RETRY_AFTER_NO_ENDPOINT: Duration = Duration::from_millis(700);
 
 /// How many times others are asked for an endpoint that can be reached, before a request is placed.
-const MAX_QUESTIONS: usize = 3;
+const MAX_QUERY_ROUNDS: usize = 3;
 
 /// The outcome of a request whose answer arrived whole.
-pub const WHOLE: &str = "whole";
+pub const OUTCOME_WHOLE: &str = "whole";
 
 /// How a request ended. Times count from when it came.
 #[derive(Debug, Default)]
@@ -48,12 +48,12 @@
     /// The endpoint that answered it last; empty if none did.
     pub endpoint: &'a str,
     /// When the first byte of the answer came.
-    pub first_byte: Duration,
+    pub first_byte_after: Duration,
     /// How many events of a stream were passed on. A stream that runs out of time while events come is
     /// told by it from one that fell silent.
-    pub events: u32,
+    pub n_events: u32,
     /// When the last of them was.
-    pub last_event: Duration,
+    pub last_event_after: Duration,
 }
 
 /// A request on its way.
@@ -72,16 +72,16 @@
     /// The last event that the caller has.
     pub last_event_id: Option<u64>,
     /// How many attempts there were.
-    pub attempts: u32,
+    pub n_attempts: u32,
     service: String,
     models: Models,
     tried: Vec<endpoint::Id>,
-    runs: u32,
-    rejections: u32,
+    n_runs: u32,
+    n_rejections: u32,
     started: Started,
     /// Whether an endpoint answered it with an error.
-    has_failed: bool,
-    configuration: u64,
+    has_errored: bool,
+    configuration_version: u64,
     /// What other nodes told while the next attempt was decided on.
     peer_reports: Option<Heard>,
     _in_flight: InFlight,
@@ -97,8 +97,8 @@
         account: Option<account::Id>,
         priority: u8,
     ) -> Result<Self, Refusal> {
-        let place = hash::unit(hash::bytes(request.head.id.as_bytes()));
-        let service = route.service(place).map(str::to_owned);
+        let split_point = hash::unit(hash::bytes(request.head.id.as_bytes()));
+        let service = route.service(split_point).map(str::to_owned);
         let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Started::No))?;
         let models = Models::new(&current.document, &service, &route, &request.head.model);
         gateway.retry_budget.lock().record_request(&service, gateway.now());
@@ -106,15 +106,15 @@
             last_event_id: request.head.last_event_id,
             account,
             priority,
-            attempts: 0,
+            n_attempts: 0,
             service,
             models,
             tried: Vec::new(),
-            runs: 0,
-            rejections: 0,
+            n_runs: 0,
+            n_rejections: 0,
             started: Started::No,
-            has_failed: false,
-            configuration: current.document.version,
+            has_errored: false,
+            configuration_version: current.document.version,
             peer_reports: None,
             _in_flight: gateway.enter(),
             gateway: Arc::clone(gateway),
@@ -134,14 +134,14 @@
             if self.time_left().is_zero() {
                 return Err(self.refusal(Reason::Timeout));
             }
-            let lease = self.place().await?;
+            let lease = self.acquire_lease().await?;
             let (id, version) = (lease.id.clone(), lease.version.clone());
             let sent_at = self.gateway.now();
             match self.attempt(lease).await {
                 Ok(exchange) => {
-                    self.runs += 1;
+                    self.n_runs += 1;
                     self.started = Started::Maybe;
-                    if let Some(exchange) = self.judge(exchange, &version).await {
+                    if let Some(exchange) = self.accept_or_retry(exchange, &version).await {
                         return Ok(exchange);
                     }
                 }
@@ -157,56 +157,57 @@
     }
 
     /// An attempt failed after its answer had begun, so another may follow.
-    pub async fn broke_off(
+    pub async fn on_response_failed(
         &mut self,
         endpoint: &endpoint::Id,
         cause: Cause,
     ) -> Result<(), Refusal> {
         let failure = Failure { cause, execution: Execution::MayHaveRun };
         self.log_failed(endpoint, &failure, Duration::ZERO);
-        match self.on_maybe_run(endpoint, &failure).await {
+        match self.on_possible_run(endpoint, &failure).await {
             Next::Retry => Ok(()),
             Next::Respond(refusal) => Err(refusal),
         }
     }
 
-    async fn place(&mut self) -> Result<Lease, Refusal> {
-        let session = self.session();
+    async fn acquire_lease(&mut self) -> Result<Lease, Refusal> {
+        let session = self.session_hash();
         let rule = self.gateway.rollouts.lock().rule(&self.service, session);
         let peer_reports = self.peer_reports.take();
         let criteria = self.criteria(&rule, self.models.current());
         let peer_reports = match peer_reports {
             Some(peer_reports) => peer_reports,
-            None => self.hear(&criteria).await,
+            None => self.query_peers(&criteria).await,
         };
         let lease = Lease::acquire(&self.gateway, &criteria, &peer_reports);
-        lease.ok_or_else(|| self.unplaced(&criteria))
+        lease.ok_or_else(|| self.no_endpoint_refusal(&criteria))
     }
 
     /// The refusal of a request that no endpoint takes.
-    fn unplaced(&self, criteria: &Criteria<'_>) -> Refusal {
+    fn no_endpoint_refusal(&self, criteria: &Criteria<'_>) -> Refusal {
         let Some(throttled) = selection::throttled(&self.gateway, criteria) else {
-            return self.refusal(Reason::NoEndpoint).with_retry_after(RETRY_AWAY);
+            return self.refusal(Reason::NoEndpoint).with_retry_after(RETRY_AFTER_NO_ENDPOINT);
         };
         let (n_nodes, now) = (self.gateway.n_nodes(), self.gateway.now());
-        let by_pause = throttled.resumes_at.map(|it| it.saturating_duration_since(now));
+        let after_pause = throttled.resumes_at.map(|it| it.saturating_duration_since(now));
         let own_rate = Some(throttled.rate / n_nodes as f64).filter(|it| 0.0 < *it);
-        let by_rate =
+        let after_interval =
             own_rate.map(|it| self.gateway.retry_schedule.lock().reserve(&self.service, it, now));
-        let after = by_pause.into_iter().chain(by_rate).min();
-        self.refusal(Reason::Throttled).with_retry_after(after.unwrap_or(RETRY_AWAY))
+        let retry_after = after_pause.into_iter().chain(after_interval).min();
+        self.refusal(Reason::Throttled)
+            .with_retry_after(retry_after.unwrap_or(RETRY_AFTER_NO_ENDPOINT))
     }
 
     /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
     /// have told already.
-    async fn hear(&self, criteria: &Criteria<'_>) -> Heard {
+    async fn query_peers(&self, criteria: &Criteria<'_>) -> Heard {
         let mut peer_reports = Heard::default();
-        for _ in 0..MAX_QUESTIONS {
+        for _ in 0..MAX_QUERY_ROUNDS {
             let shortlist = selection::shortlist(&self.gateway, criteria);
             if shortlist.is_empty() {
                 return Heard::default();
             }
-            peer_reports = self.ask_others(shortlist, criteria.prefix_hash).await;
+            peer_reports = self.query_owners(shortlist, criteria.prefix_hash).await;
             if peer_reports.unreachable.is_empty() {
                 break;
             }
@@ -221,15 +222,15 @@
         peer_reports
     }
 
-    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, prefix_hash: Option<u64>) -> Heard {
+    async fn query_owners(&self, shortlist: Vec<endpoint::Id>, prefix_hash: Option<u64>) -> Heard {
         let mut peer_reports = load_reports::ask(&self.gateway, shortlist, prefix_hash).await;
         let is_unreported = |it: &endpoint::Id| !peer_reports.waiting.contains_key(it);
         let holders = peer_reports.holders.iter().flatten();
         let unreported: Vec<_> = holders.filter(|it| is_unreported(it)).cloned().collect();
         if !unreported.is_empty() {
-            let of_holders = load_reports::ask(&self.gateway, unreported, None).await;
-            peer_reports.waiting.extend(of_holders.waiting);
-            peer_reports.unreachable.extend(of_holders.unreachable);
+            let holder_reports = load_reports::ask(&self.gateway, unreported, None).await;
+            peer_reports.waiting.extend(holder_reports.waiting);
+            peer_reports.unreachable.extend(holder_reports.unreachable);
         }
         peer_reports
     }
@@ -253,7 +254,7 @@
     }
 
     async fn attempt(&mut self, lease: Lease) -> Result<Exchange, Failure> {
-        self.attempts += 1;
+        self.n_attempts += 1;
         let candidate = self.models.current();
         let model = candidate.map(|it| it.name.as_str());
         let id = lease.id.clone();
@@ -272,27 +273,27 @@
             endpoint: id.as_str(),
             version: &lease.version,
             model: model.unwrap_or_default(),
-            attempt: self.attempts,
+            attempt: self.n_attempts,
             busy: lease.outstanding,
             expected_ms: lease.expected_first_event.map(millis),
             resumed_after: self.last_event_id,
             left_ms: millis(outgoing.time_left),
-            configuration: self.configuration,
+            configuration: self.configuration_version,
         });
         attempt::run(&self.gateway, &self.request, self.route.repeat, lease, &outgoing).await
     }
 
     /// Whether the caller gets this answer; if not, another attempt follows.
-    async fn judge(&mut self, exchange: Exchange, version: &str) -> Option<Exchange> {
+    async fn accept_or_retry(&mut self, exchange: Exchange, version: &str) -> Option<Exchange> {
         let is_error = exchange.reply.status.is_server_error();
         // A request that fails for a reason of its own fails again; it's evidence once.
-        if !self.has_failed {
+        if !self.has_errored {
             let took = (!is_error).then_some(exchange.first_byte);
             self.gateway.rollouts.lock().began(&self.service, version, self.kind(), took);
         }
-        self.has_failed |= is_error;
+        self.has_errored |= is_error;
         if is_error {
-            if self.route.repeat.is_repeatable() && self.may_run_again("error") {
+            if self.route.repeat.is_repeatable() && self.try_rerun("error") {
                 self.tried.push(exchange.lease.id.clone());
                 exchange.close(Outcome::Failed);
                 return None;
@@ -304,14 +305,14 @@
             if let Some(expected) = lease.expected_first_event {
                 self.gateway.metrics.estimated(expected, exchange.first_byte);
             }
-            let first = FirstEvent {
+            let first_event = FirstEvent {
                 prompt: lease.prompt,
                 outstanding: lease.outstanding,
                 queue_delay: lease.queue_delay,
                 elapsed: exchange.first_byte,
             };
             let mut estimator = self.gateway.latency_estimator.lock();
-            estimator.record_first_event(&self.service, &it.name, it.relative_price, first);
+            estimator.record_first_event(&self.service, &it.name, it.relative_price, first_event);
         }
         if exchange.reply.status.is_success() && self.try_escalate(exchange.reply.confidence).await
         {
@@ -330,14 +331,14 @@
     }
 
     /// An answer of `events` ended `took` after its first event.
-    pub fn streamed(&self, version: &str, events: u32, took: Duration) {
+    pub fn record_stream(&self, version: &str, n_events: u32, took: Duration) {
         if let Some(it) = self.models.current() {
             let mut estimator = self.gateway.latency_estimator.lock();
-            estimator.record_stream(&self.service, &it.name, it.relative_price, events, took);
+            estimator.record_stream(&self.service, &it.name, it.relative_price, n_events, took);
         }
-        if let Some(each) = took.checked_div(events.saturating_sub(1)) {
+        if let Some(interval) = took.checked_div(n_events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
-            rollouts.ended(&self.service, version, self.kind(), each);
+            rollouts.ended(&self.service, version, self.kind(), interval);
         }
     }
 
@@ -351,7 +352,7 @@
     }
 
     /// A hash that all requests of the same session have.
-    fn session(&self) -> u64 {
+    fn session_hash(&self) -> u64 {
         let own = || hash::bytes(self.request.head.id.as_bytes());
         let route = hash::bytes(self.route.prefix.as_bytes());
         self.request.prefix_hash().map_or_else(own, |it| hash::pair(it, route))
@@ -371,10 +372,10 @@
     }
 
     /// Logs and counts its end.
-    pub fn ended(&self, end: &End<'_>) {
+    pub fn record_end(&self, end: &End<'_>) {
         let End { status, outcome, endpoint, .. } = *end;
         let took = self.gateway.now().saturating_duration_since(self.request.received_at);
-        if outcome == WHOLE {
+        if outcome == OUTCOME_WHOLE {
             // Endpoints that ended while they ran it had another reason, then.
             self.gateway.poison.lock().release(self.request.fingerprint);
         }
@@ -385,10 +386,10 @@
             status,
             outcome,
             endpoint,
-            attempts: self.attempts,
-            first_byte_ms: millis(end.first_byte),
-            events: end.events,
-            last_event_ms: millis(end.last_event),
+            attempts: self.n_attempts,
+            first_byte_ms: millis(end.first_byte_after),
+            events: end.n_events,
+            last_event_ms: millis(end.last_event_after),
             took_ms: millis(took),
         });
     }
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -18,17 +18,17 @@
         let can_repeat = self.route.repeat.is_repeatable() && self.last_event_id.is_none();
         let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
         let Some(large) = self.models.larger() else { return false };
-        let rule = self.gateway.rollouts.lock().rule(&self.service, self.session());
+        let rule = self.gateway.rollouts.lock().rule(&self.service, self.session_hash());
         // Work of other nodes only delays the larger model, so most answers are kept without asking.
         if self.better_forecast(confidence, &rule, &Heard::default()).is_none() {
             return false;
         }
-        let peer_reports = self.hear(&self.criteria(&rule, Some(large))).await;
+        let peer_reports = self.query_peers(&self.criteria(&rule, Some(large))).await;
         let Some(expected) = self.better_forecast(confidence, &rule, &peer_reports) else {
             return false;
         };
         let model = large.name.clone();
-        if !self.may_run_again("confidence") {
+        if !self.try_rerun("confidence") {
             return false;
         }
         self.gateway.log.write(&Event::Escalated {
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -17,9 +17,9 @@
 /// How often a request may be turned away by endpoints that didn't run it.
 const MAX_REJECTIONS: u32 = 5;
 /// When to come back while all endpoints are full: the time in which they end some requests.
-const RETRY_FULL: Duration = Duration::from_millis(400);
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
 /// How long it's asked whether an endpoint that broke off still takes connections.
-const ALIVE_TIMEOUT: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Whether another attempt follows.
 pub(super) enum Next {
@@ -33,11 +33,11 @@
     /// What follows an attempt at `endpoint` that failed.
     pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failure: &Failure) -> Next {
         if failure.execution == Execution::MayHaveRun {
-            self.runs += 1;
+            self.n_runs += 1;
             self.started = Started::Maybe;
-            return self.on_maybe_run(endpoint, failure).await;
+            return self.on_possible_run(endpoint, failure).await;
         }
-        self.rejections += 1;
+        self.n_rejections += 1;
         if failure.cause != Cause::StaleConnection {
             self.tried.push(endpoint.clone());
         }
@@ -45,23 +45,23 @@
             Cause::Full => Reason::Full,
             _ => Reason::NoEndpoint,
         };
-        let arrived = matches!(failure.cause, Cause::Full | Cause::Misdirected);
-        let is_spent = arrived && !self.spend(failure.cause.name());
-        if MAX_REJECTIONS <= self.rejections || is_spent {
-            return Next::Respond(self.refusal(reason).with_retry_after(RETRY_FULL));
+        let reached_endpoint = matches!(failure.cause, Cause::Full | Cause::Misdirected);
+        let is_budget_spent = reached_endpoint && !self.try_spend(failure.cause.name());
+        if MAX_REJECTIONS <= self.n_rejections || is_budget_spent {
+            return Next::Respond(self.refusal(reason).with_retry_after(RETRY_AFTER_FULL));
         }
         self.gateway.metrics.retried(failure.cause.name());
         Next::Retry
     }
 
     /// What follows an attempt at `endpoint` that may have run.
-    pub(super) async fn on_maybe_run(
+    pub(super) async fn on_possible_run(
         &mut self,
         endpoint: &endpoint::Id,
         failure: &Failure,
     ) -> Next {
         if failure.cause == Cause::Disconnected {
-            self.charge(endpoint).await;
+            self.charge_poison(endpoint).await;
         }
         if failure.cause != Cause::StaleConnection {
             self.tried.push(endpoint.clone());
@@ -73,25 +73,25 @@
         if self.gateway.poison.lock().is_poison(self.request.fingerprint, now) {
             return Next::Respond(self.refusal(Reason::Poison));
         }
-        if !self.route.repeat.is_repeatable() || !self.may_run_again(failure.cause.name()) {
+        if !self.route.repeat.is_repeatable() || !self.try_rerun(failure.cause.name()) {
             return Next::Respond(self.refusal(Reason::EndpointFailed));
         }
         Next::Retry
     }
 
     /// Whether it may run once more, and takes that from the budget.
-    pub(super) fn may_run_again(&mut self, why: &'static str) -> bool {
-        if self.route.max_attempts <= self.runs {
-            self.not_repeated("attempts");
+    pub(super) fn try_rerun(&mut self, why: &'static str) -> bool {
+        if self.route.max_attempts <= self.n_runs {
+            self.log_not_repeated("attempts");
             return false;
         }
-        self.spend(why)
+        self.try_spend(why)
     }
 
-    fn spend(&self, why: &'static str) -> bool {
+    fn try_spend(&self, why: &'static str) -> bool {
         let (n_nodes, now) = (self.gateway.n_nodes(), self.gateway.now());
         if !self.gateway.retry_budget.lock().try_spend(&self.service, n_nodes, now) {
-            self.not_repeated("budget");
+            self.log_not_repeated("budget");
             return false;
         }
         self.gateway.metrics.retried(why);
@@ -99,11 +99,11 @@
     }
 
     /// Charges the request with the end of `endpoint`, if that no longer takes connections.
-    async fn charge(&self, endpoint: &endpoint::Id) {
+    async fn charge_poison(&self, endpoint: &endpoint::Id) {
         let addr = self.gateway.directory.lock().tracked(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
         let connect = self.gateway.pool.take(addr, Freshness::New);
-        if let Ok(Ok(conn)) = timeout::run(ALIVE_TIMEOUT, connect).await {
+        if let Ok(Ok(conn)) = timeout::run(PROBE_TIMEOUT, connect).await {
             self.gateway.pool.put(conn);
             return;
         }
@@ -115,7 +115,7 @@
         });
     }
 
-    fn not_repeated(&self, why: &str) {
+    fn log_not_repeated(&self, why: &str) {
         self.gateway.log.write(&Event::NotRepeated { request: &self.request.head.id, why });
     }
 }
--- a/crates/curranthook_gateway/src/splitter.rs
+++ b/crates/curranthook_gateway/src/splitter.rs
@@ -8,7 +8,7 @@
 /// event, so that another endpoint can go on after it.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
 /// Whole events.
@@ -34,33 +34,34 @@
     /// assert!(!splitter.is_empty());
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
-        self.held.extend_from_slice(bytes);
-        let end = last_blank_line(&self.held)?;
-        let bytes = self.held.split_to(end).freeze();
-        let (last_id, count) = (last_id(&bytes), count(&bytes));
+        self.buffer.extend_from_slice(bytes);
+        let end = last_event_end(&self.buffer)?;
+        let bytes = self.buffer.split_to(end).freeze();
+        let (last_id, count) = (last_id(&bytes), count_events(&bytes));
         Some(Events { bytes, last_id, count })
     }
 
     /// Whether nothing is held back.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.buffer.is_empty()
     }
 
     /// Drops the beginning of an event that broke off.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.buffer.clear();
     }
 }
 
 /// The place after the last blank line.
-fn last_blank_line(bytes: &[u8]) -> Option<usize> {
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
     (1..bytes.len()).rev().find_map(|at| {
-        let ends = bytes[at] == b'\n' && (bytes[at - 1] == b'\n' || bytes[..at].ends_with(b"\n\r"));
-        ends.then_some(at + 1)
+        let is_end =
+            bytes[at] == b'\n' && (bytes[at - 1] == b'\n' || bytes[..at].ends_with(b"\n\r"));
+        is_end.then_some(at + 1)
     })
 }
 
-fn count(events: &[u8]) -> u32 {
+fn count_events(events: &[u8]) -> u32 {
     let blank = events.split(|it| *it == b'\n').filter(|it| it.is_empty() || *it == b"\r");
     // What follows the last line feed is empty too.
     u32::try_from(blank.count().saturating_sub(1)).unwrap_or(u32::MAX)
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -21,14 +21,14 @@
 
 /// An endpoint that lets this many times the longest pause go by without an event has stopped:
 /// the answer is late already, and callers leave soon after.
-const SILENT_PAUSES: u32 = 2;
+const MAX_GAP_FACTOR: u32 = 2;
 /// The least time after which an endpoint counts as silent, as it may read other prompts between.
-const MIN_SILENCE: Duration = Duration::from_millis(1_500);
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Why a stream ends before its end.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off: {}", .0.reason.name())]
-struct Broken(Refusal);
+struct Aborted(Refusal);
 
 /// A stream on its way to its caller. Dropping it tells the endpoint to stop.
 #[derive(Debug)]
@@ -37,15 +37,15 @@
     exchange: Option<Exchange>,
     splitter: Splitter,
     status: u16,
-    first: Duration,
+    first_byte_after: Duration,
     /// How many events came from the present endpoint, and since when.
-    events: u32,
-    since: Instant,
+    n_events: u32,
+    started_at: Instant,
     /// When the stream last got on, by an event that its caller doesn't have yet.
-    got_on: Instant,
+    last_progress_at: Instant,
     /// How many events the caller got in all, and when the last of them, after the request came.
-    passed_on: u32,
-    last_event: Duration,
+    n_forwarded: u32,
+    last_event_after: Duration,
     is_done: bool,
 }
 
@@ -53,15 +53,15 @@
 pub fn body(job: Job, exchange: Exchange) -> Body {
     let relay = Relay {
         status: exchange.reply.status.as_u16(),
-        first: job.gateway.now().saturating_duration_since(job.request.received_at),
-        events: 0,
-        since: job.gateway.now(),
-        got_on: job.gateway.now(),
+        first_byte_after: job.gateway.now().saturating_duration_since(job.request.received_at),
+        n_events: 0,
+        started_at: job.gateway.now(),
+        last_progress_at: job.gateway.now(),
         job,
         exchange: Some(exchange),
         splitter: Splitter::default(),
-        passed_on: 0,
-        last_event: Duration::ZERO,
+        n_forwarded: 0,
+        last_event_after: Duration::ZERO,
         is_done: false,
     };
     let frames = stream::unfold(relay, |mut relay| async move {
@@ -82,63 +82,63 @@
 
 impl Relay {
     /// The next whole events; none at the end.
-    async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    async fn next(&mut self) -> Result<Option<Bytes>, Aborted> {
         loop {
             if self.exchange.is_none() {
                 self.exchange = Some(self.resume().await?);
                 let now = self.job.gateway.now();
-                (self.events, self.since, self.got_on) = (0, now, now);
+                (self.n_events, self.started_at, self.last_progress_at) = (0, now, now);
             }
-            let cause = match self.read().await {
-                Read::Events(bytes) => return Ok(Some(bytes)),
-                Read::Part => continue,
-                Read::End => {
-                    let took = self.job.gateway.now().saturating_duration_since(self.since);
+            let cause = match self.read_events().await {
+                Progress::Events(bytes) => return Ok(Some(bytes)),
+                Progress::Partial => continue,
+                Progress::End => {
+                    let took = self.job.gateway.now().saturating_duration_since(self.started_at);
                     let version = self.exchange.as_ref().map_or("", |it| it.lease.version.as_str());
-                    self.job.streamed(version, self.events, took);
-                    self.end(job::WHOLE, Outcome::Answered);
+                    self.job.record_stream(version, self.n_events, took);
+                    self.end(job::OUTCOME_WHOLE, Outcome::Answered);
                     return Ok(None);
                 }
-                Read::Failed(cause) => cause,
+                Progress::Failed(cause) => cause,
             };
             self.splitter.clear();
-            self.leave(cause).await?;
+            self.on_endpoint_failure(cause).await?;
         }
     }
 
-    async fn read(&mut self) -> Read {
-        let limit = self.job.time_left().min(self.silence_left());
+    async fn read_events(&mut self) -> Progress {
+        let limit = self.job.time_left().min(self.idle_time_left());
         let Some(exchange) = self.exchange.as_mut() else {
-            return Read::Failed(Cause::Disconnected);
+            return Progress::Failed(Cause::Disconnected);
         };
         match timeout::run(limit, exchange.body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                let Ok(data) = frame.into_data() else { return Read::Part };
+                let Ok(data) = frame.into_data() else { return Progress::Partial };
                 match self.splitter.push(&data) {
                     Some(events) => {
-                        self.events += events.count;
-                        self.passed_on += events.count;
+                        self.n_events += events.count;
+                        self.n_forwarded += events.count;
                         let now = self.job.gateway.now();
-                        self.last_event =
+                        self.last_event_after =
                             now.saturating_duration_since(self.job.request.received_at);
                         // Comments that keep a connection open bring the caller nothing.
                         if events.last_id.is_some() || self.job.last_event_id.is_none() {
-                            self.got_on = now;
+                            self.last_progress_at = now;
                         }
                         self.job.last_event_id = events.last_id.or(self.job.last_event_id);
-                        Read::Events(events.bytes)
+                        Progress::Events(events.bytes)
                     }
-                    None => Read::Part,
+                    None => Progress::Partial,
                 }
             }
-            Ok(None) if self.splitter.is_empty() => Read::End,
-            Ok(None | Some(Err(_))) => Read::Failed(Cause::Disconnected),
-            Err(timeout::Elapsed) => Read::Failed(Cause::Timeout),
+            Ok(None) if self.splitter.is_empty() => Progress::End,
+            Ok(None | Some(Err(_))) => Progress::Failed(Cause::Disconnected),
+            Err(timeout::Elapsed) => Progress::Failed(Cause::Timeout),
         }
     }
 
     /// The endpoint failed: leaves it, and ends the answer if no other may go on.
-    async fn leave(&mut self, cause: Cause) -> Result<(), Broken> {
+    async fn on_endpoint_failure(&mut self, cause: Cause) -> Result<(), Aborted> {
         let Some(exchange) = self.exchange.take() else { return Ok(()) };
         let id = exchange.lease.id.clone();
         exchange.close(Outcome::Unreachable);
@@ -147,58 +147,59 @@
             Cause::Timeout if !self.job.time_left().is_zero() => Cause::Disconnected,
             other => other,
         };
-        if let Err(refusal) = self.job.broke_off(&id, cause).await {
-            return Err(self.broken(refusal));
+        if let Err(refusal) = self.job.on_response_failed(&id, cause).await {
+            return Err(self.abort(refusal));
         }
         Ok(())
     }
 
-    async fn resume(&mut self) -> Result<Exchange, Broken> {
+    async fn resume(&mut self) -> Result<Exchange, Aborted> {
         match self.job.execute().await {
             Ok(exchange) if exchange.reply.status.is_success() => Ok(exchange),
             Ok(exchange) => {
                 exchange.close(Outcome::Failed);
                 let refusal = self.job.refusal(crate::refusal::Reason::EndpointFailed);
-                Err(self.broken(refusal))
+                Err(self.abort(refusal))
             }
-            Err(refusal) => Err(self.broken(refusal)),
+            Err(refusal) => Err(self.abort(refusal)),
         }
     }
 
-    fn broken(&mut self, refusal: Refusal) -> Broken {
+    fn abort(&mut self, refusal: Refusal) -> Aborted {
         self.job.gateway.metrics.refused(refusal.reason);
         self.end("broke_off", Outcome::Dropped);
-        Broken(refusal)
+        Aborted(refusal)
     }
 
-    fn end(&mut self, outcome: &'static str, of_endpoint: Outcome) {
+    fn end(&mut self, outcome: &'static str, endpoint_outcome: Outcome) {
         self.is_done = true;
         let exchange = self.exchange.take();
         let endpoint = exchange.as_ref().map(|it| it.lease.id.clone());
         let endpoint = endpoint.as_ref().map_or("", |it| it.as_str());
-        self.job.ended(&End {
+        self.job.record_end(&End {
             status: self.status,
             outcome,
             endpoint,
-            first_byte: self.first,
-            events: self.passed_on,
-            last_event: self.last_event,
+            first_byte_after: self.first_byte_after,
+            n_events: self.n_forwarded,
+            last_event_after: self.last_event_after,
         });
-        match (exchange, of_endpoint) {
+        match (exchange, endpoint_outcome) {
             (Some(exchange), Outcome::Answered) => {
-                exchange.finish(&self.job.gateway, self.job.route.repeat, of_endpoint);
+                exchange.finish(&self.job.gateway, self.job.route.repeat, endpoint_outcome);
             }
-            (Some(exchange), _) => exchange.close(of_endpoint),
+            (Some(exchange), _) => exchange.close(endpoint_outcome),
             (None, _) => {}
         }
     }
 
     /// How long the endpoint may still take for the next event. Bytes that make none don't count: an
     /// endpoint that trickles them would hold its caller until the time is up.
-    fn silence_left(&self) -> Duration {
-        let pause = self.job.route.gap.unwrap_or_default();
-        let silence = pause.saturating_mul(SILENT_PAUSES).max(MIN_SILENCE);
-        silence.saturating_sub(self.job.gateway.now().saturating_duration_since(self.got_on))
+    fn idle_time_left(&self) -> Duration {
+        let gap = self.job.route.gap.unwrap_or_default();
+        let idle_timeout = gap.saturating_mul(MAX_GAP_FACTOR).max(MIN_IDLE_TIMEOUT);
+        idle_timeout
+            .saturating_sub(self.job.gateway.now().saturating_duration_since(self.last_progress_at))
     }
 }
 
@@ -211,9 +212,9 @@
 }
 
 /// What came.
-enum Read {
+enum Progress {
     Events(Bytes),
-    Part,
+    Partial,
     End,
     Failed(Cause),
 }
