--- a/crates/curranthook_gateway/src/placement.rs
+++ b/crates/curranthook_gateway/src/placement.rs
@@ -32,7 +32,7 @@
     /// In the same failure domain.
     SameDomain,
     /// In another.
-    OtherDomain,
+    DifferentDomain,
 }
 
 /// A request to be placed.
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -319,7 +319,7 @@
     if it.entry.domain == gateway.settings.domain {
         Locality::SameDomain
     } else {
-        Locality::OtherDomain
+        Locality::DifferentDomain
     }
 }
 
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -81,7 +81,7 @@
     let task = task(7, 300);
     let home = placement::choose(&all, &task).unwrap();
     all[home].wait = Duration::from_millis(200);
-    assert_eq!(placement::choose(&all, &task), Some(home), "waiters is shorter than reading");
+    assert_eq!(placement::choose(&all, &task), Some(home), "waiting is shorter than reading");
     all[home].wait = Duration::from_millis(400);
     assert_ne!(placement::choose(&all, &task), Some(home));
 }
