--- a/crates/curranthook_gateway/src/lead.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -51,17 +51,17 @@
 
 /// Writes what is due for as long as the process lives.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut lead =
-        Lead { gateway, due: HashMap::new(), written: HashMap::new(), poison: (0, None) };
-    lead.announce().await;
+    let mut writer =
+        Writer { gateway, due: HashMap::new(), written: HashMap::new(), poison: (0, None) };
+    writer.announce().await;
     loop {
         Timer::after(PERIOD).await;
-        lead.roll_outs().await;
-        lead.poison().await;
+        writer.roll_outs().await;
+        writer.poison().await;
     }
 }
 
-struct Lead {
+struct Writer {
     gateway: Arc<Gateway>,
     /// Since when a step of a service is due, by the store's clock.
     due: HashMap<String, (Phase, Duration)>,
@@ -71,7 +71,7 @@
     poison: (usize, Option<Instant>),
 }
 
-impl Lead {
+impl Writer {
     async fn announce(&self) {
         let Some(peers) = self.gateway.settings.peers else { return };
         let value = {
--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -16,7 +16,7 @@
 //! [`apply`] turn rows of the store into what the node believes: [`document`], [`directory`] and
 //! [`rollouts`]; what endpoints say of themselves in answers is [`advertised`]. In a large fleet changes reach most nodes by a tree of [`relays`]; [`peers`] is
 //! how nodes ask each other, and stands in for the store while that is away; [`outage`] tells
-//! whether it's away from all. [`lead`] writes what the
+//! whether it's away from all. [`fleet_writer`] writes what the
 //! nodes tell each other in [`fleet`] rows. [`gateway`] holds what all of them share, [`serve`]
 //! starts and ends it.
 //!
@@ -37,10 +37,10 @@
 pub mod entry;
 pub mod event;
 pub mod fleet;
+pub mod fleet_writer;
 pub mod front;
 pub mod gateway;
 pub mod job;
-pub mod lead;
 pub mod lease;
 pub mod load_owners;
 pub mod load_reports;
--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -23,8 +23,8 @@
 use crate::{
     Gateway,
     event::Event,
+    fleet_writer,
     front::Front,
-    lead,
     load_reports::{self, Reports},
     peers,
     settings::Settings,
@@ -186,7 +186,7 @@
         let task = watch::run(Arc::clone(gateway), table, Arc::clone(&shared));
         gateway.ex.spawn(task).detach();
     }
-    gateway.ex.spawn(lead::run(Arc::clone(gateway))).detach();
+    gateway.ex.spawn(fleet_writer::run(Arc::clone(gateway))).detach();
 }
 
 fn bind(addr: SocketAddr) -> Result<Server, Error> {
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -34,7 +34,7 @@
 /// How long calls for other rows wait there. A call whose answer is lost hangs for that long.
 const WAIT_RELAYED: Duration = Duration::from_secs(5);
 /// How long all nodes wait before their first reads when the fleet starts for the first time. By then each
-/// has written its address ([`crate::lead`]), and most find a parent instead of reading the store.
+/// has written its address ([`crate::fleet_writer`]), and most find a parent instead of reading the store.
 const FIRST_START_PAUSE: Duration = Duration::from_secs(1);
 /// How long a node that starts waits for the rows of the other nodes, among which it finds a parent.
 const MEMBERS_LIMIT: Duration = Duration::from_millis(100);
