--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -87,7 +87,7 @@
 
 /// One start of an endpoint. The same id after a restart is another endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Start {
+pub struct Incarnation {
     /// The endpoint.
     pub id: endpoint::Id,
     /// Where it listens.
@@ -96,7 +96,7 @@
     pub born: Option<u64>,
 }
 
-impl Start {
+impl Incarnation {
     /// The start that an entry is of.
     pub fn of(entry: &Entry) -> Self {
         Self { id: entry.id.clone(), addr: entry.addr, born: entry.born }
@@ -111,7 +111,7 @@
 
 #[derive(Debug)]
 struct Remembered {
-    start: Start,
+    incarnation: Incarnation,
     advertised: Advertised,
     until: Instant,
 }
@@ -120,31 +120,32 @@
     /// The entry of an endpoint is gone.
     pub fn put(&mut self, entry: &Entry, advertised: Advertised, now: Instant) {
         if !advertised.is_empty()
-            && let Some(it) = self.get_mut(&Start::of(entry), now)
+            && let Some(it) = self.get_mut(&Incarnation::of(entry), now)
         {
             *it = advertised;
         }
     }
 
     /// What an endpoint without an entry said; none if no more of them can be remembered.
-    pub fn get_mut(&mut self, start: &Start, now: Instant) -> Option<&mut Advertised> {
+    pub fn get_mut(&mut self, incarnation: &Incarnation, now: Instant) -> Option<&mut Advertised> {
         self.all.retain(|_, it| now < it.until && !it.advertised.is_empty());
-        let is_known = self.all.get(&start.id).is_some_and(|it| it.start == *start);
+        let is_known =
+            self.all.get(&incarnation.id).is_some_and(|it| it.incarnation == *incarnation);
         if !is_known {
             if MAX_REMEMBERED <= self.all.len() {
                 return None;
             }
-            let (start, advertised) = (start.clone(), Advertised::default());
-            let remembered = Remembered { start, advertised, until: now + ADVERTISED_EXPIRY };
-            self.all.insert(remembered.start.id.clone(), remembered);
+            let (incarnation, advertised) = (incarnation.clone(), Advertised::default());
+            let remembered = Remembered { incarnation, advertised, until: now + ADVERTISED_EXPIRY };
+            self.all.insert(remembered.incarnation.id.clone(), remembered);
         }
-        self.all.get_mut(&start.id).map(|it| &mut it.advertised)
+        self.all.get_mut(&incarnation.id).map(|it| &mut it.advertised)
     }
 
     /// What an endpoint said before, as its entry comes back.
     pub fn take(&mut self, entry: &Entry, now: Instant) -> Advertised {
         let known = self.all.remove(&entry.id);
-        let is_same = |it: &Remembered| now < it.until && it.start == Start::of(entry);
+        let is_same = |it: &Remembered| now < it.until && it.incarnation == Incarnation::of(entry);
         known.filter(is_same).map(|it| it.advertised).unwrap_or_default()
     }
 }
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -12,7 +12,7 @@
 use curranthook_types::{domain, endpoint};
 
 use crate::{
-    advertised::{Advertised, Departed, Start},
+    advertised::{Advertised, Departed, Incarnation},
     dialect::Load,
     entry::Entry,
     rate_limit,
@@ -90,7 +90,7 @@
         let (id, warm_in) = (entry.id.clone(), entry.warm_in);
         match self.endpoints.get_mut(&id) {
             // The same id after a restart is another endpoint: nothing known of it holds.
-            Some(it) if Start::of(&it.entry) == Start::of(&entry) => {
+            Some(it) if Incarnation::of(&it.entry) == Incarnation::of(&entry) => {
                 it.entry = entry;
                 it.missing = false;
             }
@@ -225,32 +225,32 @@
     /// Takes in what an endpoint said of its limit. Returns whether that changes it.
     pub fn set_rate_limit(
         &mut self,
-        start: &Start,
+        incarnation: &Incarnation,
         notice: &rate_limit::Notice,
         now: Instant,
     ) -> bool {
-        self.advertised(start, now).is_some_and(|it| it.set_rate_limit(notice))
+        self.advertised(incarnation, now).is_some_and(|it| it.set_rate_limit(notice))
     }
 
     /// An endpoint said that it's leaving. Returns whether that's news.
-    pub fn set_leaving(&mut self, start: &Start, now: Instant) -> bool {
-        let known = self.advertised(start, now);
+    pub fn set_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
+        let known = self.advertised(incarnation, now);
         known.is_some_and(|it| !std::mem::replace(&mut it.is_leaving, true))
     }
 
     /// An endpoint wants no requests of this node for so long.
-    pub fn pause(&mut self, start: &Start, length: Duration, now: Instant) {
-        if let Some(it) = self.advertised(start, now) {
+    pub fn pause(&mut self, incarnation: &Incarnation, length: Duration, now: Instant) {
+        if let Some(it) = self.advertised(incarnation, now) {
             it.pause(length, now);
         }
     }
 
     /// What a start of an endpoint says of itself; none if there is another one under its id.
-    fn advertised(&mut self, start: &Start, now: Instant) -> Option<&mut Advertised> {
-        match self.endpoints.get_mut(&start.id) {
-            Some(it) if Start::of(&it.entry) == *start => Some(&mut it.advertised),
+    fn advertised(&mut self, incarnation: &Incarnation, now: Instant) -> Option<&mut Advertised> {
+        match self.endpoints.get_mut(&incarnation.id) {
+            Some(it) if Incarnation::of(&it.entry) == *incarnation => Some(&mut it.advertised),
             Some(_) => None,
-            None => self.departed.get_mut(start, now),
+            None => self.departed.get_mut(incarnation, now),
         }
     }
 
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Gateway,
-    advertised::Start,
+    advertised::Incarnation,
     affinity::Read,
     connections,
     dialect::{Load, Reply},
@@ -95,22 +95,22 @@
 
     /// Takes in what the endpoint says of itself in an answer.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
-        let start = Start { id: self.id.clone(), addr: self.addr, born: self.born };
+        let incarnation = Incarnation { id: self.id.clone(), addr: self.addr, born: self.born };
         let (endpoint, now) = (self.id.as_str(), self.gateway.now());
         let at = self.gateway.store_time().unwrap_or_default();
         let notice = rate_limit::Notice { rate: reply.rate_limit, at };
         let mut directory = self.gateway.directory.lock();
-        if reply.state == State::Leaving && directory.set_leaving(&start, now) {
+        if reply.state == State::Leaving && directory.set_leaving(&incarnation, now) {
             self.gateway.log.write(&Event::Leaving { endpoint, from: "answer" });
         }
         if let Some(length) = reply.pause {
-            directory.pause(&start, length, now);
+            directory.pause(&incarnation, length, now);
             let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
             self.gateway.log.write(&Event::Paused { endpoint, length_ms });
         }
         // An answer that went wrong may lack what its endpoint says in all others.
         let tells_limit = completeness == Completeness::Whole || notice.rate.is_some();
-        let is_news = tells_limit && directory.set_rate_limit(&start, &notice, now);
+        let is_news = tells_limit && directory.set_rate_limit(&incarnation, &notice, now);
         drop(directory);
         if is_news {
             self.tell_rate_limit(notice);
--- a/crates/curranthook_gateway/tests/advertised.rs
+++ b/crates/curranthook_gateway/tests/advertised.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use curranthook_gateway::{advertised::Start, directory::Directory};
+use curranthook_gateway::{advertised::Incarnation, directory::Directory};
 
 use self::support::entry;
 
@@ -21,7 +21,7 @@
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.set(entry(1, WARM), now);
     directory.remove(&"e-1".into(), now);
-    assert!(directory.set_leaving(&Start::of(&entry(1, WARM)), now));
+    assert!(directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
     directory.set(entry(1, WARM), now);
     assert!(!is_ready(&directory));
 }
@@ -32,10 +32,10 @@
 fn a_word_holds_for_one_start_of_an_endpoint() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.set(entry(1, WARM), now);
-    assert!(directory.set_leaving(&Start::of(&entry(1, WARM)), now));
+    assert!(directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
     assert!(!is_ready(&directory));
     directory.set(entry(2, WARM), now);
     assert!(is_ready(&directory));
-    assert!(!directory.set_leaving(&Start::of(&entry(1, WARM)), now));
+    assert!(!directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
     assert!(is_ready(&directory));
 }
