--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -35,10 +35,10 @@
 pub trait Permits {
     /// To an endpoint in slow start.
     fn slow_start(&self, endpoint: u64) -> Option<Duration>;
-    /// To one that names a limit of `rate` requests a second, in the present turn.
-    fn limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
-    /// The present turn (see [`rate_limit::turn`]).
-    fn turn(&self) -> u64;
+    /// To one that names a limit of `rate` requests a second, in the present rotation.
+    fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
+    /// The present rotation (see [`rate_limit::rotation`]).
+    fn rotation(&self) -> u64;
 }
 
 /// The endpoints of all services.
@@ -210,9 +210,9 @@
             if let Some(slow_start) = slow_start.filter(|it| it.is_outdated(now)) {
                 slow_start.share.set_interval(permits.slow_start(it.seed), now);
             }
-            let (limit, turn) = (it.advertised.rate_limit.as_mut(), permits.turn());
-            if let Some(limit) = limit.filter(|it| it.is_outdated(turn, now)) {
-                limit.set_interval(permits.limited(it.seed, limit.rate), turn, now);
+            let (limit, rotation) = (it.advertised.rate_limit.as_mut(), permits.rotation());
+            if let Some(limit) = limit.filter(|it| it.is_outdated(rotation, now)) {
+                limit.set_interval(permits.rate_limited(it.seed, limit.rate), rotation, now);
             }
         }
     }
--- a/crates/curranthook_gateway/src/offer.rs
+++ b/crates/curranthook_gateway/src/offer.rs
@@ -169,7 +169,7 @@
     });
     let shared = Shared {
         slow_start_rate: gateway.service(service, |it| it.slow_start_rate),
-        turn: rate_limit::turn(gateway.store_time().unwrap_or_default()),
+        rotation: rate_limit::rotation(gateway.store_time().unwrap_or_default()),
         own: hash::bytes(gateway.settings.node.as_bytes()),
         nodes,
     };
@@ -179,7 +179,7 @@
 /// What the nodes of the fleet may send.
 struct Shared<F> {
     slow_start_rate: Option<f64>,
-    turn: u64,
+    rotation: u64,
     /// The hash of this node's name.
     own: u64,
     /// Those of all nodes' names.
@@ -196,12 +196,12 @@
         }
     }
 
-    fn limited(&self, endpoint: u64, rate: f64) -> Option<Duration> {
-        rate_limit::interval(rate, endpoint, self.turn, self.own, &self.nodes)
+    fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration> {
+        rate_limit::interval(rate, endpoint, self.rotation, self.own, &self.nodes)
     }
 
-    fn turn(&self) -> u64 {
-        self.turn
+    fn rotation(&self) -> u64 {
+        self.rotation
     }
 }
 
--- a/crates/curranthook_gateway/src/rate_limit.rs
+++ b/crates/curranthook_gateway/src/rate_limit.rs
@@ -1,6 +1,6 @@
 //! The rate that an endpoint names in its answers: what it takes from all nodes together.
 //!
-//! The fleet shares it by [`permit`]. Who holds the permits changes from turn to turn, so
+//! The fleet shares it by [`permit`]. Who holds the permits changes from rotation to rotation, so
 //! that each node sends a request now and then and hears whether the endpoint still names a limit. A node
 //! that hears of a change tells others (see [`load_reports`](crate::load_reports)).
 
@@ -11,7 +11,7 @@
 use crate::permit::{self, Share};
 
 /// How long the same nodes hold the permits of an endpoint.
-const TURN: Duration = Duration::from_secs(4);
+const ROTATION: Duration = Duration::from_secs(4);
 /// The part of the rate that is handed out. What is left covers requests that are sent before they are due,
 /// and nodes that don't know of each other yet.
 const GRANTED: f64 = 0.85;
@@ -37,25 +37,31 @@
     /// The requests a second that the endpoint takes from all nodes.
     pub rate: f64,
     share: Share,
-    turn: Option<u64>,
+    rotation: Option<u64>,
 }
 
 /// The least time between two requests of `node` to `endpoint`, all as hashes, if the fleet of `nodes` may
-/// send it `rate` requests a second; none if it's not this node's turn.
+/// send it `rate` requests a second; none if it's not this node's rotation.
 ///
 /// Guards against an endpoint in need that gets from each node what it takes from all of them.
 ///
 /// ```
 /// # use curranthook_gateway::rate_limit;
 /// let nodes: Vec<u64> = (0..6).collect();
-/// let holder = |turn| {
-///     nodes.iter().position(|it| rate_limit::interval(1.0, 7, turn, *it, &nodes).is_some())
+/// let holder = |rotation| {
+///     nodes.iter().position(|it| rate_limit::interval(1.0, 7, rotation, *it, &nodes).is_some())
 /// };
-/// assert!((0..60).all(|turn| holder(turn).is_some()));
-/// assert!((0..6).all(|node| (0..60).any(|turn| holder(turn) == Some(node))));
+/// assert!((0..60).all(|rotation| holder(rotation).is_some()));
+/// assert!((0..6).all(|node| (0..60).any(|rotation| holder(rotation) == Some(node))));
 /// ```
-pub fn interval(rate: f64, endpoint: u64, turn: u64, node: u64, nodes: &[u64]) -> Option<Duration> {
-    permit::interval(granted(rate), hash::pair(endpoint, turn), node, nodes)
+pub fn interval(
+    rate: f64,
+    endpoint: u64,
+    rotation: u64,
+    node: u64,
+    nodes: &[u64],
+) -> Option<Duration> {
+    permit::interval(granted(rate), hash::pair(endpoint, rotation), node, nodes)
 }
 
 /// The requests a second that the fleet may send to an endpoint that names `rate`.
@@ -69,9 +75,9 @@
     (rate * GRANTED).max(MIN_RATE)
 }
 
-/// The turn at a time of the store's clock.
-pub fn turn(time: Duration) -> u64 {
-    time.as_secs() / TURN.as_secs()
+/// The rotation at a time of the store's clock.
+pub fn rotation(time: Duration) -> u64 {
+    time.as_secs() / ROTATION.as_secs()
 }
 
 impl RateLimit {
@@ -88,23 +94,23 @@
     /// assert!(limit.is_outdated(8, now));
     /// ```
     pub fn new(rate: f64) -> Self {
-        Self { rate, share: Share::default().with_burst(BURST), turn: None }
+        Self { rate, share: Share::default().with_burst(BURST), rotation: None }
     }
 
     /// The same limit at another rate.
     pub fn with_rate(self, rate: f64) -> Self {
-        Self { rate, turn: None, ..self }
+        Self { rate, rotation: None, ..self }
     }
 
     /// Whether the node has to work out its permit again.
-    pub fn is_outdated(&self, turn: u64, now: Instant) -> bool {
-        self.turn != Some(turn) || self.share.is_outdated(now)
+    pub fn is_outdated(&self, rotation: u64, now: Instant) -> bool {
+        self.rotation != Some(rotation) || self.share.is_outdated(now)
     }
 
-    /// Sets the least time between two requests in a turn; none if there may be none.
-    pub fn set_interval(&mut self, interval: Option<Duration>, turn: u64, now: Instant) {
+    /// Sets the least time between two requests in a rotation; none if there may be none.
+    pub fn set_interval(&mut self, interval: Option<Duration>, rotation: u64, now: Instant) {
         let had_permit = self.share.interval().is_some();
-        self.turn = Some(turn);
+        self.rotation = Some(rotation);
         self.share.set_interval(interval, now);
         if let Some(interval) = interval.filter(|_| !had_permit) {
             // Whoever held the permit before may have used it just now.
--- a/crates/curranthook_gateway/tests/rate_limits.rs
+++ b/crates/curranthook_gateway/tests/rate_limits.rs
@@ -59,11 +59,12 @@
         while 1.0 <= due {
             due -= 1.0;
             let (index, now) = (rng.random_range(0..n_nodes), start + elapsed);
-            let turn = rate_limit::turn(elapsed + skews[index]);
+            let rotation = rate_limit::rotation(elapsed + skews[index]);
             let limit = &mut limits[index];
-            if limit.is_outdated(turn, now) {
-                let interval = rate_limit::interval(rate, seed, turn, seeds[index], &known[index]);
-                limit.set_interval(interval, turn, now);
+            if limit.is_outdated(rotation, now) {
+                let interval =
+                    rate_limit::interval(rate, seed, rotation, seeds[index], &known[index]);
+                limit.set_interval(interval, rotation, now);
             }
             if limit.admits(now) {
                 limit.sent(now);
@@ -117,13 +118,14 @@
 }
 
 /// Guards against nodes that never hear whether an endpoint still names a limit, and callers that never get
-/// a turn.
+/// a rotation.
 #[parameterized(small = { 1.0, 6 }, large = { 8.0, 89 })]
 fn each_node_gets_its_turns(rate: f64, n_nodes: usize) {
     const N_TURNS: u64 = 600;
     let nodes: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
     let turns = |node: u64| {
-        let holds = |turn: &u64| rate_limit::interval(rate, 7, *turn, node, &nodes).is_some();
+        let holds =
+            |rotation: &u64| rate_limit::interval(rate, 7, *rotation, node, &nodes).is_some();
         (0..N_TURNS).filter(holds).count()
     };
     let all: Vec<usize> = nodes.iter().map(|it| turns(*it)).collect();
@@ -149,11 +151,11 @@
         Some(Duration::ZERO)
     }
 
-    fn limited(&self, _endpoint: u64, rate: f64) -> Option<Duration> {
+    fn rate_limited(&self, _endpoint: u64, rate: f64) -> Option<Duration> {
         Duration::try_from_secs_f64(1.0 / rate).ok()
     }
 
-    fn turn(&self) -> u64 {
+    fn rotation(&self) -> u64 {
         0
     }
 }
--- a/crates/curranthook_gateway/tests/slow_start.rs
+++ b/crates/curranthook_gateway/tests/slow_start.rs
@@ -81,11 +81,11 @@
         None
     }
 
-    fn limited(&self, _endpoint: u64, _rate: f64) -> Option<Duration> {
+    fn rate_limited(&self, _endpoint: u64, _rate: f64) -> Option<Duration> {
         None
     }
 
-    fn turn(&self) -> u64 {
+    fn rotation(&self) -> u64 {
         0
     }
 }
