--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -118,14 +118,14 @@
     let mut conn = match gateway.pool.take(lease.addr, freshness).await {
         Ok(conn) => conn,
         Err(_nothing_sent) => {
-            lease.close(Outcome::NoConnection);
+            lease.close(Outcome::ConnectFailed);
             return Err(not_run(Cause::Connect));
         }
     };
     if !repeat.is_repeatable()
         && let Err(_nothing_sent) = conn.settle(SETTLE).await
     {
-        lease.close(Outcome::Unreachable);
+        lease.close(Outcome::ConnectionLost);
         return Err(not_run(Cause::Connect));
     }
     let limit = ask.time_left(gateway.now());
@@ -133,7 +133,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(e)) => return Err(broken(lease, &conn, &e, since(sent, gateway.now()))),
         Err(timeout::Elapsed) => {
-            lease.close(Outcome::Dropped);
+            lease.close(Outcome::Abandoned);
             return Err(may_have_run(Cause::Timeout));
         }
     };
@@ -169,16 +169,16 @@
 
 fn broken(lease: Lease, conn: &Connection, error: &client::Error, took: Duration) -> Failed {
     if error.is_unsent() {
-        lease.close(Outcome::Dropped);
+        lease.close(Outcome::Abandoned);
         return not_run(Cause::Stale);
     }
     if conn.is_reused() && took < AT_ONCE {
         // Closed in the moment of use, most likely; that says nothing against the endpoint. Later,
         // the endpoint had the request and lost its answer.
-        lease.close(Outcome::Dropped);
+        lease.close(Outcome::Abandoned);
         return may_have_run(Cause::Stale);
     }
-    lease.close(Outcome::Unreachable);
+    lease.close(Outcome::ConnectionLost);
     may_have_run(Cause::Cut)
 }
 
@@ -199,10 +199,10 @@
 fn outcome(cause: Cause) -> Outcome {
     match cause {
         Cause::Full => Outcome::Full,
-        Cause::Misdirected => Outcome::Gone,
-        Cause::Connect => Outcome::NoConnection,
-        Cause::Cut => Outcome::Unreachable,
-        Cause::Stale | Cause::Foreign | Cause::Timeout => Outcome::Dropped,
+        Cause::Misdirected => Outcome::AddressReused,
+        Cause::Connect => Outcome::ConnectFailed,
+        Cause::Cut => Outcome::ConnectionLost,
+        Cause::Stale | Cause::Foreign | Cause::Timeout => Outcome::Abandoned,
         Cause::Unsealed | Cause::Error => Outcome::Failed,
     }
 }
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -69,13 +69,13 @@
     /// It was turned away, as the endpoint is full.
     Full,
     /// No connection to it could be opened.
-    NoConnection,
+    ConnectFailed,
     /// It broke off.
-    Unreachable,
+    ConnectionLost,
     /// The address belongs to another endpoint by now.
-    Gone,
+    AddressReused,
     /// The node dropped it.
-    Dropped,
+    Abandoned,
 }
 
 impl Directory {
@@ -292,20 +292,20 @@
                 0.0
             }
             Outcome::Failed => 1.0,
-            Outcome::NoConnection => {
+            Outcome::ConnectFailed => {
                 it.failed(now);
                 it.unreachable_since = Some(now);
                 1.0
             }
-            Outcome::Unreachable => {
+            Outcome::ConnectionLost => {
                 it.failed(now);
                 1.0
             }
-            Outcome::Gone => {
+            Outcome::AddressReused => {
                 self.forget(id, now);
                 return;
             }
-            Outcome::Full | Outcome::Dropped => return,
+            Outcome::Full | Outcome::Abandoned => return,
         };
         it.failures += SMOOTHING * (failed - it.failures);
     }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -89,7 +89,7 @@
             expected,
             max_idle: max_idle.unwrap_or(usize::MAX),
             pending,
-            outcome: Outcome::Dropped,
+            outcome: Outcome::Abandoned,
         })
     }
 
@@ -145,7 +145,7 @@
         let now = self.gateway.now();
         let mut directory = self.gateway.directory.lock();
         directory.finished(&self.id, self.outcome, self.pending, now);
-        let is_lost = matches!(self.outcome, Outcome::NoConnection | Outcome::Gone);
+        let is_lost = matches!(self.outcome, Outcome::ConnectFailed | Outcome::AddressReused);
         if is_lost
             && directory.reaches_others(now)
             && let Some(reports) = self.gateway.load_reports.get()
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -138,7 +138,7 @@
     async fn leave(&mut self, cause: Cause) -> Result<(), Broken> {
         let Some(open) = self.open.take() else { return Ok(()) };
         let id = open.lease.id.clone();
-        open.close(Outcome::Unreachable);
+        open.close(Outcome::ConnectionLost);
         // Silence within the time that is left is no end of the time.
         let cause = match cause {
             Cause::Timeout if !self.job.time_left().is_zero() => Cause::Cut,
@@ -164,7 +164,7 @@
 
     fn broken(&mut self, refusal: Refusal) -> Broken {
         self.job.gateway.metrics.refused(refusal.reason);
-        self.end("broke_off", Outcome::Dropped);
+        self.end("broke_off", Outcome::Abandoned);
         Broken(refusal)
     }
 
@@ -202,7 +202,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.is_done {
-            self.end("caller_left", Outcome::Dropped);
+            self.end("caller_left", Outcome::Abandoned);
         }
     }
 }
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -41,7 +41,7 @@
                 return Ok((head, bytes));
             }
             Ok(Err(body::ReadError::TooLarge { .. })) => {
-                open.close(Outcome::Dropped);
+                open.close(Outcome::Abandoned);
                 return Err(job.refusal(Reason::EndpointFailed));
             }
             Ok(Err(body::ReadError::Broken(_))) => {
@@ -49,7 +49,7 @@
                 Cause::Cut
             }
             Err(timeout::Elapsed) => {
-                open.close(Outcome::Dropped);
+                open.close(Outcome::Abandoned);
                 Cause::Timeout
             }
         };
--- a/crates/curranthook_gateway/tests/beliefs.rs
+++ b/crates/curranthook_gateway/tests/beliefs.rs
@@ -96,7 +96,7 @@
     let id = "e-1".into();
     let mut rests = Vec::new();
     for _ in 0..5 {
-        directory.finished(&id, Outcome::Unreachable, Duration::ZERO, now);
+        directory.finished(&id, Outcome::ConnectionLost, Duration::ZERO, now);
         let tracked = directory.tracked(&id).unwrap();
         let until = (0..100)
             .map(|it| it * 100)
@@ -113,7 +113,7 @@
 fn an_endpoint_born_again_begins_anew() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.set(entry("e-1", "v1"), now);
-    directory.finished(&"e-1".into(), Outcome::Unreachable, Duration::ZERO, now);
+    directory.finished(&"e-1".into(), Outcome::ConnectionLost, Duration::ZERO, now);
     directory.set(Entry { born: Some(7), ..entry("e-1", "v1") }, now);
     assert!(!directory.tracked(&"e-1".into()).unwrap().is_out(now));
 }
