--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -80,7 +80,7 @@
     let mut directory = gateway.directory.lock();
     match row.value {
         Some(_) => directory.evacuate(domain),
-        None => directory.readmit(&domain),
+        None => directory.end_evacuation(&domain),
     }
 }
 
@@ -96,7 +96,7 @@
         Ok(entry) => {
             let state = if entry.state == State::Ready { "ready" } else { "leaving" };
             log_endpoint(gateway, &id, Some(&entry), state, row);
-            gateway.directory.lock().set(entry, now);
+            gateway.directory.lock().upsert(entry, now);
         }
         Err(e) => {
             gateway.directory.lock().remove(&id, now);
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -80,7 +80,7 @@
 
 impl Directory {
     /// Takes in an entry.
-    pub fn set(&mut self, entry: Entry, now: Instant) {
+    pub fn upsert(&mut self, entry: Entry, now: Instant) {
         if self.drop_older(&entry, now) == Some(entry.id.clone()) {
             return;
         }
@@ -155,12 +155,12 @@
     /// The store is back after it was away. Entries may have lapsed meanwhile though their
     /// endpoints live; dropping them at once would leave nobody to send to, so they're kept `until`
     /// then.
-    pub fn store_returned(&mut self, until: Instant) {
+    pub fn keep_missing_until(&mut self, until: Instant) {
         self.lapsing_until = Some(until);
     }
 
     /// Drops entries that lapsed and didn't come back in time.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn remove_lapsed(&mut self, now: Instant) {
         if self.lapsing_until.is_some_and(|until| until <= now) {
             self.lapsing_until = None;
             let missing = self.endpoints.extract_if(|_, it| it.missing);
@@ -188,7 +188,7 @@
     }
 
     /// The endpoints of a failure domain get work again.
-    pub fn readmit(&mut self, domain: &domain::Id) {
+    pub fn end_evacuation(&mut self, domain: &domain::Id) {
         self.evacuated.remove(domain);
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// One endpoint.
-    pub fn tracked(&self, id: &endpoint::Id) -> Option<&Tracked> {
+    pub fn get(&self, id: &endpoint::Id) -> Option<&Tracked> {
         self.endpoints.get(id)
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Takes in what another node heard of an endpoint's limit. Returns whether that changes it.
-    pub fn reported_limit(&mut self, id: &endpoint::Id, notice: &rate_limit::Notice) -> bool {
+    pub fn apply_reported_limit(&mut self, id: &endpoint::Id, notice: &rate_limit::Notice) -> bool {
         self.endpoints.get_mut(id).is_some_and(|it| it.advertised.set_rate_limit(notice))
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// A request goes to an endpoint.
-    pub fn started(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
+    pub fn request_sent(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.in_flight += 1;
             it.pending += work;
@@ -269,7 +269,13 @@
     }
 
     /// The first byte of its answer came.
-    pub fn began(&mut self, id: &endpoint::Id, work: Duration, load: Option<Load>, now: Instant) {
+    pub fn first_byte_received(
+        &mut self,
+        id: &endpoint::Id,
+        work: Duration,
+        load: Option<Load>,
+        now: Instant,
+    ) {
         self.last_answer = Some(now);
         if let Some(it) = self.endpoints.get_mut(id) {
             it.pending = it.pending.saturating_sub(work);
@@ -280,7 +286,13 @@
     }
 
     /// The request ended; `work` is what it still had pending.
-    pub fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, work: Duration, now: Instant) {
+    pub fn request_ended(
+        &mut self,
+        id: &endpoint::Id,
+        outcome: Outcome,
+        work: Duration,
+        now: Instant,
+    ) {
         let Some(it) = self.endpoints.get_mut(id) else { return };
         it.in_flight = it.in_flight.saturating_sub(1);
         it.pending = it.pending.saturating_sub(work);
@@ -311,22 +323,22 @@
     }
 
     /// Whether a connection that fails is its endpoint's fault, as this node reaches others.
-    pub fn reaches_others(&self, now: Instant) -> bool {
+    pub fn has_recent_answer(&self, now: Instant) -> bool {
         self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < LINKS_EXPIRY)
     }
 
     /// Another node found that no connection to an endpoint can be opened.
-    pub fn reported_unreachable(&mut self, id: &endpoint::Id, now: Instant) {
+    pub fn report_unreachable(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.unreachable_since = Some(now);
-            it.avoid(now);
+            it.eject(now);
         }
     }
 
     /// Leaves an endpoint alone that others can't reach.
-    pub fn avoid(&mut self, id: &endpoint::Id, now: Instant) {
+    pub fn eject(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
-            it.avoid(now);
+            it.eject(now);
         }
     }
 
--- a/crates/curranthook_gateway/src/directory/tracked.rs
+++ b/crates/curranthook_gateway/src/directory/tracked.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    pub(super) fn avoid(&mut self, now: Instant) {
+    pub(super) fn eject(&mut self, now: Instant) {
         self.out_until = self.out_until.max(Some(now + UNREACHABLE_EXPIRY));
     }
 
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -211,7 +211,7 @@
             }
             let now = self.gateway.now();
             let mut directory = self.gateway.directory.lock();
-            heard.unreachable.iter().for_each(|it| directory.avoid(it, now));
+            heard.unreachable.iter().for_each(|it| directory.eject(it, now));
             // One that can be reached is enough.
             if heard.waiting.keys().any(|it| !heard.unreachable.contains(it)) {
                 break;
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -96,7 +96,7 @@
 
     /// Charges the request with the end of `endpoint`, if that no longer takes connections.
     async fn charge(&self, endpoint: &endpoint::Id) {
-        let addr = self.gateway.directory.lock().tracked(endpoint).map(|it| it.entry.addr);
+        let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
         let connect = self.gateway.pool.take(addr, Freshness::New);
         if let Ok(Ok(conn)) = timeout::run(ALIVE_TIMEOUT, connect).await {
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -59,7 +59,7 @@
     pub fn take(gateway: &Arc<Gateway>, wanted: &Wanted<'_>, heard: &Heard) -> Option<Self> {
         let now = gateway.now();
         let mut directory = gateway.directory.lock();
-        directory.sweep(now);
+        directory.remove_lapsed(now);
         offer::renew_permits(gateway, &mut directory, wanted.service, now);
         let offer = offer::best(gateway, &directory, wanted, heard)?;
         let Offer { prompt, busy, waited, .. } = offer;
@@ -67,7 +67,7 @@
         let expected = pace.map(|it| offer.first_event(&it));
         let pending = pace.map_or(Duration::ZERO, |it| it.speed.prefill(prompt));
         let entry = offer.endpoint.entry.clone();
-        directory.started(&entry.id, pending, now);
+        directory.request_sent(&entry.id, pending, now);
         if let Some(subject) = wanted.subject {
             gateway.affinity.lock().read(subject, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
@@ -130,7 +130,7 @@
     pub fn began(&mut self, load: Option<Load>) {
         let now = self.gateway.now();
         let pending = std::mem::take(&mut self.pending);
-        self.gateway.directory.lock().began(&self.id, pending, load, now);
+        self.gateway.directory.lock().first_byte_received(&self.id, pending, load, now);
         self.gateway.waiting_changed.wake();
     }
 
@@ -144,10 +144,10 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut directory = self.gateway.directory.lock();
-        directory.finished(&self.id, self.outcome, self.pending, now);
+        directory.request_ended(&self.id, self.outcome, self.pending, now);
         let is_lost = matches!(self.outcome, Outcome::ConnectFailed | Outcome::AddressReused);
         if is_lost
-            && directory.reaches_others(now)
+            && directory.has_recent_answer(now)
             && let Some(reports) = self.gateway.load_reports.get()
         {
             reports.unreachable(self.id.clone());
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -221,7 +221,7 @@
         Message::Report { node, waiting, reads, unreachable } => {
             gateway.load_table.lock().report(node, waiting, now);
             let mut directory = gateway.directory.lock();
-            unreachable.iter().for_each(|it| directory.reported_unreachable(it, now));
+            unreachable.iter().for_each(|it| directory.report_unreachable(it, now));
             drop(directory);
             let mut affinity = gateway.affinity.lock();
             reads.iter().for_each(|it| affinity.read(it.subject, &it.endpoint, now));
@@ -255,12 +255,12 @@
     let own = &gateway.settings.node;
     let waiting = |id: &endpoint::Id| {
         let of_others = load_table.waiting(id, asker, now);
-        let of_this = directory.tracked(id).map_or(Duration::ZERO, |it| it.pending);
+        let of_this = directory.get(id).map_or(Duration::ZERO, |it| it.pending);
         // This node doesn't tell itself.
         if own == asker { of_others } else { of_others + of_this }
     };
     let is_unreachable =
-        |id: &&endpoint::Id| directory.tracked(id).is_some_and(|it| it.is_unreachable(now));
+        |id: &&endpoint::Id| directory.get(id).is_some_and(|it| it.is_unreachable(now));
     let unreachable = endpoints.iter().filter(is_unreachable).cloned().collect();
     let waiting = endpoints.into_iter().map(|id| (id.clone(), waiting(&id))).collect();
     Heard { waiting, holders, unreachable }
--- a/crates/curranthook_gateway/src/load_reports/limits.rs
+++ b/crates/curranthook_gateway/src/load_reports/limits.rs
@@ -63,7 +63,7 @@
 /// Takes in what another node heard of a limit, and passes it on if it's news.
 pub(super) fn hear(gateway: &Gateway, reports: &Reports, limit: &Limit) {
     let notice = rate_limit::Notice { rate: limit.rate, at: limit.at };
-    if !gateway.directory.lock().reported_limit(&limit.endpoint, &notice) {
+    if !gateway.directory.lock().apply_reported_limit(&limit.endpoint, &notice) {
         return;
     }
     let endpoint = limit.endpoint.as_str();
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -245,7 +245,7 @@
                 why: name(self.table),
             });
             let until = self.gateway.outage.lock().returned(self.gateway.now());
-            self.gateway.directory.lock().store_returned(until);
+            self.gateway.directory.lock().keep_missing_until(until);
         }
         // After a single failure too: calls for other rows may have failed more often.
         if self.table == Table::Operator && 0 < self.failures {
--- a/crates/curranthook_gateway/tests/advertised.rs
+++ b/crates/curranthook_gateway/tests/advertised.rs
@@ -19,10 +19,10 @@
 #[test]
 fn a_word_that_comes_after_the_entry_went_holds() {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry(1, WARM), now);
+    directory.upsert(entry(1, WARM), now);
     directory.remove(&"e-1".into(), now);
     assert!(directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
-    directory.set(entry(1, WARM), now);
+    directory.upsert(entry(1, WARM), now);
     assert!(!is_ready(&directory));
 }
 
@@ -31,10 +31,10 @@
 #[test]
 fn a_word_holds_for_one_start_of_an_endpoint() {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry(1, WARM), now);
+    directory.upsert(entry(1, WARM), now);
     assert!(directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
     assert!(!is_ready(&directory));
-    directory.set(entry(2, WARM), now);
+    directory.upsert(entry(2, WARM), now);
     assert!(is_ready(&directory));
     assert!(!directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
     assert!(is_ready(&directory));
--- a/crates/curranthook_gateway/tests/beliefs.rs
+++ b/crates/curranthook_gateway/tests/beliefs.rs
@@ -77,8 +77,8 @@
 #[test]
 fn a_version_without_an_order_waits() {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry("e-old", "v1"), now);
-    directory.set(entry("e-new", "v2"), now);
+    directory.upsert(entry("e-old", "v1"), now);
+    directory.upsert(entry("e-new", "v2"), now);
     let known = |at: Instant| -> Vec<String> {
         let ready = directory.ready("models").filter(|it| it.is_known_version(at));
         ready.map(|it| it.entry.version.clone()).collect()
@@ -92,30 +92,30 @@
 #[test]
 fn an_unreachable_endpoint_rests_longer_each_time() {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry("e-1", "v1"), now);
+    directory.upsert(entry("e-1", "v1"), now);
     let id = "e-1".into();
     let mut rests = Vec::new();
     for _ in 0..5 {
-        directory.finished(&id, Outcome::ConnectionLost, Duration::ZERO, now);
-        let tracked = directory.tracked(&id).unwrap();
+        directory.request_ended(&id, Outcome::ConnectionLost, Duration::ZERO, now);
+        let tracked = directory.get(&id).unwrap();
         let until = (0..100)
             .map(|it| it * 100)
             .find(|ms| !tracked.is_out(now + Duration::from_millis(*ms)));
         rests.push(until.unwrap());
     }
     assert_eq!(rests, [400, 800, 1_600, 3_200, 4_000]);
-    directory.finished(&id, Outcome::Answered, Duration::ZERO, now);
-    assert!(!directory.tracked(&id).unwrap().is_out(now));
+    directory.request_ended(&id, Outcome::Answered, Duration::ZERO, now);
+    assert!(!directory.get(&id).unwrap().is_out(now));
 }
 
 /// A worker starts again under its old id. What was known of the one before doesn't hold.
 #[test]
 fn an_endpoint_born_again_begins_anew() {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry("e-1", "v1"), now);
-    directory.finished(&"e-1".into(), Outcome::ConnectionLost, Duration::ZERO, now);
-    directory.set(Entry { born: Some(7), ..entry("e-1", "v1") }, now);
-    assert!(!directory.tracked(&"e-1".into()).unwrap().is_out(now));
+    directory.upsert(entry("e-1", "v1"), now);
+    directory.request_ended(&"e-1".into(), Outcome::ConnectionLost, Duration::ZERO, now);
+    directory.upsert(Entry { born: Some(7), ..entry("e-1", "v1") }, now);
+    assert!(!directory.get(&"e-1".into()).unwrap().is_out(now));
 }
 
 /// Guards against sending requests to an endpoint that crashed, whose entry the list still has beside that of
@@ -125,7 +125,7 @@
     let (mut directory, now) = (Directory::default(), Instant::now());
     for born in [first, second] {
         let id = format!("e-{born}");
-        directory.set(Entry { born: Some(born), ..entry(&id, "v1") }, now);
+        directory.upsert(Entry { born: Some(born), ..entry(&id, "v1") }, now);
     }
     let ready: Vec<_> = directory.ready("models").map(|it| it.entry.id.as_str()).collect();
     assert_eq!(ready, ["e-2"]);
@@ -137,9 +137,9 @@
 fn an_endpoint_that_others_cannot_reach_is_left_alone_for_a_while() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     let id = "e-1".into();
-    directory.set(entry("e-1", "v1"), now);
-    directory.reported_unreachable(&id, now);
-    let is_out = |after| directory.tracked(&id).unwrap().is_out(now + after);
+    directory.upsert(entry("e-1", "v1"), now);
+    directory.report_unreachable(&id, now);
+    let is_out = |after| directory.get(&id).unwrap().is_out(now + after);
     assert!(is_out(Duration::from_millis(500)));
     assert!(!is_out(Duration::from_secs(2)));
 }
@@ -148,9 +148,9 @@
 #[test]
 fn a_node_that_reaches_nobody_blames_no_endpoint() {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry("e-1", "v1"), now);
-    assert!(!directory.reaches_others(now));
-    directory.began(&"e-1".into(), Duration::ZERO, None, now);
-    assert!(directory.reaches_others(now));
-    assert!(!directory.reaches_others(now + Duration::from_secs(2)));
+    directory.upsert(entry("e-1", "v1"), now);
+    assert!(!directory.has_recent_answer(now));
+    directory.first_byte_received(&"e-1".into(), Duration::ZERO, None, now);
+    assert!(directory.has_recent_answer(now));
+    assert!(!directory.has_recent_answer(now + Duration::from_secs(2)));
 }
--- a/crates/curranthook_gateway/tests/rate_limits.rs
+++ b/crates/curranthook_gateway/tests/rate_limits.rs
@@ -162,21 +162,21 @@
 
 fn admits(directory: &mut Directory, now: Instant) -> bool {
     directory.renew_permits("models", &AllPermits, now);
-    directory.tracked(&"e-1".into()).unwrap().admits(now)
+    directory.get(&"e-1".into()).unwrap().admits(now)
 }
 
 /// Guards against a report that was held up and brings back a limit that is over, or ends one that holds.
 #[test]
 fn a_notice_that_comes_late_changes_nothing() {
     let (mut directory, now, id) = (Directory::default(), Instant::now(), "e-1".into());
-    directory.set(entry(1, WARM), now);
+    directory.upsert(entry(1, WARM), now);
     let notice = |rate, at| Notice { rate, at: Duration::from_secs(at) };
-    assert!(directory.reported_limit(&id, &notice(Some(1.0), 5)));
+    assert!(directory.apply_reported_limit(&id, &notice(Some(1.0), 5)));
     assert!(!admits(&mut directory, now));
-    assert!(!directory.reported_limit(&id, &notice(None, 4)));
+    assert!(!directory.apply_reported_limit(&id, &notice(None, 4)));
     assert!(!admits(&mut directory, now));
-    assert!(directory.reported_limit(&id, &notice(None, 6)));
-    assert!(!directory.reported_limit(&id, &notice(Some(1.0), 5)));
+    assert!(directory.apply_reported_limit(&id, &notice(None, 6)));
+    assert!(!directory.apply_reported_limit(&id, &notice(Some(1.0), 5)));
     assert!(admits(&mut directory, now));
 }
 
@@ -184,10 +184,10 @@
 #[test]
 fn an_endpoint_that_starts_again_has_no_limit() {
     let (mut directory, now, id) = (Directory::default(), Instant::now(), "e-1".into());
-    directory.set(entry(1, WARM), now);
-    directory.reported_limit(&id, &Notice { rate: Some(1.0), at: Duration::ZERO });
+    directory.upsert(entry(1, WARM), now);
+    directory.apply_reported_limit(&id, &Notice { rate: Some(1.0), at: Duration::ZERO });
     assert!(!admits(&mut directory, now));
-    directory.set(entry(2, WARM), now);
+    directory.upsert(entry(2, WARM), now);
     assert!(admits(&mut directory, now));
 }
 
@@ -195,9 +195,9 @@
 #[test]
 fn a_limit_outlives_the_entry_of_its_endpoint() {
     let (mut directory, now, id) = (Directory::default(), Instant::now(), "e-1".into());
-    directory.set(entry(1, WARM), now);
-    directory.reported_limit(&id, &Notice { rate: Some(1.0), at: Duration::ZERO });
+    directory.upsert(entry(1, WARM), now);
+    directory.apply_reported_limit(&id, &Notice { rate: Some(1.0), at: Duration::ZERO });
     directory.remove(&id, now);
-    directory.set(entry(1, WARM), now + Duration::from_secs(2));
+    directory.upsert(entry(1, WARM), now + Duration::from_secs(2));
     assert!(!admits(&mut directory, now + Duration::from_secs(2)));
 }
--- a/crates/curranthook_gateway/tests/slow_start.rs
+++ b/crates/curranthook_gateway/tests/slow_start.rs
@@ -92,17 +92,17 @@
 
 fn admits(directory: &mut Directory, now: Instant) -> bool {
     directory.renew_permits("models", &NoPermits, now);
-    directory.tracked(&"e-1".into()).is_some_and(|it: &Tracked| it.admits(now))
+    directory.get(&"e-1".into()).is_some_and(|it: &Tracked| it.admits(now))
 }
 
 /// Guards against overlooking an endpoint that turns cold while it's in use, or starts again under its id.
 #[parameterized(in_use = { 1 }, started_again = { 2 })]
 fn an_endpoint_that_turns_cold_is_in_slow_start(born: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry(1, Duration::ZERO), now);
+    directory.upsert(entry(1, Duration::ZERO), now);
     assert!(admits(&mut directory, now));
     let warm_in = Duration::from_secs(3);
-    directory.set(entry(born, warm_in), now);
+    directory.upsert(entry(born, warm_in), now);
     assert!(!admits(&mut directory, now));
     assert!(admits(&mut directory, now + warm_in));
 }
@@ -111,7 +111,7 @@
 #[test]
 fn an_endpoint_that_says_it_is_warm_takes_any_load() {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    directory.set(entry(1, Duration::from_secs(3)), now);
-    directory.set(entry(1, Duration::ZERO), now);
+    directory.upsert(entry(1, Duration::from_secs(3)), now);
+    directory.upsert(entry(1, Duration::ZERO), now);
     assert!(admits(&mut directory, now));
 }
