--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -86,7 +86,7 @@
         }
         let versions = self.versions.entry(entry.service.clone()).or_default();
         let from = if versions.is_empty() { now } else { now + UNKNOWN_VERSION };
-        let known_from = *versions.entry(entry.version.clone()).or_insert(from);
+        let established_at = *versions.entry(entry.version.clone()).or_insert(from);
         let (id, warm_in) = (entry.id.clone(), entry.warm_in);
         match self.endpoints.get_mut(&id) {
             // The same id after a restart is another endpoint: nothing known of it holds.
@@ -96,7 +96,7 @@
             }
             _ => {
                 let advertised = self.departed.take(&entry, now);
-                self.endpoints.insert(id.clone(), Tracked::new(entry, advertised, known_from));
+                self.endpoints.insert(id.clone(), Tracked::new(entry, advertised, established_at));
             }
         }
         if let Some(it) = self.endpoints.get_mut(&id) {
@@ -208,11 +208,11 @@
         for it in self.endpoints.values_mut().filter(|it| it.entry.service == service) {
             let slow_start = it.slow_start.as_mut();
             if let Some(slow_start) = slow_start.filter(|it| it.is_outdated(now)) {
-                slow_start.share.set_interval(permits.slow_start(it.seed), now);
+                slow_start.share.set_interval(permits.slow_start(it.id_hash), now);
             }
             let (limit, rotation) = (it.advertised.rate_limit.as_mut(), permits.rotation());
             if let Some(limit) = limit.filter(|it| it.is_outdated(rotation, now)) {
-                limit.set_interval(permits.rate_limited(it.seed, limit.rate), rotation, now);
+                limit.set_interval(permits.rate_limited(it.id_hash, limit.rate), rotation, now);
             }
         }
     }
@@ -299,7 +299,7 @@
         let failed = match outcome {
             Outcome::Answered => {
                 it.pause = Duration::ZERO;
-                it.out_until = None;
+                it.ejected_until = None;
                 it.unreachable_since = None;
                 0.0
             }
--- a/crates/curranthook_gateway/src/directory/tracked.rs
+++ b/crates/curranthook_gateway/src/directory/tracked.rs
@@ -29,7 +29,7 @@
     /// Its newest entry.
     pub entry: Entry,
     /// A hash of its id.
-    pub seed: u64,
+    pub id_hash: u64,
     /// Requests that this node has there.
     pub in_flight: u32,
     /// The work of those of them that have no first byte yet.
@@ -38,7 +38,7 @@
     pub failures: f64,
     pub(super) load: Option<(Load, Instant, u32)>,
     pub(super) pause: Duration,
-    pub(super) out_until: Option<Instant>,
+    pub(super) ejected_until: Option<Instant>,
     /// When this node, or one that told it, last found that no connection can be opened.
     pub(super) unreachable_since: Option<Instant>,
     /// Its slow start, while there is one.
@@ -48,21 +48,21 @@
     /// Whether it's missing from the list.
     pub(super) missing: bool,
     /// From when on its version may be used without an order.
-    pub(super) known_from: Instant,
+    pub(super) established_at: Instant,
 }
 
 impl Tracked {
-    pub(super) fn new(entry: Entry, advertised: Advertised, known_from: Instant) -> Self {
+    pub(super) fn new(entry: Entry, advertised: Advertised, established_at: Instant) -> Self {
         Self {
-            known_from,
-            seed: hash::bytes(entry.id.as_str().as_bytes()),
+            established_at,
+            id_hash: hash::bytes(entry.id.as_str().as_bytes()),
             entry,
             in_flight: 0,
             pending: Duration::ZERO,
             failures: 0.0,
             load: None,
             pause: Duration::ZERO,
-            out_until: None,
+            ejected_until: None,
             unreachable_since: None,
             slow_start: None,
             advertised,
@@ -76,8 +76,8 @@
     }
 
     /// Whether it's left alone after failures.
-    pub fn is_out(&self, now: Instant) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Whether this node, or one that told it, found lately that no connection can be opened.
@@ -87,12 +87,12 @@
     }
 
     /// Whether its version has been in use for a while, or is the only one.
-    pub fn is_known_version(&self, now: Instant) -> bool {
-        self.known_from <= now
+    pub fn is_established_version(&self, now: Instant) -> bool {
+        self.established_at <= now
     }
 
     /// How many requests it has, its own word and this node's knowledge taken together.
-    pub fn busy(&self, now: Instant) -> u32 {
+    pub fn estimated_requests(&self, now: Instant) -> u32 {
         match self.load {
             Some((load, at, then)) if now.saturating_duration_since(at) < LOAD_EXPIRY => {
                 let told = load.running.saturating_add(load.waiting);
@@ -111,7 +111,7 @@
 
     /// The requests a second that it takes from all nodes, if it's bounded and takes none of this node now.
     /// `slow_start_rate` is what endpoints in slow start take.
-    pub fn throttled(&self, slow_start_rate: Option<f64>, now: Instant) -> Option<f64> {
+    pub fn throttled_rate(&self, slow_start_rate: Option<f64>, now: Instant) -> Option<f64> {
         let limited = self
             .advertised
             .rate_limit
@@ -137,11 +137,11 @@
     }
 
     pub(super) fn eject(&mut self, now: Instant) {
-        self.out_until = self.out_until.max(Some(now + UNREACHABLE_EXPIRY));
+        self.ejected_until = self.ejected_until.max(Some(now + UNREACHABLE_EXPIRY));
     }
 
     pub(super) fn failed(&mut self, now: Instant) {
         self.pause = (self.pause * 2).clamp(FIRST_PAUSE, MAX_PAUSE);
-        self.out_until = Some(now + self.pause);
+        self.ejected_until = Some(now + self.pause);
     }
 }
--- a/crates/curranthook_gateway/src/offer.rs
+++ b/crates/curranthook_gateway/src/offer.rs
@@ -115,7 +115,7 @@
     let endpoint = list[index];
     Some(Offer {
         prompt: wanted.prompt(candidates[index].holds_parts),
-        busy: endpoint.busy(now),
+        busy: endpoint.estimated_requests(now),
         waited: waiting(endpoint, wanted, of_others(gateway, &endpoint.entry.id, heard, now)),
         endpoint,
     })
@@ -155,7 +155,7 @@
     let held_back = ready.filter(|it| wanted.rule.allows(&it.entry.version) && !it.admits(now));
     held_back.fold(None, |sum, it| {
         let Throttled { rate, resumes } = sum.unwrap_or_default();
-        let own = it.throttled(slow_start_rate, now).unwrap_or_default();
+        let own = it.throttled_rate(slow_start_rate, now).unwrap_or_default();
         let resumes = resumes.into_iter().chain(it.paused_until(now)).min();
         Some(Throttled { rate: rate + own, resumes })
     })
@@ -221,7 +221,7 @@
     let holders = if is_known { Holders::Known } else { Holders::Guessed };
     let holding = heard.holders.clone().or_else(own).unwrap_or_default();
     let candidate = |it: &&Tracked| Candidate {
-        seed: it.seed,
+        seed: it.id_hash,
         wait: wait(it, wanted, of_others(gateway, &it.entry.id, heard, now), now),
         failures: it.failures,
         distance: distance(gateway, it),
@@ -245,14 +245,14 @@
         all.iter().copied().filter(|it| it.admits(now) && keep(it)).collect()
     };
     // A version whose order may still be on its way waits, unless there is an order that decides.
-    let is_known = |it: &Tracked| *wanted.rule != Rule::Any || it.is_known_version(now);
+    let is_known = |it: &Tracked| *wanted.rule != Rule::Any || it.is_established_version(now);
     // A version whose endpoints take no more for now isn't gone: no other takes its place.
     let is_throttled = |it: &Tracked| !it.admits(now) && is_allowed(it) && is_known(it);
     let has_throttled = all.iter().any(|it| is_throttled(it));
     let is_usable = |it: &Tracked| is_allowed(it) && (is_known(it) || !has_throttled);
     let in_order: [&dyn Fn(&Tracked) -> bool; 4] = [
-        &|it| is_allowed(it) && is_known(it) && is_new(it) && !it.is_out(now),
-        &|it| is_usable(it) && is_new(it) && !it.is_out(now),
+        &|it| is_allowed(it) && is_known(it) && is_new(it) && !it.is_ejected(now),
+        &|it| is_usable(it) && is_new(it) && !it.is_ejected(now),
         &|it| is_usable(it) && is_new(it),
         &|it| is_usable(it),
     ];
@@ -267,13 +267,13 @@
     match wanted.rule {
         Rule::Only(_) => select(&|it| is_new(it)),
         // No other version is left, so the roll-out is over, whatever this node has heard of it.
-        Rule::Not(_) if !has_throttled => select(&|it| is_new(it) && !it.is_out(now)),
+        Rule::Not(_) if !has_throttled => select(&|it| is_new(it) && !it.is_ejected(now)),
         Rule::Not(_) | Rule::Any => Vec::new(),
     }
 }
 
 fn wait(it: &Tracked, wanted: &Wanted<'_>, of_others: Duration, now: Instant) -> Duration {
-    let busy = it.busy(now);
+    let busy = it.estimated_requests(now);
     if let Some(model) = wanted.model {
         return waiting(it, wanted, of_others) + model.pace.speed.per_running() * busy;
     }
--- a/crates/curranthook_gateway/tests/beliefs.rs
+++ b/crates/curranthook_gateway/tests/beliefs.rs
@@ -80,7 +80,7 @@
     directory.upsert(entry("e-old", "v1"), now);
     directory.upsert(entry("e-new", "v2"), now);
     let known = |at: Instant| -> Vec<String> {
-        let ready = directory.ready("models").filter(|it| it.is_known_version(at));
+        let ready = directory.ready("models").filter(|it| it.is_established_version(at));
         ready.map(|it| it.entry.version.clone()).collect()
     };
     assert_eq!(known(now), ["v1"]);
@@ -100,12 +100,12 @@
         let tracked = directory.get(&id).unwrap();
         let until = (0..100)
             .map(|it| it * 100)
-            .find(|ms| !tracked.is_out(now + Duration::from_millis(*ms)));
+            .find(|ms| !tracked.is_ejected(now + Duration::from_millis(*ms)));
         rests.push(until.unwrap());
     }
     assert_eq!(rests, [400, 800, 1_600, 3_200, 4_000]);
     directory.request_ended(&id, Outcome::Answered, Duration::ZERO, now);
-    assert!(!directory.get(&id).unwrap().is_out(now));
+    assert!(!directory.get(&id).unwrap().is_ejected(now));
 }
 
 /// A worker starts again under its old id. What was known of the one before doesn't hold.
@@ -115,7 +115,7 @@
     directory.upsert(entry("e-1", "v1"), now);
     directory.request_ended(&"e-1".into(), Outcome::ConnectionLost, Duration::ZERO, now);
     directory.upsert(Entry { born: Some(7), ..entry("e-1", "v1") }, now);
-    assert!(!directory.get(&"e-1".into()).unwrap().is_out(now));
+    assert!(!directory.get(&"e-1".into()).unwrap().is_ejected(now));
 }
 
 /// Guards against sending requests to an endpoint that crashed, whose entry the list still has beside that of
@@ -139,9 +139,9 @@
     let id = "e-1".into();
     directory.upsert(entry("e-1", "v1"), now);
     directory.report_unreachable(&id, now);
-    let is_out = |after| directory.get(&id).unwrap().is_out(now + after);
-    assert!(is_out(Duration::from_millis(500)));
-    assert!(!is_out(Duration::from_secs(2)));
+    let is_ejected = |after| directory.get(&id).unwrap().is_ejected(now + after);
+    assert!(is_ejected(Duration::from_millis(500)));
+    assert!(!is_ejected(Duration::from_secs(2)));
 }
 
 /// Guards against blaming endpoints for connections that fail while this node's own links are down.
