--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -18,7 +18,7 @@
     ask::Ask,
     dialect::{self, Execution, Outgoing, Reply, Seal},
     directory::Outcome,
-    document::Repeat,
+    document::RetryPolicy,
     event::Event,
     lease::{Completeness, Lease},
 };
@@ -105,7 +105,7 @@
 pub async fn run(
     gateway: &Arc<Gateway>,
     ask: &Ask,
-    repeat: Repeat,
+    retry_policy: RetryPolicy,
     mut lease: Lease,
     outgoing: &Outgoing<'_>,
 ) -> Result<Open, Failed> {
@@ -113,7 +113,7 @@
     // What can't be repeated is never trusted to a kept connection: the endpoint may be closing
     // it, or something between may have lost it, and nobody could tell whether it ran.
     let freshness =
-        if repeat.is_repeatable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
+        if retry_policy.is_retryable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
     let request = gateway.dialect.request(ask, outgoing);
     let mut conn = match gateway.pool.take(lease.addr, freshness).await {
         Ok(conn) => conn,
@@ -122,7 +122,7 @@
             return Err(not_run(Cause::Connect));
         }
     };
-    if !repeat.is_repeatable()
+    if !retry_policy.is_retryable()
         && let Err(_nothing_sent) = conn.settle(SETTLE).await
     {
         lease.close(Outcome::ConnectionLost);
@@ -222,10 +222,11 @@
 impl Open {
     /// Takes the connection back into use if the endpoint keeps it, once the answer was read to
     /// its end.
-    pub fn finish(self, gateway: &Gateway, repeat: Repeat, outcome: Outcome) {
+    pub fn finish(self, gateway: &Gateway, retry_policy: RetryPolicy, outcome: Outcome) {
         if matches!(self.reply.connection, dialect::Connection::Kept(_)) {
             // Requests that can't be repeated leave connections behind and never take one of them.
-            let max_idle = if repeat.is_repeatable() { usize::MAX } else { self.lease.max_idle };
+            let max_idle =
+                if retry_policy.is_retryable() { usize::MAX } else { self.lease.max_idle };
             gateway.pool.put_within(self.conn, max_idle);
         }
         self.lease.close(outcome);
--- a/crates/curranthook_gateway/src/document.rs
+++ b/crates/curranthook_gateway/src/document.rs
@@ -31,7 +31,7 @@
     /// What the path begins with; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The longest that a caller is kept waiting for the whole answer.
     pub timeout: Duration,
     /// The time within which an answer is worth its full credit. For a stream: its first event.
@@ -61,7 +61,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// As often as needed.
     Idempotent,
     /// At most once.
@@ -72,14 +72,14 @@
     StreamOnce,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Resumable | Self::StreamOnce)
     }
 
     /// Whether a request that may have run can be sent again.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 }
--- a/crates/curranthook_gateway/src/front.rs
+++ b/crates/curranthook_gateway/src/front.rs
@@ -126,7 +126,7 @@
 
 async fn answer(mut job: Job) -> Result<Response<Body>, Refusal> {
     let gateway = Arc::clone(&job.gateway);
-    let answered = if job.route.repeat.is_stream() {
+    let answered = if job.route.retry_policy.is_stream() {
         open_stream(job).await
     } else {
         match unary::read(&mut job).await {
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -274,7 +274,7 @@
             left_ms: millis(outgoing.time_left),
             configuration: self.configuration,
         });
-        attempt::run(&self.gateway, &self.ask, self.route.repeat, lease, &outgoing).await
+        attempt::run(&self.gateway, &self.ask, self.route.retry_policy, lease, &outgoing).await
     }
 
     /// Whether the caller gets this answer; if not, another attempt follows.
@@ -287,7 +287,7 @@
         }
         self.has_failed |= is_error;
         if is_error {
-            if self.route.repeat.is_repeatable() && self.may_run_again("error") {
+            if self.route.retry_policy.is_retryable() && self.may_run_again("error") {
                 self.tried.push(open.lease.id.clone());
                 open.close(Outcome::Failed);
                 return None;
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -15,7 +15,7 @@
 impl Job {
     /// Whether the largest model is asked in place of the one that has begun.
     pub(super) async fn escalates(&mut self, confidence: Option<u8>) -> bool {
-        let can_repeat = self.route.repeat.is_repeatable() && self.last_event.is_none();
+        let can_repeat = self.route.retry_policy.is_retryable() && self.last_event.is_none();
         let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session());
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -69,7 +69,7 @@
         if self.gateway.poison.lock().is_poison(self.ask.fingerprint, now) {
             return Next::Respond(self.refusal(Reason::Poison));
         }
-        if !self.route.repeat.is_repeatable() || !self.may_run_again(failed.cause.name()) {
+        if !self.route.retry_policy.is_retryable() || !self.may_run_again(failed.cause.name()) {
             return Next::Respond(self.refusal(Reason::EndpointFailed));
         }
         Next::Retry
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -183,7 +183,7 @@
         });
         match (open, of_endpoint) {
             (Some(open), Outcome::Answered) => {
-                open.finish(&self.job.gateway, self.job.route.repeat, of_endpoint);
+                open.finish(&self.job.gateway, self.job.route.retry_policy, of_endpoint);
             }
             (Some(open), _) => open.close(of_endpoint),
             (None, _) => {}
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -30,7 +30,7 @@
                 let status = head.status;
                 let is_error = status.is_server_error();
                 let outcome = if is_error { Outcome::Failed } else { Outcome::Answered };
-                open.finish(&job.gateway, job.route.repeat, outcome);
+                open.finish(&job.gateway, job.route.retry_policy, outcome);
                 job.ended(&End {
                     status: status.as_u16(),
                     outcome: WHOLE,
