--- a/crates/curranthook_gateway/src/document.rs
+++ b/crates/curranthook_gateway/src/document.rs
@@ -35,9 +35,9 @@
     /// The longest that a caller is kept waiting for the whole answer.
     pub timeout: Duration,
     /// The time within which an answer is worth its full credit. For a stream: its first event.
-    pub objective: Duration,
+    pub latency_target: Duration,
     /// The longest pause between the events of a stream that is still on time.
-    pub gap: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Its rank; 0 is served first.
     pub priority: u8,
     /// The models that may answer, the smallest first; empty if the caller names the model.
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -46,7 +46,7 @@
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.ask.since);
         let aim = Aim {
-            objective: self.route.objective,
+            objective: self.route.latency_target,
             deadline: self.ask.deadline.saturating_duration_since(self.ask.since),
         };
         let first = elapsed + self.first_event(rule, large, heard)?;
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -193,7 +193,7 @@
     /// How long the endpoint may still take for the next event. Bytes that make none don't count: an
     /// endpoint that trickles them would hold its caller until the time is up.
     fn silence_left(&self) -> Duration {
-        let pause = self.job.route.gap.unwrap_or_default();
+        let pause = self.job.route.max_event_gap.unwrap_or_default();
         let silence = pause.saturating_mul(SILENT_PAUSES).max(MIN_SILENCE);
         silence.saturating_sub(self.job.gateway.now().saturating_duration_since(self.got_on))
     }
