--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -157,8 +157,8 @@
         let pool = pool.with_connect_timeout(CONNECT).with_liveness(UNACKED);
         Arc::new(Self {
             pool,
-            rollouts: Mutex::new(Rollouts::new(Plan::new(settings.exposure))),
-            budget: Mutex::new(Budget::new(settings.repeats)),
+            rollouts: Mutex::new(Rollouts::new(Plan::new(settings.max_exposure))),
+            budget: Mutex::new(Budget::new(settings.retries)),
             poison: Mutex::new(Register::new(POISON_CAPACITY)),
             ex,
             clock,
--- a/crates/curranthook_gateway/src/settings.rs
+++ b/crates/curranthook_gateway/src/settings.rs
@@ -29,9 +29,9 @@
     /// Some other nodes, for a start while the store is away. They may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// Bound on repeats.
-    pub repeats: Bound,
+    pub retries: Bound,
     /// The largest share of a service's requests that a bad version may get during its roll-out.
-    pub exposure: f64,
+    pub max_exposure: f64,
     /// Whether the whole fleet starts for the first time, so that no node has written its address yet.
     pub is_first_start: bool,
     /// The time from the signal to stop until the process is killed.
