--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -9,7 +9,7 @@
     entry::{Entry, State},
     event::Event,
     fleet,
-    gateway::Current,
+    gateway::Configuration,
     store::{Batch, Operator, Row, Table},
     watch::name,
 };
@@ -50,14 +50,14 @@
     match gateway.decoder.operator(&row.key, value) {
         Ok(Operator::Document(document)) => {
             let version = document.version;
-            let before = gateway.current.load().as_ref().map_or(0, |it| it.document.version);
+            let before = gateway.configuration.load().as_ref().map_or(0, |it| it.document.version);
             // A configuration never goes back: an older row, from a peer that knows less, would
             // bring back keys and routes that were taken away.
             if version <= before {
                 return;
             }
             let routes = document.n_routes();
-            gateway.current.store(Some(Arc::new(Current { document, rev: row.rev })));
+            gateway.configuration.store(Some(Arc::new(Configuration { document, rev: row.rev })));
             gateway.metrics.configuration.set(version);
             let rev = row.rev.0;
             gateway.log.write(&Event::Configuration { version, before, routes, rev, from });
--- a/crates/curranthook_gateway/src/front.rs
+++ b/crates/curranthook_gateway/src/front.rs
@@ -12,7 +12,7 @@
     ask::Ask,
     document::Denied,
     event::Event,
-    gateway::Current,
+    gateway::Configuration,
     job::{End, Job, millis},
     refusal::{Ran, Reason, Refusal},
     starting, stream, unary,
@@ -65,7 +65,7 @@
             status: refusal.status.as_u16(),
             reason: refusal.reason.name(),
             retry_after_ms: refusal.retry_after.map(millis),
-            configuration: gateway.current.load().as_ref().map(|it| it.document.version),
+            configuration: gateway.configuration.load().as_ref().map(|it| it.document.version),
             in_flight: gateway.in_flight(),
         });
     }
@@ -83,7 +83,7 @@
             refuse(Reason::Invalid)
         })?;
         starting::wait(gateway, head.patience).await;
-        let Some(current) = gateway.current.load_full() else {
+        let Some(current) = gateway.configuration.load_full() else {
             return Err(starting::refusal(gateway));
         };
         // Before the body: whoever may not call at all isn't read any further.
@@ -97,7 +97,7 @@
             }
         };
         // Once more: a body may take its time, and the configuration may change meanwhile.
-        let current = gateway.current.load_full().unwrap_or(current);
+        let current = gateway.configuration.load_full().unwrap_or(current);
         let (route, account) = admit(&current, &head)?;
         let patience = head.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
         let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
@@ -110,7 +110,7 @@
 }
 
 fn admit(
-    current: &Current,
+    current: &Configuration,
     head: &crate::ask::Head,
 ) -> Result<(Arc<crate::document::Route>, Option<crate::document::Account>), Refusal> {
     let admitted = current.document.admit(&head.host, head.uri.path(), head.key.as_deref());
--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -88,7 +88,7 @@
     /// Connections to endpoints and peers.
     pub pool: Pool,
     /// The configuration in force.
-    pub current: ArcSwapOption<Current>,
+    pub configuration: ArcSwapOption<Configuration>,
     /// The endpoints.
     pub directory: Mutex<Directory>,
     /// Where prompts were read.
@@ -131,7 +131,7 @@
 
 /// A configuration and where it stands in the history of the store.
 #[derive(Debug)]
-pub struct Current {
+pub struct Configuration {
     /// The configuration.
     pub document: Document,
     /// Its revision.
@@ -168,7 +168,7 @@
             log,
             settings,
             metrics: Metrics::default(),
-            current: ArcSwapOption::empty(),
+            configuration: ArcSwapOption::empty(),
             directory: Mutex::default(),
             returns: Mutex::default(),
             affinity: Mutex::default(),
@@ -206,7 +206,7 @@
 
     /// What the configuration in force says of a service; none if it says nothing.
     pub fn service<T>(&self, name: &str, say: impl FnOnce(&Service) -> Option<T>) -> Option<T> {
-        say(self.current.load().as_ref()?.document.services.get(name)?)
+        say(self.configuration.load().as_ref()?.document.services.get(name)?)
     }
 
     /// Waits until the rows of the fleet are read, `limit` at most.
@@ -230,7 +230,7 @@
 
     /// Whether it knows all that it needs to serve requests.
     pub fn is_serving(&self) -> bool {
-        self.current.load().is_some() && self.mirror.lock().is_read()
+        self.configuration.load().is_some() && self.mirror.lock().is_read()
     }
 
     /// Whether it was told to stop.
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -17,7 +17,7 @@
     directory::Outcome,
     document::Route,
     event::Event,
-    gateway::{Current, InFlight},
+    gateway::{Configuration, InFlight},
     lease::Lease,
     load_reports::{self, Heard},
     models::{Candidate, Models},
@@ -91,7 +91,7 @@
     /// A request that was let in.
     pub fn new(
         gateway: &Arc<Gateway>,
-        current: &Current,
+        current: &Configuration,
         ask: Ask,
         route: Arc<Route>,
         account: Option<account::Id>,
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -286,10 +286,10 @@
         }
         if self.table == Table::Operator {
             peers::ask(&self.gateway).await;
-        } else if self.gateway.current.load().is_none() {
+        } else if self.gateway.configuration.load().is_none() {
             // Any rows that are applied may be the configuration.
             let applied = self.gateway.changed.wait();
-            if self.gateway.current.load().is_none() {
+            if self.gateway.configuration.load().is_none() {
                 return pause_unless(applied, UNREAD_BACKOFF).await;
             }
         } else if self.is_away {
