--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -37,7 +37,7 @@
     // Last, as whoever is woken looks at what was taken in. The first read of a table counts even
     // if that is empty: requests may be waiting for it.
     if !news.is_empty() || is_whole {
-        gateway.changed.wake();
+        gateway.rows_changed.wake();
     }
 }
 
--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -83,7 +83,7 @@
         if self.gateway.settings.is_first_start {
             Timer::after(ANNOUNCE_SPREAD.mul_f64(rand::random())).await;
         } else {
-            self.gateway.members_known(MEMBERS_LIMIT).await;
+            self.gateway.wait_for_members(MEMBERS_LIMIT).await;
         }
         loop {
             // Nothing to do if an earlier process of this node wrote the same.
--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -114,9 +114,9 @@
     /// The datagrams between nodes; none if the node has no address for them.
     pub load_reports: OnceLock<Arc<Reports>>,
     /// Wakes whoever tells other nodes what this one has waiting.
-    pub waiting_changed: Signal,
+    pub pending_work_changed: Signal,
     /// Wakes peers that wait for rows.
-    pub changed: Signal,
+    pub rows_changed: Signal,
     /// Other nodes, by name.
     pub peers: Mutex<HashMap<String, fleet::Node>>,
     /// What endpoints said that nobody reads.
@@ -178,8 +178,8 @@
             load_table: Mutex::default(),
             load_owners: Mutex::default(),
             load_reports: OnceLock::new(),
-            waiting_changed: Signal::default(),
-            changed: Signal::default(),
+            pending_work_changed: Signal::default(),
+            rows_changed: Signal::default(),
             peers: Mutex::default(),
             unknown_headers: Mutex::default(),
             starting: Waiting::default(),
@@ -210,10 +210,10 @@
     }
 
     /// Waits until the rows of the fleet are read, `limit` at most.
-    pub async fn members_known(&self, limit: Duration) {
+    pub async fn wait_for_members(&self, limit: Duration) {
         let read = async {
             loop {
-                let changed = self.changed.wait();
+                let changed = self.rows_changed.wait();
                 if self.mirror.lock().knows(Table::Fleet) {
                     return;
                 }
@@ -244,7 +244,7 @@
     }
 
     /// Counts a request as under way.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -116,7 +116,7 @@
             has_failed: false,
             configuration: current.document.version,
             heard: None,
-            _in_flight: gateway.enter(),
+            _in_flight: gateway.track_request(),
             gateway: Arc::clone(gateway),
             ask,
             route,
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -74,7 +74,7 @@
                 reports.read(Read { subject, endpoint: entry.id.clone() });
             }
         }
-        gateway.waiting_changed.wake();
+        gateway.pending_work_changed.wake();
         let max_connections = gateway.service(wanted.service, |it| it.max_connections);
         let max_idle = max_connections.map(|it| connections::max_idle(it, gateway.n_nodes()));
         Some(Self {
@@ -122,7 +122,7 @@
         self.gateway.log.write(&Event::RateLimit { endpoint, rate, from: "answer" });
         if let Some(reports) = self.gateway.load_reports.get() {
             reports.limit(&self.id, notice);
-            self.gateway.waiting_changed.wake();
+            self.gateway.pending_work_changed.wake();
         }
     }
 
@@ -131,7 +131,7 @@
         let now = self.gateway.now();
         let pending = std::mem::take(&mut self.pending);
         self.gateway.directory.lock().first_byte_received(&self.id, pending, load, now);
-        self.gateway.waiting_changed.wake();
+        self.gateway.pending_work_changed.wake();
     }
 
     /// Gives it back.
@@ -151,7 +151,7 @@
             && let Some(reports) = self.gateway.load_reports.get()
         {
             reports.unreachable(self.id.clone());
-            self.gateway.waiting_changed.wake();
+            self.gateway.pending_work_changed.wake();
         }
     }
 }
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -183,7 +183,7 @@
 
 /// Waits until there may be something to tell. Whoever was told of work is told again after a while.
 async fn wait_for_news(gateway: &Gateway, reports: &Reports, told: &HashSet<SocketAddr>) {
-    let changed = gateway.waiting_changed.wait();
+    let changed = gateway.pending_work_changed.wait();
     // What came while others were being told woke nobody.
     if !reports.limits.is_empty() {
         return;
--- a/crates/curranthook_gateway/src/load_reports/limits.rs
+++ b/crates/curranthook_gateway/src/load_reports/limits.rs
@@ -71,7 +71,7 @@
     // In a small fleet whoever heard it told all.
     if load_owners::are_used(gateway.n_nodes()) {
         reports.limit(&limit.endpoint, notice);
-        gateway.waiting_changed.wake();
+        gateway.pending_work_changed.wake();
     }
 }
 
--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -97,7 +97,7 @@
     async fn answer(&self, question: &Question) -> Result<Told, Unknown> {
         let end = self.gateway.now() + question.wait;
         loop {
-            let changed = self.gateway.changed.wait();
+            let changed = self.gateway.rows_changed.wait();
             let now = self.gateway.now();
             if self.is_unread(question) && now < end {
                 let _elapsed = timeout::run(end - now, changed).await;
--- a/crates/curranthook_gateway/src/starting.rs
+++ b/crates/curranthook_gateway/src/starting.rs
@@ -78,7 +78,7 @@
     let share = patience.map_or(Duration::ZERO, |it| it / PATIENCE).min(MAX_WAIT);
     let until = (gateway.started + FIRST_READ).max(now + share);
     loop {
-        let changed = gateway.changed.wait();
+        let changed = gateway.rows_changed.wait();
         let left = until.saturating_duration_since(gateway.now());
         if gateway.is_serving() || left.is_zero() {
             return;
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -80,7 +80,7 @@
         Timer::after(FIRST_START_PAUSE).await;
     }
     if table != Table::Fleet {
-        gateway.members_known(MEMBERS_LIMIT).await;
+        gateway.wait_for_members(MEMBERS_LIMIT).await;
     }
     let mut watch = Watch {
         gateway,
@@ -288,7 +288,7 @@
             peers::ask(&self.gateway).await;
         } else if self.gateway.configuration.load().is_none() {
             // Any rows that are applied may be the configuration.
-            let applied = self.gateway.changed.wait();
+            let applied = self.gateway.rows_changed.wait();
             if self.gateway.configuration.load().is_none() {
                 return pause_unless(applied, UNREAD_BACKOFF).await;
             }
--- a/crates/curranthook_gateway/src/watch/parents.rs
+++ b/crates/curranthook_gateway/src/watch/parents.rs
@@ -100,7 +100,7 @@
 /// otherwise wait as in a small one, and be out of date for its children.
 pub(super) async fn role_changed(gateway: &Gateway, shared: &Shared, role: Role) {
     loop {
-        let changed = gateway.changed.wait();
+        let changed = gateway.rows_changed.wait();
         if place(gateway, shared).0 != role {
             return;
         }
