--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -24,7 +24,7 @@
     event::Log,
     fleet,
     load_owners::Owners,
-    load_reports::Reports,
+    load_reports::Socket,
     load_table::LoadTable,
     metrics::Metrics,
     mirror::Mirror,
@@ -112,7 +112,7 @@
     /// Who is told of it in a large fleet.
     pub load_owners: Mutex<Owners>,
     /// The datagrams between nodes; none if the node has no address for them.
-    pub load_reports: OnceLock<Arc<Reports>>,
+    pub load_reports: OnceLock<Arc<Socket>>,
     /// Wakes whoever tells other nodes what this one has waiting.
     pub pending_work_changed: Signal,
     /// Wakes peers that wait for rows.
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -19,7 +19,7 @@
     event::Event,
     gateway::{Configuration, InFlight},
     lease::Lease,
-    load_reports::{self, Heard},
+    load_reports::{self, PeerState},
     models::{Candidate, Models},
     offer::{self, Wanted, Wants},
     pace::{First, Pace},
@@ -83,7 +83,7 @@
     has_failed: bool,
     configuration: u64,
     /// What other nodes told while the next attempt was decided on.
-    heard: Option<Heard>,
+    heard: Option<PeerState>,
     _in_flight: InFlight,
 }
 
@@ -198,12 +198,12 @@
 
     /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
     /// have told already.
-    async fn hear(&self, wanted: &Wanted<'_>) -> Heard {
-        let mut heard = Heard::default();
+    async fn hear(&self, wanted: &Wanted<'_>) -> PeerState {
+        let mut heard = PeerState::default();
         for _ in 0..MAX_QUESTIONS {
             let shortlist = offer::shortlist(&self.gateway, wanted);
             if shortlist.is_empty() {
-                return Heard::default();
+                return PeerState::default();
             }
             heard = self.ask_others(shortlist, wanted.subject).await;
             if heard.unreachable.is_empty() {
@@ -220,13 +220,13 @@
         heard
     }
 
-    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, subject: Option<u64>) -> Heard {
-        let mut heard = load_reports::ask(&self.gateway, shortlist, subject).await;
+    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, subject: Option<u64>) -> PeerState {
+        let mut heard = load_reports::query(&self.gateway, shortlist, subject).await;
         let is_unheard = |it: &endpoint::Id| !heard.waiting.contains_key(it);
         let holders = heard.holders.iter().flatten();
         let unheard: Vec<_> = holders.filter(|it| is_unheard(it)).cloned().collect();
         if !unheard.is_empty() {
-            let of_holders = load_reports::ask(&self.gateway, unheard, None).await;
+            let of_holders = load_reports::query(&self.gateway, unheard, None).await;
             heard.waiting.extend(of_holders.waiting);
             heard.unreachable.extend(of_holders.unreachable);
         }
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -6,7 +6,7 @@
 use crate::{
     cascade::{self, Aim, Outlook},
     event::Event,
-    load_reports::Heard,
+    load_reports::PeerState,
     models::Candidate,
     offer,
     rollouts::Rule,
@@ -20,7 +20,7 @@
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session());
         // Work of other nodes only delays the larger model, so most answers are kept without asking.
-        if self.better(confidence, &rule, &Heard::default()).is_none() {
+        if self.better(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
         let heard = self.hear(&self.wanted(&rule, Some(large))).await;
@@ -42,7 +42,7 @@
     }
 
     /// What is to be expected of the largest model, if that is better than the answer that has begun.
-    fn better(&self, confidence: u8, rule: &Rule, heard: &Heard) -> Option<Outlook> {
+    fn better(&self, confidence: u8, rule: &Rule, heard: &PeerState) -> Option<Outlook> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.ask.since);
         let aim = Aim {
@@ -57,7 +57,7 @@
 
     /// When the first event of `model` is likely to come, at the endpoint that it would get now; none if
     /// there is no endpoint for it.
-    fn first_event(&self, rule: &Rule, model: &Candidate, heard: &Heard) -> Option<Duration> {
+    fn first_event(&self, rule: &Rule, model: &Candidate, heard: &PeerState) -> Option<Duration> {
         let wanted = self.wanted(rule, Some(model));
         let directory = self.gateway.directory.lock();
         let offer = offer::best(&self.gateway, &directory, &wanted, heard)?;
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -13,7 +13,7 @@
     directory::Outcome,
     entry::State,
     event::Event,
-    load_reports::Heard,
+    load_reports::PeerState,
     offer::{self, Offer, Wanted},
     prefill::Prompt,
     rate_limit,
@@ -56,7 +56,7 @@
 
 impl Lease {
     /// A place at the best endpoint for a request, if there is one (see [`offer::best`]).
-    pub fn take(gateway: &Arc<Gateway>, wanted: &Wanted<'_>, heard: &Heard) -> Option<Self> {
+    pub fn take(gateway: &Arc<Gateway>, wanted: &Wanted<'_>, heard: &PeerState) -> Option<Self> {
         let now = gateway.now();
         let mut directory = gateway.directory.lock();
         directory.remove_lapsed(now);
@@ -71,7 +71,7 @@
         if let Some(subject) = wanted.subject {
             gateway.affinity.lock().read(subject, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
-                reports.read(Read { subject, endpoint: entry.id.clone() });
+                reports.queue_read(Read { subject, endpoint: entry.id.clone() });
             }
         }
         gateway.pending_work_changed.wake();
@@ -121,7 +121,7 @@
         let (endpoint, rate) = (self.id.as_str(), notice.rate);
         self.gateway.log.write(&Event::RateLimit { endpoint, rate, from: "answer" });
         if let Some(reports) = self.gateway.load_reports.get() {
-            reports.limit(&self.id, notice);
+            reports.queue_limit(&self.id, notice);
             self.gateway.pending_work_changed.wake();
         }
     }
@@ -150,7 +150,7 @@
             && directory.has_recent_answer(now)
             && let Some(reports) = self.gateway.load_reports.get()
         {
-            reports.unreachable(self.id.clone());
+            reports.queue_unreachable(self.id.clone());
             self.gateway.pending_work_changed.wake();
         }
     }
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -28,7 +28,7 @@
 use crate::{Gateway, affinity::Read, load_owners, rate_limit};
 
 use self::limits::Limit;
-pub use self::questions::ask;
+pub use self::questions::query;
 
 /// How often a node with work waiting tells it again.
 const REPEAT: Duration = Duration::from_millis(300);
@@ -95,7 +95,7 @@
 
 /// What other nodes know that bears on where a request goes.
 #[derive(Debug, Clone, Default)]
-pub struct Heard {
+pub struct PeerState {
     /// The work that they have waiting, for the endpoints asked about.
     pub waiting: Waiting,
     /// The endpoints that read the shared parts lately; none if nobody could tell.
@@ -104,7 +104,7 @@
     pub unreachable: Vec<endpoint::Id>,
 }
 
-impl Heard {
+impl PeerState {
     fn extend(&mut self, other: Self) {
         self.waiting.extend(other.waiting);
         self.unreachable.extend(other.unreachable);
@@ -114,10 +114,10 @@
 
 /// The socket, and the questions that wait for answers.
 #[derive(Debug)]
-pub struct Reports {
+pub struct Socket {
     socket: Async<UdpSocket>,
     next: AtomicU64,
-    asked: Mutex<HashMap<u64, Sender<(u64, Heard)>>>,
+    asked: Mutex<HashMap<u64, Sender<(u64, PeerState)>>>,
     /// What this node sent to be read and hasn't told yet.
     reads: Mutex<Vec<Read>>,
     /// The endpoints that it couldn't reach and hasn't told of yet.
@@ -126,8 +126,8 @@
     limits: limits::Queue,
 }
 
-impl Reports {
-    /// Reports over `socket`.
+impl Socket {
+    /// Socket over `socket`.
     pub fn new(socket: Async<UdpSocket>) -> Self {
         Self {
             socket,
@@ -140,7 +140,7 @@
     }
 
     /// Notes that parts were sent to be read, to be told with the next report.
-    pub fn read(&self, read: Read) {
+    pub fn queue_read(&self, read: Read) {
         let mut reads = self.reads.lock();
         if reads.len() < MAX_READS {
             reads.push(read);
@@ -148,7 +148,7 @@
     }
 
     /// Notes that no connection to an endpoint could be opened, to be told with the next report.
-    pub fn unreachable(&self, endpoint: endpoint::Id) {
+    pub fn queue_unreachable(&self, endpoint: endpoint::Id) {
         let mut all = self.unreachable.lock();
         if all.len() < MAX_UNREACHABLE && !all.contains(&endpoint) {
             all.push(endpoint);
@@ -156,7 +156,7 @@
     }
 
     /// Notes what an endpoint said of its limit, to be told soon.
-    pub fn limit(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
+    pub fn queue_limit(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
         self.limits.push(endpoint, notice);
     }
 
@@ -169,7 +169,7 @@
 }
 
 /// Tells the others and listens to them, for as long as the process lives.
-pub async fn run(gateway: Arc<Gateway>, reports: Arc<Reports>) {
+pub async fn run(gateway: Arc<Gateway>, reports: Arc<Socket>) {
     let hears = hear(Arc::clone(&gateway), Arc::clone(&reports));
     gateway.ex.spawn(hears).detach();
     let mut told = HashSet::new();
@@ -182,7 +182,7 @@
 }
 
 /// Waits until there may be something to tell. Whoever was told of work is told again after a while.
-async fn wait_for_news(gateway: &Gateway, reports: &Reports, told: &HashSet<SocketAddr>) {
+async fn wait_for_news(gateway: &Gateway, reports: &Socket, told: &HashSet<SocketAddr>) {
     let changed = gateway.pending_work_changed.wait();
     // What came while others were being told woke nobody.
     if !reports.limits.is_empty() {
@@ -199,7 +199,7 @@
     future::or(changed, again).await;
 }
 
-async fn hear(gateway: Arc<Gateway>, reports: Arc<Reports>) {
+async fn hear(gateway: Arc<Gateway>, reports: Arc<Socket>) {
     let mut bytes = [0; MAX_DATAGRAM];
     loop {
         match reports.socket.recv_from(&mut bytes).await {
@@ -215,7 +215,7 @@
     }
 }
 
-async fn take(gateway: &Gateway, reports: &Reports, message: Message, from: SocketAddr) {
+async fn take(gateway: &Gateway, reports: &Socket, message: Message, from: SocketAddr) {
     let now = gateway.now();
     match message {
         Message::Report { node, waiting, reads, unreachable } => {
@@ -230,13 +230,15 @@
             limits.iter().for_each(|it| limits::hear(gateway, reports, it));
         }
         Message::Question { id, node, endpoints, subject } => {
-            let Heard { waiting, holders, unreachable } = kept(gateway, endpoints, subject, &node);
+            let PeerState { waiting, holders, unreachable } =
+                kept(gateway, endpoints, subject, &node);
             reports.send(&Message::Answer { id, waiting, holders, unreachable }, from).await;
         }
         Message::Answer { id, waiting, holders, unreachable } => {
             let asked = reports.asked.lock().remove(&id);
             // Whoever asked may have gone on without it.
-            let _late = asked.map(|it| it.try_send((id, Heard { waiting, holders, unreachable })));
+            let _late =
+                asked.map(|it| it.try_send((id, PeerState { waiting, holders, unreachable })));
         }
     }
 }
@@ -248,7 +250,7 @@
     endpoints: Vec<endpoint::Id>,
     subject: Option<u64>,
     asker: &str,
-) -> Heard {
+) -> PeerState {
     let holders = subject.map(|it| gateway.affinity.lock().holders(it, gateway.now()));
     let (directory, load_table, now) =
         (gateway.directory.lock(), gateway.load_table.lock(), gateway.now());
@@ -263,14 +265,14 @@
         |id: &&endpoint::Id| directory.get(id).is_some_and(|it| it.is_unreachable(now));
     let unreachable = endpoints.iter().filter(is_unreachable).cloned().collect();
     let waiting = endpoints.into_iter().map(|id| (id.clone(), waiting(&id))).collect();
-    Heard { waiting, holders, unreachable }
+    PeerState { waiting, holders, unreachable }
 }
 
 /// Tells others what this node has waiting: all of them, or the owners of the endpoints. Returns
 /// who was told of any work; whoever was before is told that there's none.
 async fn tell(
     gateway: &Gateway,
-    reports: &Reports,
+    reports: &Socket,
     before: HashSet<SocketAddr>,
 ) -> HashSet<SocketAddr> {
     let waiting: Waiting = {
--- a/crates/curranthook_gateway/src/load_reports/limits.rs
+++ b/crates/curranthook_gateway/src/load_reports/limits.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-use super::{Message, Reports};
+use super::{Message, Socket};
 use crate::{Gateway, event::Event, load_owners, rate_limit};
 
 /// How many limits fit into one datagram.
@@ -61,7 +61,7 @@
 }
 
 /// Takes in what another node heard of a limit, and passes it on if it's news.
-pub(super) fn hear(gateway: &Gateway, reports: &Reports, limit: &Limit) {
+pub(super) fn hear(gateway: &Gateway, reports: &Socket, limit: &Limit) {
     let notice = rate_limit::Notice { rate: limit.rate, at: limit.at };
     if !gateway.directory.lock().apply_reported_limit(&limit.endpoint, &notice) {
         return;
@@ -70,13 +70,13 @@
     gateway.log.write(&Event::RateLimit { endpoint, rate: limit.rate, from: "peer" });
     // In a small fleet whoever heard it told all.
     if load_owners::are_used(gateway.n_nodes()) {
-        reports.limit(&limit.endpoint, notice);
+        reports.queue_limit(&limit.endpoint, notice);
         gateway.pending_work_changed.wake();
     }
 }
 
 /// Tells others what endpoints said of their limits: all of them in a small fleet, a few in a large one.
-pub(super) async fn tell(gateway: &Gateway, reports: &Reports) {
+pub(super) async fn tell(gateway: &Gateway, reports: &Socket) {
     let limits = reports.limits.take(MAX_LIMITS);
     if limits.is_empty() {
         return;
--- a/crates/curranthook_gateway/src/load_reports/questions.rs
+++ b/crates/curranthook_gateway/src/load_reports/questions.rs
@@ -6,7 +6,7 @@
 use curranthook_http::timeout;
 use curranthook_types::endpoint;
 
-use super::{Heard, Message, Reports, kept};
+use super::{Message, PeerState, Socket, kept};
 use crate::Gateway;
 
 /// How long the answer of an owner may take: a few ways between failure domains and the turn of a
@@ -15,8 +15,12 @@
 
 /// What the other nodes have waiting at `endpoints`, and where `subject` was read, as far as their owners
 /// tell in time.
-pub async fn ask(gateway: &Gateway, endpoints: Vec<endpoint::Id>, subject: Option<u64>) -> Heard {
-    let Some(reports) = gateway.load_reports.get() else { return Heard::default() };
+pub async fn query(
+    gateway: &Gateway,
+    endpoints: Vec<endpoint::Id>,
+    subject: Option<u64>,
+) -> PeerState {
+    let Some(reports) = gateway.load_reports.get() else { return PeerState::default() };
     let settings = &gateway.settings;
     let mut by_owner = by_owner(gateway, endpoints, subject);
     let own = settings.reports.and_then(|own| by_owner.remove(&own)).unwrap_or_default();
@@ -54,17 +58,17 @@
 /// Questions on their way.
 struct Questions<'a> {
     gateway: &'a Gateway,
-    reports: &'a Reports,
+    reports: &'a Socket,
     /// Who was asked, by the question's id.
     open: HashMap<u64, SocketAddr>,
-    answers: Receiver<(u64, Heard)>,
+    answers: Receiver<(u64, PeerState)>,
 }
 
 impl<'a> Questions<'a> {
     /// Asks each owner.
     async fn send(
         gateway: &'a Gateway,
-        reports: &'a Reports,
+        reports: &'a Socket,
         by_owner: HashMap<SocketAddr, Asked>,
     ) -> Self {
         let (tx, answers) = async_channel::bounded(by_owner.len().max(1));
@@ -80,8 +84,8 @@
     }
 
     /// The answers that come in time.
-    async fn answers(mut self) -> Heard {
-        let mut heard = Heard::default();
+    async fn answers(mut self) -> PeerState {
+        let mut heard = PeerState::default();
         let gather = async {
             while !self.open.is_empty() {
                 let Ok((id, told)) = self.answers.recv().await else { return };
--- a/crates/curranthook_gateway/src/offer.rs
+++ b/crates/curranthook_gateway/src/offer.rs
@@ -12,7 +12,7 @@
     Gateway, cascade,
     directory::{Directory, Permits, Tracked},
     load_owners,
-    load_reports::Heard,
+    load_reports::PeerState,
     pace::Pace,
     permit,
     place::{self, Candidate, Distance, Holders, Work},
@@ -101,7 +101,7 @@
     gateway: &Gateway,
     directory: &'a Directory,
     wanted: &Wanted<'_>,
-    heard: &Heard,
+    heard: &PeerState,
 ) -> Option<Offer<'a>> {
     let now = gateway.now();
     let all: Vec<&Tracked> = directory.ready(wanted.service).collect();
@@ -132,7 +132,7 @@
     renew_permits(gateway, &mut directory, wanted.service, now);
     let all: Vec<&Tracked> = directory.ready(wanted.service).collect();
     let list = eligible(&all, wanted, now);
-    let (holders, candidates) = candidates(gateway, &list, wanted, &Heard::default(), now);
+    let (holders, candidates) = candidates(gateway, &list, wanted, &PeerState::default(), now);
     let best = place::best(&candidates, &wanted.work(holders), SHORTLIST);
     best.into_iter().map(|it| list[it].entry.id.clone()).collect()
 }
@@ -209,7 +209,7 @@
     gateway: &Gateway,
     list: &[&Tracked],
     wanted: &Wanted<'_>,
-    heard: &Heard,
+    heard: &PeerState,
     now: Instant,
 ) -> (Holders, Vec<Candidate>) {
     let own = || {
@@ -231,7 +231,7 @@
 }
 
 /// The work that other nodes have waiting at an endpoint.
-fn of_others(gateway: &Gateway, id: &endpoint::Id, heard: &Heard, now: Instant) -> Duration {
+fn of_others(gateway: &Gateway, id: &endpoint::Id, heard: &PeerState, now: Instant) -> Duration {
     let heard = heard.waiting.get(id).copied();
     heard.unwrap_or_else(|| gateway.load_table.lock().waiting(id, &gateway.settings.node, now))
 }
--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -25,7 +25,7 @@
     event::Event,
     fleet_writer,
     front::Front,
-    load_reports::{self, Reports},
+    load_reports::{self, Socket},
     peers,
     settings::Settings,
     store::Table,
@@ -121,7 +121,7 @@
     }
     tasks(&gateway);
     if let Some(socket) = listeners.reports {
-        let reports = Arc::new(Reports::new(socket));
+        let reports = Arc::new(Socket::new(socket));
         let reports = Arc::clone(gateway.load_reports.get_or_init(|| reports));
         gateway.ex.spawn(load_reports::run(Arc::clone(&gateway), reports)).detach();
     }
