--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -65,7 +65,7 @@
         Ok(Operator::Order(order)) => {
             let service = order.service.clone();
             let heard = gateway.store_time();
-            gateway.rollouts.lock().ordered(order, row.rev, heard);
+            gateway.rollouts.lock().apply_order(order, row.rev, heard);
             // Steps of this order may have been read before it.
             fleet::reread(gateway, &service);
         }
--- a/crates/curranthook_gateway/src/fleet.rs
+++ b/crates/curranthook_gateway/src/fleet.rs
@@ -117,8 +117,8 @@
         Key::Step(service) => {
             let step: Step = serde_json::from_slice(value)?;
             let mut rollouts = gateway.rollouts.lock();
-            if rollouts.stepped(service, step, rev)
-                && let Some(it) = rollouts.of(service)
+            if rollouts.apply_step(service, step, rev)
+                && let Some(it) = rollouts.get(service)
             {
                 log_step(gateway, it, "seen");
             }
@@ -126,7 +126,7 @@
         Key::Evidence(_, node) if *node == gateway.settings.node => {}
         Key::Evidence(service, node) => {
             let seen: Seen = serde_json::from_slice(value)?;
-            gateway.rollouts.lock().seen_by(service, seen.order, node, seen.evidence);
+            gateway.rollouts.lock().apply_evidence(service, seen.order, node, seen.evidence);
         }
         Key::Poison(node) if *node == gateway.settings.node => {}
         Key::Poison(_) => {
--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -159,8 +159,8 @@
         match self.write(&key, Some(expected), &value, report).await? {
             Committed::Done(rev) => {
                 let mut rollouts = self.gateway.rollouts.lock();
-                rollouts.stepped(service, step, rev);
-                if let Some(it) = rollouts.of(service) {
+                rollouts.apply_step(service, step, rev);
+                if let Some(it) = rollouts.get(service) {
                     log_step(&self.gateway, it, "taken");
                 }
             }
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -283,7 +283,7 @@
         // A request that fails for a reason of its own fails again; it's evidence once.
         if !self.has_failed {
             let took = (!is_error).then_some(open.first_byte);
-            self.gateway.rollouts.lock().began(&self.service, version, self.kind(), took);
+            self.gateway.rollouts.lock().record_answer(&self.service, version, self.kind(), took);
         }
         self.has_failed |= is_error;
         if is_error {
@@ -327,7 +327,7 @@
         }
         if let Some(each) = took.checked_div(events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
-            rollouts.ended(&self.service, version, self.kind(), each);
+            rollouts.record_stream_end(&self.service, version, self.kind(), each);
         }
     }
 
--- a/crates/curranthook_gateway/src/rollouts.rs
+++ b/crates/curranthook_gateway/src/rollouts.rs
@@ -102,7 +102,7 @@
     }
 
     /// Takes in an order, heard of when the store's clock said `heard`.
-    pub fn ordered(&mut self, order: Order, rev: Rev, heard: Option<Duration>) {
+    pub fn apply_order(&mut self, order: Order, rev: Rev, heard: Option<Duration>) {
         let known = self.services.get(&order.service);
         if known.is_some_and(|it| rev <= it.order_rev) {
             return;
@@ -121,7 +121,7 @@
     }
 
     /// Takes in a step. Returns whether it's news.
-    pub fn stepped(&mut self, service: &str, step: Step, rev: Rev) -> bool {
+    pub fn apply_step(&mut self, service: &str, step: Step, rev: Rev) -> bool {
         let Some(it) = self.services.get_mut(service) else { return false };
         let is_newer = it.step.as_ref().is_none_or(|(_, known)| *known < rev);
         let is_for_order = step.order == it.order_rev;
@@ -132,7 +132,7 @@
     }
 
     /// Takes in what another node saw.
-    pub fn seen_by(&mut self, service: &str, order: Rev, node: &str, evidence: Evidence) {
+    pub fn apply_evidence(&mut self, service: &str, order: Rev, node: &str, evidence: Evidence) {
         if let Some(it) = self.services.get_mut(service)
             && it.order_rev == order
         {
@@ -146,7 +146,7 @@
     }
 
     /// The roll-out of a service.
-    pub fn of(&self, service: &str) -> Option<&Rollout> {
+    pub fn get(&self, service: &str) -> Option<&Rollout> {
         self.services.get(service)
     }
 
@@ -167,7 +167,13 @@
     }
 
     /// Takes in an answer that began. `took` is none for a failure.
-    pub fn began(&mut self, service: &str, version: &str, kind: Kind<'_>, took: Option<Duration>) {
+    pub fn record_answer(
+        &mut self,
+        service: &str,
+        version: &str,
+        kind: Kind<'_>,
+        took: Option<Duration>,
+    ) {
         let ratio = took.map(|it| self.ratio(service, version, kind, Part::First, it));
         let Some(counts) = self.counts(service, version) else { return };
         counts.answers += 1;
@@ -178,7 +184,13 @@
     }
 
     /// Takes in a stream that ended, with the time from event to event.
-    pub fn ended(&mut self, service: &str, version: &str, kind: Kind<'_>, each: Duration) {
+    pub fn record_stream_end(
+        &mut self,
+        service: &str,
+        version: &str,
+        kind: Kind<'_>,
+        each: Duration,
+    ) {
         let ratio = self.ratio(service, version, kind, Part::Rest, each);
         if let Some(counts) = self.counts(service, version) {
             counts.rest.add(ratio);
--- a/crates/curranthook_gateway/tests/steps.rs
+++ b/crates/curranthook_gateway/tests/steps.rs
@@ -146,17 +146,17 @@
 #[test]
 fn a_node_that_sees_failures_stops_by_itself() {
     let mut rollouts = Rollouts::new(Plan::new(0.15));
-    rollouts.ordered(order(Duration::from_secs(24)), Rev(1), None);
-    assert!(rollouts.stepped("models", step(Phase::Full, Duration::ZERO), Rev(2)));
+    rollouts.apply_order(order(Duration::from_secs(24)), Rev(1), None);
+    assert!(rollouts.apply_step("models", step(Phase::Full, Duration::ZERO), Rev(2)));
     assert_eq!(rollouts.rule("models", 7), Rule::Only("v2".to_owned()));
     let kind = Kind { route: "r", model: 0 };
     for n in 0..8 {
         let took = (n % 2 == 0).then_some(Duration::from_millis(50));
-        rollouts.began("models", "v1", kind, Some(Duration::from_millis(50)));
-        rollouts.began("models", "v2", kind, took);
+        rollouts.record_answer("models", "v1", kind, Some(Duration::from_millis(50)));
+        rollouts.record_answer("models", "v2", kind, took);
     }
     for _ in 0..20 {
-        rollouts.began("models", "v1", kind, Some(Duration::from_millis(50)));
+        rollouts.record_answer("models", "v1", kind, Some(Duration::from_millis(50)));
     }
     assert_eq!(rollouts.rule("models", 7), Rule::Not("v2".to_owned()));
 }
