--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -238,7 +238,7 @@
         report: Option<&Report>,
     ) -> Result<Committed, Error> {
         let result = self.gateway.store.commit(Commit { key, expected, value, report }).await;
-        self.gateway.metrics.store_call(Table::Fleet, &result);
+        self.gateway.metrics.record_store_call(Table::Fleet, &result);
         if let Err(e) = &result {
             let why = format!("{key}: {e}");
             let (name, state) = ("store", "write_failed");
--- a/crates/curranthook_gateway/src/front.rs
+++ b/crates/curranthook_gateway/src/front.rs
@@ -154,7 +154,7 @@
     headers.remove(header::CONTENT_LENGTH);
     let status = open.reply.status;
     let took = job.gateway.now().saturating_duration_since(job.ask.since);
-    job.gateway.metrics.first_byte(took);
+    job.gateway.metrics.record_first_byte(took);
     Ok(respond(status, headers, stream::body(job, open)))
 }
 
@@ -167,7 +167,7 @@
 
 /// The answer that says why there is none.
 fn refuse(gateway: &Gateway, refusal: &Refusal) -> Response<Body> {
-    gateway.metrics.refused(refusal.reason);
+    gateway.metrics.record_refusal(refusal.reason);
     let text = serde_json::json!({ "error": refusal.reason.name() });
     let mut res = body::json(refusal.status.as_u16(), &text);
     gateway.dialect.refused(refusal, res.headers_mut());
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -297,7 +297,7 @@
         if let Some(it) = self.models.current() {
             let lease = &open.lease;
             if let Some(expected) = lease.expected {
-                self.gateway.metrics.estimated(expected, open.first_byte);
+                self.gateway.metrics.record_estimate(expected, open.first_byte);
             }
             let first = First {
                 prompt: lease.prompt,
@@ -368,7 +368,7 @@
             // Endpoints that ended while they ran it had another reason, then.
             self.gateway.poison.lock().release(self.ask.fingerprint);
         }
-        self.gateway.metrics.ended(outcome, took);
+        self.gateway.metrics.record_ended(outcome, took);
         self.gateway.log.write(&Event::Ended {
             request: &self.ask.head.id,
             route: &self.route.name,
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -50,7 +50,7 @@
         if MAX_REJECTIONS <= self.rejections || is_spent {
             return Next::Respond(self.refusal(reason).with_retry_after(RETRY_FULL));
         }
-        self.gateway.metrics.retried(failed.cause.name());
+        self.gateway.metrics.record_retry(failed.cause.name());
         Next::Retry
     }
 
@@ -90,7 +90,7 @@
             self.not_repeated("budget");
             return false;
         }
-        self.gateway.metrics.retried(why);
+        self.gateway.metrics.record_retry(why);
         true
     }
 
--- a/crates/curranthook_gateway/src/load_reports/questions.rs
+++ b/crates/curranthook_gateway/src/load_reports/questions.rs
@@ -91,7 +91,7 @@
                 let Ok((id, told)) = self.answers.recv().await else { return };
                 if let Some(addr) = self.open.remove(&id) {
                     self.gateway.load_owners.lock().answered(addr);
-                    self.gateway.metrics.asked("answered");
+                    self.gateway.metrics.record_query("answered");
                 }
                 heard.extend(told);
             }
@@ -106,7 +106,7 @@
     fn close(self) {
         for addr in self.open.values() {
             self.gateway.load_owners.lock().missed(*addr, self.gateway.now());
-            self.gateway.metrics.asked("unanswered");
+            self.gateway.metrics.record_query("unanswered");
         }
     }
 }
--- a/crates/curranthook_gateway/src/metrics.rs
+++ b/crates/curranthook_gateway/src/metrics.rs
@@ -103,34 +103,34 @@
     }
 
     /// Counts a request that ended.
-    pub fn ended(&self, outcome: &'static str, took: Duration) {
+    pub fn record_ended(&self, outcome: &'static str, took: Duration) {
         self.ended.get_or_create(&Label { name: outcome }).inc();
         self.whole.observe(took.as_secs_f64());
     }
 
     /// Counts a request that the node ended by itself.
-    pub fn refused(&self, reason: refusal::Reason) {
+    pub fn record_refusal(&self, reason: refusal::Reason) {
         self.refusals.get_or_create(&Label { name: reason.name() }).inc();
     }
 
     /// Counts a further attempt.
-    pub fn retried(&self, reason: &'static str) {
+    pub fn record_retry(&self, reason: &'static str) {
         self.retries.get_or_create(&Label { name: reason }).inc();
     }
 
     /// Notes when the first byte of an answer came.
-    pub fn first_byte(&self, took: Duration) {
+    pub fn record_first_byte(&self, took: Duration) {
         self.first_byte.observe(took.as_secs_f64());
     }
 
     /// Notes how far off the time was in which a first event was expected.
-    pub fn estimated(&self, expected: Duration, took: Duration) {
+    pub fn record_estimate(&self, expected: Duration, took: Duration) {
         let error = took.abs_diff(expected).as_secs_f64();
         self.estimate_error.observe(error / expected.as_secs_f64().max(f64::MIN_POSITIVE));
     }
 
     /// Counts a call to the store.
-    pub fn store_call<T>(&self, table: store::Table, result: &Result<T, store::Error>) {
+    pub fn record_store_call<T>(&self, table: store::Table, result: &Result<T, store::Error>) {
         let table = match table {
             store::Table::Operator => "operator",
             store::Table::Endpoints => "endpoints",
@@ -148,7 +148,7 @@
     }
 
     /// Counts a question about the work that waits at endpoints: answered in time, or not.
-    pub fn asked(&self, result: &'static str) {
+    pub fn record_query(&self, result: &'static str) {
         self.questions.get_or_create(&Label { name: result }).inc();
     }
 
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -163,7 +163,7 @@
     }
 
     fn broken(&mut self, refusal: Refusal) -> Broken {
-        self.job.gateway.metrics.refused(refusal.reason);
+        self.job.gateway.metrics.record_refusal(refusal.reason);
         self.end("broke_off", Outcome::Abandoned);
         Broken(refusal)
     }
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -325,7 +325,7 @@
         Some((since, wait)) => store.changes(table, since, wait).await,
         None => store.all(table).await,
     };
-    gateway.metrics.store_call(table, &result);
+    gateway.metrics.record_store_call(table, &result);
     if result.is_ok() && table == Table::Operator {
         let now = gateway.now();
         gateway.mirror.lock().confirm(now);
