--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -113,8 +113,8 @@
         let next = match &it.step {
             None => Some(Phase::Waiting),
             Some((step, _)) => {
-                let plan = *self.gateway.rollouts.lock().plan();
-                steps::due(&plan, &it.order, step, it.evidence(), now)
+                let schedule = *self.gateway.rollouts.lock().schedule();
+                steps::due(&schedule, &it.order, step, it.evidence(), now)
             }
         };
         let Some(phase) = next else {
--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -35,7 +35,7 @@
     settings::Settings,
     signal::Signal,
     starting::Waiting,
-    steps::Plan,
+    steps::Schedule,
     store::{Decoder, Rev, Store, Table},
     unknown_headers::UnknownHeaders,
 };
@@ -157,7 +157,7 @@
         let pool = pool.with_connect_timeout(CONNECT).with_liveness(UNACKED);
         Arc::new(Self {
             pool,
-            rollouts: Mutex::new(Rollouts::new(Plan::new(settings.max_exposure))),
+            rollouts: Mutex::new(Rollouts::new(Schedule::new(settings.max_exposure))),
             budget: Mutex::new(Budget::new(settings.retries)),
             poison: Mutex::new(Register::new(POISON_CAPACITY)),
             ex,
--- a/crates/curranthook_gateway/src/rollouts.rs
+++ b/crates/curranthook_gateway/src/rollouts.rs
@@ -5,7 +5,7 @@
 use curranthook_policy::hash;
 
 use crate::{
-    steps::{Counts, Evidence, Phase, Plan, Step},
+    steps::{Counts, Evidence, Phase, Schedule, Step},
     store::{Order, Rev},
 };
 
@@ -17,7 +17,7 @@
 /// Roll-outs by service.
 #[derive(Debug)]
 pub struct Rollouts {
-    plan: Plan,
+    schedule: Schedule,
     services: HashMap<String, Rollout>,
     /// The logarithm of the usual time in milliseconds, by route, model and part of the answer.
     usual: HashMap<(String, usize, Part), f64>,
@@ -91,14 +91,14 @@
 }
 
 impl Rollouts {
-    /// None yet; all will follow `plan`.
-    pub fn new(plan: Plan) -> Self {
-        Self { plan, services: HashMap::new(), usual: HashMap::new() }
+    /// None yet; all will follow `schedule`.
+    pub fn new(schedule: Schedule) -> Self {
+        Self { schedule, services: HashMap::new(), usual: HashMap::new() }
     }
 
     /// The schedule of all roll-outs.
-    pub fn plan(&self) -> &Plan {
-        &self.plan
+    pub fn schedule(&self) -> &Schedule {
+        &self.schedule
     }
 
     /// Takes in an order, heard of when the store's clock said `heard`.
@@ -159,7 +159,7 @@
         // Steps of the whole fleet take their time, more so while the store is away; a node that
         // knows better doesn't wait for them.
         let is_suspect = !it.phase().is_final() && it.evidence().is_bad();
-        if !is_suspect && place < self.plan.share(it.phase()) {
+        if !is_suspect && place < self.schedule.share(it.phase()) {
             Rule::Only(target.clone())
         } else {
             Rule::Not(target.clone())
--- a/crates/curranthook_gateway/src/steps.rs
+++ b/crates/curranthook_gateway/src/steps.rs
@@ -18,7 +18,7 @@
 /// end. Until half the time is over none go there, as sessions under way would have to change
 /// their version early on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Plan {
+pub struct Schedule {
     /// The largest share of a service's requests that a bad version may get in all.
     exposure: f64,
 }
@@ -37,14 +37,14 @@
 /// the bound.
 const CANARY: (f64, f64) = (0.3, 0.26);
 
-impl Plan {
+impl Schedule {
     /// A schedule for a bound on exposure.
     ///
     /// ```
-    /// # use curranthook_gateway::steps::{Phase, Plan};
-    /// let plan = Plan::new(0.15);
-    /// assert!(plan.exposure() < 0.15);
-    /// assert!(plan.share(Phase::Canary) < plan.share(Phase::Partial));
+    /// # use curranthook_gateway::steps::{Phase, Schedule};
+    /// let schedule = Schedule::new(0.15);
+    /// assert!(schedule.exposure() < 0.15);
+    /// assert!(schedule.share(Phase::Canary) < schedule.share(Phase::Partial));
     /// ```
     pub fn new(exposure: f64) -> Self {
         Self { exposure }
@@ -313,7 +313,7 @@
 
 /// The phase that is due, if it's another than the present one. `now` is the store's clock.
 pub fn due(
-    plan: &Plan,
+    schedule: &Schedule,
     order: &Order,
     step: &Step,
     evidence: Evidence,
@@ -332,11 +332,11 @@
         Phase::Full => Phase::Completed,
         Phase::Completed | Phase::RolledBack => return None,
     };
-    let elapsed = now.saturating_sub(step.began).as_secs_f64() / order.within.as_secs_f64();
+    let elapsed = now.saturating_sub(step.began).as_secs_f64() / order.time_limit.as_secs_f64();
     let is_known = match next {
         Phase::Partial => evidence.seems_good(MIN_ANSWERS.0),
         Phase::Full | Phase::Completed => evidence.seems_good(MIN_ANSWERS.1),
         _ => true,
     };
-    (plan.begins(next) <= elapsed && is_known).then_some(next)
+    (schedule.begins(next) <= elapsed && is_known).then_some(next)
 }
--- a/crates/curranthook_gateway/src/store.rs
+++ b/crates/curranthook_gateway/src/store.rs
@@ -151,7 +151,7 @@
     /// The new version.
     pub target: String,
     /// How long it may take.
-    pub within: Duration,
+    pub time_limit: Duration,
 }
 
 /// Decodes rows that others wrote.
