--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -17,7 +17,7 @@
     Gateway,
     dialect::{self, Execution, Outgoing, Reply, Seal},
     directory::Outcome,
-    document::Repeat,
+    document::RetryPolicy,
     event::Event,
     lease::{Completeness, Lease},
     request::Request,
@@ -105,7 +105,7 @@
 pub async fn run(
     gateway: &Arc<Gateway>,
     request: &Request,
-    repeat: Repeat,
+    retry_policy: RetryPolicy,
     mut lease: Lease,
     outgoing: &Outgoing<'_>,
 ) -> Result<Exchange, Failure> {
@@ -113,19 +113,19 @@
     // What can't be repeated is never trusted to a kept connection: the endpoint may be closing
     // it, or something between may have lost it, and nobody could tell whether it ran.
     let freshness =
-        if repeat.is_repeatable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
+        if retry_policy.is_retryable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
     let outbound = gateway.dialect.build_request(request, outgoing);
     let mut conn = match gateway.pool.take(lease.addr, freshness).await {
         Ok(conn) => conn,
         Err(_nothing_sent) => {
-            lease.close(Outcome::NoConnection);
+            lease.close(Outcome::ConnectFailed);
             return Err(not_run(Cause::Connect));
         }
     };
-    if !repeat.is_repeatable()
+    if !retry_policy.is_retryable()
         && let Err(_nothing_sent) = conn.settle(SETTLE_TIME).await
     {
-        lease.close(Outcome::Unreachable);
+        lease.close(Outcome::ConnectionLost);
         return Err(not_run(Cause::Connect));
     }
     let limit = request.time_left(gateway.now());
@@ -133,7 +133,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(e)) => return Err(send_failure(lease, &conn, &e, elapsed(sent_at, gateway.now()))),
         Err(timeout::Elapsed) => {
-            lease.close(Outcome::Dropped);
+            lease.close(Outcome::Abandoned);
             return Err(may_have_run(Cause::Timeout));
         }
     };
@@ -174,16 +174,16 @@
     elapsed_time: Duration,
 ) -> Failure {
     if error.is_unsent() {
-        lease.close(Outcome::Dropped);
+        lease.close(Outcome::Abandoned);
         return not_run(Cause::StaleConnection);
     }
     if conn.is_reused() && elapsed_time < STALE_DETECTION_TIME {
         // Closed in the moment of use, most likely; that says nothing against the endpoint. Later,
         // the endpoint had the request and lost its answer.
-        lease.close(Outcome::Dropped);
+        lease.close(Outcome::Abandoned);
         return may_have_run(Cause::StaleConnection);
     }
-    lease.close(Outcome::Unreachable);
+    lease.close(Outcome::ConnectionLost);
     may_have_run(Cause::Disconnected)
 }
 
@@ -204,10 +204,10 @@
 fn outcome(cause: Cause) -> Outcome {
     match cause {
         Cause::Full => Outcome::Full,
-        Cause::Misdirected => Outcome::Gone,
-        Cause::Connect => Outcome::NoConnection,
-        Cause::Disconnected => Outcome::Unreachable,
-        Cause::StaleConnection | Cause::WrongRequest | Cause::Timeout => Outcome::Dropped,
+        Cause::Misdirected => Outcome::AddressReused,
+        Cause::Connect => Outcome::ConnectFailed,
+        Cause::Disconnected => Outcome::ConnectionLost,
+        Cause::StaleConnection | Cause::WrongRequest | Cause::Timeout => Outcome::Abandoned,
         Cause::Unsealed | Cause::Error => Outcome::Failed,
     }
 }
@@ -227,10 +227,11 @@
 impl Exchange {
     /// Takes the connection back into use if the endpoint keeps it, once the answer was read to
     /// its end.
-    pub fn finish(self, gateway: &Gateway, repeat: Repeat, outcome: Outcome) {
+    pub fn finish(self, gateway: &Gateway, retry_policy: RetryPolicy, outcome: Outcome) {
         if matches!(self.reply.connection, dialect::Connection::KeepAlive(_)) {
             // Requests that can't be repeated leave connections behind and never take one of them.
-            let max_idle = if repeat.is_repeatable() { usize::MAX } else { self.lease.max_idle };
+            let max_idle =
+                if retry_policy.is_retryable() { usize::MAX } else { self.lease.max_idle };
             gateway.pool.put_within(self.conn, max_idle);
         }
         self.lease.close(outcome);
--- a/crates/curranthook_gateway/src/lead.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -51,17 +51,17 @@
 
 /// Writes what is due for as long as the process lives.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut lead =
-        Lead { gateway, due: HashMap::new(), written: HashMap::new(), poison: (0, None) };
-    lead.announce().await;
+    let mut writer =
+        Writer { gateway, due: HashMap::new(), written: HashMap::new(), poison: (0, None) };
+    writer.announce().await;
     loop {
         Timer::after(PERIOD).await;
-        lead.roll_outs().await;
-        lead.poison().await;
+        writer.roll_outs().await;
+        writer.poison().await;
     }
 }
 
-struct Lead {
+struct Writer {
     gateway: Arc<Gateway>,
     /// Since when a step of a service is due, by the store's clock.
     due: HashMap<String, (Phase, Duration)>,
@@ -71,7 +71,7 @@
     poison: (usize, Option<Instant>),
 }
 
-impl Lead {
+impl Writer {
     async fn announce(&self) {
         let Some(peers) = self.gateway.settings.peers else { return };
         let value = {
@@ -83,7 +83,7 @@
         if self.gateway.settings.is_first_start {
             Timer::after(ANNOUNCE_SPREAD.mul_f64(rand::random())).await;
         } else {
-            self.gateway.members_known(MEMBERS_LIMIT).await;
+            self.gateway.wait_for_members(MEMBERS_LIMIT).await;
         }
         loop {
             // Nothing to do if an earlier process of this node wrote the same.
@@ -113,8 +113,8 @@
         let next = match &it.step {
             None => Some(Phase::Waiting),
             Some((step, _)) => {
-                let plan = *self.gateway.rollouts.lock().plan();
-                steps::due(&plan, &it.order, step, it.evidence(), now)
+                let schedule = *self.gateway.rollouts.lock().schedule();
+                steps::due(&schedule, &it.order, step, it.evidence(), now)
             }
         };
         let Some(phase) = next else {
@@ -159,8 +159,8 @@
         match self.write(&key, Some(expected), &value, report).await? {
             Committed::Done(rev) => {
                 let mut rollouts = self.gateway.rollouts.lock();
-                rollouts.stepped(service, step, rev);
-                if let Some(it) = rollouts.of(service) {
+                rollouts.apply_step(service, step, rev);
+                if let Some(it) = rollouts.get(service) {
                     log_step(&self.gateway, it, "taken");
                 }
             }
@@ -238,7 +238,7 @@
         report: Option<&Report>,
     ) -> Result<Committed, Error> {
         let result = self.gateway.store.commit(Commit { key, expected, value, report }).await;
-        self.gateway.metrics.store_call(Table::Fleet, &result);
+        self.gateway.metrics.record_store_call(Table::Fleet, &result);
         if let Err(e) = &result {
             let why = format!("{key}: {e}");
             let (name, state) = ("store", "write_failed");
--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -11,7 +11,7 @@
     Gateway,
     document::Denied,
     event::Event,
-    gateway::Current,
+    gateway::Configuration,
     job::{End, Job, millis},
     refusal::{Reason, Refusal, Started},
     request, startup, stream, unary,
@@ -64,7 +64,7 @@
             status: refusal.status.as_u16(),
             reason: refusal.reason.name(),
             retry_after_ms: refusal.retry_after.map(millis),
-            configuration: gateway.current.load().as_ref().map(|it| it.document.version),
+            configuration: gateway.configuration.load().as_ref().map(|it| it.document.version),
             in_flight: gateway.in_flight(),
         });
     }
@@ -82,7 +82,7 @@
             refuse(Reason::Invalid)
         })?;
         startup::wait(gateway, head.timeout).await;
-        let Some(current) = gateway.current.load_full() else {
+        let Some(current) = gateway.configuration.load_full() else {
             return Err(startup::refusal(gateway));
         };
         // Before the body: whoever may not call at all isn't read any further.
@@ -96,7 +96,7 @@
             }
         };
         // Once more: a body may take its time, and the configuration may change meanwhile.
-        let current = gateway.current.load_full().unwrap_or(current);
+        let current = gateway.configuration.load_full().unwrap_or(current);
         let (route, account) = admit(&current, &head)?;
         let timeout = head.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
@@ -109,7 +109,7 @@
 }
 
 fn admit(
-    current: &Current,
+    current: &Configuration,
     head: &request::Head,
 ) -> Result<(Arc<crate::document::Route>, Option<crate::document::Account>), Refusal> {
     let admitted = current.document.admit(&head.host, head.uri.path(), head.api_key.as_deref());
@@ -125,7 +125,7 @@
 
 async fn answer(mut job: Job) -> Result<Response<Body>, Refusal> {
     let gateway = Arc::clone(&job.gateway);
-    let result = if job.route.repeat.is_stream() {
+    let result = if job.route.retry_policy.is_stream() {
         open_stream(job).await
     } else {
         match unary::read(&mut job).await {
@@ -153,7 +153,7 @@
     headers.remove(header::CONTENT_LENGTH);
     let status = exchange.reply.status;
     let took = job.gateway.now().saturating_duration_since(job.request.received_at);
-    job.gateway.metrics.first_byte(took);
+    job.gateway.metrics.record_first_byte(took);
     Ok(respond(status, headers, stream::body(job, exchange)))
 }
 
@@ -166,7 +166,7 @@
 
 /// The answer that says why there is none.
 fn refuse(gateway: &Gateway, refusal: &Refusal) -> Response<Body> {
-    gateway.metrics.refused(refusal.reason);
+    gateway.metrics.record_refusal(refusal.reason);
     let text = serde_json::json!({ "error": refusal.reason.name() });
     let mut res = body::json(refusal.status.as_u16(), &text);
     gateway.dialect.add_refusal_headers(refusal, res.headers_mut());
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -16,10 +16,10 @@
     directory::Outcome,
     document::Route,
     event::Event,
-    gateway::{Current, InFlight},
+    gateway::{Configuration, InFlight},
     latency::{Estimate, FirstEvent},
     lease::Lease,
-    load_reports::{self, Heard},
+    load_reports::{self, PeerState},
     models::{Candidate, Models},
     refusal::{Reason, Refusal, Started},
     request::{Model, Request},
@@ -83,7 +83,7 @@
     has_errored: bool,
     configuration_version: u64,
     /// What other nodes told while the next attempt was decided on.
-    peer_reports: Option<Heard>,
+    peer_reports: Option<PeerState>,
     _in_flight: InFlight,
 }
 
@@ -91,7 +91,7 @@
     /// A request that was let in.
     pub fn new(
         gateway: &Arc<Gateway>,
-        current: &Current,
+        current: &Configuration,
         request: Request,
         route: Arc<Route>,
         account: Option<account::Id>,
@@ -116,7 +116,7 @@
             has_errored: false,
             configuration_version: current.document.version,
             peer_reports: None,
-            _in_flight: gateway.enter(),
+            _in_flight: gateway.track_request(),
             gateway: Arc::clone(gateway),
             request,
             route,
@@ -200,12 +200,12 @@
 
     /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
     /// have told already.
-    async fn query_peers(&self, criteria: &Criteria<'_>) -> Heard {
-        let mut peer_reports = Heard::default();
+    async fn query_peers(&self, criteria: &Criteria<'_>) -> PeerState {
+        let mut peer_reports = PeerState::default();
         for _ in 0..MAX_QUERY_ROUNDS {
             let shortlist = selection::shortlist(&self.gateway, criteria);
             if shortlist.is_empty() {
-                return Heard::default();
+                return PeerState::default();
             }
             peer_reports = self.query_owners(shortlist, criteria.prefix_hash).await;
             if peer_reports.unreachable.is_empty() {
@@ -213,7 +213,7 @@
             }
             let now = self.gateway.now();
             let mut directory = self.gateway.directory.lock();
-            peer_reports.unreachable.iter().for_each(|it| directory.avoid(it, now));
+            peer_reports.unreachable.iter().for_each(|it| directory.eject(it, now));
             // One that can be reached is enough.
             if peer_reports.waiting.keys().any(|it| !peer_reports.unreachable.contains(it)) {
                 break;
@@ -222,13 +222,17 @@
         peer_reports
     }
 
-    async fn query_owners(&self, shortlist: Vec<endpoint::Id>, prefix_hash: Option<u64>) -> Heard {
-        let mut peer_reports = load_reports::ask(&self.gateway, shortlist, prefix_hash).await;
+    async fn query_owners(
+        &self,
+        shortlist: Vec<endpoint::Id>,
+        prefix_hash: Option<u64>,
+    ) -> PeerState {
+        let mut peer_reports = load_reports::query(&self.gateway, shortlist, prefix_hash).await;
         let is_unreported = |it: &endpoint::Id| !peer_reports.waiting.contains_key(it);
         let holders = peer_reports.holders.iter().flatten();
         let unreported: Vec<_> = holders.filter(|it| is_unreported(it)).cloned().collect();
         if !unreported.is_empty() {
-            let holder_reports = load_reports::ask(&self.gateway, unreported, None).await;
+            let holder_reports = load_reports::query(&self.gateway, unreported, None).await;
             peer_reports.waiting.extend(holder_reports.waiting);
             peer_reports.unreachable.extend(holder_reports.unreachable);
         }
@@ -280,7 +284,7 @@
             left_ms: millis(outgoing.time_left),
             configuration: self.configuration_version,
         });
-        attempt::run(&self.gateway, &self.request, self.route.repeat, lease, &outgoing).await
+        attempt::run(&self.gateway, &self.request, self.route.retry_policy, lease, &outgoing).await
     }
 
     /// Whether the caller gets this answer; if not, another attempt follows.
@@ -289,11 +293,11 @@
         // A request that fails for a reason of its own fails again; it's evidence once.
         if !self.has_errored {
             let took = (!is_error).then_some(exchange.first_byte);
-            self.gateway.rollouts.lock().began(&self.service, version, self.kind(), took);
+            self.gateway.rollouts.lock().record_answer(&self.service, version, self.kind(), took);
         }
         self.has_errored |= is_error;
         if is_error {
-            if self.route.repeat.is_repeatable() && self.try_rerun("error") {
+            if self.route.retry_policy.is_retryable() && self.try_rerun("error") {
                 self.tried.push(exchange.lease.id.clone());
                 exchange.close(Outcome::Failed);
                 return None;
@@ -303,7 +307,7 @@
         if let Some(it) = self.models.current() {
             let lease = &exchange.lease;
             if let Some(expected) = lease.expected_first_event {
-                self.gateway.metrics.estimated(expected, exchange.first_byte);
+                self.gateway.metrics.record_estimate(expected, exchange.first_byte);
             }
             let first_event = FirstEvent {
                 prompt: lease.prompt,
@@ -338,7 +342,7 @@
         }
         if let Some(interval) = took.checked_div(n_events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
-            rollouts.ended(&self.service, version, self.kind(), interval);
+            rollouts.record_stream_end(&self.service, version, self.kind(), interval);
         }
     }
 
@@ -379,7 +383,7 @@
             // Endpoints that ended while they ran it had another reason, then.
             self.gateway.poison.lock().release(self.request.fingerprint);
         }
-        self.gateway.metrics.ended(outcome, took);
+        self.gateway.metrics.record_ended(outcome, took);
         self.gateway.log.write(&Event::Ended {
             request: &self.request.head.id,
             route: &self.route.name,
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -6,7 +6,7 @@
 use crate::{
     cascade::{self, Forecast, Targets},
     event::Event,
-    load_reports::Heard,
+    load_reports::PeerState,
     models::Candidate,
     rollouts::Rule,
     selection,
@@ -15,12 +15,12 @@
 impl Job {
     /// Whether the largest model is asked in place of the one that has begun.
     pub(super) async fn try_escalate(&mut self, confidence: Option<u8>) -> bool {
-        let can_repeat = self.route.repeat.is_repeatable() && self.last_event_id.is_none();
+        let can_repeat = self.route.retry_policy.is_retryable() && self.last_event_id.is_none();
         let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session_hash());
         // Work of other nodes only delays the larger model, so most answers are kept without asking.
-        if self.better_forecast(confidence, &rule, &Heard::default()).is_none() {
+        if self.better_forecast(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
         let peer_reports = self.query_peers(&self.criteria(&rule, Some(large))).await;
@@ -48,12 +48,12 @@
         &self,
         confidence: u8,
         rule: &Rule,
-        peer_reports: &Heard,
+        peer_reports: &PeerState,
     ) -> Option<Forecast> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
         let targets = Targets {
-            objective: self.route.objective,
+            objective: self.route.latency_target,
             deadline: self.request.deadline.saturating_duration_since(self.request.received_at),
         };
         let large_first_event = elapsed + self.first_event(rule, large, peer_reports)?;
@@ -68,7 +68,7 @@
         &self,
         rule: &Rule,
         model: &Candidate,
-        peer_reports: &Heard,
+        peer_reports: &PeerState,
     ) -> Option<Duration> {
         let criteria = self.criteria(rule, Some(model));
         let directory = self.gateway.directory.lock();
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -50,7 +50,7 @@
         if MAX_REJECTIONS <= self.n_rejections || is_budget_spent {
             return Next::Respond(self.refusal(reason).with_retry_after(RETRY_AFTER_FULL));
         }
-        self.gateway.metrics.retried(failure.cause.name());
+        self.gateway.metrics.record_retry(failure.cause.name());
         Next::Retry
     }
 
@@ -73,7 +73,7 @@
         if self.gateway.poison.lock().is_poison(self.request.fingerprint, now) {
             return Next::Respond(self.refusal(Reason::Poison));
         }
-        if !self.route.repeat.is_repeatable() || !self.try_rerun(failure.cause.name()) {
+        if !self.route.retry_policy.is_retryable() || !self.try_rerun(failure.cause.name()) {
             return Next::Respond(self.refusal(Reason::EndpointFailed));
         }
         Next::Retry
@@ -94,13 +94,13 @@
             self.log_not_repeated("budget");
             return false;
         }
-        self.gateway.metrics.retried(why);
+        self.gateway.metrics.record_retry(why);
         true
     }
 
     /// Charges the request with the end of `endpoint`, if that no longer takes connections.
     async fn charge_poison(&self, endpoint: &endpoint::Id) {
-        let addr = self.gateway.directory.lock().tracked(endpoint).map(|it| it.entry.addr);
+        let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
         let connect = self.gateway.pool.take(addr, Freshness::New);
         if let Ok(Ok(conn)) = timeout::run(PROBE_TIMEOUT, connect).await {
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -6,14 +6,14 @@
 
 use crate::{
     Gateway,
-    advertised::Start,
+    advertised::Incarnation,
     affinity::Record,
     connections,
     dialect::{Load, Reply},
     directory::Outcome,
     entry::State,
     event::Event,
-    load_reports::Heard,
+    load_reports::PeerState,
     prefill::Prompt,
     rate_limit,
     selection::{self, Choice, Criteria},
@@ -59,11 +59,11 @@
     pub fn acquire(
         gateway: &Arc<Gateway>,
         criteria: &Criteria<'_>,
-        peer_reports: &Heard,
+        peer_reports: &PeerState,
     ) -> Option<Self> {
         let now = gateway.now();
         let mut directory = gateway.directory.lock();
-        directory.sweep(now);
+        directory.remove_lapsed(now);
         selection::renew_permits(gateway, &mut directory, criteria.service, now);
         let choice = selection::best(gateway, &directory, criteria, peer_reports)?;
         let Choice { prompt, outstanding, queue_delay, .. } = choice;
@@ -72,14 +72,14 @@
         let pending_prefill =
             latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
         let entry = choice.endpoint.entry.clone();
-        directory.started(&entry.id, pending_prefill, now);
+        directory.request_sent(&entry.id, pending_prefill, now);
         if let Some(prefix_hash) = criteria.prefix_hash {
             gateway.affinity.lock().record(prefix_hash, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
-                reports.read(Record { prefix_hash, endpoint: entry.id.clone() });
+                reports.queue_read(Record { prefix_hash, endpoint: entry.id.clone() });
             }
         }
-        gateway.waiting_changed.wake();
+        gateway.pending_work_changed.wake();
         let max_connections = gateway.service(criteria.service, |it| it.max_connections);
         let max_idle = max_connections.map(|it| connections::max_idle(it, gateway.n_nodes()));
         Some(Self {
@@ -94,28 +94,29 @@
             expected_first_event,
             max_idle: max_idle.unwrap_or(usize::MAX),
             pending_prefill,
-            outcome: Outcome::Dropped,
+            outcome: Outcome::Abandoned,
         })
     }
 
     /// Takes in what the endpoint says of itself in an answer.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
-        let start = Start { id: self.id.clone(), addr: self.addr, born: self.started_ms };
+        let incarnation =
+            Incarnation { id: self.id.clone(), addr: self.addr, born: self.started_ms };
         let (endpoint, now) = (self.id.as_str(), self.gateway.now());
         let at = self.gateway.store_time().unwrap_or_default();
         let notice = rate_limit::Notice { rate: reply.rate_limit, at };
         let mut directory = self.gateway.directory.lock();
-        if reply.state == State::Leaving && directory.set_leaving(&start, now) {
+        if reply.state == State::Leaving && directory.set_leaving(&incarnation, now) {
             self.gateway.log.write(&Event::Leaving { endpoint, from: "answer" });
         }
         if let Some(length) = reply.pause {
-            directory.pause(&start, length, now);
+            directory.pause(&incarnation, length, now);
             let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
             self.gateway.log.write(&Event::Paused { endpoint, length_ms });
         }
         // An answer that went wrong may lack what its endpoint says in all others.
         let states_limit = completeness == Completeness::Whole || notice.rate.is_some();
-        let is_changed = states_limit && directory.set_rate_limit(&start, &notice, now);
+        let is_changed = states_limit && directory.set_rate_limit(&incarnation, &notice, now);
         drop(directory);
         if is_changed {
             self.report_rate_limit(notice);
@@ -126,8 +127,8 @@
         let (endpoint, rate) = (self.id.as_str(), notice.rate);
         self.gateway.log.write(&Event::RateLimit { endpoint, rate, from: "answer" });
         if let Some(reports) = self.gateway.load_reports.get() {
-            reports.limit(&self.id, notice);
-            self.gateway.waiting_changed.wake();
+            reports.queue_limit(&self.id, notice);
+            self.gateway.pending_work_changed.wake();
         }
     }
 
@@ -135,8 +136,8 @@
     pub fn record_first_byte(&mut self, load: Option<Load>) {
         let now = self.gateway.now();
         let pending_prefill = std::mem::take(&mut self.pending_prefill);
-        self.gateway.directory.lock().began(&self.id, pending_prefill, load, now);
-        self.gateway.waiting_changed.wake();
+        self.gateway.directory.lock().first_byte_received(&self.id, pending_prefill, load, now);
+        self.gateway.pending_work_changed.wake();
     }
 
     /// Gives it back.
@@ -149,14 +150,14 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut directory = self.gateway.directory.lock();
-        directory.finished(&self.id, self.outcome, self.pending_prefill, now);
-        let is_lost = matches!(self.outcome, Outcome::NoConnection | Outcome::Gone);
+        directory.request_ended(&self.id, self.outcome, self.pending_prefill, now);
+        let is_lost = matches!(self.outcome, Outcome::ConnectFailed | Outcome::AddressReused);
         if is_lost
-            && directory.reaches_others(now)
+            && directory.has_recent_answer(now)
             && let Some(reports) = self.gateway.load_reports.get()
         {
-            reports.unreachable(self.id.clone());
-            self.gateway.waiting_changed.wake();
+            reports.queue_unreachable(self.id.clone());
+            self.gateway.pending_work_changed.wake();
         }
     }
 }
--- a/crates/curranthook_gateway/src/retry_schedule.rs
+++ b/crates/curranthook_gateway/src/retry_schedule.rs
@@ -10,21 +10,21 @@
 
 /// The times that were told, by service.
 #[derive(Debug, Default)]
-pub struct Schedule {
+pub struct Reservations {
     last_slots: HashMap<String, Instant>,
 }
 
-impl Schedule {
+impl Reservations {
     /// Books a time for a caller, if this node may send the service `rate` requests a second. Each is told
     /// one of its own, so that not all come back at once to find the same few places taken.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
-    /// # use curranthook_gateway::retry_schedule::Schedule;
-    /// let (mut schedule, now, s) = (Schedule::default(), Instant::now(), Duration::from_secs(1));
-    /// assert_eq!(schedule.reserve("engines", 0.5, now), 2 * s);
-    /// assert_eq!(schedule.reserve("engines", 0.5, now), 4 * s);
-    /// assert_eq!(schedule.reserve("engines", 0.5, now + 5 * s), 2 * s);
+    /// # use curranthook_gateway::retry_schedule::Reservations;
+    /// let (mut reservations, now, s) = (Reservations::default(), Instant::now(), Duration::from_secs(1));
+    /// assert_eq!(reservations.reserve("engines", 0.5, now), 2 * s);
+    /// assert_eq!(reservations.reserve("engines", 0.5, now), 4 * s);
+    /// assert_eq!(reservations.reserve("engines", 0.5, now + 5 * s), 2 * s);
     /// ```
     pub fn reserve(&mut self, service: &str, rate: f64, now: Instant) -> Duration {
         let interval =
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -13,7 +13,7 @@
     directory::{Directory, Permits, Tracked},
     latency::Estimate,
     load_owners,
-    load_reports::Heard,
+    load_reports::PeerState,
     permit,
     placement::{self, CacheHolders, Candidate, Locality, Task},
     prefill::Prompt,
@@ -101,7 +101,7 @@
     gateway: &Gateway,
     directory: &'a Directory,
     criteria: &Criteria<'_>,
-    peer_reports: &Heard,
+    peer_reports: &PeerState,
 ) -> Option<Choice<'a>> {
     let now = gateway.now();
     let all: Vec<&Tracked> = directory.ready(criteria.service).collect();
@@ -115,7 +115,7 @@
     let endpoint = list[index];
     Some(Choice {
         prompt: criteria.prompt(candidates[index].has_prefix_cached),
-        outstanding: endpoint.busy(now),
+        outstanding: endpoint.estimated_requests(now),
         queue_delay: queue_delay(
             endpoint,
             criteria,
@@ -136,7 +136,7 @@
     renew_permits(gateway, &mut directory, criteria.service, now);
     let all: Vec<&Tracked> = directory.ready(criteria.service).collect();
     let list = eligible(&all, criteria, now);
-    let (holders, candidates) = candidates(gateway, &list, criteria, &Heard::default(), now);
+    let (holders, candidates) = candidates(gateway, &list, criteria, &PeerState::default(), now);
     let best = placement::best(&candidates, &criteria.task(holders), SHORTLIST_LEN);
     best.into_iter().map(|it| list[it].entry.id.clone()).collect()
 }
@@ -159,7 +159,7 @@
     let blocked = ready.filter(|it| criteria.rule.allows(&it.entry.version) && !it.admits(now));
     blocked.fold(None, |sum, it| {
         let Throttled { rate, resumes_at } = sum.unwrap_or_default();
-        let endpoint_rate = it.throttled(slow_start_rate, now).unwrap_or_default();
+        let endpoint_rate = it.throttled_rate(slow_start_rate, now).unwrap_or_default();
         let resumes_at = resumes_at.into_iter().chain(it.paused_until(now)).min();
         Some(Throttled { rate: rate + endpoint_rate, resumes_at })
     })
@@ -173,7 +173,7 @@
     });
     let permits = FleetPermits {
         slow_start_rate: gateway.service(service, |it| it.slow_start_rate),
-        turn: rate_limit::turn(gateway.store_time().unwrap_or_default()),
+        rotation: rate_limit::rotation(gateway.store_time().unwrap_or_default()),
         node_hash: hash::bytes(gateway.settings.node.as_bytes()),
         node_hashes,
     };
@@ -183,7 +183,7 @@
 /// What the nodes of the fleet may send.
 struct FleetPermits<F> {
     slow_start_rate: Option<f64>,
-    turn: u64,
+    rotation: u64,
     /// The hash of this node's name.
     node_hash: u64,
     /// Those of all nodes' names.
@@ -203,12 +203,12 @@
         }
     }
 
-    fn limited(&self, endpoint: u64, rate: f64) -> Option<Duration> {
-        rate_limit::interval(rate, endpoint, self.turn, self.node_hash, &self.node_hashes)
+    fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration> {
+        rate_limit::interval(rate, endpoint, self.rotation, self.node_hash, &self.node_hashes)
     }
 
-    fn turn(&self) -> u64 {
-        self.turn
+    fn rotation(&self) -> u64 {
+        self.rotation
     }
 }
 
@@ -216,7 +216,7 @@
     gateway: &Gateway,
     list: &[&Tracked],
     criteria: &Criteria<'_>,
-    peer_reports: &Heard,
+    peer_reports: &PeerState,
     now: Instant,
 ) -> (CacheHolders, Vec<Candidate>) {
     let own_record = || {
@@ -228,7 +228,7 @@
     let holders = if is_known { CacheHolders::Known } else { CacheHolders::Guessed };
     let cached_at = peer_reports.holders.clone().or_else(own_record).unwrap_or_default();
     let candidate = |it: &&Tracked| Candidate {
-        id_hash: it.seed,
+        id_hash: it.id_hash,
         wait: expected_wait(
             it,
             criteria,
@@ -246,7 +246,7 @@
 fn remote_queue(
     gateway: &Gateway,
     id: &endpoint::Id,
-    peer_reports: &Heard,
+    peer_reports: &PeerState,
     now: Instant,
 ) -> Duration {
     let peer_reports = peer_reports.waiting.get(id).copied();
@@ -263,14 +263,14 @@
         all.iter().copied().filter(|it| it.admits(now) && keep(it)).collect()
     };
     // A version whose order may still be on its way waits, unless there is an order that decides.
-    let is_known = |it: &Tracked| *criteria.rule != Rule::Any || it.is_known_version(now);
+    let is_known = |it: &Tracked| *criteria.rule != Rule::Any || it.is_established_version(now);
     // A version whose endpoints take no more for now isn't gone: no other takes its place.
     let is_throttled = |it: &Tracked| !it.admits(now) && is_allowed(it) && is_known(it);
     let has_throttled = all.iter().any(|it| is_throttled(it));
     let is_usable = |it: &Tracked| is_allowed(it) && (is_known(it) || !has_throttled);
     let preferences: [&dyn Fn(&Tracked) -> bool; 4] = [
-        &|it| is_allowed(it) && is_known(it) && is_untried(it) && !it.is_out(now),
-        &|it| is_usable(it) && is_untried(it) && !it.is_out(now),
+        &|it| is_allowed(it) && is_known(it) && is_untried(it) && !it.is_ejected(now),
+        &|it| is_usable(it) && is_untried(it) && !it.is_ejected(now),
         &|it| is_usable(it) && is_untried(it),
         &|it| is_usable(it),
     ];
@@ -285,7 +285,7 @@
     match criteria.rule {
         Rule::Only(_) => select(&|it| is_untried(it)),
         // No other version is left, so the roll-out is over, whatever this node has heard of it.
-        Rule::Not(_) if !has_throttled => select(&|it| is_untried(it) && !it.is_out(now)),
+        Rule::Not(_) if !has_throttled => select(&|it| is_untried(it) && !it.is_ejected(now)),
         Rule::Not(_) | Rule::Any => Vec::new(),
     }
 }
@@ -296,7 +296,7 @@
     remote_queue: Duration,
     now: Instant,
 ) -> Duration {
-    let outstanding = it.busy(now);
+    let outstanding = it.estimated_requests(now);
     if let Some(model) = criteria.model {
         return queue_delay(it, criteria, remote_queue)
             + model.latency.coefficients.delay_per_running() * outstanding;
--- a/crates/curranthook_gateway/src/startup.rs
+++ b/crates/curranthook_gateway/src/startup.rs
@@ -78,7 +78,7 @@
     let max_wait = timeout.map_or(Duration::ZERO, |it| it / MAX_WAIT_DIVISOR).min(MAX_WAIT);
     let until = (gateway.started + FIRST_READ_TIMEOUT).max(now + max_wait);
     loop {
-        let changed = gateway.changed.wait();
+        let changed = gateway.rows_changed.wait();
         let left = until.saturating_duration_since(gateway.now());
         if gateway.is_serving() || left.is_zero() {
             return;
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -141,7 +141,7 @@
     async fn on_endpoint_failure(&mut self, cause: Cause) -> Result<(), Aborted> {
         let Some(exchange) = self.exchange.take() else { return Ok(()) };
         let id = exchange.lease.id.clone();
-        exchange.close(Outcome::Unreachable);
+        exchange.close(Outcome::ConnectionLost);
         // Silence within the time that is left is no end of the time.
         let cause = match cause {
             Cause::Timeout if !self.job.time_left().is_zero() => Cause::Disconnected,
@@ -166,8 +166,8 @@
     }
 
     fn abort(&mut self, refusal: Refusal) -> Aborted {
-        self.job.gateway.metrics.refused(refusal.reason);
-        self.end("broke_off", Outcome::Dropped);
+        self.job.gateway.metrics.record_refusal(refusal.reason);
+        self.end("broke_off", Outcome::Abandoned);
         Aborted(refusal)
     }
 
@@ -186,7 +186,7 @@
         });
         match (exchange, endpoint_outcome) {
             (Some(exchange), Outcome::Answered) => {
-                exchange.finish(&self.job.gateway, self.job.route.repeat, endpoint_outcome);
+                exchange.finish(&self.job.gateway, self.job.route.retry_policy, endpoint_outcome);
             }
             (Some(exchange), _) => exchange.close(endpoint_outcome),
             (None, _) => {}
@@ -196,7 +196,7 @@
     /// How long the endpoint may still take for the next event. Bytes that make none don't count: an
     /// endpoint that trickles them would hold its caller until the time is up.
     fn idle_time_left(&self) -> Duration {
-        let gap = self.job.route.gap.unwrap_or_default();
+        let gap = self.job.route.max_event_gap.unwrap_or_default();
         let idle_timeout = gap.saturating_mul(MAX_GAP_FACTOR).max(MIN_IDLE_TIMEOUT);
         idle_timeout
             .saturating_sub(self.job.gateway.now().saturating_duration_since(self.last_progress_at))
@@ -206,7 +206,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.is_done {
-            self.end("caller_left", Outcome::Dropped);
+            self.end("caller_left", Outcome::Abandoned);
         }
     }
 }
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -31,7 +31,7 @@
                     let status = head.status;
                     let is_error = status.is_server_error();
                     let outcome = if is_error { Outcome::Failed } else { Outcome::Answered };
-                    exchange.finish(&job.gateway, job.route.repeat, outcome);
+                    exchange.finish(&job.gateway, job.route.retry_policy, outcome);
                     job.record_end(&End {
                         status: status.as_u16(),
                         outcome: OUTCOME_WHOLE,
@@ -42,7 +42,7 @@
                     return Ok((head, bytes));
                 }
                 Ok(Err(body::ReadError::TooLarge { .. })) => {
-                    exchange.close(Outcome::Dropped);
+                    exchange.close(Outcome::Abandoned);
                     return Err(job.refusal(Reason::EndpointFailed));
                 }
                 Ok(Err(body::ReadError::Broken(_))) => {
@@ -50,7 +50,7 @@
                     Cause::Disconnected
                 }
                 Err(timeout::Elapsed) => {
-                    exchange.close(Outcome::Dropped);
+                    exchange.close(Outcome::Abandoned);
                     Cause::Timeout
                 }
             };
