--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -128,8 +128,8 @@
         lease.close(Outcome::ConnectionLost);
         return Err(not_run(Cause::Connect));
     }
-    let limit = request.time_left(gateway.now());
-    let response = match timeout::run(limit, conn.send(outbound)).await {
+    let time_left = request.time_left(gateway.now());
+    let response = match timeout::run(time_left, conn.send(outbound)).await {
         Ok(Ok(response)) => response,
         Ok(Err(e)) => return Err(send_failure(lease, &conn, &e, elapsed(sent_at, gateway.now()))),
         Err(timeout::Elapsed) => {
--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -12,7 +12,7 @@
     document::Denied,
     event::Event,
     gateway::Configuration,
-    job::{End, Job, millis},
+    job::{Job, Summary, millis},
     refusal::{Reason, Refusal, Started},
     request, startup, stream, unary,
 };
@@ -39,13 +39,13 @@
             let gateway = &self.gateway;
             let (head, body) = req.into_parts();
             let result = match self.admit(&head, body).await {
-                Ok(job) => answer(job).await,
+                Ok(job) => run_job(job).await,
                 Err(refusal) => {
-                    self.log_refused(&head, &refusal);
+                    self.log_refusal(&head, &refusal);
                     Err(refusal)
                 }
             };
-            let mut res = result.unwrap_or_else(|refusal| refuse(gateway, &refusal));
+            let mut res = result.unwrap_or_else(|refusal| refusal_response(gateway, &refusal));
             if gateway.is_stopping() {
                 gateway.dialect.add_closing_headers(res.headers_mut());
             }
@@ -55,7 +55,7 @@
 }
 
 impl Frontend {
-    fn log_refused(&self, head: &Parts, refusal: &Refusal) {
+    fn log_refusal(&self, head: &Parts, refusal: &Refusal) {
         let gateway = &self.gateway;
         let parsed = gateway.dialect.parse_request_head(head).ok();
         gateway.log.write(&Event::Refused {
@@ -72,14 +72,14 @@
     /// Reads a request and lets it in.
     async fn admit(&self, head: &Parts, body: Incoming) -> Result<Job, Refusal> {
         let gateway = &self.gateway;
-        let refuse = |reason| Refusal::new(reason, Started::No);
+        let refusal = |reason| Refusal::new(reason, Started::No);
         if self.closed.load(std::sync::atomic::Ordering::Relaxed) {
-            return Err(refuse(Reason::Stopping).with_retry_after(RETRY_AFTER_STOPPING));
+            return Err(refusal(Reason::Stopping).with_retry_after(RETRY_AFTER_STOPPING));
         }
         let received_at = gateway.now();
         let head = gateway.dialect.parse_request_head(head).map_err(|e| {
             log::debug!("a caller's head can't be read: {e}");
-            refuse(Reason::Invalid)
+            refusal(Reason::Invalid)
         })?;
         startup::wait(gateway, head.timeout).await;
         let Some(current) = gateway.configuration.load_full() else {
@@ -90,9 +90,9 @@
         let read = body::read(body, current.document.limits.max_body);
         let body = match timeout::run(BODY_TIMEOUT, read).await {
             Ok(Ok(body)) => body,
-            Ok(Err(body::ReadError::TooLarge { .. })) => return Err(refuse(Reason::TooLarge)),
+            Ok(Err(body::ReadError::TooLarge { .. })) => return Err(refusal(Reason::TooLarge)),
             Ok(Err(body::ReadError::Broken(_))) | Err(timeout::Elapsed) => {
-                return Err(refuse(Reason::Invalid));
+                return Err(refusal(Reason::Invalid));
             }
         };
         // Once more: a body may take its time, and the configuration may change meanwhile.
@@ -102,7 +102,7 @@
         let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
         let request = request::Request::new(head, body, received_at, timeout);
         if gateway.poison.lock().is_poison(request.fingerprint, received_at) {
-            return Err(refuse(Reason::Poison));
+            return Err(refusal(Reason::Poison));
         }
         Job::new(gateway, &current, request, route, account.map(|it| it.id), priority)
     }
@@ -123,7 +123,7 @@
     Ok((Arc::clone(route), account.cloned()))
 }
 
-async fn answer(mut job: Job) -> Result<Response<Body>, Refusal> {
+async fn run_job(mut job: Job) -> Result<Response<Body>, Refusal> {
     let gateway = Arc::clone(&job.gateway);
     let result = if job.route.retry_policy.is_stream() {
         open_stream(job).await
@@ -138,7 +138,7 @@
     };
     result.map_err(|(job, refusal)| {
         let (status, outcome) = (refusal.status.as_u16(), refusal.reason.name());
-        job.record_end(&End { status, outcome, ..End::default() });
+        job.record_end(&Summary { status, outcome, ..Summary::default() });
         refusal
     })
 }
@@ -152,8 +152,8 @@
     // Another endpoint may go on with it, so its length isn't known.
     headers.remove(header::CONTENT_LENGTH);
     let status = exchange.reply.status;
-    let took = job.gateway.now().saturating_duration_since(job.request.received_at);
-    job.gateway.metrics.record_first_byte(took);
+    let elapsed = job.gateway.now().saturating_duration_since(job.request.received_at);
+    job.gateway.metrics.record_first_byte(elapsed);
     Ok(respond(status, headers, stream::body(job, exchange)))
 }
 
@@ -165,7 +165,7 @@
 }
 
 /// The answer that says why there is none.
-fn refuse(gateway: &Gateway, refusal: &Refusal) -> Response<Body> {
+fn refusal_response(gateway: &Gateway, refusal: &Refusal) -> Response<Body> {
     gateway.metrics.record_refusal(refusal.reason);
     let text = serde_json::json!({ "error": refusal.reason.name() });
     let mut res = body::json(refusal.status.as_u16(), &text);
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -40,7 +40,7 @@
 
 /// How a request ended. Times count from when it came.
 #[derive(Debug, Default)]
-pub struct End<'a> {
+pub struct Summary<'a> {
     /// The status that its caller got.
     pub status: u16,
     /// What became of it.
@@ -83,7 +83,7 @@
     has_errored: bool,
     configuration_version: u64,
     /// What other nodes told while the next attempt was decided on.
-    peer_reports: Option<PeerState>,
+    peer_state: Option<PeerState>,
     _in_flight: InFlight,
 }
 
@@ -115,7 +115,7 @@
             started: Started::No,
             has_errored: false,
             configuration_version: current.document.version,
-            peer_reports: None,
+            peer_state: None,
             _in_flight: gateway.track_request(),
             gateway: Arc::clone(gateway),
             request,
@@ -146,8 +146,8 @@
                     }
                 }
                 Err(failure) => {
-                    let took = self.gateway.now().saturating_duration_since(sent_at);
-                    self.log_failed(&id, &failure, took);
+                    let elapsed = self.gateway.now().saturating_duration_since(sent_at);
+                    self.log_failed(&id, &failure, elapsed);
                     if let Next::Respond(refusal) = self.on_failure(&id, &failure).await {
                         return Err(refusal);
                     }
@@ -173,13 +173,13 @@
     async fn acquire_lease(&mut self) -> Result<Lease, Refusal> {
         let session = self.session_hash();
         let rule = self.gateway.rollouts.lock().rule(&self.service, session);
-        let peer_reports = self.peer_reports.take();
+        let peer_state = self.peer_state.take();
         let criteria = self.criteria(&rule, self.models.current());
-        let peer_reports = match peer_reports {
-            Some(peer_reports) => peer_reports,
+        let peer_state = match peer_state {
+            Some(peer_state) => peer_state,
             None => self.query_peers(&criteria).await,
         };
-        let lease = Lease::acquire(&self.gateway, &criteria, &peer_reports);
+        let lease = Lease::acquire(&self.gateway, &criteria, &peer_state);
         lease.ok_or_else(|| self.no_endpoint_refusal(&criteria))
     }
 
@@ -201,25 +201,25 @@
     /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
     /// have told already.
     async fn query_peers(&self, criteria: &Criteria<'_>) -> PeerState {
-        let mut peer_reports = PeerState::default();
+        let mut peer_state = PeerState::default();
         for _ in 0..MAX_QUERY_ROUNDS {
             let shortlist = selection::shortlist(&self.gateway, criteria);
             if shortlist.is_empty() {
                 return PeerState::default();
             }
-            peer_reports = self.query_owners(shortlist, criteria.prefix_hash).await;
-            if peer_reports.unreachable.is_empty() {
+            peer_state = self.query_owners(shortlist, criteria.prefix_hash).await;
+            if peer_state.unreachable.is_empty() {
                 break;
             }
             let now = self.gateway.now();
             let mut directory = self.gateway.directory.lock();
-            peer_reports.unreachable.iter().for_each(|it| directory.eject(it, now));
+            peer_state.unreachable.iter().for_each(|it| directory.eject(it, now));
             // One that can be reached is enough.
-            if peer_reports.waiting.keys().any(|it| !peer_reports.unreachable.contains(it)) {
+            if peer_state.waiting.keys().any(|it| !peer_state.unreachable.contains(it)) {
                 break;
             }
         }
-        peer_reports
+        peer_state
     }
 
     async fn query_owners(
@@ -227,16 +227,16 @@
         shortlist: Vec<endpoint::Id>,
         prefix_hash: Option<u64>,
     ) -> PeerState {
-        let mut peer_reports = load_reports::query(&self.gateway, shortlist, prefix_hash).await;
-        let is_unreported = |it: &endpoint::Id| !peer_reports.waiting.contains_key(it);
-        let holders = peer_reports.holders.iter().flatten();
+        let mut peer_state = load_reports::query(&self.gateway, shortlist, prefix_hash).await;
+        let is_unreported = |it: &endpoint::Id| !peer_state.waiting.contains_key(it);
+        let holders = peer_state.holders.iter().flatten();
         let unreported: Vec<_> = holders.filter(|it| is_unreported(it)).cloned().collect();
         if !unreported.is_empty() {
             let holder_reports = load_reports::query(&self.gateway, unreported, None).await;
-            peer_reports.waiting.extend(holder_reports.waiting);
-            peer_reports.unreachable.extend(holder_reports.unreachable);
+            peer_state.waiting.extend(holder_reports.waiting);
+            peer_state.unreachable.extend(holder_reports.unreachable);
         }
-        peer_reports
+        peer_state
     }
 
     /// What is to be placed if `model` is asked.
@@ -292,8 +292,13 @@
         let is_error = exchange.reply.status.is_server_error();
         // A request that fails for a reason of its own fails again; it's evidence once.
         if !self.has_errored {
-            let took = (!is_error).then_some(exchange.first_byte);
-            self.gateway.rollouts.lock().record_answer(&self.service, version, self.kind(), took);
+            let elapsed = (!is_error).then_some(exchange.first_byte);
+            self.gateway.rollouts.lock().record_answer(
+                &self.service,
+                version,
+                self.kind(),
+                elapsed,
+            );
         }
         self.has_errored |= is_error;
         if is_error {
@@ -335,12 +340,12 @@
     }
 
     /// An answer of `events` ended `took` after its first event.
-    pub fn record_stream(&self, version: &str, n_events: u32, took: Duration) {
+    pub fn record_stream(&self, version: &str, n_events: u32, elapsed: Duration) {
         if let Some(it) = self.models.current() {
             let mut estimator = self.gateway.latency_estimator.lock();
-            estimator.record_stream(&self.service, &it.name, it.relative_price, n_events, took);
+            estimator.record_stream(&self.service, &it.name, it.relative_price, n_events, elapsed);
         }
-        if let Some(interval) = took.checked_div(n_events.saturating_sub(1)) {
+        if let Some(interval) = elapsed.checked_div(n_events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
             rollouts.record_stream_end(&self.service, version, self.kind(), interval);
         }
@@ -362,7 +367,7 @@
         self.request.prefix_hash().map_or_else(own, |it| hash::pair(it, route))
     }
 
-    fn log_failed(&self, endpoint: &endpoint::Id, failure: &Failure, took: Duration) {
+    fn log_failed(&self, endpoint: &endpoint::Id, failure: &Failure, elapsed: Duration) {
         self.gateway.log.write(&Event::AttemptFailed {
             request: &self.request.head.id,
             endpoint: endpoint.as_str(),
@@ -371,19 +376,19 @@
                 Execution::NotRun => "not_run",
                 Execution::MayHaveRun => "may_have_run",
             },
-            took_ms: millis(took),
+            took_ms: millis(elapsed),
         });
     }
 
     /// Logs and counts its end.
-    pub fn record_end(&self, end: &End<'_>) {
-        let End { status, outcome, endpoint, .. } = *end;
-        let took = self.gateway.now().saturating_duration_since(self.request.received_at);
+    pub fn record_end(&self, end: &Summary<'_>) {
+        let Summary { status, outcome, endpoint, .. } = *end;
+        let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
         if outcome == OUTCOME_WHOLE {
             // Endpoints that ended while they ran it had another reason, then.
             self.gateway.poison.lock().release(self.request.fingerprint);
         }
-        self.gateway.metrics.record_ended(outcome, took);
+        self.gateway.metrics.record_ended(outcome, elapsed);
         self.gateway.log.write(&Event::Ended {
             request: &self.request.head.id,
             route: &self.route.name,
@@ -394,7 +399,7 @@
             first_byte_ms: millis(end.first_byte_after),
             events: end.n_events,
             last_event_ms: millis(end.last_event_after),
-            took_ms: millis(took),
+            took_ms: millis(elapsed),
         });
     }
 }
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -23,8 +23,8 @@
         if self.better_forecast(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
-        let peer_reports = self.query_peers(&self.criteria(&rule, Some(large))).await;
-        let Some(expected) = self.better_forecast(confidence, &rule, &peer_reports) else {
+        let peer_state = self.query_peers(&self.criteria(&rule, Some(large))).await;
+        let Some(expected) = self.better_forecast(confidence, &rule, &peer_state) else {
             return false;
         };
         let model = large.name.clone();
@@ -39,7 +39,7 @@
             last_ms: millis(expected.last_event),
         });
         self.models.switch_to_largest();
-        self.peer_reports = Some(peer_reports);
+        self.peer_state = Some(peer_state);
         true
     }
 
@@ -48,7 +48,7 @@
         &self,
         confidence: u8,
         rule: &Rule,
-        peer_reports: &PeerState,
+        peer_state: &PeerState,
     ) -> Option<Forecast> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
@@ -56,7 +56,7 @@
             objective: self.route.latency_target,
             deadline: self.request.deadline.saturating_duration_since(self.request.received_at),
         };
-        let large_first_event = elapsed + self.first_event(rule, large, peer_reports)?;
+        let large_first_event = elapsed + self.first_event(rule, large, peer_state)?;
         let small = self.forecast(small, elapsed, 0.0);
         let large = self.forecast(large, large_first_event, cascade::LARGE_MODEL_COST);
         cascade::should_escalate(confidence, &small, &large, &targets).then_some(large)
@@ -68,11 +68,11 @@
         &self,
         rule: &Rule,
         model: &Candidate,
-        peer_reports: &PeerState,
+        peer_state: &PeerState,
     ) -> Option<Duration> {
         let criteria = self.criteria(rule, Some(model));
         let directory = self.gateway.directory.lock();
-        let choice = selection::best(&self.gateway, &directory, &criteria, peer_reports)?;
+        let choice = selection::best(&self.gateway, &directory, &criteria, peer_state)?;
         Some(choice.first_event(&criteria.model?.latency))
     }
 
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -59,13 +59,13 @@
     pub fn acquire(
         gateway: &Arc<Gateway>,
         criteria: &Criteria<'_>,
-        peer_reports: &PeerState,
+        peer_state: &PeerState,
     ) -> Option<Self> {
         let now = gateway.now();
         let mut directory = gateway.directory.lock();
         directory.remove_lapsed(now);
         selection::renew_permits(gateway, &mut directory, criteria.service, now);
-        let choice = selection::best(gateway, &directory, criteria, peer_reports)?;
+        let choice = selection::best(gateway, &directory, criteria, peer_state)?;
         let Choice { prompt, outstanding, queue_delay, .. } = choice;
         let latency = criteria.model.map(|it| it.latency);
         let expected_first_event = latency.map(|it| choice.first_event(&it));
--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -8,8 +8,8 @@
 /// The models that may answer, the smallest first; empty for plain services.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Models {
-    list: Vec<Candidate>,
-    current: usize,
+    candidates: Vec<Candidate>,
+    current_index: usize,
     tokens_per_event: u32,
 }
 
@@ -37,33 +37,33 @@
             let prices = price(name).zip(dearest);
             prices.map_or(1.0, |(price, dearest)| price / dearest.max(f64::MIN_POSITIVE))
         };
-        let list =
+        let candidates =
             names.into_iter().map(|name| Candidate { relative_price: relative_price(&name), name });
         Self {
-            list: list.collect(),
-            current: 0,
+            candidates: candidates.collect(),
+            current_index: 0,
             tokens_per_event: service.map_or(0, |it| it.tokens_per_event),
         }
     }
 
     /// The one that is asked now.
     pub fn current(&self) -> Option<&Candidate> {
-        self.list.get(self.current)
+        self.candidates.get(self.current_index)
     }
 
     /// Its place in the list.
     pub fn index(&self) -> usize {
-        self.current
+        self.current_index
     }
 
     /// The largest one, if it's another than the one that is asked now.
     pub fn larger(&self) -> Option<&Candidate> {
-        self.list[self.list.len().min(self.current + 1)..].last()
+        self.candidates[self.candidates.len().min(self.current_index + 1)..].last()
     }
 
     /// Asks the largest one from now on.
     pub fn switch_to_largest(&mut self) {
-        self.current = self.list.len().saturating_sub(1);
+        self.current_index = self.candidates.len().saturating_sub(1);
     }
 
     /// How many events an answer of `tokens` has.
--- a/crates/curranthook_gateway/src/retry_budget.rs
+++ b/crates/curranthook_gateway/src/retry_budget.rs
@@ -40,7 +40,7 @@
 
 #[derive(Debug)]
 struct Counter {
-    since: Instant,
+    started_at: Instant,
     requests: f64,
     retries: f64,
 }
@@ -75,15 +75,18 @@
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), VecDeque::new());
         }
-        let list = self.services.get_mut(service).expect("it was inserted above");
+        let counters = self.services.get_mut(service).expect("it was inserted above");
         let window = self.limit.window;
-        while list.front().is_some_and(|it| window < now.saturating_duration_since(it.since)) {
-            list.pop_front();
+        while counters
+            .front()
+            .is_some_and(|it| window < now.saturating_duration_since(it.started_at))
+        {
+            counters.pop_front();
         }
-        let is_current = |it: &Counter| now.saturating_duration_since(it.since) < COUNTER_SPAN;
-        if !list.back().is_some_and(is_current) {
-            list.push_back(Counter { since: now, requests: 0.0, retries: 0.0 });
+        let is_current = |it: &Counter| now.saturating_duration_since(it.started_at) < COUNTER_SPAN;
+        if !counters.back().is_some_and(is_current) {
+            counters.push_back(Counter { started_at: now, requests: 0.0, retries: 0.0 });
         }
-        list.back_mut().expect("a current counter was pushed")
+        counters.back_mut().expect("a current counter was pushed")
     }
 }
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -101,16 +101,16 @@
     gateway: &Gateway,
     directory: &'a Directory,
     criteria: &Criteria<'_>,
-    peer_reports: &PeerState,
+    peer_state: &PeerState,
 ) -> Option<Choice<'a>> {
     let now = gateway.now();
     let all: Vec<&Tracked> = directory.ready(criteria.service).collect();
     let mut list = eligible(&all, criteria, now);
-    if list.iter().any(|it| peer_reports.waiting.contains_key(&it.entry.id)) {
+    if list.iter().any(|it| peer_state.waiting.contains_key(&it.entry.id)) {
         // Of the others nobody knows how busy they are; they'd seem idle.
-        list.retain(|it| peer_reports.waiting.contains_key(&it.entry.id));
+        list.retain(|it| peer_state.waiting.contains_key(&it.entry.id));
     }
-    let (holders, candidates) = candidates(gateway, &list, criteria, peer_reports, now);
+    let (holders, candidates) = candidates(gateway, &list, criteria, peer_state, now);
     let index = placement::choose(&candidates, &criteria.task(holders))?;
     let endpoint = list[index];
     Some(Choice {
@@ -119,7 +119,7 @@
         queue_delay: queue_delay(
             endpoint,
             criteria,
-            remote_queue(gateway, &endpoint.entry.id, peer_reports, now),
+            remote_queue(gateway, &endpoint.entry.id, peer_state, now),
         ),
         endpoint,
     })
@@ -216,7 +216,7 @@
     gateway: &Gateway,
     list: &[&Tracked],
     criteria: &Criteria<'_>,
-    peer_reports: &PeerState,
+    peer_state: &PeerState,
     now: Instant,
 ) -> (CacheHolders, Vec<Candidate>) {
     let own_record = || {
@@ -224,15 +224,15 @@
         Some(gateway.affinity.lock().holders(prefix_hash, now))
     };
     // The nodes of a small fleet tell all others what they sent to be read.
-    let is_known = peer_reports.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
+    let is_known = peer_state.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
     let holders = if is_known { CacheHolders::Known } else { CacheHolders::Guessed };
-    let cached_at = peer_reports.holders.clone().or_else(own_record).unwrap_or_default();
+    let cached_at = peer_state.holders.clone().or_else(own_record).unwrap_or_default();
     let candidate = |it: &&Tracked| Candidate {
         id_hash: it.id_hash,
         wait: expected_wait(
             it,
             criteria,
-            remote_queue(gateway, &it.entry.id, peer_reports, now),
+            remote_queue(gateway, &it.entry.id, peer_state, now),
             now,
         ),
         failure_rate: it.failures,
@@ -246,12 +246,11 @@
 fn remote_queue(
     gateway: &Gateway,
     id: &endpoint::Id,
-    peer_reports: &PeerState,
+    peer_state: &PeerState,
     now: Instant,
 ) -> Duration {
-    let peer_reports = peer_reports.waiting.get(id).copied();
-    peer_reports
-        .unwrap_or_else(|| gateway.load_table.lock().waiting(id, &gateway.settings.node, now))
+    let peer_state = peer_state.waiting.get(id).copied();
+    peer_state.unwrap_or_else(|| gateway.load_table.lock().waiting(id, &gateway.settings.node, now))
 }
 
 /// The endpoints to choose from, of those that take a request now. Whoever was tried, is left alone or runs
--- a/crates/curranthook_gateway/src/signal.rs
+++ b/crates/curranthook_gateway/src/signal.rs
@@ -32,7 +32,7 @@
         waiting.retain(|it| !it.is_closed());
         waiting.push(tx);
         async move {
-            let _woken = rx.recv().await;
+            let _closed = rx.recv().await;
         }
     }
 }
--- a/crates/curranthook_gateway/src/startup.rs
+++ b/crates/curranthook_gateway/src/startup.rs
@@ -84,7 +84,7 @@
             return;
         }
         // Elapsed or not, what is known by then decides.
-        let _woken = timeout::run(left, changed).await;
+        let _timed_out = timeout::run(left, changed).await;
     }
 }
 
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -14,7 +14,7 @@
 use crate::{
     attempt::{Cause, Exchange},
     directory::Outcome,
-    job::{self, End, Job},
+    job::{self, Job, Summary},
     refusal::Refusal,
     splitter::Splitter,
 };
@@ -93,9 +93,9 @@
                 Progress::Events(bytes) => return Ok(Some(bytes)),
                 Progress::Partial => continue,
                 Progress::End => {
-                    let took = self.job.gateway.now().saturating_duration_since(self.started_at);
+                    let elapsed = self.job.gateway.now().saturating_duration_since(self.started_at);
                     let version = self.exchange.as_ref().map_or("", |it| it.lease.version.as_str());
-                    self.job.record_stream(version, self.n_events, took);
+                    self.job.record_stream(version, self.n_events, elapsed);
                     self.end(job::OUTCOME_WHOLE, Outcome::Answered);
                     return Ok(None);
                 }
@@ -107,11 +107,11 @@
     }
 
     async fn read_events(&mut self) -> Progress {
-        let limit = self.job.time_left().min(self.idle_time_left());
+        let time_limit = self.job.time_left().min(self.idle_time_left());
         let Some(exchange) = self.exchange.as_mut() else {
             return Progress::Failed(Cause::Disconnected);
         };
-        match timeout::run(limit, exchange.body.frame()).await {
+        match timeout::run(time_limit, exchange.body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 let Ok(data) = frame.into_data() else { return Progress::Partial };
                 match self.splitter.push(&data) {
@@ -176,7 +176,7 @@
         let exchange = self.exchange.take();
         let endpoint = exchange.as_ref().map(|it| it.lease.id.clone());
         let endpoint = endpoint.as_ref().map_or("", |it| it.as_str());
-        self.job.record_end(&End {
+        self.job.record_end(&Summary {
             status: self.status,
             outcome,
             endpoint,
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -10,7 +10,7 @@
 use crate::{
     attempt::Cause,
     directory::Outcome,
-    job::{End, Job, OUTCOME_WHOLE},
+    job::{Job, OUTCOME_WHOLE, Summary},
     refusal::{Reason, Refusal},
 };
 
@@ -23,21 +23,22 @@
         let mut exchange = job.execute().await?;
         let id = exchange.lease.id.clone();
         let first_byte_after = job.gateway.now().saturating_duration_since(job.request.received_at);
-        let limit = job.time_left();
+        let time_left = job.time_left();
         let cause =
-            match timeout::run(limit, body::read_mut(&mut exchange.body, MAX_BODY_BYTES)).await {
+            match timeout::run(time_left, body::read_mut(&mut exchange.body, MAX_BODY_BYTES)).await
+            {
                 Ok(Ok(bytes)) => {
                     let head = exchange.head.clone();
                     let status = head.status;
                     let is_error = status.is_server_error();
                     let outcome = if is_error { Outcome::Failed } else { Outcome::Answered };
                     exchange.finish(&job.gateway, job.route.retry_policy, outcome);
-                    job.record_end(&End {
+                    job.record_end(&Summary {
                         status: status.as_u16(),
                         outcome: OUTCOME_WHOLE,
                         endpoint: id.as_str(),
                         first_byte_after,
-                        ..End::default()
+                        ..Summary::default()
                     });
                     return Ok((head, bytes));
                 }
