--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -15,49 +15,52 @@
 #[derive(Debug, Clone, Copy)]
 struct Engine {
     /// Milliseconds for a thousand tokens, and for a million pairs of them.
-    per_thousand: f64,
-    per_million_pairs: f64,
+    ms_per_thousand_tokens: f64,
+    ms_per_million_pairs: f64,
     /// Milliseconds to a first event besides, and for each request that runs.
-    constant: f64,
-    per_running: f64,
+    base_ms: f64,
+    ms_per_running: f64,
     /// The part of first events that wait for a prompt that was sent after them.
-    overtaken: f64,
+    overtaken_share: f64,
 }
 
 /// The largest model of three deployments that differ in all of this.
 const FAST: Engine = Engine {
-    per_thousand: 33.0,
-    per_million_pairs: 1.05,
-    constant: 130.0,
-    per_running: 4.0,
-    overtaken: 0.1,
+    ms_per_thousand_tokens: 33.0,
+    ms_per_million_pairs: 1.05,
+    base_ms: 130.0,
+    ms_per_running: 4.0,
+    overtaken_share: 0.1,
 };
-const SLOW: Engine = Engine { per_thousand: 90.0, per_million_pairs: 0.2, ..FAST };
-const STEEP: Engine = Engine { per_thousand: 15.0, per_million_pairs: 3.0, ..FAST };
+const SLOW: Engine = Engine { ms_per_thousand_tokens: 90.0, ms_per_million_pairs: 0.2, ..FAST };
+const QUADRATIC: Engine =
+    Engine { ms_per_thousand_tokens: 15.0, ms_per_million_pairs: 3.0, ..FAST };
 
 impl Engine {
     fn first_event(&self, prompt: Prompt, outstanding: u32, rng: &mut impl Rng) -> Duration {
         let (uncached, cached) = (prompt.uncached as f64, prompt.cached as f64);
         let pairs = uncached * (cached + uncached / 2.0) / 1e6;
-        let fixed = self.constant + self.per_running * f64::from(outstanding);
-        let own = fixed + self.per_thousand * uncached / 1e3 + self.per_million_pairs * pairs;
-        let other = match rng.random_bool(self.overtaken) {
+        let fixed_ms = self.base_ms + self.ms_per_running * f64::from(outstanding);
+        let prefill_ms = fixed_ms
+            + self.ms_per_thousand_tokens * uncached / 1e3
+            + self.ms_per_million_pairs * pairs;
+        let overtaking_ms = match rng.random_bool(self.overtaken_share) {
             true => Exp::new(1.0 / 400.0).unwrap().sample(rng),
             false => 0.0,
         };
-        Duration::from_secs_f64((own * rng.random_range(0.9..1.1) + other) / 1e3)
+        Duration::from_secs_f64((prefill_ms * rng.random_range(0.9..1.1) + overtaking_ms) / 1e3)
     }
 }
 
 /// Prompts as callers send them: most of some thousand tokens, a few of fifty thousand.
 fn prompt(rng: &mut impl Rng) -> Prompt {
-    let own: f64 = LogNormal::new(8.3, 0.9).unwrap().sample(rng);
-    let shared = rng.random_range(1_000..9_000);
-    let cached = if rng.random_bool(0.4) { shared } else { 0 };
-    Prompt::new(shared + own.min(54_000.0) as u64, cached)
+    let own_tokens: f64 = LogNormal::new(8.3, 0.9).unwrap().sample(rng);
+    let prefix_tokens = rng.random_range(1_000..9_000);
+    let cached = if rng.random_bool(0.4) { prefix_tokens } else { 0 };
+    Prompt::new(prefix_tokens + own_tokens.min(54_000.0) as u64, cached)
 }
 
-fn learned(engine: Engine, n: usize, rng: &mut impl Rng) -> Estimate {
+fn trained_estimate(engine: Engine, n: usize, rng: &mut impl Rng) -> Estimate {
     let mut estimator = Estimator::default();
     for _ in 0..n {
         let (prompt, outstanding) = (prompt(rng), rng.random_range(0..8));
@@ -80,13 +83,13 @@
 /// expect them within a fifth at the median and a half at the ninetieth percentile.
 #[parameterized(
     fast = { FAST, 1 },
-    fast_again = { FAST, 2 },
+    fast_other_seed = { FAST, 2 },
     slow = { SLOW, 3 },
-    steep = { STEEP, 4 },
+    quadratic = { QUADRATIC, 4 },
 )]
-fn first_events_are_expected_when_they_come(engine: Engine, seed: u64) {
+fn estimates_of_first_events_are_accurate(engine: Engine, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let estimate = learned(engine, 60, &mut rng);
+    let estimate = trained_estimate(engine, 60, &mut rng);
     let mut errors: Vec<f64> = (0..1_000)
         .map(|_| {
             let (prompt, outstanding) = (prompt(&mut rng), rng.random_range(0..8));
@@ -101,13 +104,13 @@
 }
 
 /// The longest prompts are the fewest, and it's they that a wrong estimate serves badly.
-#[parameterized(fast = { FAST, 5 }, slow = { SLOW, 6 }, steep = { STEEP, 7 })]
-fn the_longest_prompts_are_expected_right(engine: Engine, seed: u64) {
+#[parameterized(fast = { FAST, 5 }, slow = { SLOW, 6 }, quadratic = { QUADRATIC, 7 })]
+fn estimates_for_the_longest_prompts_are_accurate(engine: Engine, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let estimate = learned(engine, 120, &mut rng);
-    let calm = Engine { overtaken: 0.0, ..engine };
+    let estimate = trained_estimate(engine, 120, &mut rng);
+    let never_overtaken = Engine { overtaken_share: 0.0, ..engine };
     let longest = Prompt::new(50_000, 0);
-    let elapsed = calm.first_event(longest, 3, &mut rng);
+    let elapsed = never_overtaken.first_event(longest, 3, &mut rng);
     let expected = estimate.first_event(longest, 3, Duration::ZERO);
     assert!(elapsed.abs_diff(expected) < elapsed / 4, "{elapsed:?}, expected {expected:?}");
 }
@@ -115,20 +118,20 @@
 /// A caller claims a prompt of a billion tokens and is answered at once. If that were believed,
 /// reading would seem to take no time at all, and all queues would look empty.
 #[test]
-fn false_claims_teach_nothing() {
+fn implausible_prompt_sizes_are_ignored() {
     let mut filter = Filter::new(1.0);
-    let (honest, elapsed) = (Prompt::new(20_000, 0), Duration::from_secs(1));
-    (0..50).for_each(|_| filter.update(honest, 0, Duration::ZERO, elapsed));
+    let (plausible, elapsed) = (Prompt::new(20_000, 0), Duration::from_secs(1));
+    (0..50).for_each(|_| filter.update(plausible, 0, Duration::ZERO, elapsed));
     let before = filter.coefficients();
-    let lie = Prompt::new(1_000_000_000, 0);
-    (0..50).for_each(|_| filter.update(lie, 0, Duration::ZERO, Duration::from_millis(50)));
+    let implausible = Prompt::new(1_000_000_000, 0);
+    (0..50).for_each(|_| filter.update(implausible, 0, Duration::ZERO, Duration::from_millis(50)));
     assert_eq!(filter.coefficients(), before);
 }
 
 /// Engines are replaced by ones of half the speed. What nodes expect follows within some dozens of
 /// answers.
 #[test]
-fn slower_engines_are_noticed() {
+fn estimates_follow_a_change_of_engine_speed() {
     let mut filter = Filter::new(1.0);
     let prompt = Prompt::new(20_000, 0);
     let mut rng = Pcg64::seed_from_u64(8);
