--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -20,11 +20,11 @@
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session_hash());
         // Work of other nodes only delays the larger model, so most answers are kept without asking.
-        if self.better_forecast(confidence, &rule, &PeerState::default()).is_none() {
+        if self.improvement(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
         let peer_state = self.query_peers(&self.criteria(&rule, Some(large))).await;
-        let Some(expected) = self.better_forecast(confidence, &rule, &peer_state) else {
+        let Some(expected) = self.improvement(confidence, &rule, &peer_state) else {
             return false;
         };
         let model = large.name.clone();
@@ -44,12 +44,7 @@
     }
 
     /// What is to be expected of the largest model, if that is better than the answer that has begun.
-    fn better_forecast(
-        &self,
-        confidence: u8,
-        rule: &Rule,
-        peer_state: &PeerState,
-    ) -> Option<Forecast> {
+    fn improvement(&self, confidence: u8, rule: &Rule, peer_state: &PeerState) -> Option<Forecast> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
         let targets = Targets {
