--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -1,27 +1,32 @@
-//! One node that passes callers' requests through to endpoints, by routes.
+//! A gateway node: forwards callers' requests to endpoints according to configured routes.
 //!
-//! A request is a value that passes stages:
+//! A request passes through these stages:
 //!
-//! - [`front`]: from the caller's connection to a [`job`], by the [`document`] in force;
-//! - [`starting`]: the wait for the first configuration;
-//! - [`job`]: the attempts at it, within the [`budget`] for repeats;
-//! - [`rollouts`], [`cascade`], [`offer`], [`place`]: which version, model and endpoint take it;
-//! - [`lease`], [`attempt`]: the place at an endpoint, and one attempt there; [`load_reports`] tells what
-//!   other nodes sent there, by the [`load_table`] or, in a large fleet, by its [`load_owners`];
-//! - [`permit`]: what endpoints in [`slow_start`] or with a [`rate_limit`] take from the whole fleet; [`returns`]
-//!   tells refused callers when to come back;
-//! - [`unary`] or [`stream`]: the answer, read whole or passed on event by event.
+//! - [`frontend`]: admits a request from a caller's connection against the [`document`] in force
+//!   and creates a [`job`];
+//! - [`startup`]: holds requests until the first configuration has been read;
+//! - [`job`]: runs attempts until one succeeds, within the [`retry_budget`];
+//! - [`rollouts`], [`cascade`], [`selection`], [`placement`]: choose the version, the model and the
+//!   endpoint;
+//! - [`lease`], [`attempt`]: account for the request at an endpoint, and make one attempt there;
+//!   [`load_reports`] receives the load that other nodes put on endpoints, kept in the
+//!   [`load_table`] or, in a large fleet, queried from the endpoints' [`load_owners`];
+//! - [`permit`]: divides among the nodes the request rate of endpoints that are in [`slow_start`]
+//!   or announce a [`rate_limit`]; [`retry_schedule`] spreads the `Retry-After` times of refused
+//!   callers;
+//! - [`unary`] or [`stream`]: reads the response completely, or forwards it event by event.
 //!
-//! [`place`], [`cascade`], [`pace`], [`prefill`], [`budget`], [`permit`] and [`steps`] decide without I/O or a clock. [`watch`] and
-//! [`apply`] turn rows of the store into what the node believes: [`document`], [`directory`] and
-//! [`rollouts`]; what endpoints say of themselves in answers is [`advertised`]. In a large fleet changes reach most nodes by a tree of [`relays`]; [`peers`] is
-//! how nodes ask each other, and stands in for the store while that is away; [`outage`] tells
-//! whether it's away from all. [`fleet_writer`] writes what the
-//! nodes tell each other in [`fleet`] rows. [`gateway`] holds what all of them share, [`serve`]
-//! starts and ends it.
+//! [`placement`], [`cascade`], [`latency`], [`prefill`], [`retry_budget`], [`permit`] and [`steps`]
+//! make decisions without I/O and without reading a clock. [`watch`] and [`apply`] turn rows of the
+//! store into the node's state: [`document`], [`directory`] and [`rollouts`]; [`advertised`] holds
+//! what endpoints state about themselves in responses. In a large fleet, changes reach most nodes
+//! through a tree of [`relays`]; through [`peers`], nodes query each other, which replaces the
+//! store while it is unavailable; [`outage`] detects whether the store is unavailable to all nodes.
+//! [`fleet_writer`] writes the [`fleet`] rows that nodes publish for each other. [`gateway`] holds
+//! the state that all of them share, [`serve`] starts and stops the node.
 //!
-//! At the borders stand [`dialect::Dialect`] (callers and endpoints), [`store::Store`] and
-//! [`store::Decoder`]; a deployment implements them.
+//! Deployments implement the interfaces at the edges: [`dialect::Dialect`] for callers and
+//! endpoints, [`store::Store`] and [`store::Decoder`] for the store.
 
 pub mod advertised;
 pub mod affinity;
