--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -1,4 +1,4 @@
-//! From a caller's connection to the right stage, and back.
+//! The HTTP handler for callers: admits requests, runs them and writes the responses.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,19 +17,20 @@
     request, startup, stream, unary,
 };
 
-/// How long callers wait that don't say.
+/// The timeout of requests whose caller states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a body may take to arrive.
+/// The time limit for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back to a fleet of which this node is leaving: at once, to another node.
+/// The `Retry-After` of a node that is shutting down: short, since another node of the fleet can
+/// take the request at once.
 const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
 
-/// Answers callers.
+/// The handler of callers' connections.
 #[derive(Debug)]
 pub struct Frontend {
-    /// The node.
+    /// The node that serves the requests.
     pub gateway: Arc<Gateway>,
-    /// Whether it still takes requests; set when the last ones end.
+    /// Whether new requests are refused; set when the node stops serving.
     pub closed: std::sync::atomic::AtomicBool,
 }
 
@@ -69,7 +70,7 @@
         });
     }
 
-    /// Reads a request and lets it in.
+    /// Parses and admits a request, and reads its body.
     async fn admit(&self, head: &Parts, body: Incoming) -> Result<Job, Refusal> {
         let gateway = &self.gateway;
         let refusal = |reason| Refusal::new(reason, Started::No);
@@ -78,14 +79,14 @@
         }
         let received_at = gateway.now();
         let head = gateway.dialect.parse_request_head(head).map_err(|e| {
-            log::debug!("a caller's head can't be read: {e}");
+            log::debug!("cannot parse a caller's request head: {e}");
             refusal(Reason::Invalid)
         })?;
         startup::wait(gateway, head.timeout).await;
         let Some(current) = gateway.configuration.load_full() else {
             return Err(startup::refusal(gateway));
         };
-        // Before the body: whoever may not call at all isn't read any further.
+        // Checked before the body is read, so that no body is read for a caller without access.
         admit(&current, &head)?;
         let read = body::read(body, current.document.limits.max_body);
         let body = match timeout::run(BODY_TIMEOUT, read).await {
@@ -95,7 +96,7 @@
                 return Err(refusal(Reason::Invalid));
             }
         };
-        // Once more: a body may take its time, and the configuration may change meanwhile.
+        // Checked again: the configuration may have changed while the body was received.
         let current = gateway.configuration.load_full().unwrap_or(current);
         let (route, account) = admit(&current, &head)?;
         let timeout = head.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
@@ -149,7 +150,7 @@
         Err(refusal) => return Err((job, refusal)),
     };
     let mut headers = job.gateway.dialect.response_headers(&exchange.head.headers);
-    // Another endpoint may go on with it, so its length isn't known.
+    // Another endpoint may continue the stream, so the total length is unknown.
     headers.remove(header::CONTENT_LENGTH);
     let status = exchange.reply.status;
     let elapsed = job.gateway.now().saturating_duration_since(job.request.received_at);
@@ -164,7 +165,7 @@
     res
 }
 
-/// The answer that says why there is none.
+/// The response to a refused request, which states the reason.
 fn refusal_response(gateway: &Gateway, refusal: &Refusal) -> Response<Body> {
     gateway.metrics.record_refusal(refusal.reason);
     let text = serde_json::json!({ "error": refusal.reason.name() });
