--- a/crates/curranthook_gateway/src/startup.rs
+++ b/crates/curranthook_gateway/src/startup.rs
@@ -1,10 +1,10 @@
-//! Requests that come while a node starts.
+//! Requests that arrive while a node starts.
 //!
-//! A process listens before it knows a configuration, and callers whose connections another
-//! process of the fleet has just lost come at that moment. Turned away, they would have used up
-//! their last try, though the answer is there soon after. So requests wait for the first read of the
-//! store, a small part of the time that their callers have, and so many at a time; the others are
-//! told at once to come back later.
+//! A process listens before it has read a configuration, and callers that have just lost their
+//! connections to another process of the fleet arrive at that moment. An immediate refusal would
+//! use up their last retry, although the node can serve shortly after. So a limited number of
+//! requests wait for the first read of the store, for a small part of their callers' timeouts; all
+//! others are refused at once with a `Retry-After`.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -18,36 +18,36 @@
     refusal::{Reason, Refusal, Started},
 };
 
-/// How long the first read of the store may take. It takes 0.13 s where the store is up; this leaves
-/// room for one call that is turned away and repeated.
+/// The time allowed for the first read of the store. The read takes 0.13 s while the store is up;
+/// the limit leaves room for one call that is rejected and retried.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// The part of a caller's patience that its request may wait for a configuration. Callers of streams are
-/// patient for two to ten times as long as they like to wait for a first event, so most of those that
-/// waited are still answered on time.
+/// Divides a caller's timeout to get the time that its request may wait for a configuration. The
+/// timeouts of streams are two to ten times their targets for the first event, so most requests
+/// that waited are still answered on time.
 const MAX_WAIT_DIVISOR: u32 = 10;
-/// The longest such wait. A store that has been away for longer is likely to stay away.
+/// The upper limit of that wait. A store that has been unavailable for longer is likely to stay so.
 const MAX_WAIT: Duration = Duration::from_millis(2_500);
-/// How many requests wait at a time. Each holds a connection and its head, some 20 KB together; further
-/// ones are refused at once.
+/// How many requests may wait at a time. Each holds a connection and a request head, about 20 KB
+/// together; further requests are refused at once.
 pub const MAX_WAITERS: usize = 256;
-/// When callers come back to a node that doesn't reach the store, at the earliest and at the latest.
-/// The longest is what callers with deadlines of 15 s accept, a third of it.
+/// The shortest and the longest `Retry-After` of a node that cannot reach the store. Callers with
+/// deadlines of 15 s accept at most a third of their deadline, hence 5 s.
 const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(5));
-/// For how many times as long as a node has been without the store it's expected to stay so. An
-/// outage that has lasted is likely to last about as long again; callers have one try left and
-/// would lose it by coming too early, so this errs to the long side.
+/// The `Retry-After` as a multiple of the time that the node has been without the store. An outage
+/// that has lasted is likely to last about as long again; callers have one retry left and would
+/// lose it by coming back too early, so the estimate errs on the long side.
 const RETRY_AFTER_FACTOR: u32 = 2;
 
-/// The requests that wait.
+/// Counts the requests that wait.
 #[derive(Debug, Default)]
 pub struct Waiters(AtomicUsize);
 
-/// One of them, until it's dropped.
+/// One waiting request; dropping it frees its slot.
 #[derive(Debug)]
 pub struct Slot<'a>(&'a Waiters);
 
 impl Waiters {
-    /// A place among them, if there is one left.
+    /// Reserves a slot, unless [`MAX_WAITERS`] requests wait already.
     ///
     /// ```
     /// # use curranthook_gateway::startup::Waiters;
@@ -67,8 +67,8 @@
     }
 }
 
-/// Waits until the node can serve, for as long as that is likely to be soon and its caller, who waits
-/// for `patience` in all, has the time.
+/// Waits until the node can serve, for as long as it is likely to become ready and a part of the
+/// caller's `timeout` is left.
 pub async fn wait(gateway: &Gateway, timeout: Option<Duration>) {
     if gateway.is_serving() {
         return;
@@ -83,7 +83,7 @@
         if gateway.is_serving() || left.is_zero() {
             return;
         }
-        // Elapsed or not, what is known by then decides.
+        // Whether woken or timed out, the loop checks the state again.
         let _timed_out = timeout::run(left, changed).await;
     }
 }
@@ -94,7 +94,7 @@
         .with_retry_after(retry_after(time_since_start(gateway)))
 }
 
-/// When callers come back to a node that has been without the store for `age`.
+/// The `Retry-After` of a node that has been without the store for `without_store`.
 ///
 /// ```
 /// # use std::time::Duration;
