--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way: the attempts at it, until one has an answer that the caller may get.
+//! The life of an admitted request: attempts are made until one yields a response for the caller.
 
 mod escalation;
 mod retry;
@@ -29,49 +29,50 @@
 
 use self::retry::Next;
 
-/// When to come back while no endpoint can be reached: about the time in which one is noticed.
+/// The `Retry-After` while no endpoint is reachable: about the time until a reachable endpoint is
+/// discovered.
 const RETRY_AFTER_NO_ENDPOINT: Duration = Duration::from_millis(700);
 
-/// How many times others are asked for an endpoint that can be reached, before a request is placed.
+/// How many times peers are queried for a reachable endpoint before a request is placed.
 const MAX_QUERY_ROUNDS: usize = 3;
 
-/// The outcome of a request whose answer arrived whole.
+/// The outcome of a request whose response was received completely.
 pub const OUTCOME_WHOLE: &str = "whole";
 
-/// How a request ended. Times count from when it came.
+/// How a request ended. Times are measured from its arrival.
 #[derive(Debug, Default)]
 pub struct Summary<'a> {
-    /// The status that its caller got.
+    /// The response status sent to the caller.
     pub status: u16,
-    /// What became of it.
+    /// The outcome, as logged and counted.
     pub outcome: &'static str,
-    /// The endpoint that answered it last; empty if none did.
+    /// The endpoint that answered last; empty if none did.
     pub endpoint: &'a str,
-    /// When the first byte of the answer came.
+    /// The time to the first byte of the response.
     pub first_byte_after: Duration,
-    /// How many events of a stream were passed on. A stream that runs out of time while events come is
-    /// told by it from one that fell silent.
+    /// The number of stream events forwarded to the caller. Distinguishes a stream that ran out of
+    /// time while events arrived from one that stalled.
     pub n_events: u32,
-    /// When the last of them was.
+    /// The time to the last forwarded event.
     pub last_event_after: Duration,
 }
 
-/// A request on its way.
+/// An admitted request and the state of its attempts.
 #[derive(Debug)]
 pub struct Job {
-    /// The node.
+    /// The node that serves it.
     pub gateway: Arc<Gateway>,
-    /// The request.
+    /// The admitted request.
     pub request: Request,
-    /// Its route.
+    /// The route that matched.
     pub route: Arc<Route>,
-    /// Who calls.
+    /// The client account of the caller.
     pub account: Option<account::Id>,
-    /// How urgent it is.
+    /// The rank of the request; 0 is served first.
     pub priority: u8,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller has received.
     pub last_event_id: Option<u64>,
-    /// How many attempts there were.
+    /// The number of attempts so far.
     pub n_attempts: u32,
     service: String,
     models: Models,
@@ -79,16 +80,16 @@
     n_runs: u32,
     n_rejections: u32,
     started: Started,
-    /// Whether an endpoint answered it with an error.
+    /// Whether an endpoint answered with a server error.
     has_errored: bool,
     configuration_version: u64,
-    /// What other nodes told while the next attempt was decided on.
+    /// State reported by peers that was queried for the decision on the next attempt.
     peer_state: Option<PeerState>,
     _in_flight: InFlight,
 }
 
 impl Job {
-    /// A request that was let in.
+    /// Creates the job of an admitted request and counts the request for the retry budget.
     pub fn new(
         gateway: &Arc<Gateway>,
         current: &Configuration,
@@ -123,12 +124,12 @@
         })
     }
 
-    /// The time left for it.
+    /// The time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.request.time_left(self.gateway.now())
     }
 
-    /// Sends it until an endpoint answers it.
+    /// Makes attempts until an endpoint yields a response for the caller.
     pub async fn execute(&mut self) -> Result<Exchange, Refusal> {
         loop {
             if self.time_left().is_zero() {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// An attempt failed after its answer had begun, so another may follow.
+    /// Handles an attempt that failed after its response had begun; another attempt may follow.
     pub async fn on_response_failed(
         &mut self,
         endpoint: &endpoint::Id,
@@ -183,7 +184,7 @@
         lease.ok_or_else(|| self.no_endpoint_refusal(&criteria))
     }
 
-    /// The refusal of a request that no endpoint takes.
+    /// The refusal of a request that no endpoint can take.
     fn no_endpoint_refusal(&self, criteria: &Criteria<'_>) -> Refusal {
         let Some(throttled) = selection::throttled(&self.gateway, criteria) else {
             return self.refusal(Reason::NoEndpoint).with_retry_after(RETRY_AFTER_NO_ENDPOINT);
@@ -198,8 +199,8 @@
             .with_retry_after(retry_after.unwrap_or(RETRY_AFTER_NO_ENDPOINT))
     }
 
-    /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
-    /// have told already.
+    /// Queries peers about the endpoints that may take the request; empty in a small fleet, whose
+    /// nodes report their load to all others unasked.
     async fn query_peers(&self, criteria: &Criteria<'_>) -> PeerState {
         let mut peer_state = PeerState::default();
         for _ in 0..MAX_QUERY_ROUNDS {
@@ -214,7 +215,7 @@
             let now = self.gateway.now();
             let mut directory = self.gateway.directory.lock();
             peer_state.unreachable.iter().for_each(|it| directory.eject(it, now));
-            // One that can be reached is enough.
+            // One reachable endpoint is enough.
             if peer_state.waiting.keys().any(|it| !peer_state.unreachable.contains(it)) {
                 break;
             }
@@ -239,7 +240,7 @@
         peer_state
     }
 
-    /// What is to be placed if `model` is asked.
+    /// The selection criteria if `model` is to answer.
     fn criteria<'a>(&'a self, rule: &'a Rule, model: Option<&Candidate>) -> Criteria<'a> {
         let name = model.map_or("", |it| it.name.as_str());
         Criteria {
@@ -287,10 +288,11 @@
         attempt::run(&self.gateway, &self.request, self.route.retry_policy, lease, &outgoing).await
     }
 
-    /// Whether the caller gets this answer; if not, another attempt follows.
+    /// Returns the response if the caller gets it; otherwise another attempt follows.
     async fn accept_or_retry(&mut self, exchange: Exchange, version: &str) -> Option<Exchange> {
         let is_error = exchange.reply.status.is_server_error();
-        // A request that fails for a reason of its own fails again; it's evidence once.
+        // A request that itself causes errors fails again in each attempt; it counts as evidence
+        // about a version only once.
         if !self.has_errored {
             let elapsed = (!is_error).then_some(exchange.first_byte);
             self.gateway.rollouts.lock().record_answer(
@@ -339,7 +341,7 @@
         )
     }
 
-    /// An answer of `events` ended `took` after its first event.
+    /// Records a stream of `n_events` that ended `elapsed` after its first event.
     pub fn record_stream(&self, version: &str, n_events: u32, elapsed: Duration) {
         if let Some(it) = self.models.current() {
             let mut estimator = self.gateway.latency_estimator.lock();
@@ -355,12 +357,12 @@
         Kind { route: &self.route.name, model: self.models.index() }
     }
 
-    /// The refusal for `reason` after what happened so far.
+    /// The refusal for `reason`, given whether an endpoint may have started the request.
     pub fn refusal(&self, reason: Reason) -> Refusal {
         Refusal::new(reason, self.started)
     }
 
-    /// A hash that all requests of the same session have.
+    /// A hash that all requests of the same session share.
     fn session_hash(&self) -> u64 {
         let own = || hash::bytes(self.request.head.id.as_bytes());
         let route = hash::bytes(self.route.prefix.as_bytes());
@@ -380,12 +382,13 @@
         });
     }
 
-    /// Logs and counts its end.
+    /// Logs and counts the end of the request.
     pub fn record_end(&self, end: &Summary<'_>) {
         let Summary { status, outcome, endpoint, .. } = *end;
         let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
         if outcome == OUTCOME_WHOLE {
-            // Endpoints that ended while they ran it had another reason, then.
+            // A complete response shows that the request was not what ended the endpoints charged
+            // to it.
             self.gateway.poison.lock().release(self.request.fingerprint);
         }
         self.gateway.metrics.record_ended(outcome, elapsed);
@@ -404,7 +407,7 @@
     }
 }
 
-/// A duration in whole milliseconds.
+/// The duration in whole milliseconds.
 pub fn millis(it: Duration) -> u64 {
     u64::try_from(it.as_millis()).unwrap_or(u64::MAX)
 }
