--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -1,4 +1,4 @@
-//! Whether a larger model is asked in place of a small one whose answer has begun.
+//! Escalation: the largest model replaces a small one whose response has begun.
 
 use std::time::Duration;
 
@@ -13,13 +13,15 @@
 };
 
 impl Job {
-    /// Whether the largest model is asked in place of the one that has begun.
+    /// Escalates to the largest model if its expected answer is better than the response that has
+    /// begun. Returns whether it did.
     pub(super) async fn try_escalate(&mut self, confidence: Option<u8>) -> bool {
         let can_repeat = self.route.retry_policy.is_retryable() && self.last_event_id.is_none();
         let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session_hash());
-        // Work of other nodes only delays the larger model, so most answers are kept without asking.
+        // Load from other nodes can only delay the larger model. So if the larger model is not
+        // better without that load, the response is kept without querying peers.
         if self.improvement(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
@@ -43,7 +45,7 @@
         true
     }
 
-    /// What is to be expected of the largest model, if that is better than the answer that has begun.
+    /// The forecast for the largest model, if it is better than the response that has begun.
     fn improvement(&self, confidence: u8, rule: &Rule, peer_state: &PeerState) -> Option<Forecast> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
@@ -57,8 +59,8 @@
         cascade::should_escalate(confidence, &small, &large, &targets).then_some(large)
     }
 
-    /// When the first event of `model` is likely to come, at the endpoint that it would get now; none if
-    /// there is no endpoint for it.
+    /// The expected time to the first event of `model` at the endpoint that would be selected now;
+    /// `None` if there is no endpoint for it.
     fn first_event(
         &self,
         rule: &Rule,
