--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -1,5 +1,5 @@
-//! Whether another attempt follows one that failed: what may run twice, within the budget for
-//! repeats, and not if the request itself ends endpoints.
+//! Decides whether another attempt follows a failed one: depends on whether the request may run
+//! twice, on the retry budget, and on whether the request itself crashes endpoints.
 
 use std::time::Duration;
 
@@ -14,23 +14,25 @@
     refusal::{Reason, Refusal, Started},
 };
 
-/// How often a request may be turned away by endpoints that didn't run it.
+/// How many attempts of a request may be rejected by endpoints that did not run it.
 const MAX_REJECTIONS: u32 = 5;
-/// When to come back while all endpoints are full: the time in which they end some requests.
+/// The `Retry-After` while all endpoints are full: about the time in which they complete some
+/// requests.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
-/// How long it's asked whether an endpoint that broke off still takes connections.
+/// The time limit for probing whether an endpoint that dropped a connection still accepts
+/// connections.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Whether another attempt follows.
+/// What follows a failed attempt.
 pub(super) enum Next {
-    /// One does.
+    /// Another attempt.
     Retry,
-    /// None does, and the caller gets this.
+    /// This refusal is sent to the caller.
     Respond(Refusal),
 }
 
 impl Job {
-    /// What follows an attempt at `endpoint` that failed.
+    /// Handles a failed attempt at `endpoint`.
     pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failure: &Failure) -> Next {
         if failure.execution == Execution::MayHaveRun {
             self.n_runs += 1;
@@ -54,7 +56,7 @@
         Next::Retry
     }
 
-    /// What follows an attempt at `endpoint` that may have run.
+    /// Handles a failed attempt at `endpoint` that may have run the request.
     pub(super) async fn on_possible_run(
         &mut self,
         endpoint: &endpoint::Id,
@@ -79,7 +81,7 @@
         Next::Retry
     }
 
-    /// Whether it may run once more, and takes that from the budget.
+    /// Takes one run from the budget; returns whether the request may run once more.
     pub(super) fn try_rerun(&mut self, why: &'static str) -> bool {
         if self.route.max_attempts <= self.n_runs {
             self.log_not_repeated("attempts");
@@ -98,7 +100,7 @@
         true
     }
 
-    /// Charges the request with the end of `endpoint`, if that no longer takes connections.
+    /// Charges the request with the crash of `endpoint`, if that no longer accepts connections.
     async fn charge_poison(&self, endpoint: &endpoint::Id) {
         let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
