--- a/crates/curranthook_gateway/src/retry_budget.rs
+++ b/crates/curranthook_gateway/src/retry_budget.rs
@@ -1,28 +1,28 @@
-//! How many requests may be sent a second time, by service.
+//! Limits how many requests may be retried, per service.
 
 use std::{
     collections::{HashMap, VecDeque},
     time::{Duration, Instant},
 };
 
-/// The fleet's bound on repeats, of which each node takes its part.
+/// The fleet-wide limit on retries, of which each node uses its share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats besides, for the whole fleet.
+    /// Retries allowed in addition, for the whole fleet.
     pub slack: f64,
-    /// The span over which both are counted.
+    /// The sliding window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// The part of the bound that is used. What is left covers requests that cross the edges of the
-/// window and nodes that don't know of each other yet.
+/// The share of the limit that is used. The rest covers requests that cross the edges of the window
+/// and nodes that do not know of each other yet.
 const USABLE_SHARE: f64 = 0.8;
-/// The span of one counter.
+/// The time span that one counter of the window covers.
 const COUNTER_SPAN: Duration = Duration::from_millis(500);
 
-/// The repeats of a node.
+/// The retry budget of a node.
 ///
 /// ```
 /// # use std::time::{Duration, Instant};
@@ -46,17 +46,17 @@
 }
 
 impl Budget {
-    /// A budget under `bound`.
+    /// Creates a budget under `limit`.
     pub fn new(limit: Limit) -> Self {
         Self { limit, services: HashMap::new() }
     }
 
-    /// A request for `service` came.
+    /// Counts a request for `service`.
     pub fn record_request(&mut self, service: &str, now: Instant) {
         self.counter(service, now).requests += 1.0;
     }
 
-    /// Takes one repeat, if there is one left for this node of `n_nodes`.
+    /// Takes one retry from the budget, if this node, one of `n_nodes`, has one left.
     pub fn try_spend(&mut self, service: &str, n_nodes: usize, now: Instant) -> bool {
         let Limit { ratio, slack, .. } = self.limit;
         self.counter(service, now);
