--- a/crates/curranthook_gateway/src/cascade.rs
+++ b/crates/curranthook_gateway/src/cascade.rs
@@ -1,48 +1,48 @@
-//! Which model answers, the smallest first.
+//! Chooses the model that answers a request, trying the smallest first.
 //!
-//! A small model answers most requests well for a tenth of the price. It tells how sure it is
-//! before the first event, so an answer that it's unsure of is dropped, and the largest model
-//! asked, while the caller has none of it.
+//! A small model answers most requests well at a tenth of the price. It states its confidence
+//! before the first event, so a response of low confidence can be dropped and the largest model
+//! called before the caller has received anything.
 
 use std::time::Duration;
 
-/// What an answer that comes late is worth, against one on time. Callers value it at a tenth to
-/// three tenths.
+/// The value of a late answer relative to one on time. Callers value it at 0.1 to 0.3.
 const LATE_VALUE: f64 = 0.2;
-/// What a poor answer is worth, against a good one.
+/// The value of a low-quality answer relative to a good one.
 const POOR_VALUE: f64 = 0.05;
 /// The confidence at which a small model's answer is as likely low-quality as accepted, and the scale of
 /// the logistic curve around it, both in points of 100.
 const CONFIDENCE_MIDPOINT: f64 = 50.0;
 const CONFIDENCE_SCALE: f64 = 10.0;
-/// What an answer of the largest model costs, as a part of its worth: the engine's time, and what other
-/// requests wait longer for.
+/// The cost of an answer of the largest model as a share of the answer's value: engine time, and
+/// the added wait of other requests.
 pub const LARGE_MODEL_COST: f64 = 0.45;
-/// How far off the outlook is, as a part of the time it's compared with.
-const FORECAST_SPREAD: f64 = 0.2;
+/// The uncertainty of a forecast as a share of the time limit that it is compared with.
+const FORECAST_RELATIVE_SPREAD: f64 = 0.2;
 
-/// What is to be expected of a model for a request.
+/// The expected timing and cost of a model's answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
-    /// When the first event comes, from when the request came.
+    /// The time from the request's arrival to the first event.
     pub first_event: Duration,
-    /// When the last one does.
+    /// The time from the request's arrival to the last event.
     pub last_event: Duration,
-    /// What the answer costs, as a part of its worth.
+    /// The cost of the answer as a share of its value.
     pub cost: f64,
 }
 
-/// By when a caller wants what.
+/// The time limits of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Targets {
-    /// The time for the first event.
+    /// The target time to the first event.
     pub objective: Duration,
-    /// The time for the last one.
+    /// The deadline for the last event.
     pub deadline: Duration,
 }
 
 impl Forecast {
-    /// What a good answer is worth, as it's likely to come in time, late, or not at all.
+    /// The expected value of a good answer, given how likely it is to arrive on time, late or not
+    /// at all.
     fn value(&self, targets: &Targets) -> f64 {
         let on_time = probability(self.first_event, targets.objective);
         let completes = probability(self.last_event, targets.deadline);
@@ -50,17 +50,18 @@
     }
 }
 
-/// The chance that something expected at `at` has come by `by`.
+/// The probability that something expected after `expected` happens within `limit`.
 fn probability(expected: Duration, limit: Duration) -> f64 {
     let limit = limit.as_secs_f64();
-    let spread = (limit * FORECAST_SPREAD).max(f64::MIN_POSITIVE);
+    let spread = (limit * FORECAST_RELATIVE_SPREAD).max(f64::MIN_POSITIVE);
     1.0 / (1.0 + ((expected.as_secs_f64() - limit) / spread).exp())
 }
 
-/// Whether the answer of a small model that has begun is dropped and a larger model asked, from
-/// the small one's confidence (0 to 100).
+/// Whether the response of a small model, given its confidence (0 to 100), is dropped in favor of a
+/// larger model.
 ///
-/// A busy large model answers late or not at all; then even a doubtful answer is worth more.
+/// A busy large model answers late or not at all; then even an answer of low confidence has the
+/// higher value.
 ///
 /// ```
 /// # use std::time::Duration;
@@ -87,16 +88,18 @@
     small_value < large.value(targets)
 }
 
-/// Ranks that the requests of small models are apart from those of large ones.
+/// The number of priority ranks. Requests to large models are placed this many ranks behind those
+/// to small models.
 const N_RANKS: u8 = 4;
-/// The weight from which a model counts as large: its prompts take long to read.
+/// The relative price from which a model counts as large: prefill takes long there.
 pub const LARGE_MODEL_MIN_PRICE: f64 = 0.5;
 
-/// How urgent a request to a model is at its engine, 0 before all others. `rank` is the route's
-/// or account's, `weight` the model's price against the dearest one's.
+/// The priority of a request at its engine; 0 is served first. `rank` comes from the route or the
+/// account, `relative_price` is the model's price relative to the most expensive model.
 ///
-/// Engines read prompts one after another. A small model reads a prompt in a tenth of the time,
-/// and its word decides whether a larger one is asked at all, so it doesn't wait behind one.
+/// Engines prefill prompts one after another. A small model prefills in a tenth of the time, and
+/// its confidence decides whether a larger model is called at all, so its requests do not wait
+/// behind those of a large one.
 ///
 /// ```
 /// # use curranthook_gateway::cascade;
