--- a/crates/curranthook_gateway/src/cascade.rs
+++ b/crates/curranthook_gateway/src/cascade.rs
@@ -10,8 +10,8 @@
 const LATE_VALUE: f64 = 0.2;
 /// The value of a low-quality answer relative to a good one.
 const POOR_VALUE: f64 = 0.05;
-/// The confidence at which a small model's answer is as likely low-quality as accepted, and the scale of
-/// the logistic curve around it, both in points of 100.
+/// The confidence at which an answer of a small model is as likely low-quality as accepted, and the
+/// scale of the logistic curve around it, both in points out of 100.
 const CONFIDENCE_MIDPOINT: f64 = 50.0;
 const CONFIDENCE_SCALE: f64 = 10.0;
 /// The cost of an answer of the largest model as a share of the answer's value: engine time, and
@@ -92,7 +92,7 @@
 /// to small models.
 const N_RANKS: u8 = 4;
 /// The relative price from which a model counts as large: prefill takes long there.
-pub const LARGE_MODEL_MIN_PRICE: f64 = 0.5;
+pub const LARGE_MODEL_MIN_RELATIVE_PRICE: f64 = 0.5;
 
 /// The priority of a request at its engine; 0 is served first. `rank` comes from the route or the
 /// account, `relative_price` is the model's price relative to the most expensive model.
@@ -107,5 +107,5 @@
 /// ```
 pub fn engine_priority(rank: u8, relative_price: f64) -> u8 {
     let rank = rank.min(N_RANKS - 1);
-    if relative_price < LARGE_MODEL_MIN_PRICE { rank } else { rank + N_RANKS }
+    if relative_price < LARGE_MODEL_MIN_RELATIVE_PRICE { rank } else { rank + N_RANKS }
 }
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -309,8 +309,9 @@
 fn queue_delay(it: &Tracked, criteria: &Criteria<'_>, remote_queue: Duration) -> Duration {
     let waiting = it.pending + remote_queue;
     // Small models go first at an engine and wait for what is being read just then only.
-    let is_small_model =
-        criteria.model.is_some_and(|it| it.relative_price < cascade::LARGE_MODEL_MIN_PRICE);
+    let is_small_model = criteria
+        .model
+        .is_some_and(|it| it.relative_price < cascade::LARGE_MODEL_MIN_RELATIVE_PRICE);
     if is_small_model { waiting / 8 } else { waiting }
 }
 
