--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -1,4 +1,4 @@
-//! The endpoints that may take a request, and what each offers it as far as the node knows.
+//! Selects the endpoint for a request from those that may take it, by what the node knows of each.
 
 use std::{
     cell::LazyCell,
@@ -22,44 +22,45 @@
     slow_start,
 };
 
-/// How long a plain service works on a request, about.
+/// The assumed processing time of a request at a service without models.
 const PLAIN_SERVICE_TIME: Duration = Duration::from_millis(50);
 
-/// Of how many endpoints other nodes are asked before a request is placed. Each costs two datagrams.
+/// The number of endpoints about which peers are queried before a request is placed. Each costs two
+/// datagrams.
 const SHORTLIST_LEN: usize = 4;
 
-/// What is to be placed.
+/// What a request requires of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Criteria<'a> {
-    /// The service.
+    /// The service that takes the request.
     pub service: &'a str,
-    /// The versions that may take it.
+    /// The versions that may take the request.
     pub rule: &'a Rule,
-    /// Endpoints that were tried before.
+    /// Endpoints that earlier attempts went to.
     pub tried: &'a [endpoint::Id],
-    /// The hash of the model and of the parts that it shares with others.
+    /// The hash of the model and of the prompt prefix that the request shares with others.
     pub prefix_hash: Option<u64>,
-    /// The tokens of those parts.
+    /// The number of tokens of that prefix.
     pub prefix_tokens: u64,
-    /// The tokens of the whole prompt.
+    /// The number of tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// The model; none for plain services.
+    /// The model; `None` for a service without models.
     pub model: Option<TargetModel>,
-    /// A number that differs between requests.
+    /// A value that differs between requests, to break ties.
     pub salt: u64,
 }
 
-/// A model that is wanted.
+/// The model that is to answer.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetModel {
-    /// Its price against the dearest one's.
+    /// The model's price relative to the most expensive model of the service.
     pub relative_price: f64,
-    /// How fast it has been.
+    /// The model's estimated latency.
     pub latency: Estimate,
 }
 
 impl Criteria<'_> {
-    /// The prompt as an engine reads it that keeps the shared parts, or doesn't.
+    /// The prompt as an engine processes it, with or without the prefix in its cache.
     fn prompt(&self, has_prefix_cached: bool) -> Prompt {
         Prompt::new(self.prompt_tokens, if has_prefix_cached { self.prefix_tokens } else { 0 })
     }
@@ -75,28 +76,28 @@
     }
 }
 
-/// An endpoint and how a request would fare there.
+/// The selected endpoint and the load that the request meets there.
 #[derive(Debug)]
 pub struct Choice<'a> {
-    /// The endpoint.
+    /// The selected endpoint.
     pub endpoint: &'a Tracked,
-    /// The prompt as it would read it.
+    /// The prompt, split by what the endpoint is expected to have cached.
     pub prompt: Prompt,
-    /// How busy it seems.
+    /// The estimated number of requests that the endpoint has.
     pub outstanding: u32,
-    /// The work that waits there before the request.
+    /// The prefill work that is queued there ahead of the request.
     pub queue_delay: Duration,
 }
 
 impl Choice<'_> {
-    /// When the first event of a model of `pace` is likely to come.
+    /// The expected time to the first event, for a model with this `latency`.
     pub fn first_event(&self, latency: &Estimate) -> Duration {
         latency.first_event(self.prompt, self.outstanding, self.queue_delay)
     }
 }
 
-/// The best endpoint for a request, if there is one. `heard` is what other nodes have waiting at some
-/// endpoints; if it says anything, those are the ones to choose from.
+/// The best endpoint for a request, if there is one. `peer_state` holds the load that other nodes
+/// put on some endpoints; if it covers any eligible endpoint, only covered ones are considered.
 pub fn best<'a>(
     gateway: &Gateway,
     directory: &'a Directory,
@@ -107,7 +108,7 @@
     let all: Vec<&Tracked> = directory.ready(criteria.service).collect();
     let mut list = eligible(&all, criteria, now);
     if list.iter().any(|it| peer_state.waiting.contains_key(&it.entry.id)) {
-        // Of the others nobody knows how busy they are; they'd seem idle.
+        // The load of the others is unknown, so they would seem idle.
         list.retain(|it| peer_state.waiting.contains_key(&it.entry.id));
     }
     let (holders, candidates) = candidates(gateway, &list, criteria, peer_state, now);
@@ -125,8 +126,8 @@
     })
 }
 
-/// The endpoints of which other nodes are asked before a request is placed, the best first by what
-/// this node knows; none in a small fleet, whose nodes tell each other.
+/// The endpoints about which peers are queried before a request is placed, the best first by this
+/// node's own knowledge; empty in a small fleet, whose nodes report their load to each other.
 pub fn shortlist(gateway: &Gateway, criteria: &Criteria<'_>) -> Vec<endpoint::Id> {
     if criteria.model.is_none() || !load_owners::are_used(gateway.n_nodes()) {
         return Vec::new();
@@ -141,16 +142,19 @@
     best.into_iter().map(|it| list[it].entry.id.clone()).collect()
 }
 
-/// What the endpoints take that could take a request, but not one of this node now.
+/// The rate at which endpoints that match a request admit requests, while they admit none from this
+/// node.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Throttled {
-    /// The requests a second that all nodes together may send to those whose rate is shared.
+    /// The requests per second that all nodes together may send to those endpoints whose rate is
+    /// shared.
     pub rate: f64,
-    /// When the first pause ends that one of them named.
+    /// When the first pause that one of them requested ends.
     pub resumes_at: Option<Instant>,
 }
 
-/// The endpoints that could take a request but take none of this node now; none if there are none.
+/// The limits of the endpoints that match a request but admit none from this node now; `None` if no
+/// endpoint does.
 pub fn throttled(gateway: &Gateway, criteria: &Criteria<'_>) -> Option<Throttled> {
     let now = gateway.now();
     let slow_start_rate = gateway.service(criteria.service, |it| it.slow_start_rate);
@@ -165,7 +169,8 @@
     })
 }
 
-/// Works out what this node may send to the endpoints of `service` whose rate all nodes share.
+/// Recomputes what this node may send to the endpoints of `service` whose rate is shared by all
+/// nodes.
 pub fn renew_permits(gateway: &Gateway, directory: &mut Directory, service: &str, now: Instant) {
     let node_hashes = LazyCell::new(|| {
         let peers = gateway.peers.lock();
@@ -180,13 +185,13 @@
     directory.renew_permits(service, &permits, now);
 }
 
-/// What the nodes of the fleet may send.
+/// The rates that endpoints grant to the fleet, divided among its nodes.
 struct FleetPermits<F> {
     slow_start_rate: Option<f64>,
     rotation: u64,
     /// The hash of this node's name.
     node_hash: u64,
-    /// Those of all nodes' names.
+    /// The hashes of all nodes' names.
     node_hashes: LazyCell<Vec<u64>, F>,
 }
 
@@ -223,7 +228,7 @@
         let prefix_hash = criteria.prefix_hash?;
         Some(gateway.affinity.lock().holders(prefix_hash, now))
     };
-    // The nodes of a small fleet tell all others what they sent to be read.
+    // The nodes of a small fleet report to all others which prefixes they sent where.
     let is_known = peer_state.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
     let holders = if is_known { CacheHolders::Known } else { CacheHolders::Guessed };
     let cached_at = peer_state.holders.clone().or_else(own_record).unwrap_or_default();
@@ -242,7 +247,7 @@
     (holders, list.iter().map(candidate).collect())
 }
 
-/// The work that other nodes have waiting at an endpoint.
+/// The work that other nodes have queued at an endpoint.
 fn remote_queue(
     gateway: &Gateway,
     id: &endpoint::Id,
@@ -253,17 +258,19 @@
     peer_state.unwrap_or_else(|| gateway.load_table.lock().waiting(id, &gateway.settings.node, now))
 }
 
-/// The endpoints to choose from, of those that take a request now. Whoever was tried, is left alone or runs
-/// a version that the request shouldn't go to is taken only if there is nobody else.
+/// The endpoints to choose from, among those that admit a request now. Endpoints that were tried
+/// before, are ejected, or run a version that the request should not go to are considered only if
+/// there are no others.
 fn eligible<'a>(all: &[&'a Tracked], criteria: &Criteria<'_>, now: Instant) -> Vec<&'a Tracked> {
     let is_allowed = |it: &Tracked| criteria.rule.allows(&it.entry.version);
     let is_untried = |it: &Tracked| !criteria.tried.contains(&it.entry.id);
     let select = |keep: &dyn Fn(&Tracked) -> bool| -> Vec<&'a Tracked> {
         all.iter().copied().filter(|it| it.admits(now) && keep(it)).collect()
     };
-    // A version whose order may still be on its way waits, unless there is an order that decides.
+    // A new version whose rollout order may not have arrived yet gets no requests, unless a known
+    // order decides.
     let is_known = |it: &Tracked| *criteria.rule != Rule::Any || it.is_established_version(now);
-    // A version whose endpoints take no more for now isn't gone: no other takes its place.
+    // A version whose endpoints are throttled still exists: no other version replaces it.
     let is_throttled = |it: &Tracked| !it.admits(now) && is_allowed(it) && is_known(it);
     let has_throttled = all.iter().any(|it| is_throttled(it));
     let is_usable = |it: &Tracked| is_allowed(it) && (is_known(it) || !has_throttled);
@@ -279,11 +286,11 @@
             return list;
         }
     }
-    // Nobody runs a version that the rule allows: what the others run is better than nothing,
-    // once the roll-out has begun to move requests to it or away from it.
+    // No endpoint runs an allowed version. Once the rollout has begun to move requests to the
+    // target version or away from it, any other version is better than a refusal.
     match criteria.rule {
         Rule::Only(_) => select(&|it| is_untried(it)),
-        // No other version is left, so the roll-out is over, whatever this node has heard of it.
+        // No other version is left, so the rollout is over, even if this node has not been told.
         Rule::Not(_) if !has_throttled => select(&|it| is_untried(it) && !it.is_ejected(now)),
         Rule::Not(_) | Rule::Any => Vec::new(),
     }
@@ -305,10 +312,11 @@
     PLAIN_SERVICE_TIME * waiting / slots + Duration::from_millis(1) * outstanding
 }
 
-/// The work that keeps a request waiting.
+/// The queued work that delays the request.
 fn queue_delay(it: &Tracked, criteria: &Criteria<'_>, remote_queue: Duration) -> Duration {
     let waiting = it.pending + remote_queue;
-    // Small models go first at an engine and wait for what is being read just then only.
+    // Engines serve small models first, so their requests only wait for the prefill that is in
+    // progress.
     let is_small_model = criteria
         .model
         .is_some_and(|it| it.relative_price < cascade::LARGE_MODEL_MIN_RELATIVE_PRICE);
@@ -323,7 +331,7 @@
     }
 }
 
-/// The hash that places a request: of the model and of the parts that it shares.
+/// The key by which a request is placed: the hash of the model and of the shared prompt prefix.
 pub fn prefix_hash(parts: Option<u64>, model: &str) -> Option<u64> {
     parts.map(|it| hash::pair(it, hash::bytes(model.as_bytes())))
 }
