--- a/crates/curranthook_gateway/src/placement.rs
+++ b/crates/curranthook_gateway/src/placement.rs
@@ -1,71 +1,72 @@
-//! Which endpoint takes a request.
+//! Chooses the endpoint for a request among candidates.
 //!
-//! Engines keep the prompts they read, so a request is cheapest where its shared parts were read
-//! last. A rendezvous hash over the endpoints gives every node the same order of homes for the
-//! same parts without a message; a home that is busy is passed over when reading the parts again
-//! elsewhere takes less time than waiting for it. Where nodes tell each other what was read where, that
-//! goes before the hash: most parts are read for the first time, and then no endpoint is better than
-//! another.
+//! Engines cache the prompts that they process, so a request is cheapest where its shared prefix
+//! was processed last. Rendezvous hashing over the endpoints gives each prefix the same preference
+//! order at every node, without communication; a preferred endpoint that is busy is skipped if
+//! processing the prefix again elsewhere takes less time than waiting. Where nodes report which
+//! prefixes were processed where, that takes precedence over the hash: most prefixes occur for the
+//! first time, and then no endpoint is better than another.
 
 use std::time::Duration;
 
 use curranthook_policy::hash;
 
-/// What an endpoint offers a request.
+/// An endpoint that may take a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// A hash of its id.
+    /// The hash of the endpoint's id.
     pub id_hash: u64,
-    /// How long work that is there already will keep the request waiting.
+    /// How long the work that is already there delays the request.
     pub wait: Duration,
-    /// The share of requests that failed there lately.
+    /// The recent share of failed requests, from 0 to 1.
     pub failure_rate: f64,
-    /// Where it stands.
+    /// Whether the endpoint is in the failure domain of the node.
     pub locality: Locality,
-    /// Whether this node knows that the shared parts were read there.
+    /// Whether this node knows that the shared prefix was processed there.
     pub has_prefix_cached: bool,
 }
 
-/// Where an endpoint stands, seen from the node.
+/// The location of an endpoint relative to the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Locality {
-    /// In the same failure domain.
+    /// The endpoint is in the node's failure domain.
     SameDomain,
-    /// In another.
+    /// The endpoint is in another failure domain.
     DifferentDomain,
 }
 
 /// A request to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Task {
-    /// The hash of the parts of its prompt that it shares with others, and of the model.
+    /// The hash of the model and of the prompt prefix that the request shares with others.
     pub prefix_hash: Option<u64>,
-    /// How long the prefill of those parts takes.
+    /// The prefill time of that prefix.
     pub prefix_prefill: Duration,
-    /// What is known of where they were read.
+    /// What is known about which endpoints have the prefix cached.
     pub holders: CacheHolders,
-    /// A number that differs between requests, to break ties.
+    /// A value that differs between requests, to break ties.
     pub salt: u64,
 }
 
-/// What is known of the endpoints that keep shared parts.
+/// What is known about the endpoints that have a shared prefix cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheHolders {
-    /// The candidates that hold them are marked, and no others do.
+    /// Exactly the marked candidates have it cached.
     Known,
-    /// Others may; most likely the home does.
+    /// Unmarked candidates may have it cached, most likely the one that rendezvous hashing prefers.
     Guessed,
 }
 
-/// What another failure domain costs in comparison: a round trip and some bytes.
+/// The cost of another failure domain, as a delay: a round trip and the transferred bytes.
 const CROSS_DOMAIN_PENALTY: Duration = Duration::from_millis(3);
-/// What an endpoint costs at which every request fails: more than any wait that is worth it.
+/// The cost of an endpoint at which every request fails, as a delay: longer than any wait that is
+/// acceptable.
 const FAILING_PENALTY: Duration = Duration::from_millis(1_500);
-/// Below this share of failures an endpoint counts as sound; endpoints fail some requests for
-/// reasons of the requests' own.
+/// Up to this share of failures an endpoint counts as healthy, since some requests fail for reasons
+/// of their own.
 const MAX_HEALTHY_FAILURE_RATE: f64 = 0.3;
 
-/// The best candidate.
+/// The index of the best candidate.
 ///
 /// ```
 /// # use std::time::Duration;
@@ -86,7 +87,7 @@
     costs(candidates, task).min().map(|it| it.index)
 }
 
-/// The `n` best candidates, the best first.
+/// The indices of the `n` best candidates, the best first.
 ///
 /// ```
 /// # use std::time::Duration;
@@ -109,7 +110,7 @@
     all.into_iter().map(|it| it.index).collect()
 }
 
-/// What a candidate costs. The hash decides between equals.
+/// The cost of a candidate. The hash breaks ties.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
     time: Duration,
