--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -1,4 +1,4 @@
-//! A place at the endpoint that a request goes to, and the account that is kept of it there.
+//! Accounts for a request at the endpoint that it is sent to.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,43 +19,44 @@
     selection::{self, Choice, Criteria},
 };
 
-/// A place at an endpoint. Dropping it gives it back.
+/// A request slot at an endpoint. Dropping the lease releases it.
 #[derive(Debug)]
 pub struct Lease {
     gateway: Arc<Gateway>,
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: endpoint::Id,
-    /// Where it listens.
+    /// The address that the endpoint listens at.
     pub addr: SocketAddr,
-    /// Its version.
+    /// The version of the endpoint's software.
     pub version: String,
-    /// How busy it seemed.
+    /// The estimated number of requests that the endpoint had.
     pub outstanding: u32,
-    /// The prompt that it reads.
+    /// The prompt, split by what the endpoint is expected to have cached.
     pub prompt: Prompt,
-    /// The work that waited there.
+    /// The prefill work that was queued ahead of the request.
     pub queue_delay: Duration,
-    /// When its first event is likely to come; none for plain services.
+    /// The expected time to the first event; `None` for a service without models.
     pub expected_first_event: Option<Duration>,
-    /// How many idle connections this node may keep there.
+    /// How many idle connections this node may keep to the endpoint.
     pub max_idle: usize,
-    /// Which start of the endpoint it's for.
+    /// When the endpoint started, in milliseconds of the wall clock; identifies its incarnation.
     started_ms: Option<u64>,
     pending_prefill: Duration,
     outcome: Outcome,
 }
 
-/// Whether an answer is all that its endpoint would say.
+/// Whether a response carries everything that its endpoint states about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completeness {
-    /// A successful answer to the request.
+    /// A successful response to the request.
     Whole,
-    /// A failure, a refusal, or none of the request's.
+    /// A failure, a refusal, or a response to another request.
     Partial,
 }
 
 impl Lease {
-    /// A place at the best endpoint for a request, if there is one (see [`offer::best`]).
+    /// Acquires a lease at the best endpoint for a request, if there is one (see
+    /// [`selection::best`]).
     pub fn acquire(
         gateway: &Arc<Gateway>,
         criteria: &Criteria<'_>,
@@ -98,7 +99,7 @@
         })
     }
 
-    /// Takes in what the endpoint says of itself in an answer.
+    /// Applies what the endpoint states about itself in a response.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
         let incarnation =
             Incarnation { id: self.id.clone(), addr: self.addr, born: self.started_ms };
@@ -114,7 +115,7 @@
             let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
             self.gateway.log.write(&Event::Paused { endpoint, length_ms });
         }
-        // An answer that went wrong may lack what its endpoint says in all others.
+        // A failed response may lack headers that the endpoint sends in all others.
         let states_limit = completeness == Completeness::Whole || notice.rate.is_some();
         let is_changed = states_limit && directory.set_rate_limit(&incarnation, &notice, now);
         drop(directory);
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The first byte of an answer came.
+    /// Records that the first byte of the response arrived.
     pub fn record_first_byte(&mut self, load: Option<Load>) {
         let now = self.gateway.now();
         let pending_prefill = std::mem::take(&mut self.pending_prefill);
@@ -140,7 +141,7 @@
         self.gateway.pending_work_changed.wake();
     }
 
-    /// Gives it back.
+    /// Releases the lease with the outcome of the request.
     pub fn close(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
