--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to an endpoint, and the head of the answer comes back.
+//! A single attempt: sends a request to an endpoint and receives the head of the response.
 
 use std::{
     sync::Arc,
@@ -23,69 +23,69 @@
     request::Request,
 };
 
-/// How long an idle connection may be trusted with a request that can be repeated. Endpoints
-/// close idle ones after some seconds, and what is sent just then is lost.
+/// How long a connection may have been idle to be used for a retryable request. Endpoints close
+/// idle connections after some seconds, and a request that is sent at that moment is lost.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(3);
 
-/// Within this time a connection that was closed while it was idle shows it: a few round trips
+/// A connection that was closed while idle fails within this time after use: a few round trips
 /// between failure domains.
 const STALE_DETECTION_TIME: Duration = Duration::from_millis(10);
 
-/// How long a new connection must hold before a request that can't be repeated is sent on it: a round
-/// trip between failure domains and the time in which an endpoint accepts a connection or resets it.
+/// How long a new connection must stay open before a non-retryable request is sent on it: a round
+/// trip between failure domains plus the time in which an endpoint accepts or resets a connection.
 const SETTLE_TIME: Duration = Duration::from_millis(8);
 
-/// An answer that has begun.
+/// A request that was sent, with the response whose head has arrived.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The place at the endpoint.
+    /// The lease at the endpoint.
     pub lease: Lease,
-    /// The connection.
+    /// The connection that carries the exchange.
     pub conn: Connection,
-    /// What the head says.
+    /// The parsed head of the response.
     pub reply: Reply,
-    /// The head.
+    /// The head of the response as received.
     pub head: Parts,
-    /// What is to come.
+    /// The body of the response, not yet read.
     pub body: Incoming,
-    /// The time to the head.
+    /// The time from sending the request to the head of the response.
     pub first_byte: Duration,
 }
 
-/// Why an attempt has no answer.
+/// Why an attempt yielded no response for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// What went wrong.
+    /// The cause of the failure.
     pub cause: Cause,
     /// Whether the request may have run.
     pub execution: Execution,
 }
 
-/// What went wrong with an attempt.
+/// The cause of a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// No connection.
+    /// No connection could be opened.
     Connect,
-    /// A kept connection turned out to be closed.
+    /// A pooled connection had been closed by the endpoint.
     StaleConnection,
-    /// The endpoint is full.
+    /// The endpoint has no capacity left.
     Full,
-    /// Another endpoint has the address.
+    /// Another endpoint uses the address now.
     Misdirected,
-    /// The connection broke.
+    /// The connection was lost.
     Disconnected,
-    /// The answer is another request's.
+    /// The response belongs to another request.
     WrongRequest,
-    /// The answer isn't the endpoint's own.
+    /// The response does not carry the endpoint's seal.
     Unsealed,
-    /// No answer in time.
+    /// No response arrived in time.
     Timeout,
-    /// The endpoint failed.
+    /// The endpoint reported an error.
     Error,
 }
 
 impl Cause {
-    /// Its name in logs and counters.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Connect => "connect",
@@ -101,7 +101,7 @@
     }
 }
 
-/// Sends `ask` to the endpoint of `lease` and waits for the head of the answer.
+/// Sends `request` to the endpoint of `lease` and waits for the head of the response.
 pub async fn run(
     gateway: &Arc<Gateway>,
     request: &Request,
@@ -110,8 +110,8 @@
     outgoing: &Outgoing<'_>,
 ) -> Result<Exchange, Failure> {
     let sent_at = gateway.now();
-    // What can't be repeated is never trusted to a kept connection: the endpoint may be closing
-    // it, or something between may have lost it, and nobody could tell whether it ran.
+    // A non-retryable request is never sent on a pooled connection: the endpoint may be closing it,
+    // or a middlebox may have dropped it, and nothing would show whether the request ran.
     let freshness =
         if retry_policy.is_retryable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
     let outbound = gateway.dialect.build_request(request, outgoing);
@@ -178,8 +178,9 @@
         return not_run(Cause::StaleConnection);
     }
     if conn.is_reused() && elapsed_time < STALE_DETECTION_TIME {
-        // Closed in the moment of use, most likely; that says nothing against the endpoint. Later,
-        // the endpoint had the request and lost its answer.
+        // The endpoint most likely closed the connection just as it was used, which is no sign of a
+        // fault. A failure after a longer time means that the endpoint had the request and its
+        // response was lost.
         lease.close(Outcome::Abandoned);
         return may_have_run(Cause::StaleConnection);
     }
@@ -187,14 +188,14 @@
     may_have_run(Cause::Disconnected)
 }
 
-/// Whether the head of an answer is none that a caller may get.
+/// The failure of a response that must not be forwarded to the caller; `None` if it may be.
 fn reply_failure(request: &Request, reply: &Reply) -> Option<Failure> {
     if reply.execution == Execution::NotRun {
         let is_misdirected = reply.status == http::StatusCode::MISDIRECTED_REQUEST;
         return Some(not_run(if is_misdirected { Cause::Misdirected } else { Cause::Full }));
     }
-    // An answer that comes late on a kept connection stands where the next one is expected. Its
-    // id tells; passed on, a caller would read somebody else's answer.
+    // A late response on a reused connection takes the position of the next one. The request id
+    // reveals it; forwarded, the caller would receive another caller's response.
     if reply.request_id.as_deref() != Some(request.head.id.as_str()) {
         return Some(may_have_run(Cause::WrongRequest));
     }
@@ -225,11 +226,11 @@
 }
 
 impl Exchange {
-    /// Takes the connection back into use if the endpoint keeps it, once the answer was read to
-    /// its end.
+    /// Returns the connection to the pool if the endpoint keeps it open, after the response was
+    /// read to its end.
     pub fn finish(self, gateway: &Gateway, retry_policy: RetryPolicy, outcome: Outcome) {
         if matches!(self.reply.connection, dialect::Connection::KeepAlive(_)) {
-            // Requests that can't be repeated leave connections behind and never take one of them.
+            // Non-retryable requests add connections to the pool and never take one from it.
             let max_idle =
                 if retry_policy.is_retryable() { usize::MAX } else { self.lease.max_idle };
             gateway.pool.put_within(self.conn, max_idle);
@@ -237,7 +238,7 @@
         self.lease.close(outcome);
     }
 
-    /// Closes the connection, which tells the endpoint to stop.
+    /// Closes the connection, which tells the endpoint to stop working on the request.
     pub fn close(self, outcome: Outcome) {
         self.conn.close();
         self.lease.close(outcome);
