--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -1,7 +1,7 @@
-//! An answer that is read whole before its caller gets any of it.
+//! Responses that are read completely before the caller receives any of them.
 //!
-//! A short answer that breaks off can then be asked for again, where the route allows that, and
-//! what the caller gets is never cut.
+//! If a short response breaks off, the request can then be retried where the route allows it, and
+//! the caller never receives a truncated response.
 
 use bytes::Bytes;
 use curranthook_http::{body, timeout};
@@ -14,10 +14,10 @@
     refusal::{Reason, Refusal},
 };
 
-/// The largest answer that is read whole, in bytes.
+/// The size limit of a response that is read completely.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads the answer to `job`.
+/// Makes attempts at `job` until a response has been read completely.
 pub async fn read(job: &mut Job) -> Result<(Parts, Bytes), Refusal> {
     loop {
         let mut exchange = job.execute().await?;
