--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -1,7 +1,8 @@
-//! An answer that is a stream of events, passed on as they come.
+//! Responses that are streams of events, forwarded as they arrive.
 //!
-//! If the endpoint breaks off or goes silent, another one goes on after the last whole event, as
-//! far as the route allows that. The caller sees one answer, with the head of the first endpoint.
+//! If the endpoint disconnects or stalls, another endpoint continues after the last complete event,
+//! as far as the route allows. The caller sees a single response, with the head from the first
+//! endpoint.
 
 use std::time::{Duration, Instant};
 
@@ -19,18 +20,19 @@
     splitter::Splitter,
 };
 
-/// An endpoint that lets this many times the longest pause go by without an event has stopped:
-/// the answer is late already, and callers leave soon after.
+/// An endpoint that sends no event for this many times the longest pause of a stream on time counts
+/// as stalled: the stream is late already, and callers leave soon after.
 const MAX_GAP_FACTOR: u32 = 2;
-/// The least time after which an endpoint counts as silent, as it may read other prompts between.
+/// The shortest time after which an endpoint counts as stalled, since it may prefill other prompts
+/// between two events.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a stream ends before its end.
+/// Why a stream is aborted.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream broke off: {}", .0.reason.name())]
+#[error("stream aborted: {}", .0.reason.name())]
 struct Aborted(Refusal);
 
-/// A stream on its way to its caller. Dropping it tells the endpoint to stop.
+/// A stream that is forwarded to its caller. Dropping it tells the endpoint to stop.
 #[derive(Debug)]
 struct Relay {
     job: Job,
@@ -38,18 +40,19 @@
     splitter: Splitter,
     status: u16,
     first_byte_after: Duration,
-    /// How many events came from the present endpoint, and since when.
+    /// The number of events received from the current endpoint, and since when.
     n_events: u32,
     started_at: Instant,
-    /// When the stream last got on, by an event that its caller doesn't have yet.
+    /// When the last event arrived that the caller had not received yet.
     last_progress_at: Instant,
-    /// How many events the caller got in all, and when the last of them, after the request came.
+    /// The number of events forwarded to the caller in total, and the time from the request's
+    /// arrival to the last of them.
     n_forwarded: u32,
     last_event_after: Duration,
     is_done: bool,
 }
 
-/// The body of an answer that has begun.
+/// The response body that continues `exchange`.
 pub fn body(job: Job, exchange: Exchange) -> Body {
     let relay = Relay {
         status: exchange.reply.status.as_u16(),
@@ -70,8 +73,8 @@
         }
         let next = relay.next().await.transpose()?;
         if next.is_err() {
-            // A connection writes what it holds while it waits for more; an error closes it at once, and
-            // the events just before it would be lost.
+            // The server flushes a connection while it waits for the next frame; an error closes
+            // the connection at once, and the events just before it would be lost.
             future::yield_now().await;
         }
         let frame = next.map(Frame::data).map_err(|e| Box::new(e) as curranthook_http::body::Error);
@@ -81,7 +84,7 @@
 }
 
 impl Relay {
-    /// The next whole events; none at the end.
+    /// The next complete events; `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, Aborted> {
         loop {
             if self.exchange.is_none() {
@@ -121,7 +124,7 @@
                         let now = self.job.gateway.now();
                         self.last_event_after =
                             now.saturating_duration_since(self.job.request.received_at);
-                        // Comments that keep a connection open bring the caller nothing.
+                        // Comments that only keep a connection alive carry nothing for the caller.
                         if events.last_id.is_some() || self.job.last_event_id.is_none() {
                             self.last_progress_at = now;
                         }
@@ -137,12 +140,13 @@
         }
     }
 
-    /// The endpoint failed: leaves it, and ends the answer if no other may go on.
+    /// Closes the exchange with the failed endpoint, and aborts the stream if no other endpoint may
+    /// continue it.
     async fn on_endpoint_failure(&mut self, cause: Cause) -> Result<(), Aborted> {
         let Some(exchange) = self.exchange.take() else { return Ok(()) };
         let id = exchange.lease.id.clone();
         exchange.close(Outcome::ConnectionLost);
-        // Silence within the time that is left is no end of the time.
+        // A stall before the deadline is a failure of the endpoint, not a timeout of the request.
         let cause = match cause {
             Cause::Timeout if !self.job.time_left().is_zero() => Cause::Disconnected,
             other => other,
@@ -193,8 +197,8 @@
         }
     }
 
-    /// How long the endpoint may still take for the next event. Bytes that make none don't count: an
-    /// endpoint that trickles them would hold its caller until the time is up.
+    /// How long the endpoint may still take for the next event. Bytes that complete no event do not
+    /// count: an endpoint that trickles them would keep its caller waiting until the deadline.
     fn idle_time_left(&self) -> Duration {
         let gap = self.job.route.max_event_gap.unwrap_or_default();
         let idle_timeout = gap.saturating_mul(MAX_GAP_FACTOR).max(MIN_IDLE_TIMEOUT);
@@ -211,7 +215,7 @@
     }
 }
 
-/// What came.
+/// The result of reading from an endpoint.
 enum Progress {
     Events(Bytes),
     Partial,
