--- a/crates/curranthook_gateway/src/splitter.rs
+++ b/crates/curranthook_gateway/src/splitter.rs
@@ -1,29 +1,29 @@
-//! Cuts a stream of bytes into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The bytes of a stream that aren't passed on yet.
+/// The bytes of a stream that have not been forwarded yet.
 ///
-/// An endpoint can break off in the middle of an event. What was passed on then ends at a whole
-/// event, so that another endpoint can go on after it.
+/// An endpoint can disconnect in the middle of an event. Forwarded bytes always end at an event
+/// boundary, so another endpoint can continue from there.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
 }
 
-/// Whole events.
+/// A run of complete events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes as they came.
+    /// The bytes of the events as received.
     pub bytes: Bytes,
-    /// The id of the last of them that has one.
+    /// The id of the last event that has one.
     pub last_id: Option<u64>,
-    /// How many there are.
+    /// The number of events.
     pub count: u32,
 }
 
 impl Splitter {
-    /// Takes in bytes and returns the events that are whole now.
+    /// Appends received bytes and returns the events that are complete now.
     ///
     /// ```
     /// # use curranthook_gateway::splitter::Splitter;
@@ -41,18 +41,18 @@
         Some(Events { bytes, last_id, count })
     }
 
-    /// Whether nothing is held back.
+    /// Whether no bytes of an incomplete event are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Drops the beginning of an event that broke off.
+    /// Discards the beginning of an event that was cut off.
     pub fn clear(&mut self) {
         self.buffer.clear();
     }
 }
 
-/// The place after the last blank line.
+/// The index after the last blank line, which ends an event.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     (1..bytes.len()).rev().find_map(|at| {
         let is_end =
@@ -63,7 +63,7 @@
 
 fn count_events(events: &[u8]) -> u32 {
     let blank = events.split(|it| *it == b'\n').filter(|it| it.is_empty() || *it == b"\r");
-    // What follows the last line feed is empty too.
+    // The segment after the last line feed is empty too.
     u32::try_from(blank.count().saturating_sub(1)).unwrap_or(u32::MAX)
 }
 
