--- a/crates/curranthook_gateway/src/retry_schedule.rs
+++ b/crates/curranthook_gateway/src/retry_schedule.rs
@@ -1,22 +1,24 @@
-//! When callers may come back that were refused because no endpoint takes more for now.
+//! Spreads the `Retry-After` times of callers that were refused because the endpoints are
+//! throttled.
 
 use std::{
     collections::HashMap,
     time::{Duration, Instant},
 };
 
-/// The longest time to come back that is told; by then the endpoints may take more.
+/// The longest `Retry-After`; by then the endpoints may admit more.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// The times that were told, by service.
+/// The last time slot given out, per service.
 #[derive(Debug, Default)]
 pub struct Reservations {
     last_slots: HashMap<String, Instant>,
 }
 
 impl Reservations {
-    /// Books a time for a caller, if this node may send the service `rate` requests a second. Each is told
-    /// one of its own, so that not all come back at once to find the same few places taken.
+    /// Reserves a time slot for a caller, if this node may send the service `rate` requests per
+    /// second. Each caller gets a slot of its own; otherwise all would return at once and compete
+    /// for the same few requests.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
