--- a/crates/curranthook_gateway/src/refusal.rs
+++ b/crates/curranthook_gateway/src/refusal.rs
@@ -1,42 +1,42 @@
-//! Requests that a node ends by itself.
+//! Requests that a node answers itself, without a response from an endpoint.
 
 use std::time::Duration;
 
 use http::StatusCode;
 
-/// Why a node ended a request. Each has a counter of its own.
+/// Why a node refused a request. Each reason has a counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Reason {
     /// No configuration has been read yet.
     NotReady,
-    /// No route.
+    /// No route matches.
     NoRoute,
-    /// The key is unknown.
+    /// The API key is unknown.
     UnknownKey,
-    /// The head or body can't be understood.
+    /// The head or the body is malformed.
     Invalid,
-    /// The body is too large.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// No endpoint can take it now.
+    /// No endpoint is available.
     NoEndpoint,
-    /// The endpoints that could take it take no more for now.
+    /// The endpoints that match the request admit no more for now.
     Throttled,
-    /// All endpoints that were asked are full.
+    /// All endpoints that were tried are full.
     Full,
     /// The node is shutting down.
     Stopping,
-    /// The request has ended several endpoints.
+    /// The request has crashed several endpoints.
     Poison,
-    /// Its time passed before it was sent.
+    /// The deadline passed before the request was sent.
     Expired,
-    /// Its time passed after it was sent.
+    /// The deadline passed after the request was sent.
     Timeout,
     /// The endpoint failed after the request was sent.
     EndpointFailed,
 }
 
 impl Reason {
-    /// The last part of the counter's name.
+    /// The name in logs, responses and metric labels.
     ///
     /// ```
     /// # use curranthook_gateway::refusal::Reason;
@@ -61,29 +61,29 @@
     }
 }
 
-/// The end of a request without an endpoint's answer.
+/// A refusal that is sent to the caller in place of an endpoint's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason of the refusal.
     pub reason: Reason,
-    /// The status. 429 and 503 promise that the request hasn't run and never will.
+    /// The response status. 429 and 503 guarantee that the request has not run and never will.
     pub status: StatusCode,
-    /// When to come back, where that may help.
+    /// The `Retry-After`, where a retry may help.
     pub retry_after: Option<Duration>,
 }
 
-/// Whether any endpoint may have begun to work on a request.
+/// Whether an endpoint may have started to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Started {
-    /// Surely none has.
+    /// No endpoint has started it.
     #[default]
     No,
-    /// One may have.
+    /// An endpoint may have started it.
     Maybe,
 }
 
 impl Refusal {
-    /// The refusal for `reason`. `ran` decides what its status may promise.
+    /// The refusal for `reason`. `started` decides what the status may guarantee.
     ///
     /// ```
     /// # use curranthook_gateway::refusal::{Started, Reason, Refusal};
@@ -104,7 +104,7 @@
         Self { reason, status, retry_after: None }
     }
 
-    /// Says when to come back.
+    /// Sets the `Retry-After`.
     pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Self { retry_after: Some(retry_after), ..self }
     }
