--- a/crates/curranthook_gateway/src/mirror.rs
+++ b/crates/curranthook_gateway/src/mirror.rs
@@ -1,4 +1,4 @@
-//! The rows of the store as a node knows them, for peers that can't reach the store.
+//! The node's copy of the store's rows, from which it answers peers that cannot reach the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,11 +7,11 @@
 
 use crate::store::{Batch, Rev, Row, Table};
 
-/// All rows that a node knows.
+/// All rows that a node has read.
 #[derive(Debug, Default)]
 pub struct Mirror {
     tables: HashMap<Table, Rows>,
-    /// When the store last answered a call for the operators' rows, which are asked for most often.
+    /// When the store last answered a call for the operators' rows, which are read most often.
     last_answer: Option<Instant>,
     /// The store's clock, and when it was read.
     clock: Option<(Duration, Instant)>,
@@ -19,26 +19,26 @@
 
 #[derive(Debug, Default)]
 struct Rows {
-    /// Rows that are gone stay without a value, so that peers hear of their end.
+    /// Removed rows stay as rows without a value, so that peers learn of the removal.
     rows: BTreeMap<String, Row>,
     rev: Rev,
-    /// From where on all changes are known.
+    /// The revision since which all changes are known.
     complete_since: Option<Rev>,
-    /// Whether the last call for them failed.
+    /// Whether the last call for the table failed.
     is_interrupted: bool,
 }
 
-/// Why a mirror can't tell what changed.
+/// Why a mirror cannot tell the changes of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangesError {
-    /// It began to follow the table later.
+    /// The mirror began to follow the table after the requested revision.
     HistoryMissing,
-    /// It hasn't heard from the store for too long.
+    /// The store has not answered for too long.
     Stale,
 }
 
 impl Mirror {
-    /// Takes in rows that changed. Returns those that are news.
+    /// Applies changed rows. Returns those that are newer than the known ones.
     pub fn merge(&mut self, table: Table, batch: Batch) -> Vec<Row> {
         let table_rows = self.tables.entry(table).or_default();
         let is_newer = |row: &Row| table_rows.rows.get(&row.key).is_none_or(|it| it.rev < row.rev);
@@ -52,8 +52,8 @@
         changed
     }
 
-    /// Takes in all rows of a table. Returns those that are news, and those that are gone as
-    /// rows without a value. An answer older than what is known changes nothing.
+    /// Applies a read of a whole table. Returns the rows that are newer than the known ones, and
+    /// the removed rows without a value. A read older than the known state changes nothing.
     pub fn replace(&mut self, table: Table, batch: Batch) -> Vec<Row> {
         let table_rows = self.tables.entry(table).or_default();
         if batch.rev < table_rows.rev {
@@ -72,13 +72,13 @@
         removed
     }
 
-    /// Notes that the store answered at `at`, this node or one that told it.
+    /// Records that the store answered at `at`, to this node or to a peer that reported it.
     pub fn record_answer(&mut self, at: Instant) {
         self.last_answer = self.last_answer.max(Some(at));
     }
 
-    /// Notes that a call for a table failed. Until the next one that doesn't, its rows may be out of date
-    /// though the store answers calls for others.
+    /// Records that a call for a table failed. Until a call succeeds, the table's rows may be out
+    /// of date, even if the store answers calls for other tables.
     pub fn mark_interrupted(&mut self, table: Table) {
         self.tables.entry(table).or_default().is_interrupted = true;
     }
@@ -88,13 +88,13 @@
         self.tables.get(&table).is_some_and(|it| it.complete_since.is_some())
     }
 
-    /// Whether all tables have been read once. A node that knows the order of a roll-out and not
-    /// yet how far it is would send requests to a version that is gone.
+    /// Whether all tables have been read once. A node that knows a rollout's order but not yet its
+    /// progress would send requests to a version that no longer exists.
     pub fn has_read_all(&self) -> bool {
         Table::ALL.into_iter().all(|it| self.has_read(it))
     }
 
-    /// How long ago the store answered.
+    /// The time since the store's last answer.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.last_answer.map(|at| now.saturating_duration_since(at))
     }
@@ -105,7 +105,7 @@
         !is_interrupted && self.age(now).is_some_and(|age| age <= max_age)
     }
 
-    /// What changed in a table after `since`.
+    /// The changes in a table after `since`.
     pub fn changes(&self, table: Table, since: Rev) -> Result<Batch, ChangesError> {
         let table_rows = self.tables.get(&table).ok_or(ChangesError::HistoryMissing)?;
         if table_rows.complete_since.is_none_or(|from| since < from) {
@@ -115,17 +115,17 @@
         Ok(Batch { rows, rev: table_rows.rev, now: None })
     }
 
-    /// Notes what the store's clock said.
+    /// Records a reading of the store's clock.
     pub fn set_clock(&mut self, store: Duration, now: Instant) {
         self.clock = Some((store, now));
     }
 
-    /// The store's clock, as far as it's known.
+    /// The current time of the store's clock, if it has been read.
     pub fn store_time(&self, now: Instant) -> Option<Duration> {
         self.clock.map(|(store, at)| store + now.saturating_duration_since(at))
     }
 
-    /// Up to where a table is known.
+    /// The revision up to which a table is known.
     pub fn rev(&self, table: Table) -> Rev {
         self.tables.get(&table).map_or(Rev(0), |it| it.rev)
     }
@@ -137,7 +137,7 @@
         Batch { rows, rev: table_rows.rev, now: None }
     }
 
-    /// A row of a table.
+    /// The row of a table with this key.
     pub fn row(&self, table: Table, key: &str) -> Option<&Row> {
         self.tables.get(&table)?.rows.get(key).filter(|it| it.value.is_some())
     }
