--- a/crates/curranthook_gateway/src/prefill.rs
+++ b/crates/curranthook_gateway/src/prefill.rs
@@ -1,59 +1,61 @@
-//! How long a model takes to its first event, learned from those that came.
+//! Estimates a model's time to the first event, learned from observed first events.
 //!
-//! The time grows with the tokens that are read, with how many pairs of them attend to each other
-//! (for the longest prompts that is as much again) and with how many requests run beside them. How
-//! fast, differs from deployment to deployment and from model to model, so a Kalman filter follows it
-//! request by request from a prior.
+//! The time grows with the number of prefilled tokens, with the number of token pairs that attend
+//! to each other (for the longest prompts these take as much time again) and with the number of
+//! concurrent requests. The rates differ between deployments and models, so a Kalman filter tracks
+//! them from a prior, request by request.
 
 use std::time::Duration;
 
 use nalgebra::{SMatrix, SVector};
 
-/// What the time is made of: a constant, tokens, pairs of tokens, requests that run.
+/// The number of terms of the estimate: a constant, tokens, token pairs, concurrent requests.
 const N_TERMS: usize = 4;
-/// Ten thousand tokens, a hundred million pairs and ten requests are one each, so that all numbers
-/// of the filter are of a like size.
+/// The numbers of tokens, token pairs and concurrent requests that make one unit, so that all
+/// numbers in the filter are of similar magnitude.
 const UNITS: (f64, f64, f64) = (1e4, 1e8, 10.0);
-/// What is expected before anything is seen, in seconds by the units above; for tokens and pairs of
-/// the dearest model, and of cheaper ones in proportion to their price.
+/// The coefficients before any observation, in seconds per unit. Those for tokens and token pairs
+/// are for the most expensive model, and are scaled by the relative price for others.
 const PRIOR_COEFFICIENTS: [f64; N_TERMS] = [0.05, 0.47, 0.0, 0.06];
-/// How far off each of them may be.
+/// The standard deviation of each prior coefficient, in seconds per unit.
 const PRIOR_STD_DEV: [f64; N_TERMS] = [0.05, 0.3, 0.3, 0.06];
-/// How much of that doubt comes back with each request, as engines and load change.
+/// The share of the prior variance that is added back with each observation, since engines and load
+/// change.
 const VARIANCE_RECOVERY: f64 = 1e-3;
-/// How far off a single time may be from what is right on average: seconds, and a part of it.
+/// The standard deviation of a single observation: a constant in seconds, and a share of the
+/// expected time.
 const OBSERVATION_NOISE: (f64, f64) = (0.02, 0.2);
-/// By how many standard deviations a single time counts as off at the most. Requests that wait behind
-/// another long prompt take any time.
-const MAX_DEVIATION: f64 = 2.5;
-/// The longest prompt that something is learned from. Callers may claim any length, and one that
-/// claims a billion tokens and is answered at once would teach that reading takes no time.
+/// The largest error that an observation may have, in standard deviations; larger ones are clamped.
+/// Requests that wait behind another long prompt may take any time.
+const MAX_ERROR_STD_DEVS: f64 = 2.5;
+/// The longest prompt that updates the estimate, in tokens. Callers may claim any length; a claim
+/// of a billion tokens that is answered at once would make prefill seem to take no time.
 const MAX_PROMPT_TOKENS: u64 = 1_000_000;
 
-/// A prompt as an engine reads it.
+/// The size of a prompt, split by whether the engine has it cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Prompt {
-    /// The tokens that are read.
+    /// The number of tokens that the engine prefills.
     pub uncached: u64,
-    /// The tokens before them that the engine keeps from earlier requests.
+    /// The number of tokens before them that the engine has cached from earlier requests.
     pub cached: u64,
 }
 
 impl Prompt {
-    /// A prompt of `tokens`, of which `kept` are kept.
+    /// A prompt of `tokens`, of which the first `cached` are cached.
     pub fn new(tokens: u64, cached: u64) -> Self {
         let cached = cached.min(tokens);
         Self { uncached: tokens - cached, cached }
     }
 
-    /// In the filter's units.
+    /// The numbers of prefilled tokens and of token pairs, in [`UNITS`].
     fn scaled_sizes(self) -> (f64, f64) {
         let (uncached, cached) = (self.uncached as f64, self.cached as f64);
         (uncached / UNITS.0, uncached * (cached + uncached / 2.0) / UNITS.1)
     }
 }
 
-/// What is known of a model's times.
+/// The Kalman filter of one model.
 #[derive(Debug, Clone)]
 pub struct Filter {
     coefficients: SVector<f64, N_TERMS>,
@@ -61,12 +63,13 @@
     prior_variance: SVector<f64, N_TERMS>,
 }
 
-/// What a [`Filter`] says now.
+/// The coefficients that a [`Filter`] estimates, in seconds per unit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Coefficients([f64; N_TERMS]);
 
 impl Filter {
-    /// The filter of a model that costs `weight` of the dearest one's price.
+    /// Creates the filter of a model with `relative_price`, its price relative to the most
+    /// expensive model.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -87,13 +90,13 @@
         Self { coefficients, covariance: SMatrix::from_diagonal(&prior_variance), prior_variance }
     }
 
-    /// What it says now.
+    /// The current estimate.
     pub fn coefficients(&self) -> Coefficients {
         Coefficients(self.coefficients.into())
     }
 
-    /// A first event came after `took`, beside `busy` requests. `waited` of that time was spent on
-    /// other requests' prompts.
+    /// Updates the estimate with a first event that arrived after `elapsed`, with `outstanding`
+    /// concurrent requests. `queue_delay` of that time was spent on the prompts of other requests.
     pub fn update(
         &mut self,
         prompt: Prompt,
@@ -109,12 +112,12 @@
         let noise = OBSERVATION_NOISE.0 + OBSERVATION_NOISE.1 * expected.max(0.0);
         let gain = self.covariance * terms;
         let variance = terms.dot(&gain) + noise * noise;
-        let max_error = MAX_DEVIATION * variance.sqrt();
+        let max_error = MAX_ERROR_STD_DEVS * variance.sqrt();
         let error = elapsed.as_secs_f64() - queue_delay.as_secs_f64() - expected;
         let gain = gain / variance;
         self.coefficients += gain * error.clamp(-max_error, max_error);
-        // No more tokens, pairs or requests make an engine faster. What looks so is somebody else's
-        // part, which the next answers then show.
+        // More tokens, pairs or requests never make an engine faster. An estimate below zero
+        // belongs to another term, which the next observations correct.
         self.coefficients.rows_mut(1, N_TERMS - 1).apply(|it| *it = it.max(0.0));
         self.covariance -= gain * (terms.transpose() * self.covariance);
         for it in 0..N_TERMS {
@@ -126,19 +129,20 @@
 }
 
 impl Coefficients {
-    /// The time that an engine takes for the prefill of a prompt.
+    /// The time that an engine takes to prefill a prompt.
     pub fn prefill_time(&self, prompt: Prompt) -> Duration {
         let (uncached, pairs) = prompt.scaled_sizes();
         saturating_seconds(self.0[1] * uncached + self.0[2] * pairs)
     }
 
-    /// The time to the first event, once the engine has read all that waited before it.
+    /// The time to the first event, after the engine has prefilled everything that was queued
+    /// ahead.
     pub fn first_event(&self, prompt: Prompt, outstanding: u32) -> Duration {
         let delay = self.0[0] + self.0[3] * f64::from(outstanding) / UNITS.2;
         self.prefill_time(prompt) + saturating_seconds(delay)
     }
 
-    /// By how much each request that runs delays the first event of another one.
+    /// The delay that each concurrent request adds to the first event of another one.
     pub fn delay_per_running(&self) -> Duration {
         saturating_seconds(self.0[3] / UNITS.2)
     }
@@ -149,8 +153,8 @@
     SVector::from([1.0, uncached, pairs, f64::from(outstanding) / UNITS.2])
 }
 
-/// That many seconds, some eleven days at most. A caller may claim a prompt or an answer of any length,
-/// which is no number any more in the end, and no duration before.
+/// Converts seconds to a duration, clamped to 1e6 s (about eleven days). Callers may claim prompts
+/// and answers of any length, for which the result may be NaN or exceed what a `Duration` can hold.
 pub(crate) fn saturating_seconds(it: f64) -> Duration {
     const MAX: f64 = 1e6;
     let it = if it.is_nan() { 0.0 } else { it.clamp(0.0, MAX) };
