--- a/crates/curranthook_gateway/src/latency.rs
+++ b/crates/curranthook_gateway/src/latency.rs
@@ -1,13 +1,13 @@
-//! How fast each model of a service has been of late, at all its engines together.
+//! Estimates the recent latency of each model of a service, over all of its engines.
 
 use std::{collections::HashMap, time::Duration};
 
 use crate::prefill::{self, Coefficients, Filter, Prompt};
 
-/// How much one answer moves a mean.
+/// The weight of a new observation in the moving average.
 const SMOOTHING: f64 = 0.1;
 
-/// The pace of all models.
+/// The latency estimates of all models.
 #[derive(Debug, Default)]
 pub struct Estimator {
     models: HashMap<(String, String), Model>,
@@ -16,45 +16,46 @@
 #[derive(Debug)]
 struct Model {
     filter: Filter,
-    /// Seconds from one event to the next.
-    event_interval: Option<f64>,
+    /// The moving average of the time between two events, in seconds.
+    event_interval_s: Option<f64>,
 }
 
-/// The pace of a model.
+/// The estimated latency of a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// How fast it reads.
+    /// The coefficients of the time to the first event.
     pub coefficients: Coefficients,
-    event_interval: f64,
+    event_interval_s: f64,
 }
 
-/// A first event that came.
+/// An observed first event.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstEvent {
-    /// The prompt that was read for it.
+    /// The prompt of the request.
     pub prompt: Prompt,
-    /// How many requests ran beside it.
+    /// The number of concurrent requests at the endpoint.
     pub outstanding: u32,
-    /// The work that waited before it.
+    /// The prefill work that was queued ahead of the request.
     pub queue_delay: Duration,
-    /// When it came, after the request was sent.
+    /// The time from sending the request to its first event.
     pub elapsed: Duration,
 }
 
 impl Estimate {
-    /// The time to the first event of a request that is sent now.
+    /// The expected time to the first event of a request that is sent now.
     pub fn first_event(&self, prompt: Prompt, outstanding: u32, queue_delay: Duration) -> Duration {
         self.coefficients.first_event(prompt, outstanding) + queue_delay
     }
 
-    /// The time that `events` take after the first.
+    /// The expected time of `n_events` after the first.
     pub fn remaining_events(&self, n_events: u64) -> Duration {
-        prefill::saturating_seconds(self.event_interval * n_events as f64)
+        prefill::saturating_seconds(self.event_interval_s * n_events as f64)
     }
 }
 
 impl Estimator {
-    /// The pace of `model`, which costs `weight` of the dearest one's price.
+    /// The estimate for `model`, whose price relative to the most expensive model is
+    /// `relative_price`.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -71,16 +72,16 @@
         let Some(it) = self.models.get(&key) else {
             return Estimate {
                 coefficients: Filter::new(relative_price).coefficients(),
-                event_interval: 0.0,
+                event_interval_s: 0.0,
             };
         };
         Estimate {
             coefficients: it.filter.coefficients(),
-            event_interval: it.event_interval.unwrap_or(0.0),
+            event_interval_s: it.event_interval_s.unwrap_or(0.0),
         }
     }
 
-    /// A first event came.
+    /// Records a first event.
     pub fn record_first_event(
         &mut self,
         service: &str,
@@ -92,7 +93,7 @@
         it.filter.update(event.prompt, event.outstanding, event.queue_delay, event.elapsed);
     }
 
-    /// An answer of `events` ended `took` after its first event.
+    /// Records a stream of `n_events` that ended `elapsed` after its first event.
     pub fn record_stream(
         &mut self,
         service: &str,
@@ -104,13 +105,13 @@
         if 1 < n_events {
             let interval = elapsed.as_secs_f64() / f64::from(n_events - 1);
             let mean =
-                self.entry(service, model, relative_price).event_interval.get_or_insert(interval);
+                self.entry(service, model, relative_price).event_interval_s.get_or_insert(interval);
             *mean += SMOOTHING * (interval - *mean);
         }
     }
 
     fn entry(&mut self, service: &str, model: &str, relative_price: f64) -> &mut Model {
-        let new = || Model { filter: Filter::new(relative_price), event_interval: None };
+        let new = || Model { filter: Filter::new(relative_price), event_interval_s: None };
         self.models.entry((service.to_owned(), model.to_owned())).or_insert_with(new)
     }
 }
