--- a/crates/curranthook_gateway/src/dialect.rs
+++ b/crates/curranthook_gateway/src/dialect.rs
@@ -1,7 +1,7 @@
-//! What callers and endpoints write and read, behind one interface.
+//! The interface to the headers and status codes of callers and endpoints.
 //!
-//! The stages know neither header names nor status conventions of any deployment: a
-//! [`Dialect`] decodes them once into the types here.
+//! The stages know no header names and no status conventions of a deployment: a [`Dialect`] decodes
+//! them once into the types of this module.
 
 use std::{fmt::Debug, time::Duration};
 
@@ -15,113 +15,116 @@
     request::{Head, Request},
 };
 
-/// Translates between the stages and the wire.
+/// Translates between the types of the stages and HTTP messages.
 pub trait Dialect: Debug + Send + Sync {
-    /// Reads a caller's head.
+    /// Parses the head of a caller's request.
     fn parse_request_head(&self, head: &http::request::Parts) -> Result<Head, InvalidHeader>;
-    /// Writes a request to an endpoint.
+    /// Builds the request that is sent to an endpoint.
     fn build_request(&self, request: &Request, outgoing: &Outgoing<'_>) -> http::Request<Bytes>;
-    /// Reads the head of an endpoint's answer.
+    /// Parses the head of an endpoint's response.
     fn parse_response_head(&self, head: &http::response::Parts) -> Reply;
-    /// The headers of an endpoint's answer that no decoder reads.
+    /// The headers of an endpoint's response that no decoder reads.
     fn unknown_headers<'a>(&self, headers: &'a HeaderMap)
     -> Vec<(&'a HeaderName, &'a HeaderValue)>;
-    /// The headers of an endpoint's answer that its caller gets.
+    /// The headers of an endpoint's response that are forwarded to the caller.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
-    /// Adds to `headers` what a refusal says.
+    /// Adds the headers of a refusal to `headers`.
     fn add_refusal_headers(&self, refusal: &Refusal, headers: &mut HeaderMap);
-    /// Adds to `headers` that no more requests are taken on this connection.
+    /// Adds to `headers` that this connection accepts no more requests.
     fn add_closing_headers(&self, headers: &mut HeaderMap) {
         headers.insert(http::header::CONNECTION, HeaderValue::from_static("close"));
     }
 }
 
-/// A head that can't be understood.
+/// A header that cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header {name}: {reason}")]
 pub struct InvalidHeader {
-    /// The header.
+    /// The name of the header.
     pub name: &'static str,
-    /// What is wrong with it.
+    /// Why it cannot be parsed.
     pub reason: String,
 }
 
 /// What a node adds to a request that it sends to an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Outgoing<'a> {
-    /// Which endpoint is meant; another that has its address now must not run the request.
+    /// The endpoint that the request is meant for; another one that uses its address now must not
+    /// run the request.
     pub endpoint: &'a endpoint::Id,
-    /// Who calls.
+    /// The client account of the caller.
     pub account: Option<&'a account::Id>,
-    /// How much time is left.
+    /// The time left until the deadline.
     pub time_left: Duration,
-    /// The model to use, where the caller left it open.
+    /// The model to use, if the caller left the choice open.
     pub model: Option<&'a str>,
-    /// How urgent the request is; 0 is the most urgent.
+    /// The rank of the request; 0 is served first.
     pub priority: Option<u8>,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller has received.
     pub last_event_id: Option<u64>,
 }
 
-/// The head of an endpoint's answer.
+/// The parsed head of an endpoint's response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reply {
-    /// Its status.
+    /// The response status.
     pub status: StatusCode,
-    /// The request it says it answers.
+    /// The id of the request that the response states to answer.
     pub request_id: Option<String>,
-    /// Whether the endpoint says that it didn't run the request.
+    /// Whether the endpoint states that it did not run the request.
     pub execution: Execution,
-    /// Whether it bears the endpoint's seal, without which it's nobody's answer.
+    /// Whether the response carries the endpoint's seal; without it the response must not be
+    /// trusted.
     pub seal: Seal,
-    /// How sure the model is of its answer, from 0 to 100.
+    /// The model's confidence in its answer, from 0 to 100.
     pub confidence: Option<u8>,
-    /// How busy the endpoint is.
+    /// The load of the endpoint.
     pub load: Option<Load>,
-    /// The requests a second that the endpoint takes from all nodes together; none if it names no limit.
+    /// The requests per second that the endpoint accepts from all nodes together; `None` if it
+    /// states no limit.
     pub rate_limit: Option<f64>,
-    /// For how long an endpoint that turned the request away wants none of this node.
+    /// How long an endpoint that rejected the request accepts no requests from this node.
     pub pause: Option<Duration>,
-    /// Whether the endpoint takes more work or is about to end.
+    /// Whether the endpoint accepts new work or is about to end.
     pub state: State,
-    /// Whether the endpoint closes the connection.
+    /// Whether the endpoint keeps the connection open.
     pub connection: Connection,
 }
 
 /// Whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// It surely did not, and never will.
+    /// The request has not run and never will.
     NotRun,
-    /// It did, or may have.
+    /// The request ran or may have run.
     MayHaveRun,
 }
 
-/// Whether an answer is an endpoint's own.
+/// Whether a response is the endpoint's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Seal {
-    /// It is, unchanged.
+    /// The seal is present and the body is unchanged.
     Valid,
-    /// It bears none, or its body is encoded.
+    /// The seal is missing, or the body is encoded.
     Missing,
 }
 
-/// What an endpoint does with a connection after its answer.
+/// What an endpoint does with a connection after its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Connection {
-    /// It takes another request, if that comes within this time.
+    /// The connection accepts another request, if it arrives within this time.
     KeepAlive(Option<Duration>),
-    /// It closes it.
+    /// The endpoint closes the connection.
     Close,
 }
 
-/// How busy an endpoint said it was.
+/// The load that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub waiting: u32,
-    /// How many can run at once.
+    /// The number of requests that can run at once.
     pub slots: u32,
 }
