--- a/crates/curranthook_gateway/src/request.rs
+++ b/crates/curranthook_gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked, as the stages pass it on.
+//! A caller's request in parsed and validated form.
 
 use std::time::{Duration, Instant};
 
@@ -7,82 +7,83 @@
 use http::{HeaderMap, Method, Uri};
 use sha2::{Digest, Sha256};
 
-/// What the head of a caller's request says.
+/// The parsed head of a caller's request.
 #[derive(Debug, Clone)]
 pub struct Head {
-    /// The caller's id for this attempt of its own; new with each of its retries.
+    /// The caller's id for this attempt; new for each of the caller's retries.
     pub id: String,
-    /// The method.
+    /// The request method.
     pub method: Method,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub uri: Uri,
-    /// The host that was asked for.
+    /// The requested host.
     pub host: String,
-    /// The key that the caller showed.
+    /// The API key that the caller presented.
     pub api_key: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// Which model it wants.
+    /// The requested model.
     pub model: Model,
-    /// How large the work is.
+    /// The number of prompt and output tokens.
     pub tokens: Option<Tokens>,
-    /// How many tokens the caller expects to be generated; often far off.
+    /// The number of output tokens that the caller expects; often inaccurate.
     pub expected_output_tokens: Option<u64>,
-    /// The parts of its prompt, in order.
+    /// The parts of the prompt, in order.
     pub prompt_parts: Vec<Part>,
-    /// The last event that the caller has of the stream, if it goes on with one.
+    /// The id of the last event that the caller has received, if it resumes a stream.
     pub last_event_id: Option<u64>,
-    /// The headers that are passed on: neither those of the connection nor those that are the
-    /// system's to set.
+    /// The headers to forward: without those of the connection and those that only the system may
+    /// set.
     pub headers: HeaderMap,
 }
 
-/// Which model a request asks for.
+/// The model that a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Model {
-    /// It says nothing of models.
+    /// The request names no model.
     None,
-    /// Any that the route lists.
+    /// Any model that the route lists.
     Any,
-    /// This one.
+    /// The model of this name.
     Named(String),
 }
 
-/// The size of a generation.
+/// The size of a generation, in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tokens {
-    /// Tokens in the prompt.
+    /// The number of tokens in the prompt.
     pub prompt: u64,
-    /// The most that may be generated.
+    /// The largest number of tokens to generate.
     pub max_output: u64,
 }
 
-/// A part of a prompt. Requests share parts; the last one is the request's or its session's own.
+/// A part of a prompt. Requests share parts; the last one belongs to the request or its session
+/// alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// A hash of its content.
+    /// A hash that identifies the content.
     pub hash: u64,
-    /// Its length.
+    /// The length in tokens.
     pub tokens: u64,
 }
 
-/// A request that was let in.
+/// A request that has been admitted.
 #[derive(Debug)]
 pub struct Request {
-    /// What its head said.
+    /// The parsed head.
     pub head: Head,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// When its caller or its route gives up, whichever is sooner.
+    /// When the caller's or the route's timeout expires, whichever is sooner.
     pub deadline: Instant,
-    /// When it was read.
+    /// When the request was received.
     pub received_at: Instant,
-    /// A hash that the same request has at every node, whenever it comes.
+    /// A hash that the same request has at every node and at any time.
     pub fingerprint: Fingerprint,
 }
 
 impl Request {
-    /// A request that was read at `since` and is given up on after `patience`.
+    /// A request that was received at `received_at` and times out after `timeout`.
     pub fn new(head: Head, body: Bytes, received_at: Instant, timeout: Duration) -> Self {
         let fingerprint = fingerprint(&head, &body);
         Self { head, body, deadline: received_at + timeout, received_at, fingerprint }
@@ -93,25 +94,25 @@
         self.deadline.saturating_duration_since(now)
     }
 
-    /// What its prompt shares with others, as one hash of all parts but the last. It stands for
-    /// the session or subject of the request too.
+    /// The hash of the prompt prefix that the request shares with others: of all parts but the
+    /// last. It also identifies the session of the request.
     pub fn prefix_hash(&self) -> Option<u64> {
         let (_own, prefix) = self.head.prompt_parts.split_last()?;
         (!prefix.is_empty()).then(|| prefix.iter().fold(0, |it, part| hash::pair(it, part.hash)))
     }
 
-    /// The tokens of the parts that it shares.
+    /// The number of tokens in the shared prefix.
     pub fn prefix_tokens(&self) -> u64 {
         let prefix = self.head.prompt_parts.split_last().map_or(&[][..], |(_own, prefix)| prefix);
         total_tokens(prefix)
     }
 
-    /// All tokens of its prompt.
+    /// The number of tokens in the whole prompt.
     pub fn prompt_tokens(&self) -> u64 {
         self.head.tokens.map_or_else(|| total_tokens(&self.head.prompt_parts), |it| it.prompt)
     }
 
-    /// How many tokens are likely to be generated.
+    /// The expected number of output tokens.
     pub fn output_tokens(&self) -> u64 {
         let max = self.head.tokens.map(|it| it.max_output);
         match (self.head.expected_output_tokens, max) {
@@ -121,7 +122,7 @@
     }
 }
 
-/// The tokens of all parts. A caller may claim any number for each.
+/// The total length of all parts. Saturates, since a caller may claim any length for each.
 fn total_tokens(parts: &[Part]) -> u64 {
     parts.iter().fold(0, |sum, it| sum.saturating_add(it.tokens))
 }
