--- a/crates/curranthook_gateway/src/affinity.rs
+++ b/crates/curranthook_gateway/src/affinity.rs
@@ -1,4 +1,4 @@
-//! Where the shared parts of prompts were read last, as far as this node sent them or was told.
+//! Remembers which endpoints have prompt prefixes cached, from what this node sent or was told.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -8,24 +8,24 @@
 use curranthook_types::endpoint;
 use serde::{Deserialize, Serialize};
 
-/// How long parts are taken to be kept. Engines drop the parts that were used least recently.
+/// How long a prefix is assumed to stay cached. Engines evict the least recently used prefixes.
 const RETENTION: Duration = Duration::from_secs(30);
-/// How many subjects are remembered; the oldest are forgotten first.
+/// The number of prefixes that are remembered; the oldest are evicted first.
 const MAX_PREFIXES: usize = 4_096;
-/// How many endpoints are remembered for a subject.
+/// The number of endpoints that are remembered per prefix.
 const MAX_ENDPOINTS_PER_PREFIX: usize = 3;
 
-/// Parts that were sent to an endpoint to be read.
+/// A prompt prefix that was sent to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The hash of the model and the parts.
+    /// The hash of the model and of the prefix.
     #[serde(rename = "subject")]
     pub prefix_hash: u64,
-    /// The endpoint.
+    /// The endpoint that received it.
     pub endpoint: endpoint::Id,
 }
 
-/// The endpoints that read the parts of each subject.
+/// The endpoints that processed each prefix.
 #[derive(Debug, Default)]
 pub struct Affinity {
     endpoints: HashMap<u64, Vec<(endpoint::Id, Instant)>>,
@@ -33,7 +33,7 @@
 }
 
 impl Affinity {
-    /// The parts of `subject` were read at `endpoint`.
+    /// Records that a prefix was processed at `endpoint`.
     pub fn record(&mut self, prefix_hash: u64, endpoint: &endpoint::Id, now: Instant) {
         let endpoints = self.endpoints.entry(prefix_hash).or_insert_with(|| {
             self.insertion_order.push_back(prefix_hash);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The endpoints that are likely to have the parts of `subject`.
+    /// The endpoints that are likely to have a prefix cached.
     ///
     /// ```
     /// # use std::time::Instant;
