--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -1,11 +1,11 @@
-//! The models that may answer a request, and the one that is asked now.
+//! The models that may answer a request, and the one that is in use.
 
 use crate::{
     document::{Document, Route},
     request::Model,
 };
 
-/// The models that may answer, the smallest first; empty for plain services.
+/// The models that may answer, the smallest first; empty for services without models.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Models {
     candidates: Vec<Candidate>,
@@ -16,14 +16,14 @@
 /// A model that may answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Its name.
+    /// The name of the model.
     pub name: String,
-    /// Its price against the dearest one's, from 0 to 1.
+    /// The model's price relative to the most expensive model of the service, from 0 to 1.
     pub relative_price: f64,
 }
 
 impl Models {
-    /// The models for a request that asks for `asked` on `route`.
+    /// The models for a request that specifies `requested` on `route`.
     pub fn new(document: &Document, service: &str, route: &Route, requested: &Model) -> Self {
         let names = match requested {
             Model::None => Vec::new(),
@@ -46,27 +46,27 @@
         }
     }
 
-    /// The one that is asked now.
+    /// The model in use.
     pub fn current(&self) -> Option<&Candidate> {
         self.candidates.get(self.current_index)
     }
 
-    /// Its place in the list.
+    /// The index of the model in use.
     pub fn index(&self) -> usize {
         self.current_index
     }
 
-    /// The largest one, if it's another than the one that is asked now.
+    /// The largest model, unless it is the one in use.
     pub fn larger(&self) -> Option<&Candidate> {
         self.candidates[self.candidates.len().min(self.current_index + 1)..].last()
     }
 
-    /// Asks the largest one from now on.
+    /// Uses the largest model from now on.
     pub fn switch_to_largest(&mut self) {
         self.current_index = self.candidates.len().saturating_sub(1);
     }
 
-    /// How many events an answer of `tokens` has.
+    /// The number of events in an answer of `tokens` tokens.
     pub fn event_count(&self, tokens: u64) -> u64 {
         tokens.checked_div(u64::from(self.tokens_per_event)).unwrap_or(0)
     }
