--- a/crates/curranthook_gateway/src/entry.rs
+++ b/crates/curranthook_gateway/src/entry.rs
@@ -1,37 +1,40 @@
-//! An endpoint as the platform's list has it.
+//! An endpoint as listed by the platform.
 
 use std::{net::SocketAddr, time::Duration};
 
 use curranthook_types::{domain, endpoint};
 
-/// An endpoint. Each start of one is a new entry, mostly under a new id.
+/// The list's entry of an endpoint. Each start of an endpoint creates a new entry, mostly under a
+/// new id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Its id.
+    /// The endpoint's id.
     pub id: endpoint::Id,
-    /// The service it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: String,
-    /// Where it listens. Another endpoint may have the address once this one is gone.
+    /// The address that the endpoint listens at. Another endpoint may use the address once this one
+    /// is gone.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of the endpoint.
     pub domain: domain::Id,
-    /// The version of its software.
+    /// The version of the endpoint's software.
     pub version: String,
-    /// How many requests it works on at once.
+    /// The number of requests that the endpoint can run at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the endpoint accepts new work.
     pub state: State,
-    /// How long it stays slow after its start.
+    /// The remaining time of the slow start that follows the endpoint's start.
     pub slow_start: Duration,
-    /// When it started, in milliseconds of the wall clock; tells incarnations of one id apart.
+    /// When the endpoint started, in milliseconds of the wall clock; distinguishes incarnations
+    /// with the same id.
     pub started_ms: Option<u64>,
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// The endpoint accepts new work.
     Ready,
-    /// It is leaving.
+    /// The endpoint is shutting down and accepts no new work.
     Leaving,
 }
