--- a/crates/curranthook_gateway/src/connections.rs
+++ b/crates/curranthook_gateway/src/connections.rs
@@ -1,15 +1,17 @@
-//! How many connections a node keeps open to an endpoint.
+//! The number of idle connections that a node keeps to an endpoint.
 //!
-//! An endpoint takes a number of connections from all nodes together and resets further ones. A node
-//! that kept each connection it has used would take places that the others need for new ones.
+//! An endpoint accepts a limited number of connections from all nodes together and resets further
+//! ones. A node that kept every connection it has used would take up the capacity that other nodes
+//! need for new ones.
 
-/// The part of an endpoint's connections that may be idle; the rest is for requests under way.
+/// The share of an endpoint's connections that may be idle; the rest is for requests in flight.
 const IDLE_SHARE: f64 = 0.5;
 
-/// How many idle connections each of `n_nodes` may keep to an endpoint that takes `max_connections` in all.
+/// The number of idle connections that each of `n_nodes` may keep to an endpoint that accepts
+/// `max_connections` in total.
 ///
-/// Guards against an endpoint that resets new connections because idle ones take up all its places, when
-/// most others have left and a large fleet turns to it.
+/// Guards against an endpoint that resets new connections because idle ones use up its limit, when
+/// most other endpoints have left and a large fleet turns to it.
 ///
 /// ```
 /// # use curranthook_gateway::connections;
