--- a/crates/curranthook_gateway/src/unknown_headers.rs
+++ b/crates/curranthook_gateway/src/unknown_headers.rs
@@ -1,16 +1,16 @@
-//! Headers that endpoints send and no decoder reads.
+//! Detects response headers that no decoder reads.
 //!
-//! What an endpoint says of itself and nobody understands shows nowhere else: the endpoint's answers are
-//! passed on, and whatever they ask for isn't done.
+//! Such a header shows nowhere else: the endpoint's responses are forwarded, and whatever the
+//! header requests is not done.
 
 use std::collections::HashSet;
 
 use curranthook_types::endpoint;
 
-/// How many headers are reported in all.
+/// The total number of headers that are reported.
 const MAX_REPORTED: usize = 512;
 
-/// The headers that were reported.
+/// The headers that have been reported.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders {
     reported: HashSet<Header>,
@@ -24,7 +24,8 @@
 }
 
 impl UnknownHeaders {
-    /// Whether a header is to be reported: the first time that an endpoint sends it with that value.
+    /// Whether a header is to be reported: the first time that an endpoint sends it with that
+    /// value.
     ///
     /// ```
     /// # use curranthook_gateway::unknown_headers::UnknownHeaders;
