--- a/crates/curranthook_gateway/src/signal.rs
+++ b/crates/curranthook_gateway/src/signal.rs
@@ -1,9 +1,9 @@
-//! A signal that wakes all who wait for it.
+//! A signal that wakes all waiting tasks.
 
 use async_channel::Sender;
 use parking_lot::Mutex;
 
-/// Wakes all who wait.
+/// Wakes all waiting tasks.
 ///
 /// ```
 /// # use curranthook_gateway::signal::Signal;
@@ -18,17 +18,17 @@
 pub struct Signal(Mutex<Vec<Sender<()>>>);
 
 impl Signal {
-    /// Wakes everyone who waits now.
+    /// Wakes every task that waits now.
     pub fn wake(&self) {
-        // A receiver wakes when its sender is gone.
+        // A receiver wakes when its sender is dropped.
         self.0.lock().clear();
     }
 
-    /// Waits for the next [`Self::wake`]; it counts from this call, not from the first poll.
+    /// Waits for the next [`Self::wake`]; wakes count from this call, not from the first poll.
     pub fn wait(&self) -> impl Future<Output = ()> + use<> {
         let (tx, rx) = async_channel::bounded::<()>(1);
         let mut waiting = self.0.lock();
-        // Whoever stopped waiting left a sender behind.
+        // Futures that were dropped left their senders behind.
         waiting.retain(|it| !it.is_closed());
         waiting.push(tx);
         async move {
