--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Placing, cascading and repeating, without a network.
+//! Placement, cascade, retry budget and event splitting, tested without a network.
 
 use std::time::{Duration, Instant};
 
@@ -31,7 +31,8 @@
     }
 }
 
-/// Two nodes that see the same endpoints in another order send the same parts to the same one.
+/// Two nodes that list the same endpoints in different orders send the same prefix to the same
+/// endpoint.
 #[test]
 fn nodes_prefer_the_same_endpoint_without_coordination() {
     let endpoints: Vec<_> = (1..=12).map(idle).collect();
@@ -43,8 +44,8 @@
     }
 }
 
-/// Parts that nobody has read yet go to an idle endpoint rather than to their busy home, and to the
-/// one that read them wherever that is.
+/// A prefix that has not been processed yet goes to an idle endpoint rather than to its busy
+/// preferred endpoint, and to the endpoint that processed it, wherever that is.
 #[test]
 fn known_cache_holders_take_precedence() {
     let mut all: Vec<_> = (1..=12).map(idle).collect();
@@ -59,7 +60,8 @@
     assert_eq!(placement::choose(&all, &known), Some(other));
 }
 
-/// One endpoint of twelve goes. Only what had its home there moves; the rest is still found.
+/// One of twelve endpoints is lost. Only prefixes that preferred it move; all others stay where
+/// they are cached.
 #[test]
 fn losing_an_endpoint_moves_only_its_own_prefixes() {
     let all: Vec<_> = (1..=12).map(idle).collect();
@@ -73,21 +75,21 @@
     assert!((60..150).contains(&moved), "{moved} of 1200, a twelfth is 100");
 }
 
-/// A subject is asked for by everybody at once. Its home fills up, and when waiting there takes
-/// longer than reading the parts elsewhere, others help.
+/// Many requests share one prefix at the same time. Once waiting at its preferred endpoint takes
+/// longer than processing the prefix elsewhere, other endpoints take requests.
 #[test]
 fn a_busy_preferred_endpoint_is_skipped() {
     let mut all: Vec<_> = (1..=4).map(idle).collect();
     let task = task(7, 300);
     let preferred = placement::choose(&all, &task).unwrap();
     all[preferred].wait = Duration::from_millis(200);
-    assert_eq!(placement::choose(&all, &task), Some(preferred), "waiting is shorter than reading");
+    assert_eq!(placement::choose(&all, &task), Some(preferred), "waiting is shorter than prefill");
     all[preferred].wait = Duration::from_millis(400);
     assert_ne!(placement::choose(&all, &task), Some(preferred));
 }
 
-/// An endpoint fails most requests while its health check is good. Callers would see it in one
-/// request of four; it's left alone as long as others are there.
+/// An endpoint fails most requests while its health check passes, which callers would see in one of
+/// four requests. It gets none as long as other endpoints are available.
 #[test]
 fn a_failing_endpoint_is_avoided() {
     let mut all: Vec<_> = (1..=4).map(idle).collect();
@@ -99,8 +101,8 @@
     }
 }
 
-/// The small model is unsure, and how long the large one takes grows with the load. It's asked
-/// as long as its answer is likely to come in time, and no longer.
+/// The small model has low confidence, and the latency of the large one grows with the load. The
+/// large model is called exactly while its answer is likely to arrive in time.
 #[parameterized(
     idle_and_low_confidence = { 10, 700, 2_000, true },
     idle_and_high_confidence = { 80, 700, 2_000, false },
@@ -124,8 +126,8 @@
     assert_eq!(cascade::should_escalate(confidence, &small, &large, &targets), expected);
 }
 
-/// All endpoints fail for a while, and every request would be sent again and again. The nodes of
-/// a fleet together stay within the bound, in any span of its length.
+/// All endpoints fail for a while, and every request would be retried again and again. The nodes of
+/// a fleet together stay within the limit, in any window of its length.
 #[test]
 fn a_fleet_stays_within_the_retry_budget() {
     let limit = Limit { ratio: 0.9, slack: 52.0, window: Duration::from_secs(10) };
@@ -151,8 +153,9 @@
     }
 }
 
-/// Thousands of callers come to a node that has no configuration. Only so many may wait in its memory;
-/// the others hear at once when to come back, until one of those that wait is answered or leaves.
+/// Thousands of requests arrive at a node that has no configuration. Only a limited number may wait
+/// in its memory; others are refused at once, until one of the waiting requests is answered or
+/// canceled.
 #[test]
 fn the_number_of_requests_waiting_for_a_configuration_is_limited() {
     let waiters = Waiters::default();
@@ -160,11 +163,11 @@
     assert_eq!(slots.len(), startup::MAX_WAITERS);
     assert!(waiters.try_enter().is_none());
     slots.pop();
-    assert!(waiters.try_enter().is_some(), "a place that was left is free again");
+    assert!(waiters.try_enter().is_some(), "a released slot is free again");
 }
 
-/// Bytes come in pieces of any size. What is passed on is the same, whole events only, and what
-/// is left is the beginning of the next one.
+/// Bytes arrive in chunks of any size. The forwarded bytes are the same and consist of complete
+/// events, and the beginning of the next event stays buffered.
 #[test]
 fn events_do_not_depend_on_chunk_boundaries() {
     let text: Vec<u8> =
