--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! What nodes expect of engines, held against what comes true.
+//! Latency estimates, compared with simulated engines.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use rand_pcg::Pcg64;
 use yare::parameterized;
 
-/// An engine's true speed; nodes aren't told.
+/// The true speed of an engine, which nodes do not know.
 #[derive(Debug, Clone, Copy)]
 struct Engine {
-    /// Milliseconds for a thousand tokens, and for a million pairs of them.
+    /// The prefill time of a thousand tokens, and of a million token pairs.
     ms_per_thousand_tokens: f64,
     ms_per_million_pairs: f64,
-    /// Milliseconds to a first event besides, and for each request that runs.
+    /// The constant time to a first event, and the delay that each concurrent request adds.
     base_ms: f64,
     ms_per_running: f64,
-    /// The part of first events that wait for a prompt that was sent after them.
+    /// The share of first events that are delayed by a prompt that was sent after them.
     overtaken_share: f64,
 }
 
-/// The largest model of three deployments that differ in all of this.
+/// The largest models of three deployments, which differ in prefill speed.
 const FAST: Engine = Engine {
     ms_per_thousand_tokens: 33.0,
     ms_per_million_pairs: 1.05,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Prompts as callers send them: most of some thousand tokens, a few of fifty thousand.
+/// A typical prompt: mostly some thousand tokens, in a few cases fifty thousand.
 fn prompt(rng: &mut impl Rng) -> Prompt {
     let own_tokens: f64 = LogNormal::new(8.3, 0.9).unwrap().sample(rng);
     let prefix_tokens = rng.random_range(1_000..9_000);
@@ -76,11 +76,12 @@
     estimator.estimate("engines", "large", 1.0)
 }
 
-/// Engines differ from site to site, and long prompts take more than their share, since each token
-/// attends to all before it. With fixed figures of another site, first events of the longest prompts
-/// are expected a second too early or too late; their callers then get a poor answer of a small model
-/// though the largest had time, or wait for one that comes late. After some dozens of answers, nodes
-/// expect them within a fifth at the median and a half at the ninetieth percentile.
+/// Engines differ between sites, and long prompts take disproportionately long, since each token
+/// attends to all tokens before it. With fixed figures from another site, first events of the
+/// longest prompts are expected a second too early or too late; their callers then get a
+/// low-quality answer of a small model although the largest had time, or wait for an answer that
+/// comes late. After some dozens of answers, the error is below a fifth at the median and below a
+/// half at the ninetieth percentile.
 #[parameterized(
     fast = { FAST, 1 },
     fast_other_seed = { FAST, 2 },
@@ -103,7 +104,7 @@
     assert!(median < 0.2 && p90 < 0.5, "off by {median:.2} at the median, {p90:.2} at p90");
 }
 
-/// The longest prompts are the fewest, and it's they that a wrong estimate serves badly.
+/// The longest prompts are the rarest, and a wrong estimate does the most harm to them.
 #[parameterized(fast = { FAST, 5 }, slow = { SLOW, 6 }, quadratic = { QUADRATIC, 7 })]
 fn estimates_for_the_longest_prompts_are_accurate(engine: Engine, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
@@ -115,8 +116,8 @@
     assert!(elapsed.abs_diff(expected) < elapsed / 4, "{elapsed:?}, expected {expected:?}");
 }
 
-/// A caller claims a prompt of a billion tokens and is answered at once. If that were believed,
-/// reading would seem to take no time at all, and all queues would look empty.
+/// A caller claims a prompt of a billion tokens and is answered at once. If the estimate used that
+/// claim, prefill would seem to take no time, and all queues would look empty.
 #[test]
 fn implausible_prompt_sizes_are_ignored() {
     let mut filter = Filter::new(1.0);
@@ -128,7 +129,7 @@
     assert_eq!(filter.coefficients(), before);
 }
 
-/// Engines are replaced by ones of half the speed. What nodes expect follows within some dozens of
+/// Engines are replaced by engines of half the speed. The estimate follows within some dozens of
 /// answers.
 #[test]
 fn estimates_follow_a_change_of_engine_speed() {
