--- a/crates/curranthook_gateway/tests/shared_engines.rs
+++ b/crates/curranthook_gateway/tests/shared_engines.rs
@@ -1,4 +1,5 @@
-//! A large fleet before many engines, where no node sees the load of an engine by itself.
+//! Simulates a large fleet of nodes and many engines, where no single node sees the load of an
+//! engine.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -10,57 +11,58 @@
 
 const N_NODES: usize = 70;
 const N_ENGINES: usize = 140;
-/// Requests a second for the largest model.
+/// The request rate for the largest model, in requests per second.
 const REQUESTS_PER_SECOND: f64 = 130.0;
-/// How long it takes to read what requests share, and what is a request's own.
+/// The prefill time of a shared prefix, and of a request's own part of the prompt.
 const PREFILL: (Duration, Duration) = (Duration::from_millis(600), Duration::from_millis(150));
-/// What requests are about; some are asked for more often than others.
+/// Prefixes of which some are requested more often than others.
 const PREFIXES: Prefixes = Prefixes { n: 225, skew: 2.0 };
-/// Subjects of which most are asked for a few times only.
+/// Prefixes of which most are requested only a few times.
 const MANY_PREFIXES: Prefixes = Prefixes { n: 4_000, skew: 1.0 };
-/// By when callers want the first event.
+/// The target time to the first event.
 const FIRST_EVENT_TARGET: Duration = Duration::from_secs(2);
 const SIMULATED_TIME: Duration = Duration::from_secs(40);
-/// Of how many candidates others are asked.
+/// The number of candidates about which owners are queried.
 const SHORTLIST_LEN: usize = 4;
 
-/// How many subjects there are, and how much more often the first are asked for than the last.
+/// The number of prefixes, and how much more often the first are requested than the last.
 #[derive(Debug, Clone, Copy)]
 struct Prefixes {
     n: u64,
     skew: f64,
 }
 
-/// How requests fared.
+/// The times to the first events of a simulation.
 #[derive(Debug, Clone, Copy)]
 struct Latency {
-    /// The share of first events that came too late.
+    /// The share of first events after the target time.
     late_share: f64,
-    /// The mean time to them.
+    /// The mean time to the first event.
     mean: Duration,
 }
 
-/// What a node knows of the work that waits at an engine.
+/// What a node knows about the work that is queued at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Visibility {
-    /// Its own.
+    /// The node's own work.
     Own,
-    /// That of all nodes, at the candidates that it asks about.
+    /// The work of all nodes, at the candidates that it queries.
     Shortlist,
-    /// That of all nodes, everywhere.
+    /// The work of all nodes, at all engines.
     All,
 }
 
-/// An engine reads one prompt after another and keeps what it read.
+/// An engine that prefills one prompt after another and keeps the prefixes cached.
 #[derive(Debug, Clone, Default)]
 struct Engine {
-    /// For each request that waits or is read: when its first event comes, and who sent it.
+    /// For each request that waits or is in prefill: when its first event comes, and the node that
+    /// sent it.
     prefills: Vec<(Duration, usize)>,
     cached_prefixes: HashSet<u64>,
 }
 
 impl Engine {
-    /// How long the work of the nodes that `is_known` takes from `now` on.
+    /// How long the work of those nodes for which `is_visible` holds takes from `now` on.
     fn wait(&self, now: Duration, is_visible: impl Fn(usize) -> bool) -> Duration {
         let visible = self.prefills.iter().filter(|(_, node)| is_visible(*node));
         let ends = visible.map(|(end, _)| end.saturating_sub(now));
@@ -78,7 +80,7 @@
     }
 }
 
-/// Places requests for a while.
+/// Simulates requests for [`SIMULATED_TIME`].
 fn simulate(
     visibility: Visibility,
     holders: CacheHolders,
@@ -120,10 +122,11 @@
     Latency { late_share: f64::from(n_late) / f64::from(n_all), mean: sum / n_all }
 }
 
-/// Seventy nodes send prompts to 140 engines, each to the home of what the prompt is about. Homes of
-/// what many ask for have a queue that no single node sees, while most engines are idle; callers
-/// wait for seconds. A node that asks the owners of a few candidates does nearly as well as one
-/// that sees everything. Late first events: 6 in 100 by its own sight alone, none with answers.
+/// Seventy nodes send prompts to 140 engines, each to the engine that its prefix prefers. Engines
+/// that popular prefixes prefer have a queue that no single node sees, while most engines are idle;
+/// callers wait for seconds. A node that queries the owners of a few candidates does nearly as well
+/// as one that sees all load. Late first events: 6 in 100 with a node's own knowledge alone, none
+/// with queries.
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_3 = { 3 })]
 fn querying_a_shortlist_avoids_hidden_queues(seed: u64) {
     let late_share =
@@ -137,9 +140,9 @@
     assert!(shortlisted < all + 0.02, "late: {shortlisted} with answers, {all} with all in sight");
 }
 
-/// Most prompts are about something that no engine has read yet. A node that takes their home for one
-/// that has lets callers wait there for others' prompts, beside idle engines, and doesn't find the engine
-/// that read them elsewhere.
+/// Most prompts have a prefix that no engine has processed yet. A node that assumes the preferred
+/// engine to have it cached makes callers wait there for other prompts while engines are idle, and
+/// does not find the engine that did process the prefix elsewhere.
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_3 = { 3 })]
 fn sharing_cache_locations_reduces_latency(seed: u64) {
     let mean = |holders| simulate(Visibility::Shortlist, holders, MANY_PREFIXES, seed).mean;
