--- a/crates/curranthook_gateway/tests/unfitted.rs
+++ b/crates/curranthook_gateway/tests/unfitted.rs
@@ -1,4 +1,4 @@
-//! Decisions know no deployment: neither its names nor its figures.
+//! Decisions must not depend on a particular deployment, neither on its names nor on its figures.
 
 use std::{fs, path::Path, time::Duration};
 
@@ -8,7 +8,8 @@
     prefill::Prompt,
 };
 
-/// Words by which deployments could be told apart: of their names, places, services and requests.
+/// Words that identify a deployment: parts of its name and of the names of its sites, services and
+/// requests.
 const DEPLOYMENT_WORDS: [&str; 16] = [
     "mekong",
     "tally-llm",
@@ -28,7 +29,7 @@
     "quiet-",
 ];
 
-/// A rule that knows a deployment's name serves that one and lets down whoever comes next.
+/// A rule that depends on a deployment's name works for that deployment and fails for the next one.
 #[test]
 fn decision_code_contains_no_deployment_names() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -56,7 +57,7 @@
     }
 }
 
-/// The same engines under other names are expected to take as long.
+/// The same engines under other names get the same estimate.
 #[test]
 fn estimates_do_not_depend_on_names() {
     let trained_estimate = |service: &str, model: &str| {
@@ -73,8 +74,8 @@
     assert_eq!(trained_estimate("a", "b"), trained_estimate("engines", "large"));
 }
 
-/// Where reading and waiting both take twice as long, the same endpoints are chosen: what counts is how
-/// the two compare, not how long they take on some site.
+/// If prefill and waiting both take twice as long, the same endpoints are chosen: only the ratio of
+/// the two counts, not how long they take at a particular site.
 #[test]
 fn placement_does_not_depend_on_engine_speed() {
     for salt in 0..200_u64 {
