--- a/crates/curranthook_gateway/tests/beliefs.rs
+++ b/crates/curranthook_gateway/tests/beliefs.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the store's rows and of endpoints.
+//! What a node derives from the store's rows and from the behavior of endpoints.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A peer that knows less tells what it has. Rows never go back to it.
+/// A peer with older rows answers a query. Newer rows are not replaced by older ones.
 #[test]
 fn older_rows_are_ignored() {
     let mut mirror = Mirror::default();
@@ -44,8 +44,8 @@
     assert_eq!(mirror.rev(Table::Operator), Rev(9));
 }
 
-/// An endpoint's row is removed while a child isn't listening. It hears of that at its next
-/// question; otherwise it would send work to an endpoint that has left.
+/// An endpoint's row is removed while a child is not connected. The next query of the child reports
+/// the removal; otherwise the child would send requests to an endpoint that has left.
 #[test]
 fn removed_rows_are_reported_to_children() {
     let mut mirror = Mirror::default();
@@ -56,14 +56,14 @@
     mirror.merge(Table::Endpoints, batch(6, vec![row("e-1", 6, None)]));
     let changes = mirror.changes(Table::Endpoints, Rev(5)).unwrap();
     assert_eq!(changes.rows, [row("e-1", 6, None)]);
-    // A whole read finds the other one gone as well.
+    // A read of the whole table detects the removal of the other row as well.
     mirror.replace(Table::Endpoints, batch(8, vec![]));
     let changes = mirror.changes(Table::Endpoints, Rev(6)).unwrap();
     assert_eq!(changes.rows, [row("e-2", 8, None)]);
 }
 
-/// A parent that started after its child has never seen the rows that were removed before.
-/// It says so, and the child reads everything.
+/// A parent that started after its child has never seen the rows that were removed before. It
+/// reports that its history is incomplete, and the child reads everything.
 #[test]
 fn a_parent_without_the_history_reports_it() {
     let mut mirror = Mirror::default();
@@ -73,7 +73,8 @@
     assert!(mirror.changes(Table::Fleet, Rev(9)).is_ok());
 }
 
-/// The first entry of a new version is in the list, and no order for it is known yet.
+/// The first endpoint of a new version is listed before the rollout order for the version is known.
+/// It gets no requests until the order arrives or a time has passed.
 #[test]
 fn a_version_without_a_rollout_order_is_held_back() {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -87,12 +88,12 @@
     assert_eq!(
         usable_versions(now + Duration::from_secs(5)).len(),
         2,
-        "without any order it's used at last"
+        "without any order it is used eventually"
     );
 }
 
-/// An endpoint can't be reached. It's left alone for a moment, longer each time, and an answer
-/// clears it.
+/// An endpoint cannot be reached. It is ejected for a time that grows with each failure, and an
+/// answer ends the ejection.
 #[test]
 fn the_ejection_time_doubles_with_each_failure() {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -112,7 +113,8 @@
     assert!(!directory.get(&id).unwrap().is_ejected(now));
 }
 
-/// A worker starts again under its old id. What was known of the one before doesn't hold.
+/// An endpoint restarts under its former id. What was known of its predecessor does not apply to
+/// it.
 #[test]
 fn a_restarted_endpoint_starts_with_a_clean_state() {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -122,8 +124,9 @@
     assert!(!directory.get(&"e-1".into()).unwrap().is_ejected(now));
 }
 
-/// Guards against sending requests to an endpoint that crashed, whose entry the list still has beside that of
-/// its successor at the same address: each would be turned away there and use up the budget of retries.
+/// Guards against sending requests to an endpoint that crashed while the list still has its entry
+/// beside that of its successor at the same address: each request would be rejected there and use
+/// up the retry budget.
 #[parameterized(in_order = { 1, 2 }, out_of_order = { 2, 1 })]
 fn the_newest_endpoint_owns_its_address(first: u64, second: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -135,8 +138,8 @@
     assert_eq!(ready, ["e-2"]);
 }
 
-/// Guards against each node of a fleet finding out by itself that an endpoint can't be reached, and against
-/// believing that for good.
+/// Guards against every node of a fleet having to detect an unreachable endpoint by itself, and
+/// against ejecting it permanently.
 #[test]
 fn an_endpoint_reported_unreachable_is_ejected_temporarily() {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -148,7 +151,7 @@
     assert!(!is_ejected(Duration::from_secs(2)));
 }
 
-/// Guards against blaming endpoints for connections that fail while this node's own links are down.
+/// Guards against blaming endpoints for connections that fail while the node's own links are down.
 #[test]
 fn a_node_without_recent_answers_blames_no_endpoint() {
     let (mut directory, now) = (Directory::default(), Instant::now());
