--- a/crates/curranthook_gateway/tests/support/mod.rs
+++ b/crates/curranthook_gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of endpoints have in common.
+//! Helpers shared by the tests of endpoints.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -9,7 +9,7 @@
 
 use curranthook_gateway::entry::{Entry, State};
 
-/// The entry of an endpoint that started at `born` and stays in slow start for `warm_in`.
+/// The entry of an endpoint that started at `started_ms` and stays in slow start for `slow_start`.
 pub fn entry(started_ms: u64, slow_start: Duration) -> Entry {
     Entry {
         id: "e-1".into(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// The most arrivals in any span of that length.
+/// The largest number of arrivals in any window of `length`.
 pub fn most_in_window(mut arrivals: Vec<Instant>, length: Duration) -> usize {
     arrivals.sort();
     let (mut window, mut most) = (VecDeque::new(), 0);
