--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -30,7 +30,7 @@
 pub struct Frontend {
     /// The node that serves the requests.
     pub gateway: Arc<Gateway>,
-    /// Whether new requests are refused; set when the node stops serving.
+    /// Whether new requests are refused; set during shutdown.
     pub closed: std::sync::atomic::AtomicBool,
 }
 
@@ -83,12 +83,12 @@
             refusal(Reason::Invalid)
         })?;
         startup::wait(gateway, head.timeout).await;
-        let Some(current) = gateway.configuration.load_full() else {
+        let Some(configuration) = gateway.configuration.load_full() else {
             return Err(startup::refusal(gateway));
         };
         // Checked before the body is read, so that no body is read for a caller without access.
-        admit(&current, &head)?;
-        let read = body::read(body, current.document.limits.max_body);
+        admit(&configuration, &head)?;
+        let read = body::read(body, configuration.document.limits.max_body);
         let body = match timeout::run(BODY_TIMEOUT, read).await {
             Ok(Ok(body)) => body,
             Ok(Err(body::ReadError::TooLarge { .. })) => return Err(refusal(Reason::TooLarge)),
@@ -97,23 +97,24 @@
             }
         };
         // Checked again: the configuration may have changed while the body was received.
-        let current = gateway.configuration.load_full().unwrap_or(current);
-        let (route, account) = admit(&current, &head)?;
+        let configuration = gateway.configuration.load_full().unwrap_or(configuration);
+        let (route, account) = admit(&configuration, &head)?;
         let timeout = head.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
         let request = request::Request::new(head, body, received_at, timeout);
         if gateway.poison.lock().is_poison(request.fingerprint, received_at) {
             return Err(refusal(Reason::Poison));
         }
-        Job::new(gateway, &current, request, route, account.map(|it| it.id), priority)
+        Job::new(gateway, &configuration, request, route, account.map(|it| it.id), priority)
     }
 }
 
 fn admit(
-    current: &Configuration,
+    configuration: &Configuration,
     head: &request::Head,
 ) -> Result<(Arc<crate::document::Route>, Option<crate::document::Account>), Refusal> {
-    let admitted = current.document.admit(&head.host, head.uri.path(), head.api_key.as_deref());
+    let admitted =
+        configuration.document.admit(&head.host, head.uri.path(), head.api_key.as_deref());
     let (route, account) = admitted.map_err(|denied| {
         let reason = match denied {
             Denied::NoRoute => Reason::NoRoute,
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -76,7 +76,7 @@
     pub n_attempts: u32,
     service: String,
     models: Models,
-    tried: Vec<endpoint::Id>,
+    tried_endpoints: Vec<endpoint::Id>,
     n_runs: u32,
     n_rejections: u32,
     started: Started,
@@ -92,7 +92,7 @@
     /// Creates the job of an admitted request and counts the request for the retry budget.
     pub fn new(
         gateway: &Arc<Gateway>,
-        current: &Configuration,
+        configuration: &Configuration,
         request: Request,
         route: Arc<Route>,
         account: Option<account::Id>,
@@ -101,7 +101,7 @@
         let split_point = hash::unit(hash::bytes(request.head.id.as_bytes()));
         let service = route.service(split_point).map(str::to_owned);
         let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Started::No))?;
-        let models = Models::new(&current.document, &service, &route, &request.head.model);
+        let models = Models::new(&configuration.document, &service, &route, &request.head.model);
         gateway.retry_budget.lock().record_request(&service, gateway.now());
         Ok(Self {
             last_event_id: request.head.last_event_id,
@@ -110,12 +110,12 @@
             n_attempts: 0,
             service,
             models,
-            tried: Vec::new(),
+            tried_endpoints: Vec::new(),
             n_runs: 0,
             n_rejections: 0,
             started: Started::No,
             has_errored: false,
-            configuration_version: current.document.version,
+            configuration_version: configuration.document.version,
             peer_state: None,
             _in_flight: gateway.track_request(),
             gateway: Arc::clone(gateway),
@@ -148,7 +148,7 @@
                 }
                 Err(failure) => {
                     let elapsed = self.gateway.now().saturating_duration_since(sent_at);
-                    self.log_failed(&id, &failure, elapsed);
+                    self.log_failure(&id, &failure, elapsed);
                     if let Next::Respond(refusal) = self.on_failure(&id, &failure).await {
                         return Err(refusal);
                     }
@@ -164,7 +164,7 @@
         cause: Cause,
     ) -> Result<(), Refusal> {
         let failure = Failure { cause, execution: Execution::MayHaveRun };
-        self.log_failed(endpoint, &failure, Duration::ZERO);
+        self.log_failure(endpoint, &failure, Duration::ZERO);
         match self.on_possible_run(endpoint, &failure).await {
             Next::Retry => Ok(()),
             Next::Respond(refusal) => Err(refusal),
@@ -246,7 +246,7 @@
         Criteria {
             service: &self.service,
             rule,
-            tried: &self.tried,
+            tried: &self.tried_endpoints,
             prefix_hash: selection::prefix_hash(self.request.prefix_hash(), name),
             prefix_tokens: self.request.prefix_tokens(),
             prompt_tokens: self.request.prompt_tokens(),
@@ -294,18 +294,18 @@
         // A request that itself causes errors fails again in each attempt; it counts as evidence
         // about a version only once.
         if !self.has_errored {
-            let elapsed = (!is_error).then_some(exchange.first_byte);
+            let first_byte = (!is_error).then_some(exchange.first_byte);
             self.gateway.rollouts.lock().record_answer(
                 &self.service,
                 version,
                 self.kind(),
-                elapsed,
+                first_byte,
             );
         }
         self.has_errored |= is_error;
         if is_error {
             if self.route.retry_policy.is_retryable() && self.try_rerun("error") {
-                self.tried.push(exchange.lease.id.clone());
+                self.tried_endpoints.push(exchange.lease.id.clone());
                 exchange.close(Outcome::Failed);
                 return None;
             }
@@ -364,12 +364,12 @@
 
     /// A hash that all requests of the same session share.
     fn session_hash(&self) -> u64 {
-        let own = || hash::bytes(self.request.head.id.as_bytes());
-        let route = hash::bytes(self.route.prefix.as_bytes());
-        self.request.prefix_hash().map_or_else(own, |it| hash::pair(it, route))
+        let request_hash = || hash::bytes(self.request.head.id.as_bytes());
+        let route_hash = hash::bytes(self.route.prefix.as_bytes());
+        self.request.prefix_hash().map_or_else(request_hash, |it| hash::pair(it, route_hash))
     }
 
-    fn log_failed(&self, endpoint: &endpoint::Id, failure: &Failure, elapsed: Duration) {
+    fn log_failure(&self, endpoint: &endpoint::Id, failure: &Failure, elapsed: Duration) {
         self.gateway.log.write(&Event::AttemptFailed {
             request: &self.request.head.id,
             endpoint: endpoint.as_str(),
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -16,8 +16,8 @@
     /// Escalates to the largest model if its expected answer is better than the response that has
     /// begun. Returns whether it did.
     pub(super) async fn try_escalate(&mut self, confidence: Option<u8>) -> bool {
-        let can_repeat = self.route.retry_policy.is_retryable() && self.last_event_id.is_none();
-        let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
+        let can_retry = self.route.retry_policy.is_retryable() && self.last_event_id.is_none();
+        let Some(confidence) = confidence.filter(|_| can_retry) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session_hash());
         // Load from other nodes can only delay the larger model. So if the larger model is not
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -41,7 +41,7 @@
         }
         self.n_rejections += 1;
         if failure.cause != Cause::StaleConnection {
-            self.tried.push(endpoint.clone());
+            self.tried_endpoints.push(endpoint.clone());
         }
         let reason = match failure.cause {
             Cause::Full => Reason::Full,
@@ -66,7 +66,7 @@
             self.charge_poison(endpoint).await;
         }
         if failure.cause != Cause::StaleConnection {
-            self.tried.push(endpoint.clone());
+            self.tried_endpoints.push(endpoint.clone());
         }
         if failure.cause == Cause::Timeout {
             return Next::Respond(self.refusal(Reason::Timeout));
--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -32,10 +32,10 @@
         };
         let service = document.services.get(service);
         let price = |name: &str| service.and_then(|it| it.models.get(name)).copied();
-        let dearest = service.and_then(|it| it.models.values().copied().reduce(f64::max));
+        let highest = service.and_then(|it| it.models.values().copied().reduce(f64::max));
         let relative_price = |name: &str| {
-            let prices = price(name).zip(dearest);
-            prices.map_or(1.0, |(price, dearest)| price / dearest.max(f64::MIN_POSITIVE))
+            let prices = price(name).zip(highest);
+            prices.map_or(1.0, |(price, highest)| price / highest.max(f64::MIN_POSITIVE))
         };
         let candidates =
             names.into_iter().map(|name| Candidate { relative_price: relative_price(&name), name });
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -105,15 +105,15 @@
     peer_state: &PeerState,
 ) -> Option<Choice<'a>> {
     let now = gateway.now();
-    let all: Vec<&Tracked> = directory.ready(criteria.service).collect();
-    let mut list = eligible(&all, criteria, now);
-    if list.iter().any(|it| peer_state.waiting.contains_key(&it.entry.id)) {
+    let ready: Vec<&Tracked> = directory.ready(criteria.service).collect();
+    let mut endpoints = eligible(&ready, criteria, now);
+    if endpoints.iter().any(|it| peer_state.waiting.contains_key(&it.entry.id)) {
         // The load of the others is unknown, so they would seem idle.
-        list.retain(|it| peer_state.waiting.contains_key(&it.entry.id));
+        endpoints.retain(|it| peer_state.waiting.contains_key(&it.entry.id));
     }
-    let (holders, candidates) = candidates(gateway, &list, criteria, peer_state, now);
+    let (holders, candidates) = candidates(gateway, &endpoints, criteria, peer_state, now);
     let index = placement::choose(&candidates, &criteria.task(holders))?;
-    let endpoint = list[index];
+    let endpoint = endpoints[index];
     Some(Choice {
         prompt: criteria.prompt(candidates[index].has_prefix_cached),
         outstanding: endpoint.estimated_requests(now),
@@ -135,11 +135,12 @@
     let now = gateway.now();
     let mut directory = gateway.directory.lock();
     renew_permits(gateway, &mut directory, criteria.service, now);
-    let all: Vec<&Tracked> = directory.ready(criteria.service).collect();
-    let list = eligible(&all, criteria, now);
-    let (holders, candidates) = candidates(gateway, &list, criteria, &PeerState::default(), now);
-    let best = placement::best(&candidates, &criteria.task(holders), SHORTLIST_LEN);
-    best.into_iter().map(|it| list[it].entry.id.clone()).collect()
+    let ready: Vec<&Tracked> = directory.ready(criteria.service).collect();
+    let endpoints = eligible(&ready, criteria, now);
+    let (holders, candidates) =
+        candidates(gateway, &endpoints, criteria, &PeerState::default(), now);
+    let indices = placement::best(&candidates, &criteria.task(holders), SHORTLIST_LEN);
+    indices.into_iter().map(|it| endpoints[it].entry.id.clone()).collect()
 }
 
 /// The rate at which endpoints that match a request admit requests, while they admit none from this
@@ -219,7 +220,7 @@
 
 fn candidates(
     gateway: &Gateway,
-    list: &[&Tracked],
+    endpoints: &[&Tracked],
     criteria: &Criteria<'_>,
     peer_state: &PeerState,
     now: Instant,
@@ -244,7 +245,7 @@
         locality: locality(gateway, it),
         has_prefix_cached: cached_at.contains(&it.entry.id),
     };
-    (holders, list.iter().map(candidate).collect())
+    (holders, endpoints.iter().map(candidate).collect())
 }
 
 /// The work that other nodes have queued at an endpoint.
@@ -254,25 +255,25 @@
     peer_state: &PeerState,
     now: Instant,
 ) -> Duration {
-    let peer_state = peer_state.waiting.get(id).copied();
-    peer_state.unwrap_or_else(|| gateway.load_table.lock().waiting(id, &gateway.settings.node, now))
+    let reported = peer_state.waiting.get(id).copied();
+    reported.unwrap_or_else(|| gateway.load_table.lock().waiting(id, &gateway.settings.node, now))
 }
 
 /// The endpoints to choose from, among those that admit a request now. Endpoints that were tried
 /// before, are ejected, or run a version that the request should not go to are considered only if
 /// there are no others.
-fn eligible<'a>(all: &[&'a Tracked], criteria: &Criteria<'_>, now: Instant) -> Vec<&'a Tracked> {
+fn eligible<'a>(ready: &[&'a Tracked], criteria: &Criteria<'_>, now: Instant) -> Vec<&'a Tracked> {
     let is_allowed = |it: &Tracked| criteria.rule.allows(&it.entry.version);
     let is_untried = |it: &Tracked| !criteria.tried.contains(&it.entry.id);
     let select = |keep: &dyn Fn(&Tracked) -> bool| -> Vec<&'a Tracked> {
-        all.iter().copied().filter(|it| it.admits(now) && keep(it)).collect()
+        ready.iter().copied().filter(|it| it.admits(now) && keep(it)).collect()
     };
     // A new version whose rollout order may not have arrived yet gets no requests, unless a known
     // order decides.
     let is_known = |it: &Tracked| *criteria.rule != Rule::Any || it.is_established_version(now);
     // A version whose endpoints are throttled still exists: no other version replaces it.
     let is_throttled = |it: &Tracked| !it.admits(now) && is_allowed(it) && is_known(it);
-    let has_throttled = all.iter().any(|it| is_throttled(it));
+    let has_throttled = ready.iter().any(|it| is_throttled(it));
     let is_usable = |it: &Tracked| is_allowed(it) && (is_known(it) || !has_throttled);
     let preferences: [&dyn Fn(&Tracked) -> bool; 4] = [
         &|it| is_allowed(it) && is_known(it) && is_untried(it) && !it.is_ejected(now),
@@ -281,9 +282,9 @@
         &|it| is_usable(it),
     ];
     for keep in preferences {
-        let list = select(keep);
-        if !list.is_empty() {
-            return list;
+        let matching = select(keep);
+        if !matching.is_empty() {
+            return matching;
         }
     }
     // No endpoint runs an allowed version. Once the rollout has begun to move requests to the
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -20,8 +20,8 @@
     splitter::Splitter,
 };
 
-/// An endpoint that sends no event for this many times the longest pause of a stream on time counts
-/// as stalled: the stream is late already, and callers leave soon after.
+/// An endpoint counts as stalled if it sends no event for this many times the longest event gap of a
+/// stream on time: the stream is late already, and callers leave soon after.
 const MAX_GAP_FACTOR: u32 = 2;
 /// The shortest time after which an endpoint counts as stalled, since it may prefill other prompts
 /// between two events.
