--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -41,14 +41,14 @@
         let (uncached, cached) = (prompt.uncached as f64, prompt.cached as f64);
         let pairs = uncached * (cached + uncached / 2.0) / 1e6;
         let fixed_ms = self.base_ms + self.ms_per_running * f64::from(outstanding);
-        let prefill_ms = fixed_ms
+        let unloaded_ms = fixed_ms
             + self.ms_per_thousand_tokens * uncached / 1e3
             + self.ms_per_million_pairs * pairs;
         let overtaking_ms = match rng.random_bool(self.overtaken_share) {
             true => Exp::new(1.0 / 400.0).unwrap().sample(rng),
             false => 0.0,
         };
-        Duration::from_secs_f64((prefill_ms * rng.random_range(0.9..1.1) + overtaking_ms) / 1e3)
+        Duration::from_secs_f64((unloaded_ms * rng.random_range(0.9..1.1) + overtaking_ms) / 1e3)
     }
 }
 
@@ -136,13 +136,13 @@
     let mut filter = Filter::new(1.0);
     let prompt = Prompt::new(20_000, 0);
     let mut rng = Pcg64::seed_from_u64(8);
-    for speed in [1, 2] {
+    for slowdown in [1, 2] {
         for _ in 0..150 {
-            let elapsed = Duration::from_secs_f64(rng.random_range(0.9..1.1)) * speed;
+            let elapsed = Duration::from_secs_f64(rng.random_range(0.9..1.1)) * slowdown;
             filter.update(prompt, 0, Duration::ZERO, elapsed);
         }
         let expected =
-            filter.coefficients().first_event(prompt, 0).as_secs_f64() / f64::from(speed);
-        assert!((0.85..1.15).contains(&expected), "{expected} at {speed}");
+            filter.coefficients().first_event(prompt, 0).as_secs_f64() / f64::from(slowdown);
+        assert!((0.85..1.15).contains(&expected), "{expected} at {slowdown}");
     }
 }
--- a/crates/curranthook_gateway/tests/shared_engines.rs
+++ b/crates/curranthook_gateway/tests/shared_engines.rs
@@ -95,16 +95,17 @@
         let node = rng.random_range(0..N_NODES);
         let prefix = (rng.random::<f64>().powf(prefixes.skew) * prefixes.n as f64) as u64;
         let task = Task { prefix_hash: Some(prefix), prefix_prefill: PREFILL.0, holders, salt: 0 };
-        let candidate = |index: usize, is_complete: bool| Candidate {
+        let candidate = |index: usize, sees_all_work: bool| Candidate {
             id_hash: hash::bytes(format!("engine-{index}").as_bytes()),
-            wait: engines[index].wait(now, |it| is_complete || it == node),
+            wait: engines[index].wait(now, |it| sees_all_work || it == node),
             failure_rate: 0.0,
             locality: Locality::SameDomain,
             has_prefix_cached: holders == CacheHolders::Known
                 && engines[index].cached_prefixes.contains(&prefix),
         };
-        let all =
-            |is_complete| (0..N_ENGINES).map(|it| candidate(it, is_complete)).collect::<Vec<_>>();
+        let all = |sees_all_work| {
+            (0..N_ENGINES).map(|it| candidate(it, sees_all_work)).collect::<Vec<_>>()
+        };
         let index = match visibility {
             Visibility::Own => placement::choose(&all(false), &task).unwrap(),
             Visibility::All => placement::choose(&all(true), &task).unwrap(),
