--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -387,9 +387,8 @@
         let Summary { status, outcome, endpoint, .. } = *end;
         let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
         if outcome == OUTCOME_WHOLE {
-            // A complete response shows that the request was not what ended the endpoints charged
-            // to it.
-            self.gateway.poison.lock().release(self.request.fingerprint);
+            // A complete response shows that the request did not cause the crashes charged to it.
+            self.gateway.poison.lock().clear(self.request.fingerprint);
         }
         self.gateway.metrics.record_ended(outcome, elapsed);
         self.gateway.log.write(&Event::Ended {
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -110,7 +110,7 @@
             return;
         }
         let now = self.gateway.now();
-        self.gateway.poison.lock().charge(self.request.fingerprint, endpoint, now);
+        self.gateway.poison.lock().record_crash(self.request.fingerprint, endpoint, now);
         self.gateway.log.write(&Event::PoisonCharged {
             request: &self.request.head.id,
             endpoint: endpoint.as_str(),
--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -7,7 +7,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use curranthook_policy::{
-    choice::{Ask, Candidate, Chooser, Delivery, Rater, Scope},
+    choice::{Candidate, Chooser, Delivery, Rater, Request, Scope},
     endpoint::{Member, Outcome, Pool},
 };
 use curranthook_settings::config::Policy;
@@ -34,11 +34,11 @@
     let rates = VERSIONS.map(|it| Rate { prompt: Micros(it.1), completion: Micros(it.1) });
     let candidate =
         |it: usize| Candidate { id: &ids[it], rate: &rates[it], prior: Some(VERSIONS[it].2) };
-    let allowed = [0, 1, 2, 3, 4, 5, 6].map(candidate);
-    let ask = Ask {
+    let candidates = [0, 1, 2, 3, 4, 5, 6].map(candidate);
+    let request = Request {
         kind: &kind,
-        target: 0.9,
-        allowed: &allowed,
+        target_quality: 0.9,
+        candidates: &candidates,
         time_left: Duration::from_secs(30),
         prompt_tokens: 800,
         expected_tokens: 300,
@@ -49,20 +49,21 @@
     let mut chooser = learned(&kind, &ids, now);
     let mut pool = busy(64, now);
 
-    criterion.bench_function("plan, 7 versions", |it| it.iter(|| chooser.plan(black_box(&ask))));
+    criterion
+        .bench_function("plan, 7 versions", |it| it.iter(|| chooser.plan(black_box(&request))));
     criterion.bench_function("pick, 64 endpoints", |it| {
-        it.iter(|| pool.pick(black_box(None), &[], now));
+        it.iter(|| pool.select(black_box(None), &[], now));
     });
     criterion.bench_function("pick by affinity, 64 endpoints", |it| {
-        it.iter(|| pool.pick(black_box(Some(42)), &[], now));
+        it.iter(|| pool.select(black_box(Some(42)), &[], now));
     });
     criterion.bench_function("plan, pick, started, finished", |it| {
         it.iter(|| {
-            let plan = chooser.plan(black_box(&ask));
-            let pick = pool.pick(Some(42), &[], now).expect("there are endpoints");
-            pool.started(&pick.id, now);
+            let plan = chooser.plan(black_box(&request));
+            let selection = pool.select(Some(42), &[], now).expect("there are endpoints");
+            pool.started(&selection.id, now);
             let outcome = Outcome::Answered { first_byte: Duration::from_millis(80) };
-            pool.finished(&pick.id, outcome, now);
+            pool.finished(&selection.id, outcome, now);
             plan
         });
     });
@@ -73,9 +74,9 @@
     for (id, version) in ids.iter().zip(VERSIONS) {
         (0..200).for_each(|it| {
             let rating = if f64::from(it) < version.2 * 200.0 { 1.0 } else { 0.0 };
-            chooser.learn(kind, id, rating, now);
+            chooser.record_rating(kind, id, rating, now);
         });
-        chooser.observe(id, Duration::from_secs(2), 300);
+        chooser.record_duration(id, Duration::from_secs(2), 300);
     }
     chooser
 }
@@ -88,14 +89,14 @@
         slots: 16,
     };
     let members: Vec<Member> = (0..n).map(member).collect();
-    pool.set(members.iter().cloned());
+    pool.set_members(members.iter().cloned());
     for it in &members {
         for step in 0..20 {
             pool.started(&it.id, now);
             let first_byte = Duration::from_millis(50 + step);
             pool.finished(&it.id, Outcome::Answered { first_byte }, now);
         }
-        pool.hint(&it.id, 4, now);
+        pool.report_load(&it.id, 4, now);
     }
     pool
 }
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -6,8 +6,8 @@
 use curranthook_types::{domain, kind, refusal, version};
 
 use crate::{
-    choice::{Ask, Candidate, Chooser, Counts, Plan, Rater, Reason, Sample},
-    endpoint::{self, Member, Miss, Outcome, Pick, Pool},
+    choice::{Candidate, Chooser, Counts, Plan, Rater, Reason, Request, Sample},
+    endpoint::{self, Member, Outcome, Pool, Selection, Unavailable},
 };
 
 mod least_outstanding;
@@ -18,18 +18,25 @@
 /// The names that [`strategy`] knows.
 pub const STRATEGIES: [&str; 4] = ["curranthook", "cheapest", "best", "static-cascade"];
 /// The names that [`balance`] knows.
-pub const BALANCES: [&str; 3] = ["curranthook", "round-robin", "least-outstanding"];
+pub const BALANCERS: [&str; 3] = ["curranthook", "round-robin", "least-outstanding"];
 
 /// A way to choose versions.
 pub trait Strategy: std::fmt::Debug + Send {
     /// Chooses the versions for one request.
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason>;
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason>;
 
     /// Takes in the rating of an answer.
-    fn learn(&mut self, _kind: &kind::Id, _version: &version::Id, _rating: f64, _now: Instant) {}
+    fn record_rating(
+        &mut self,
+        _kind: &kind::Id,
+        _version: &version::Id,
+        _rating: f64,
+        _now: Instant,
+    ) {
+    }
 
     /// Takes in the rating of a cascade's second answer.
-    fn learn_second(
+    fn record_second_rating(
         &mut self,
         _kind: &kind::Id,
         _first: &version::Id,
@@ -40,13 +47,13 @@
     }
 
     /// Takes in how long a whole answer took.
-    fn observe(&mut self, _version: &version::Id, _took: Duration, _tokens: u64) {}
+    fn record_duration(&mut self, _version: &version::Id, _took: Duration, _tokens: u64) {}
 
     /// Takes in what all other nodes together have gathered.
     fn merge(&mut self, _kind: &kind::Id, _version: &version::Id, _ratings: Counts) {}
 
     /// Whether enough is known of a version that only samples of its answers need be rated.
-    fn is_settled(&self, _kind: &kind::Id, _version: &version::Id) -> bool {
+    fn is_converged(&self, _kind: &kind::Id, _version: &version::Id) -> bool {
         true
     }
 
@@ -60,35 +67,35 @@
 }
 
 impl Strategy for Chooser {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        self.plan(ask)
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        self.plan(request)
     }
 
-    fn learn(&mut self, kind: &kind::Id, version: &version::Id, rating: f64, now: Instant) {
-        self.learn(kind, version, rating, now);
+    fn record_rating(&mut self, kind: &kind::Id, version: &version::Id, rating: f64, now: Instant) {
+        self.record_rating(kind, version, rating, now);
     }
 
-    fn learn_second(
+    fn record_second_rating(
         &mut self,
         kind: &kind::Id,
         first: &version::Id,
-        then: &version::Id,
+        second: &version::Id,
         rating: f64,
         now: Instant,
     ) {
-        self.learn_second(kind, first, then, rating, now);
+        self.record_second_rating(kind, first, second, rating, now);
     }
 
-    fn observe(&mut self, version: &version::Id, took: Duration, tokens: u64) {
-        self.observe(version, took, tokens);
+    fn record_duration(&mut self, version: &version::Id, took: Duration, tokens: u64) {
+        self.record_duration(version, took, tokens);
     }
 
     fn merge(&mut self, kind: &kind::Id, version: &version::Id, ratings: Counts) {
         self.merge(kind, version, ratings);
     }
 
-    fn is_settled(&self, kind: &kind::Id, version: &version::Id) -> bool {
-        self.is_settled(kind, version)
+    fn is_converged(&self, kind: &kind::Id, version: &version::Id) -> bool {
+        self.is_converged(kind, version)
     }
 
     fn counts(&self) -> Vec<crate::choice::Tally> {
@@ -113,24 +120,24 @@
 pub struct StaticCascade;
 
 impl Strategy for Cheapest {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(cheapest(ask)?))
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        Ok(direct(cheapest(request)?))
     }
 }
 
 impl Strategy for Best {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(best(ask)?))
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        Ok(direct(best(request)?))
     }
 }
 
 impl Strategy for StaticCascade {
-    fn plan(&mut self, ask: &Ask<'_>) -> Result<Plan, refusal::Reason> {
-        let (first, then) = (cheapest(ask)?, best(ask)?);
-        if first.id == then.id || ask.rater == Rater::Down {
-            return Ok(direct(then));
+    fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
+        let (first, second) = (cheapest(request)?, best(request)?);
+        if first.id == second.id || request.rater == Rater::Down {
+            return Ok(direct(second));
         }
-        Ok(Plan { then: Some(then.id.clone()), reason: Reason::Fixed, ..direct(first) })
+        Ok(Plan { second: Some(second.id.clone()), reason: Reason::Fixed, ..direct(first) })
     }
 }
 
@@ -152,20 +159,20 @@
 }
 
 /// A way to pick endpoints.
-pub trait Balance: std::fmt::Debug + Send {
+pub trait Balancer: std::fmt::Debug + Send {
     /// Sets the endpoints.
-    fn set(&mut self, members: Vec<Member>);
+    fn set_members(&mut self, members: Vec<Member>);
     /// Picks an endpoint.
-    fn pick(
+    fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
-    ) -> Result<Pick, Miss>;
+    ) -> Result<Selection, Unavailable>;
     /// A request was sent to an endpoint.
     fn started(&mut self, id: &endpoint::Id, now: Instant);
     /// An answer began.
-    fn began(&mut self, _id: &endpoint::Id, _first_byte: Duration, _now: Instant) {}
+    fn answer_started(&mut self, _id: &endpoint::Id, _first_byte: Duration, _now: Instant) {}
     /// A request at an endpoint ended.
     fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, now: Instant);
     /// An endpoint is leaving.
@@ -174,35 +181,35 @@
     fn clear_leaving(&mut self, id: &endpoint::Id);
 
     /// An endpoint reported its load.
-    fn hint(&mut self, _id: &endpoint::Id, _load: u64, _now: Instant) {}
+    fn report_load(&mut self, _id: &endpoint::Id, _load: u64, _now: Instant) {}
 
     /// How long to wait for an endpoint's first byte.
-    fn slow_after(&self, _id: &endpoint::Id) -> Duration {
+    fn first_byte_timeout(&self, _id: &endpoint::Id) -> Duration {
         const FIXED: Duration = Duration::from_secs(2);
         FIXED
     }
 }
 
-impl Balance for Pool {
-    fn set(&mut self, members: Vec<Member>) {
-        self.set(members);
+impl Balancer for Pool {
+    fn set_members(&mut self, members: Vec<Member>) {
+        self.set_members(members);
     }
 
-    fn pick(
+    fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
-    ) -> Result<Pick, Miss> {
-        self.pick(affinity, exclude, now)
+    ) -> Result<Selection, Unavailable> {
+        self.select(affinity, exclude, now)
     }
 
     fn started(&mut self, id: &endpoint::Id, now: Instant) {
         self.started(id, now);
     }
 
-    fn began(&mut self, id: &endpoint::Id, first_byte: Duration, now: Instant) {
-        self.began(id, first_byte, now);
+    fn answer_started(&mut self, id: &endpoint::Id, first_byte: Duration, now: Instant) {
+        self.answer_started(id, first_byte, now);
     }
 
     fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, now: Instant) {
@@ -217,22 +224,22 @@
         self.clear_leaving(id);
     }
 
-    fn hint(&mut self, id: &endpoint::Id, load: u64, now: Instant) {
-        self.hint(id, load, now);
+    fn report_load(&mut self, id: &endpoint::Id, load: u64, now: Instant) {
+        self.report_load(id, load, now);
     }
 
-    fn slow_after(&self, id: &endpoint::Id) -> Duration {
-        self.slow_after(id)
+    fn first_byte_timeout(&self, id: &endpoint::Id) -> Duration {
+        self.first_byte_timeout(id)
     }
 }
 
-/// The balance of a name, one of [`BALANCES`].
+/// The balance of a name, one of [`BALANCERS`].
 ///
 /// ```
 /// # use curranthook_policy::baseline;
-/// assert!(baseline::balance("round-robin", "zone-a".into(), 1).is_some());
+/// assert!(baseline::balancer("round-robin", "zone-a".into(), 1).is_some());
 /// ```
-pub fn balance(name: &str, local: domain::Id, seed: u64) -> Option<Box<dyn Balance>> {
+pub fn balancer(name: &str, local: domain::Id, seed: u64) -> Option<Box<dyn Balancer>> {
     match name {
         "curranthook" => Some(Box::new(Pool::new(local, seed))),
         "round-robin" => Some(Box::new(RoundRobin::default())),
@@ -241,17 +248,17 @@
     }
 }
 
-fn cheapest<'a>(ask: &Ask<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
-    let cost = |it: &&Candidate<'_>| it.rate.cost(ask.prompt_tokens, ask.expected_tokens);
-    ask.allowed.iter().min_by_key(cost).ok_or(refusal::Reason::NotAllowed)
+fn cheapest<'a>(request: &Request<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
+    let cost = |it: &&Candidate<'_>| it.rate.cost(request.prompt_tokens, request.expected_tokens);
+    request.candidates.iter().min_by_key(cost).ok_or(refusal::Reason::NotAllowed)
 }
 
-fn best<'a>(ask: &Ask<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
+fn best<'a>(request: &Request<'a>) -> Result<&'a Candidate<'a>, refusal::Reason> {
     let quality = |it: &Candidate<'_>| it.prior.unwrap_or(0.0);
     let by_quality = |a: &&Candidate<'_>, b: &&Candidate<'_>| quality(a).total_cmp(&quality(b));
-    ask.allowed.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
+    request.candidates.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
 }
 
 fn direct(candidate: &Candidate<'_>) -> Plan {
-    Plan { first: candidate.id.clone(), then: None, sample: Sample::Skip, reason: Reason::Fixed }
+    Plan { first: candidate.id.clone(), second: None, sample: Sample::Skip, reason: Reason::Fixed }
 }
--- a/crates/curranthook_policy/src/choice/ask.rs
+++ b/crates/curranthook_policy/src/choice/request.rs
@@ -6,13 +6,13 @@
 
 /// What is asked for, and which versions may be used.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// The kind of work.
     pub kind: &'a kind::Id,
     /// The share of answers that must be good enough.
-    pub target: f64,
+    pub target_quality: f64,
     /// The versions that may be used: allowed to the account, not withdrawn, not suspect.
-    pub allowed: &'a [Candidate<'a>],
+    pub candidates: &'a [Candidate<'a>],
     /// How long the caller will still wait.
     pub time_left: Duration,
     /// Tokens of the prompt.
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -22,7 +22,7 @@
 /// How many endpoints a node knows of a version at most. With ten thousand endpoints and many
 /// nodes, each node keeps its own part: load is learned from one's own answers, which would be
 /// too few for each of ten thousand.
-pub const SUBSET: usize = 64;
+pub const MAX_SUBSET: usize = 64;
 
 /// An endpoint keeps its prompts until its load is above the mean by this factor.
 const AFFINITY_FACTOR: f64 = 1.25;
@@ -40,14 +40,14 @@
 
 /// The endpoint picked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pick {
+pub struct Selection {
     /// The endpoint.
     pub id: Id,
     /// Why.
     pub reason: Reason,
 }
 
-/// Why an endpoint was picked. Each has its counter, `pick.<name>`.
+/// Why an endpoint was picked. Each has its counter, `selection.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// It has the start of the prompt in its cache.
@@ -80,9 +80,9 @@
     }
 }
 
-/// Why no endpoint was picked. Each has its counter, `pick.miss.<name>`.
+/// Why no endpoint was picked. Each has its counter, `selection.miss.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Miss {
+pub enum Unavailable {
     /// There is none.
     Empty,
     /// All are leaving or were tried before.
@@ -91,12 +91,12 @@
     AllBusy,
 }
 
-impl Miss {
+impl Unavailable {
     /// The last part of the counter's name.
     ///
     /// ```
-    /// # use curranthook_policy::endpoint::Miss;
-    /// assert_eq!(Miss::AllBusy.name(), "all_busy");
+    /// # use curranthook_policy::endpoint::Unavailable;
+    /// assert_eq!(Unavailable::AllBusy.name(), "all_busy");
     /// ```
     pub fn name(self) -> &'static str {
         match self {
@@ -115,10 +115,10 @@
         /// The time to its first byte.
         first_byte: Duration,
     },
-    /// With an answer whose first byte was told before, by [`Pool::began`].
-    Done,
+    /// With an answer whose first byte was told before, by [`Pool::answer_started`].
+    Completed,
     /// It was given up before its first byte, which another attempt beside it gave sooner.
-    Overtaken {
+    HedgeLost {
         /// For how long it was waited for.
         waited: Duration,
     },
@@ -139,12 +139,12 @@
 /// # use curranthook_policy::endpoint::{Member, Outcome, Pool, Reason};
 /// let now = Instant::now();
 /// let mut pool = Pool::new("zone-a".into(), 1);
-/// pool.set([Member { id: "engine-1".into(), domain: "zone-a".into(), slots: 16 }]);
-/// let pick = pool.pick(None, &[], now).unwrap();
-/// assert_eq!(pick.reason, Reason::OnlyOne);
-/// pool.started(&pick.id, now);
+/// pool.set_members([Member { id: "engine-1".into(), domain: "zone-a".into(), slots: 16 }]);
+/// let selection = pool.select(None, &[], now).unwrap();
+/// assert_eq!(selection.reason, Reason::OnlyOne);
+/// pool.started(&selection.id, now);
 /// let first_byte = Duration::from_millis(80);
-/// pool.finished(&pick.id, Outcome::Answered { first_byte }, now);
+/// pool.finished(&selection.id, Outcome::Answered { first_byte }, now);
 /// ```
 #[derive(Debug)]
 pub struct Pool {
@@ -172,7 +172,7 @@
     }
 
     /// Sets the endpoints. What is known of those that stay is kept.
-    pub fn set(&mut self, members: impl IntoIterator<Item = Member>) {
+    pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>) {
         let mut known: HashMap<Id, Track> =
             self.tracks.drain(..).map(|it| (it.member.id.clone(), it)).collect();
         let chosen = subset(members, self.seed);
@@ -197,22 +197,22 @@
 
     /// Picks an endpoint. `affinity` is a hash of what its cache should hold, `exclude` those
     /// that this request has tried.
-    pub fn pick(
+    pub fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[Id],
         now: Instant,
-    ) -> Result<Pick, Miss> {
+    ) -> Result<Selection, Unavailable> {
         if self.tracks.is_empty() {
-            return Err(Miss::Empty);
+            return Err(Unavailable::Empty);
         }
         let is_candidate = |it: &Track| !it.is_leaving && !exclude.contains(&it.member.id);
         let n_candidates = self.tracks.iter().filter(|it| is_candidate(it)).count();
         if n_candidates == 0 {
-            return Err(Miss::AllExcluded);
+            return Err(Unavailable::AllExcluded);
         }
         if let Some(place) = self.tracks.iter().position(|it| is_candidate(it) && it.is_due(now)) {
-            return Ok(self.picked(place, Reason::Probe));
+            return Ok(self.selection_of(place, Reason::Probe));
         }
 
         self.open.clear();
@@ -222,17 +222,17 @@
             }
         }
         let Some(first) = self.open.first().copied() else {
-            return self.pick_left_out(exclude);
+            return self.select_ejected(exclude);
         };
         if self.open.len() == 1 {
             let reason = if n_candidates == 1 { Reason::OnlyOne } else { Reason::PowerOfTwo };
-            return Ok(self.picked(first, reason));
+            return Ok(self.selection_of(first, reason));
         }
         if let Some(place) = affinity.and_then(|key| self.keeper(key, now)) {
-            return Ok(self.picked(place, Reason::Affinity));
+            return Ok(self.selection_of(place, Reason::Affinity));
         }
         let place = self.better_of_two(now);
-        Ok(self.picked(place, Reason::PowerOfTwo))
+        Ok(self.selection_of(place, Reason::PowerOfTwo))
     }
 
     /// A request was sent to an endpoint.
@@ -244,7 +244,7 @@
 
     /// An answer began. Told now and not with its end, a slow endpoint is noticed before the
     /// first of its slow answers is whole.
-    pub fn began(&mut self, id: &Id, first_byte: Duration, now: Instant) {
+    pub fn answer_started(&mut self, id: &Id, first_byte: Duration, now: Instant) {
         let Some(place) = self.places.get(id).copied() else {
             return;
         };
@@ -258,7 +258,7 @@
             return;
         };
         self.tracks[place].finish(outcome, now);
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Completed {
             // It was reviewed as it began.
             return;
         }
@@ -266,9 +266,9 @@
     }
 
     /// An endpoint reported its load: all requests that it holds, from whatever node.
-    pub fn hint(&mut self, id: &Id, load: u64, now: Instant) {
+    pub fn report_load(&mut self, id: &Id, load: u64, now: Instant) {
         if let Some(it) = self.track_mut(id) {
-            it.hint(load, now);
+            it.report_load(load, now);
         }
     }
 
@@ -289,13 +289,16 @@
 
     /// How long to wait for an endpoint's first byte before another connection or endpoint is
     /// tried: well above what it took of late.
-    pub fn slow_after(&self, id: &Id) -> Duration {
-        let own = self.places.get(id).and_then(|place| self.tracks[*place].first_byte.slow_after());
+    pub fn first_byte_timeout(&self, id: &Id) -> Duration {
+        let own = self
+            .places
+            .get(id)
+            .and_then(|place| self.tracks[*place].first_byte.first_byte_timeout());
         own.unwrap_or(first_byte::UNKNOWN)
     }
 
     /// How many endpoints are left out for being slow or failing.
-    pub fn n_left_out(&self) -> usize {
+    pub fn n_ejected(&self) -> usize {
         self.tracks.iter().filter(|it| it.is_ejected()).count()
     }
 
@@ -309,19 +312,20 @@
         Some(&mut self.tracks[place])
     }
 
-    fn picked(&self, place: usize, reason: Reason) -> Pick {
-        Pick { id: self.tracks[place].member.id.clone(), reason }
+    fn selection_of(&self, place: usize, reason: Reason) -> Selection {
+        Selection { id: self.tracks[place].member.id.clone(), reason }
     }
 
     /// With every healthy endpoint excluded, one that was left out is better than none.
-    fn pick_left_out(&self, exclude: &[Id]) -> Result<Pick, Miss> {
+    fn select_ejected(&self, exclude: &[Id]) -> Result<Selection, Unavailable> {
         let mut candidates =
             self.tracks.iter().filter(|it| !it.is_leaving && !exclude.contains(&it.member.id));
         if candidates.clone().any(|it| !it.is_ejected()) {
-            return Err(Miss::AllBusy);
+            return Err(Unavailable::AllBusy);
         }
         let idle = candidates.find(|it| it.in_flight == 0);
-        idle.map(|it| Pick { id: it.member.id.clone(), reason: Reason::Probe }).ok_or(Miss::AllBusy)
+        idle.map(|it| Selection { id: it.member.id.clone(), reason: Reason::Probe })
+            .ok_or(Unavailable::AllBusy)
     }
 
     /// The endpoint that the key belongs to, by rendezvous hashing, unless it is loaded above
@@ -355,10 +359,10 @@
 /// the list moves only what has to move.
 fn subset(members: impl IntoIterator<Item = Member>, seed: u64) -> Vec<Member> {
     let mut members: Vec<Member> = members.into_iter().collect();
-    if SUBSET < members.len() {
+    if MAX_SUBSET < members.len() {
         let weight = |it: &Member| hash::pair(hash::bytes(it.id.as_str().as_bytes()), seed);
         members.sort_by_cached_key(|it| Reverse(weight(it)));
-        members.truncate(SUBSET);
+        members.truncate(MAX_SUBSET);
     }
     members.sort_by(|a, b| a.id.cmp(&b.id));
     members.dedup_by(|a, b| a.id == b.id);
--- a/crates/curranthook_policy/tests/market/mod.rs
+++ b/crates/curranthook_policy/tests/market/mod.rs
@@ -4,7 +4,7 @@
 
 use curranthook_policy::{
     baseline,
-    choice::{Ask, Candidate, Delivery, Rater, Sample, Scope},
+    choice::{Candidate, Delivery, Rater, Request, Sample, Scope},
 };
 use curranthook_settings::config::Policy;
 use curranthook_types::{
@@ -71,34 +71,40 @@
     let offers = [SMALL, MIDDLE, LARGE];
     let ids = offers.map(|it| version::Id::new(it.name));
     let rates = offers.map(|it| Rate { prompt: Micros(0), completion: Micros(it.price) });
-    let allowed = [0, 1, 2].map(|it| Candidate {
+    let candidates = [0, 1, 2].map(|it| Candidate {
         id: &ids[it],
         rate: &rates[it],
         prior: Some(offers[it].quality),
     });
     let kind = kind::Id::new("summary");
-    let ask = Ask { rater: setup.rater, ..ask(&kind, TARGET, &allowed) };
+    let request = Request { rater: setup.rater, ..request(&kind, TARGET, &candidates) };
     let now = Instant::now();
     let mut tally = Tally::default();
     for _ in 0..setup.n {
-        let plan = strategy.plan(&ask).expect("there are versions");
+        let plan = strategy.plan(&request).expect("there are versions");
         let place = |id| ids.iter().position(|it| it == id).expect("an allowed version");
         let first = place(&plan.first);
         let hardness = rng.random::<f64>();
         let mut is_good = hardness < offers[first].quality;
         tally.cost += offers[first].price as f64;
-        if plan.then.is_some() || plan.sample == Sample::Rate {
-            strategy.learn(&kind, &plan.first, f64::from(u8::from(is_good)), now);
+        if plan.second.is_some() || plan.sample == Sample::Rate {
+            strategy.record_rating(&kind, &plan.first, f64::from(u8::from(is_good)), now);
         }
-        if let Some(then) = plan.then.filter(|_| !is_good) {
+        if let Some(second) = plan.second.filter(|_| !is_good) {
             let again = match setup.difficulty {
                 Difficulty::Independent => rng.random::<f64>(),
                 Difficulty::Shared => hardness,
             };
-            is_good = again < offers[place(&then)].quality;
-            tally.cost += offers[place(&then)].price as f64;
+            is_good = again < offers[place(&second)].quality;
+            tally.cost += offers[place(&second)].price as f64;
             if plan.sample == Sample::Rate {
-                strategy.learn_second(&kind, &plan.first, &then, f64::from(u8::from(is_good)), now);
+                strategy.record_second_rating(
+                    &kind,
+                    &plan.first,
+                    &second,
+                    f64::from(u8::from(is_good)),
+                    now,
+                );
             }
         }
         tally.good += f64::from(u8::from(is_good));
@@ -108,11 +114,15 @@
 }
 
 /// A request that is in no hurry.
-pub fn ask<'a>(kind: &'a kind::Id, target: f64, allowed: &'a [Candidate<'a>]) -> Ask<'a> {
-    Ask {
+pub fn request<'a>(
+    kind: &'a kind::Id,
+    target_quality: f64,
+    candidates: &'a [Candidate<'a>],
+) -> Request<'a> {
+    Request {
         kind,
-        target,
-        allowed,
+        target_quality,
+        candidates,
         time_left: Duration::from_secs(60),
         prompt_tokens: 0,
         expected_tokens: 1_000,
--- a/crates/curranthook_policy/tests/overload.rs
+++ b/crates/curranthook_policy/tests/overload.rs
@@ -9,7 +9,7 @@
     limit::Bucket,
     poison::Register,
     queue::{Fair, Next},
-    retry::{Attempt, Budget, Decision, Repeat, Sent, Shown, Stop, may},
+    retry::{Attempt, Budget, Decision, Delivered, Repeat, Sent, Stop, decide},
 };
 use curranthook_settings::config::Limit;
 use curranthook_types::{account, retry};
@@ -46,7 +46,7 @@
         } {
             n_late += 1;
         }
-        queue.served(now);
+        queue.record_service(now);
     }
     assert!(4_900 <= served.values().sum::<u32>(), "endpoints stay busy: {served:?}");
     assert!(980 <= served[&small], "small account gets what it asks for: {served:?}");
@@ -114,19 +114,19 @@
 }
 
 #[yare::parameterized(
-    unsent = { Repeat::AtMostOnce, Sent::Unsent, Shown::Nothing, 1, Decision::Retry },
-    not_started = { Repeat::AtMostOnce, Sent::NotStarted, Shown::Nothing, 1, Decision::Retry },
-    may_have_run = { Repeat::AtMostOnce, Sent::MayHaveRun, Shown::Nothing, 1, Decision::Stop(Stop::MayHaveRun) },
-    idempotent = { Repeat::Idempotent, Sent::MayHaveRun, Shown::Nothing, 1, Decision::Retry },
-    shown = { Repeat::Idempotent, Sent::MayHaveRun, Shown::Part, 1, Decision::Resume },
-    too_often = { Repeat::Idempotent, Sent::Unsent, Shown::Nothing, 3, Decision::Stop(Stop::Tries) },
+    unsent = { Repeat::AtMostOnce, Sent::Unsent, Delivered::Nothing, 1, Decision::Retry },
+    not_started = { Repeat::AtMostOnce, Sent::NotStarted, Delivered::Nothing, 1, Decision::Retry },
+    may_have_run = { Repeat::AtMostOnce, Sent::MayHaveRun, Delivered::Nothing, 1, Decision::Stop(Stop::MayHaveRun) },
+    idempotent = { Repeat::Idempotent, Sent::MayHaveRun, Delivered::Nothing, 1, Decision::Retry },
+    delivered = { Repeat::Idempotent, Sent::MayHaveRun, Delivered::Partial, 1, Decision::Resume },
+    too_often = { Repeat::Idempotent, Sent::Unsent, Delivered::Nothing, 3, Decision::Stop(Stop::Attempts) },
 )]
-fn attempts(repeat: Repeat, sent: Sent, shown: Shown, tries: u32, expected: Decision) {
-    let attempt = Attempt { repeat, sent, shown, tries, time_left: PATIENCE };
-    assert_eq!(may(&attempt), expected);
-    if expected != Decision::Stop(Stop::MayHaveRun) && tries < 3 {
+fn attempts(repeat: Repeat, sent: Sent, delivered: Delivered, attempts: u32, expected: Decision) {
+    let attempt = Attempt { repeat, sent, delivered, attempts, time_left: PATIENCE };
+    assert_eq!(decide(&attempt), expected);
+    if expected != Decision::Stop(Stop::MayHaveRun) && attempts < 3 {
         let late = Attempt { time_left: Duration::ZERO, ..attempt };
-        assert_eq!(may(&late), Decision::Stop(Stop::Deadline));
+        assert_eq!(decide(&late), Decision::Stop(Stop::Deadline));
     }
 }
 
@@ -154,13 +154,13 @@
 fn a_poison_request_stops_everywhere() {
     let (now, body) = (Instant::now(), [1; 16]);
     let (mut here, mut there) = (Register::new(10), Register::new(10));
-    here.charge(body, &"engine-1".into(), now);
-    there.charge(body, &"engine-2".into(), now);
+    here.record_crash(body, &"engine-1".into(), now);
+    there.record_crash(body, &"engine-2".into(), now);
     assert!(!here.is_poison(body, now) && !there.is_poison(body, now));
     there.merge(here.export(now), now);
     assert!(there.is_poison(body, now), "two endpoints, as seen by two nodes");
     assert!(!there.is_poison(body, now + Duration::from_secs(3_600)), "it expires");
-    there.release(body);
+    there.clear(body);
     there.merge(here.export(now), now);
     assert!(!there.is_poison(body, now), "an endpoint answered it");
 }
@@ -171,8 +171,8 @@
     const ON_THE_WAY: Duration = Duration::from_secs(30);
     let (start, body) = (Instant::now(), [1; 16]);
     let (mut here, mut there) = (Register::new(10), Register::new(10));
-    here.charge(body, &"engine-1".into(), start);
-    here.charge(body, &"engine-2".into(), start);
+    here.record_crash(body, &"engine-1".into(), start);
+    here.record_crash(body, &"engine-2".into(), start);
     for minute in 0..90 {
         let now = start + Duration::from_secs(60) * minute;
         there.merge(here.export(now), now + ON_THE_WAY);
@@ -253,9 +253,9 @@
         let now = Instant::now();
         let parts: Vec<Register> = charges.iter().map(|(body, endpoint, is_released)| {
             let mut register = Register::new(100);
-            register.charge([*body; 16], &format!("engine-{endpoint}").as_str().into(), now);
+            register.record_crash([*body; 16], &format!("engine-{endpoint}").as_str().into(), now);
             if *is_released {
-                register.release([*body; 16]);
+                register.clear([*body; 16]);
             }
             register
         }).collect();
--- a/crates/curranthook_router/src/gate.rs
+++ b/crates/curranthook_router/src/gate.rs
@@ -13,8 +13,8 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use curranthook_policy::{
-    baseline::{self, Balance},
-    endpoint::{Member, Miss, Outcome},
+    baseline::{self, Balancer},
+    endpoint::{Member, Outcome, Unavailable},
     queue::{Fair, Next},
 };
 use curranthook_types::{Clock, Refusal, domain, endpoint, refusal::Reason, version, vm};
@@ -53,7 +53,7 @@
 
 impl Gates {
     /// No gate yet. `balance` names the way in which endpoints are picked, as
-    /// [`baseline::balance`] knows it.
+    /// [`baseline::balancer`] knows it.
     pub fn new(
         clock: Arc<dyn Clock>,
         domain: domain::Id,
@@ -84,7 +84,7 @@
         for (target, members) in members {
             let gate = gates.entry(target).or_insert_with_key(|target| {
                 let seed = choose::hash(&format!("{}/{target:?}", self.vm));
-                let pool = baseline::balance(self.balance, self.domain.clone(), seed)
+                let pool = baseline::balancer(self.balance, self.domain.clone(), seed)
                     .expect("the names of the policies are fixed");
                 Arc::new(Gate::new(Arc::clone(&self.clock), pool))
             });
@@ -126,7 +126,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    pool: Box<dyn Balance>,
+    pool: Box<dyn Balancer>,
     addresses: HashMap<endpoint::Id, SocketAddr>,
     queue: Fair<Sender<()>>,
 }
@@ -145,7 +145,7 @@
 }
 
 impl Gate {
-    fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balance>) -> Self {
+    fn new(clock: Arc<dyn Clock>, pool: Box<dyn Balancer>) -> Self {
         let inner = Inner { pool, addresses: HashMap::new(), queue: Fair::new(QUEUE) };
         Self { clock, inner: Mutex::new(inner) }
     }
@@ -154,7 +154,7 @@
         let mut inner = self.inner.lock();
         inner.queue.set_capacity(capacity);
         inner.addresses = members.iter().map(|(it, addr)| (it.id.clone(), *addr)).collect();
-        inner.pool.set(members.into_iter().map(|(it, _)| it).collect());
+        inner.pool.set_members(members.into_iter().map(|(it, _)| it).collect());
     }
 
     fn set_leaving(&self, leaving: &HashSet<SocketAddr>) {
@@ -181,12 +181,13 @@
             // Newcomers go behind those that wait. If they took what gets free, those that wait
             // would do so until their deadlines under overload.
             let is_behind = place.is_none() && !self.inner.lock().queue.is_empty();
-            let entered = if is_behind { Err(Miss::AllBusy) } else { self.try_enter(entry, now) };
+            let entered =
+                if is_behind { Err(Unavailable::AllBusy) } else { self.try_enter(entry, now) };
             match entered {
                 Ok(lease) => return Ok(lease),
-                Err(Miss::Empty) => return Err(no_endpoint("no endpoint is in service")),
-                Err(Miss::AllExcluded) => return Err(no_endpoint("each endpoint failed")),
-                Err(Miss::AllBusy) => {}
+                Err(Unavailable::Empty) => return Err(no_endpoint("no endpoint is in service")),
+                Err(Unavailable::AllExcluded) => return Err(no_endpoint("each endpoint failed")),
+                Err(Unavailable::AllBusy) => {}
             }
             let turn = match &place {
                 Some(it) => it,
@@ -222,13 +223,15 @@
 
     /// How long the first byte of an answer from `id` may take before another try is made.
     pub fn slow_after(&self, id: &endpoint::Id) -> Duration {
-        self.inner.lock().pool.slow_after(id)
+        self.inner.lock().pool.first_byte_timeout(id)
     }
 
-    fn try_enter(self: &Arc<Self>, entry: Entry<'_>, now: Instant) -> Result<Lease, Miss> {
+    fn try_enter(self: &Arc<Self>, entry: Entry<'_>, now: Instant) -> Result<Lease, Unavailable> {
         let mut inner = self.inner.lock();
-        let pick = inner.pool.pick(entry.affinity, entry.exclude, now)?;
-        let Some(addr) = inner.addresses.get(&pick.id).copied() else { return Err(Miss::Empty) };
+        let pick = inner.pool.select(entry.affinity, entry.exclude, now)?;
+        let Some(addr) = inner.addresses.get(&pick.id).copied() else {
+            return Err(Unavailable::Empty);
+        };
         inner.pool.started(&pick.id, now);
         Ok(Lease {
             gate: Arc::clone(self),
@@ -251,10 +254,10 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         inner.pool.finished(endpoint, outcome, now);
-        inner.queue.served(now);
+        inner.queue.record_service(now);
         // The endpoint may have less room than before. Whoever were woken then would lose its
         // place in the queue for nothing.
-        if inner.pool.pick(None, &[], now).is_err() {
+        if inner.pool.select(None, &[], now).is_err() {
             return;
         }
         // Whoever gave up has dropped its receiver; go on to the next one.
@@ -319,7 +322,7 @@
 
     /// Notes what the endpoint said of its load.
     pub fn hint(&self, load: u64) {
-        self.gate.inner.lock().pool.hint(&self.endpoint, load, self.gate.clock.now());
+        self.gate.inner.lock().pool.report_load(&self.endpoint, load, self.gate.clock.now());
     }
 
     /// Notes that the first byte of the answer came, and says after how long.
@@ -328,7 +331,7 @@
         let first_byte = now.saturating_duration_since(self.started);
         if self.stage == Stage::Waiting {
             self.stage = Stage::Begun;
-            self.gate.inner.lock().pool.began(&self.endpoint, first_byte, now);
+            self.gate.inner.lock().pool.answer_started(&self.endpoint, first_byte, now);
         }
         first_byte
     }
@@ -336,7 +339,7 @@
     /// Gives the endpoint back.
     pub fn finish(mut self, outcome: Outcome) {
         let outcome = match (self.stage, outcome) {
-            (Stage::Begun, Outcome::Answered { .. }) => Outcome::Done,
+            (Stage::Begun, Outcome::Answered { .. }) => Outcome::Completed,
             (_, outcome) => outcome,
         };
         self.stage = Stage::Done;
@@ -350,7 +353,7 @@
     fn given_up(&self) -> Outcome {
         let waited = self.gate.clock.now().saturating_duration_since(self.started);
         if self.stage == Stage::Waiting && self.slow_after() <= waited {
-            Outcome::Overtaken { waited }
+            Outcome::HedgeLost { waited }
         } else {
             Outcome::Cancelled
         }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -110,7 +110,7 @@
         let bucket = buckets
             .entry(account.clone())
             .or_insert_with(|| Bucket::new(&settings.limit, nodes, now));
-        bucket.set_rate(&settings.limit, nodes);
+        bucket.set_limit(&settings.limit, nodes);
         bucket.set_share(share, 1.0, nodes);
         bucket.take(now).map_err(|after| {
             let message = "the account is over its limit of requests";
@@ -133,7 +133,7 @@
     /// Takes in what one answer showed.
     pub fn learn(&self, kind: &kind::Id, version: &version::Id, rating: Option<f64>, tokens: u64) {
         if let Some(rating) = rating {
-            self.chooser.lock().learn(kind, version, rating, self.clock.now());
+            self.chooser.lock().record_rating(kind, version, rating, self.clock.now());
         }
         self.count(kind, version, Sample { rating, outcome: Outcome::Answered, tokens });
     }
@@ -146,13 +146,13 @@
         then: &version::Id,
         rating: f64,
     ) {
-        self.chooser.lock().learn_second(kind, first, then, rating, self.clock.now());
+        self.chooser.lock().record_second_rating(kind, first, then, rating, self.clock.now());
     }
 
     /// Whether an answer of `version` should be rated although the policy didn't ask for it:
     /// little is known of the version at this kind of work, or the last ratings speak against it.
     pub fn wants_rating(&self, kind: &kind::Id, version: &version::Id) -> bool {
-        if !self.chooser.lock().is_settled(kind, version) {
+        if !self.chooser.lock().is_converged(kind, version) {
             return true;
         }
         let share = self.sampling.lock().get(version).copied().unwrap_or_default();
