--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -26,9 +26,7 @@
             return false;
         }
         let peer_state = self.query_peers(&self.criteria(&rule, Some(large))).await;
-        let Some(expected) = self.improvement(confidence, &rule, &peer_state) else {
-            return false;
-        };
+        let Some(expected) = self.improvement(confidence, &rule, &peer_state) else { return false };
         let model = large.name.clone();
         if !self.try_rerun("confidence") {
             return false;
--- a/crates/curranthook_gateway/tests/deployment_independence.rs
+++ b/crates/curranthook_gateway/tests/deployment_independence.rs
@@ -43,7 +43,7 @@
             assert!(found.is_empty(), "{} knows {found:?}", path.display());
         });
     }
-    assert!(20 < n_files, "only {n_files} for_each_source were read");
+    assert!(20 < n_files, "only {n_files} sources were read");
 }
 
 fn for_each_source(dir: &Path, check: &mut dyn FnMut(&Path, &str)) {
