--- a/crates/curranthook_gateway/src/affinity.rs
+++ b/crates/curranthook_gateway/src/affinity.rs
@@ -1,4 +1,4 @@
-//! Remembers which endpoints have prompt prefixes cached, from what this node sent or was told.
+//! Remembers which endpoints have prompt prefixes cached, from what this node sent or peers reported.
 
 use std::{
     collections::{HashMap, VecDeque},
--- a/crates/curranthook_gateway/src/cascade.rs
+++ b/crates/curranthook_gateway/src/cascade.rs
@@ -88,8 +88,8 @@
     small_value < large.value(targets)
 }
 
-/// The number of priority ranks. Requests to large models are placed this many ranks behind those
-/// to small models.
+/// The number of priority ranks. Requests to large models come this many ranks after those to
+/// small models.
 const N_RANKS: u8 = 4;
 /// The relative price from which a model counts as large: prefill takes long there.
 pub const LARGE_MODEL_MIN_RELATIVE_PRICE: f64 = 0.5;
--- a/crates/curranthook_gateway/src/prefill.rs
+++ b/crates/curranthook_gateway/src/prefill.rs
@@ -156,7 +156,7 @@
 /// Converts seconds to a duration, clamped to 1e6 s (about eleven days). Callers may claim prompts
 /// and answers of any length, for which the result may be NaN or exceed what a `Duration` can hold.
 pub(crate) fn saturating_seconds(it: f64) -> Duration {
-    const MAX: f64 = 1e6;
-    let it = if it.is_nan() { 0.0 } else { it.clamp(0.0, MAX) };
+    const MAX_SECONDS: f64 = 1e6;
+    let it = if it.is_nan() { 0.0 } else { it.clamp(0.0, MAX_SECONDS) };
     Duration::from_secs_f64(it)
 }
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -23,7 +23,7 @@
 };
 
 /// The assumed processing time of a request at a service without models.
-const PLAIN_SERVICE_TIME: Duration = Duration::from_millis(50);
+const DEFAULT_PROCESSING_TIME: Duration = Duration::from_millis(50);
 
 /// The number of endpoints about which peers are queried before a request is placed. Each costs two
 /// datagrams.
@@ -291,7 +291,7 @@
     // target version or away from it, any other version is better than a refusal.
     match criteria.rule {
         Rule::Only(_) => select(&|it| is_untried(it)),
-        // No other version is left, so the rollout is over, even if this node has not been told.
+        // No other version is left, so the rollout is over, even if this node has not learned of it yet.
         Rule::Not(_) if !has_throttled => select(&|it| is_untried(it) && !it.is_ejected(now)),
         Rule::Not(_) | Rule::Any => Vec::new(),
     }
@@ -310,7 +310,7 @@
     }
     let slots = it.entry.slots.max(1);
     let waiting = (outstanding + 1).saturating_sub(slots);
-    PLAIN_SERVICE_TIME * waiting / slots + Duration::from_millis(1) * outstanding
+    DEFAULT_PROCESSING_TIME * waiting / slots + Duration::from_millis(1) * outstanding
 }
 
 /// The queued work that delays the request.
--- a/crates/curranthook_gateway/src/startup.rs
+++ b/crates/curranthook_gateway/src/startup.rs
@@ -79,12 +79,12 @@
     let until = (gateway.started + FIRST_READ_TIMEOUT).max(now + max_wait);
     loop {
         let changed = gateway.rows_changed.wait();
-        let left = until.saturating_duration_since(gateway.now());
-        if gateway.is_serving() || left.is_zero() {
+        let time_left = until.saturating_duration_since(gateway.now());
+        if gateway.is_serving() || time_left.is_zero() {
             return;
         }
         // Whether woken or timed out, the loop checks the state again.
-        let _timed_out = timeout::run(left, changed).await;
+        let _timed_out = timeout::run(time_left, changed).await;
     }
 }
 
