--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -9,7 +9,7 @@
     entry::{Entry, State},
     event::Event,
     fleet,
-    gateway::Current,
+    gateway::Configuration,
     store::{Batch, Operator, Row, Table},
     watch::name,
 };
@@ -37,7 +37,7 @@
     // Last, as whoever is woken looks at what was taken in. The first read of a table counts even
     // if that is empty: requests may be waiting for it.
     if !news.is_empty() || is_whole {
-        gateway.changed.wake();
+        gateway.rows_changed.wake();
     }
 }
 
@@ -50,14 +50,14 @@
     match gateway.decoder.operator(&row.key, value) {
         Ok(Operator::Document(document)) => {
             let version = document.version;
-            let before = gateway.current.load().as_ref().map_or(0, |it| it.document.version);
+            let before = gateway.configuration.load().as_ref().map_or(0, |it| it.document.version);
             // A configuration never goes back: an older row, from a peer that knows less, would
             // bring back keys and routes that were taken away.
             if version <= before {
                 return;
             }
             let routes = document.n_routes();
-            gateway.current.store(Some(Arc::new(Current { document, rev: row.rev })));
+            gateway.configuration.store(Some(Arc::new(Configuration { document, rev: row.rev })));
             gateway.metrics.configuration.set(version);
             let rev = row.rev.0;
             gateway.log.write(&Event::Configuration { version, before, routes, rev, from });
@@ -65,7 +65,7 @@
         Ok(Operator::Order(order)) => {
             let service = order.service.clone();
             let heard = gateway.store_time();
-            gateway.rollouts.lock().ordered(order, row.rev, heard);
+            gateway.rollouts.lock().apply_order(order, row.rev, heard);
             // Steps of this order may have been read before it.
             fleet::reread(gateway, &service);
         }
@@ -80,7 +80,7 @@
     let mut directory = gateway.directory.lock();
     match row.value {
         Some(_) => directory.evacuate(domain),
-        None => directory.readmit(&domain),
+        None => directory.end_evacuation(&domain),
     }
 }
 
@@ -96,7 +96,7 @@
         Ok(entry) => {
             let state = if entry.state == State::Ready { "ready" } else { "leaving" };
             log_endpoint(gateway, &id, Some(&entry), state, row);
-            gateway.directory.lock().set(entry, now);
+            gateway.directory.lock().upsert(entry, now);
         }
         Err(e) => {
             gateway.directory.lock().remove(&id, now);
@@ -117,7 +117,7 @@
         service: entry.map_or("", |it| it.service.as_str()),
         state,
         version: entry.map_or("", |it| it.version.as_str()),
-        born: entry.and_then(|it| it.born),
+        born: entry.and_then(|it| it.started_ms),
         rev: row.rev.0,
     });
 }
--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to an endpoint, and the head of the answer comes back.
+//! A single attempt: sends a request to an endpoint and receives the head of the response.
 
 use std::{
     sync::Arc,
@@ -15,85 +15,85 @@
 
 use crate::{
     Gateway,
-    ask::Ask,
     dialect::{self, Execution, Outgoing, Reply, Seal},
     directory::Outcome,
-    document::Repeat,
+    document::RetryPolicy,
     event::Event,
     lease::{Completeness, Lease},
+    request::Request,
 };
 
-/// How long an idle connection may be trusted with a request that can be repeated. Endpoints
-/// close idle ones after some seconds, and what is sent just then is lost.
+/// How long a connection may have been idle to be used for a retryable request. Endpoints close
+/// idle connections after some seconds, and a request that is sent at that moment is lost.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(3);
 
-/// Within this time a connection that was closed while it was idle shows it: a few round trips
+/// A connection that was closed while idle fails within this time after use: a few round trips
 /// between failure domains.
-const AT_ONCE: Duration = Duration::from_millis(10);
+const STALE_DETECTION_TIME: Duration = Duration::from_millis(10);
 
-/// How long a new connection must hold before a request that can't be repeated is sent on it: a round
-/// trip between failure domains and the time in which an endpoint accepts a connection or resets it.
-const SETTLE: Duration = Duration::from_millis(8);
+/// How long a new connection must stay open before a non-retryable request is sent on it: a round
+/// trip between failure domains plus the time in which an endpoint accepts or resets a connection.
+const SETTLE_TIME: Duration = Duration::from_millis(8);
 
-/// An answer that has begun.
+/// A request that was sent, with the response whose head has arrived.
 #[derive(Debug)]
-pub struct Open {
-    /// The place at the endpoint.
+pub struct Exchange {
+    /// The lease at the endpoint.
     pub lease: Lease,
-    /// The connection.
+    /// The connection that carries the exchange.
     pub conn: Connection,
-    /// What the head says.
+    /// The parsed head of the response.
     pub reply: Reply,
-    /// The head.
+    /// The head of the response as received.
     pub head: Parts,
-    /// What is to come.
+    /// The body of the response, not yet read.
     pub body: Incoming,
-    /// The time to the head.
+    /// The time from sending the request to the head of the response.
     pub first_byte: Duration,
 }
 
-/// Why an attempt has no answer.
+/// Why an attempt yielded no response for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Failed {
-    /// What went wrong.
+pub struct Failure {
+    /// The cause of the failure.
     pub cause: Cause,
     /// Whether the request may have run.
     pub execution: Execution,
 }
 
-/// What went wrong with an attempt.
+/// The cause of a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// No connection.
+    /// No connection could be opened.
     Connect,
-    /// A kept connection turned out to be closed.
-    Stale,
-    /// The endpoint is full.
+    /// A pooled connection had been closed by the endpoint.
+    StaleConnection,
+    /// The endpoint has no capacity left.
     Full,
-    /// Another endpoint has the address.
+    /// Another endpoint uses the address now.
     Misdirected,
-    /// The connection broke.
-    Cut,
-    /// The answer is another request's.
-    Foreign,
-    /// The answer isn't the endpoint's own.
+    /// The connection was lost.
+    Disconnected,
+    /// The response belongs to another request.
+    WrongRequest,
+    /// The response does not carry the endpoint's seal.
     Unsealed,
-    /// No answer in time.
+    /// No response arrived in time.
     Timeout,
-    /// The endpoint failed.
+    /// The endpoint reported an error.
     Error,
 }
 
 impl Cause {
-    /// Its name in logs and counters.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Connect => "connect",
-            Self::Stale => "stale",
+            Self::StaleConnection => "stale",
             Self::Full => "full",
             Self::Misdirected => "misdirected",
-            Self::Cut => "cut",
-            Self::Foreign => "foreign",
+            Self::Disconnected => "cut",
+            Self::WrongRequest => "foreign",
             Self::Unsealed => "unsealed",
             Self::Timeout => "timeout",
             Self::Error => "error",
@@ -101,64 +101,64 @@
     }
 }
 
-/// Sends `ask` to the endpoint of `lease` and waits for the head of the answer.
+/// Sends `request` to the endpoint of `lease` and waits for the head of the response.
 pub async fn run(
     gateway: &Arc<Gateway>,
-    ask: &Ask,
-    repeat: Repeat,
+    request: &Request,
+    retry_policy: RetryPolicy,
     mut lease: Lease,
     outgoing: &Outgoing<'_>,
-) -> Result<Open, Failed> {
-    let sent = gateway.now();
-    // What can't be repeated is never trusted to a kept connection: the endpoint may be closing
-    // it, or something between may have lost it, and nobody could tell whether it ran.
+) -> Result<Exchange, Failure> {
+    let sent_at = gateway.now();
+    // A non-retryable request is never sent on a pooled connection: the endpoint may be closing it,
+    // or a middlebox may have dropped it, and nothing would show whether the request ran.
     let freshness =
-        if repeat.is_repeatable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
-    let request = gateway.dialect.request(ask, outgoing);
+        if retry_policy.is_retryable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
+    let outbound = gateway.dialect.build_request(request, outgoing);
     let mut conn = match gateway.pool.take(lease.addr, freshness).await {
         Ok(conn) => conn,
         Err(_nothing_sent) => {
-            lease.close(Outcome::NoConnection);
+            lease.close(Outcome::ConnectFailed);
             return Err(not_run(Cause::Connect));
         }
     };
-    if !repeat.is_repeatable()
-        && let Err(_nothing_sent) = conn.wait_for_early_close(SETTLE).await
+    if !retry_policy.is_retryable()
+        && let Err(_nothing_sent) = conn.wait_for_early_close(SETTLE_TIME).await
     {
-        lease.close(Outcome::Unreachable);
+        lease.close(Outcome::ConnectionLost);
         return Err(not_run(Cause::Connect));
     }
-    let limit = ask.time_left(gateway.now());
-    let response = match timeout::run(limit, conn.send(request)).await {
+    let time_left = request.time_left(gateway.now());
+    let response = match timeout::run(time_left, conn.send(outbound)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(e)) => return Err(broken(lease, &conn, &e, since(sent, gateway.now()))),
+        Ok(Err(e)) => return Err(send_failure(lease, &conn, &e, elapsed(sent_at, gateway.now()))),
         Err(timeout::Elapsed) => {
-            lease.close(Outcome::Dropped);
+            lease.close(Outcome::Abandoned);
             return Err(may_have_run(Cause::Timeout));
         }
     };
     let (head, body) = response.into_parts();
-    let reply = gateway.dialect.reply(&head);
+    let reply = gateway.dialect.parse_response_head(&head);
     log_unknown_headers(gateway, &lease.id, &head);
-    lease.began(reply.load);
-    let refused = refused(ask, &reply);
-    let is_misdirected = refused.as_ref().is_some_and(|it| it.cause == Cause::Misdirected);
+    lease.record_first_byte(reply.load);
+    let failure = reply_failure(request, &reply);
+    let is_misdirected = failure.as_ref().is_some_and(|it| it.cause == Cause::Misdirected);
     if !is_misdirected {
-        let is_whole = refused.is_none() && reply.status.is_success();
-        let completeness = if is_whole { Completeness::Whole } else { Completeness::Partial };
+        let is_complete = failure.is_none() && reply.status.is_success();
+        let completeness = if is_complete { Completeness::Whole } else { Completeness::Partial };
         lease.record_advertised(&reply, completeness);
     }
-    if let Some(failed) = refused {
-        lease.close(outcome(failed.cause));
-        return Err(failed);
+    if let Some(failure) = failure {
+        lease.close(outcome(failure.cause));
+        return Err(failure);
     }
     gateway.pool.record_response(&conn);
-    let first_byte = since(sent, gateway.now());
-    Ok(Open { lease, conn, reply, head, body, first_byte })
+    let first_byte = elapsed(sent_at, gateway.now());
+    Ok(Exchange { lease, conn, reply, head, body, first_byte })
 }
 
 fn log_unknown_headers(gateway: &Gateway, id: &endpoint::Id, head: &Parts) {
-    let unknown = gateway.dialect.unknown(&head.headers);
+    let unknown = gateway.dialect.unknown_headers(&head.headers);
     for (name, value) in unknown {
         let (name, value) = (name.as_str(), value.to_str().unwrap_or_default());
         if gateway.unknown_headers.lock().is_new(id, name, value) {
@@ -167,31 +167,37 @@
     }
 }
 
-fn broken(lease: Lease, conn: &Connection, error: &client::Error, took: Duration) -> Failed {
+fn send_failure(
+    lease: Lease,
+    conn: &Connection,
+    error: &client::Error,
+    elapsed_time: Duration,
+) -> Failure {
     if error.is_unsent() {
-        lease.close(Outcome::Dropped);
-        return not_run(Cause::Stale);
+        lease.close(Outcome::Abandoned);
+        return not_run(Cause::StaleConnection);
     }
-    if conn.is_reused() && took < AT_ONCE {
-        // Closed in the moment of use, most likely; that says nothing against the endpoint. Later,
-        // the endpoint had the request and lost its answer.
-        lease.close(Outcome::Dropped);
-        return may_have_run(Cause::Stale);
+    if conn.is_reused() && elapsed_time < STALE_DETECTION_TIME {
+        // The endpoint most likely closed the connection just as it was used, which is no sign of a
+        // fault. A failure after a longer time means that the endpoint had the request and its
+        // response was lost.
+        lease.close(Outcome::Abandoned);
+        return may_have_run(Cause::StaleConnection);
     }
-    lease.close(Outcome::Unreachable);
-    may_have_run(Cause::Cut)
+    lease.close(Outcome::ConnectionLost);
+    may_have_run(Cause::Disconnected)
 }
 
-/// Whether the head of an answer is none that a caller may get.
-fn refused(ask: &Ask, reply: &Reply) -> Option<Failed> {
+/// The failure of a response that must not be forwarded to the caller; `None` if it may be.
+fn reply_failure(request: &Request, reply: &Reply) -> Option<Failure> {
     if reply.execution == Execution::NotRun {
         let is_misdirected = reply.status == http::StatusCode::MISDIRECTED_REQUEST;
         return Some(not_run(if is_misdirected { Cause::Misdirected } else { Cause::Full }));
     }
-    // An answer that comes late on a kept connection stands where the next one is expected. Its
-    // id tells; passed on, a caller would read somebody else's answer.
-    if reply.id.as_deref() != Some(ask.head.id.as_str()) {
-        return Some(may_have_run(Cause::Foreign));
+    // A late response on a reused connection takes the position of the next one. The request id
+    // reveals it; forwarded, the caller would receive another caller's response.
+    if reply.request_id.as_deref() != Some(request.head.id.as_str()) {
+        return Some(may_have_run(Cause::WrongRequest));
     }
     (reply.seal == Seal::Missing).then(|| may_have_run(Cause::Unsealed))
 }
@@ -199,39 +205,40 @@
 fn outcome(cause: Cause) -> Outcome {
     match cause {
         Cause::Full => Outcome::Full,
-        Cause::Misdirected => Outcome::Gone,
-        Cause::Connect => Outcome::NoConnection,
-        Cause::Cut => Outcome::Unreachable,
-        Cause::Stale | Cause::Foreign | Cause::Timeout => Outcome::Dropped,
+        Cause::Misdirected => Outcome::AddressReused,
+        Cause::Connect => Outcome::ConnectFailed,
+        Cause::Disconnected => Outcome::ConnectionLost,
+        Cause::StaleConnection | Cause::WrongRequest | Cause::Timeout => Outcome::Abandoned,
         Cause::Unsealed | Cause::Error => Outcome::Failed,
     }
 }
 
-fn not_run(cause: Cause) -> Failed {
-    Failed { cause, execution: Execution::NotRun }
+fn not_run(cause: Cause) -> Failure {
+    Failure { cause, execution: Execution::NotRun }
 }
 
-fn may_have_run(cause: Cause) -> Failed {
-    Failed { cause, execution: Execution::MayHaveRun }
+fn may_have_run(cause: Cause) -> Failure {
+    Failure { cause, execution: Execution::MayHaveRun }
 }
 
-fn since(start: Instant, now: Instant) -> Duration {
+fn elapsed(start: Instant, now: Instant) -> Duration {
     now.saturating_duration_since(start)
 }
 
-impl Open {
-    /// Takes the connection back into use if the endpoint keeps it, once the answer was read to
-    /// its end.
-    pub fn finish(self, gateway: &Gateway, repeat: Repeat, outcome: Outcome) {
-        if matches!(self.reply.connection, dialect::Connection::Kept(_)) {
-            // Requests that can't be repeated leave connections behind and never take one of them.
-            let max_idle = if repeat.is_repeatable() { usize::MAX } else { self.lease.max_idle };
+impl Exchange {
+    /// Returns the connection to the pool if the endpoint keeps it open, after the response was
+    /// read to its end.
+    pub fn finish(self, gateway: &Gateway, retry_policy: RetryPolicy, outcome: Outcome) {
+        if matches!(self.reply.connection, dialect::Connection::KeepAlive(_)) {
+            // Non-retryable requests add connections to the pool and never take one from it.
+            let max_idle =
+                if retry_policy.is_retryable() { usize::MAX } else { self.lease.max_idle };
             gateway.pool.put_with_limit(self.conn, max_idle);
         }
         self.lease.close(outcome);
     }
 
-    /// Closes the connection, which tells the endpoint to stop.
+    /// Closes the connection, which tells the endpoint to stop working on the request.
     pub fn close(self, outcome: Outcome) {
         self.conn.close();
         self.lease.close(outcome);
--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -17,25 +17,25 @@
 
 use crate::{
     affinity::Affinity,
-    budget::Budget,
     dialect::Dialect,
     directory::Directory,
     document::{Document, Service},
     event::Log,
     fleet,
+    latency::Estimator,
     load_owners::Owners,
-    load_reports::Reports,
+    load_reports::Socket,
     load_table::LoadTable,
     metrics::Metrics,
     mirror::Mirror,
     outage::Outage,
-    pace::Paces,
-    returns::Returns,
+    retry_budget::Budget,
+    retry_schedule::Reservations,
     rollouts::Rollouts,
     settings::Settings,
     signal::Signal,
-    starting::Waiting,
-    steps::Plan,
+    startup::Waiters,
+    steps::Schedule,
     store::{Decoder, Rev, Store, Table},
     unknown_headers::UnknownHeaders,
 };
@@ -88,17 +88,17 @@
     /// Connections to endpoints and peers.
     pub pool: Pool,
     /// The configuration in force.
-    pub current: ArcSwapOption<Current>,
+    pub configuration: ArcSwapOption<Configuration>,
     /// The endpoints.
     pub directory: Mutex<Directory>,
     /// Where prompts were read.
     pub affinity: Mutex<Affinity>,
     /// How fast models are.
-    pub paces: Mutex<Paces>,
+    pub latency_estimator: Mutex<Estimator>,
     /// Repeats.
-    pub budget: Mutex<Budget>,
+    pub retry_budget: Mutex<Budget>,
     /// When refused callers may come back.
-    pub returns: Mutex<Returns>,
+    pub retry_schedule: Mutex<Reservations>,
     /// Requests that end endpoints.
     pub poison: Mutex<Register>,
     /// Roll-outs.
@@ -112,17 +112,17 @@
     /// Who is told of it in a large fleet.
     pub load_owners: Mutex<Owners>,
     /// The datagrams between nodes; none if the node has no address for them.
-    pub load_reports: OnceLock<Arc<Reports>>,
+    pub load_reports: OnceLock<Arc<Socket>>,
     /// Wakes whoever tells other nodes what this one has waiting.
-    pub waiting_changed: Signal,
+    pub pending_work_changed: Signal,
     /// Wakes peers that wait for rows.
-    pub changed: Signal,
+    pub rows_changed: Signal,
     /// Other nodes, by name.
     pub peers: Mutex<HashMap<String, fleet::Node>>,
     /// What endpoints said that nobody reads.
     pub unknown_headers: Mutex<UnknownHeaders>,
     /// Requests that wait for the first configuration.
-    pub starting: Waiting,
+    pub startup_waiters: Waiters,
     /// When the process started.
     pub started: Instant,
     stopping: AtomicBool,
@@ -131,7 +131,7 @@
 
 /// A configuration and where it stands in the history of the store.
 #[derive(Debug)]
-pub struct Current {
+pub struct Configuration {
     /// The configuration.
     pub document: Document,
     /// Its revision.
@@ -157,8 +157,8 @@
         let pool = pool.with_connect_timeout(CONNECT).with_liveness(UNACKED);
         Arc::new(Self {
             pool,
-            rollouts: Mutex::new(Rollouts::new(Plan::new(settings.exposure))),
-            budget: Mutex::new(Budget::new(settings.repeats)),
+            rollouts: Mutex::new(Rollouts::new(Schedule::new(settings.max_exposure))),
+            retry_budget: Mutex::new(Budget::new(settings.retries)),
             poison: Mutex::new(Register::new(POISON_CAPACITY)),
             ex,
             clock,
@@ -168,21 +168,21 @@
             log,
             settings,
             metrics: Metrics::default(),
-            current: ArcSwapOption::empty(),
+            configuration: ArcSwapOption::empty(),
             directory: Mutex::default(),
-            returns: Mutex::default(),
+            retry_schedule: Mutex::default(),
             affinity: Mutex::default(),
-            paces: Mutex::default(),
+            latency_estimator: Mutex::default(),
             mirror: Mutex::default(),
             outage: Mutex::default(),
             load_table: Mutex::default(),
             load_owners: Mutex::default(),
             load_reports: OnceLock::new(),
-            waiting_changed: Signal::default(),
-            changed: Signal::default(),
+            pending_work_changed: Signal::default(),
+            rows_changed: Signal::default(),
             peers: Mutex::default(),
             unknown_headers: Mutex::default(),
-            starting: Waiting::default(),
+            startup_waiters: Waiters::default(),
             started,
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
@@ -206,15 +206,15 @@
 
     /// What the configuration in force says of a service; none if it says nothing.
     pub fn service<T>(&self, name: &str, say: impl FnOnce(&Service) -> Option<T>) -> Option<T> {
-        say(self.current.load().as_ref()?.document.services.get(name)?)
+        say(self.configuration.load().as_ref()?.document.services.get(name)?)
     }
 
     /// Waits until the rows of the fleet are read, `limit` at most.
-    pub async fn members_known(&self, limit: Duration) {
+    pub async fn wait_for_members(&self, limit: Duration) {
         let read = async {
             loop {
-                let changed = self.changed.wait();
-                if self.mirror.lock().knows(Table::Fleet) {
+                let changed = self.rows_changed.wait();
+                if self.mirror.lock().has_read(Table::Fleet) {
                     return;
                 }
                 changed.await;
@@ -230,7 +230,7 @@
 
     /// Whether it knows all that it needs to serve requests.
     pub fn is_serving(&self) -> bool {
-        self.current.load().is_some() && self.mirror.lock().is_read()
+        self.configuration.load().is_some() && self.mirror.lock().has_read_all()
     }
 
     /// Whether it was told to stop.
@@ -244,7 +244,7 @@
     }
 
     /// Counts a request as under way.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -1,71 +1,82 @@
-//! Whether a larger model is asked in place of a small one whose answer has begun.
+//! Escalation: the largest model replaces a small one whose response has begun.
 
 use std::time::Duration;
 
 use super::{Job, millis};
 use crate::{
-    cascade::{self, Aim, Outlook},
+    cascade::{self, Forecast, Targets},
     event::Event,
-    load_reports::Heard,
+    load_reports::PeerState,
     models::Candidate,
-    offer,
     rollouts::Rule,
+    selection,
 };
 
 impl Job {
-    /// Whether the largest model is asked in place of the one that has begun.
-    pub(super) async fn escalates(&mut self, confidence: Option<u8>) -> bool {
-        let can_repeat = self.route.repeat.is_repeatable() && self.last_event.is_none();
-        let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
+    /// Escalates to the largest model if its expected answer is better than the response that has
+    /// begun. Returns whether it did.
+    pub(super) async fn try_escalate(&mut self, confidence: Option<u8>) -> bool {
+        let can_retry = self.route.retry_policy.is_retryable() && self.last_event_id.is_none();
+        let Some(confidence) = confidence.filter(|_| can_retry) else { return false };
         let Some(large) = self.models.larger() else { return false };
-        let rule = self.gateway.rollouts.lock().rule(&self.service, self.session());
-        // Work of other nodes only delays the larger model, so most answers are kept without asking.
-        if self.better(confidence, &rule, &Heard::default()).is_none() {
+        let rule = self.gateway.rollouts.lock().rule(&self.service, self.session_hash());
+        // Load from other nodes can only delay the larger model. So if the larger model is not
+        // better without that load, the response is kept without querying peers.
+        if self.improvement(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
-        let heard = self.hear(&self.wanted(&rule, Some(large))).await;
-        let Some(expected) = self.better(confidence, &rule, &heard) else { return false };
+        let peer_state = self.query_peers(&self.criteria(&rule, Some(large))).await;
+        let Some(expected) = self.improvement(confidence, &rule, &peer_state) else { return false };
         let model = large.name.clone();
-        if !self.may_run_again("confidence") {
+        if !self.try_rerun("confidence") {
             return false;
         }
         self.gateway.log.write(&Event::Escalated {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             model: &model,
             confidence,
-            first_ms: millis(expected.first),
-            last_ms: millis(expected.last),
+            first_ms: millis(expected.first_event),
+            last_ms: millis(expected.last_event),
         });
         self.models.switch_to_largest();
-        self.heard = Some(heard);
+        self.peer_state = Some(peer_state);
         true
     }
 
-    /// What is to be expected of the largest model, if that is better than the answer that has begun.
-    fn better(&self, confidence: u8, rule: &Rule, heard: &Heard) -> Option<Outlook> {
+    /// The forecast for the largest model, if it is better than the response that has begun.
+    fn improvement(&self, confidence: u8, rule: &Rule, peer_state: &PeerState) -> Option<Forecast> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
-        let elapsed = self.gateway.now().saturating_duration_since(self.ask.since);
-        let aim = Aim {
-            objective: self.route.objective,
-            deadline: self.ask.deadline.saturating_duration_since(self.ask.since),
+        let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
+        let targets = Targets {
+            objective: self.route.latency_target,
+            deadline: self.request.deadline.saturating_duration_since(self.request.received_at),
         };
-        let first = elapsed + self.first_event(rule, large, heard)?;
-        let small = self.outlook(small, elapsed, 0.0);
-        let large = self.outlook(large, first, cascade::LARGE_PRICE);
-        cascade::escalates(confidence, &small, &large, &aim).then_some(large)
+        let large_first_event = elapsed + self.first_event(rule, large, peer_state)?;
+        let small = self.forecast(small, elapsed, 0.0);
+        let large = self.forecast(large, large_first_event, cascade::LARGE_MODEL_COST);
+        cascade::should_escalate(confidence, &small, &large, &targets).then_some(large)
     }
 
-    /// When the first event of `model` is likely to come, at the endpoint that it would get now; none if
-    /// there is no endpoint for it.
-    fn first_event(&self, rule: &Rule, model: &Candidate, heard: &Heard) -> Option<Duration> {
-        let wanted = self.wanted(rule, Some(model));
+    /// The expected time to the first event of `model` at the endpoint that would be selected now;
+    /// `None` if there is no endpoint for it.
+    fn first_event(
+        &self,
+        rule: &Rule,
+        model: &Candidate,
+        peer_state: &PeerState,
+    ) -> Option<Duration> {
+        let criteria = self.criteria(rule, Some(model));
         let directory = self.gateway.directory.lock();
-        let offer = offer::best(&self.gateway, &directory, &wanted, heard)?;
-        Some(offer.first_event(&wanted.model?.pace))
+        let choice = selection::best(&self.gateway, &directory, &criteria, peer_state)?;
+        Some(choice.first_event(&criteria.model?.latency))
     }
 
-    fn outlook(&self, model: &Candidate, first: Duration, price: f64) -> Outlook {
-        let events = self.models.events(self.ask.output_tokens());
-        Outlook { first, last: first + self.pace(model).rest(events), price }
+    fn forecast(&self, model: &Candidate, first_event: Duration, cost: f64) -> Forecast {
+        let n_events = self.models.event_count(self.request.output_tokens());
+        Forecast {
+            first_event,
+            last_event: first_event + self.latency(model).remaining_events(n_events),
+            cost,
+        }
     }
 }
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -1,5 +1,5 @@
-//! Whether another attempt follows one that failed: what may run twice, within the budget for
-//! repeats, and not if the request itself ends endpoints.
+//! Decides whether another attempt follows a failed one: depends on whether the request may run
+//! twice, on the retry budget, and on whether the request itself crashes endpoints.
 
 use std::time::Duration;
 
@@ -8,110 +8,116 @@
 
 use super::Job;
 use crate::{
-    attempt::{Cause, Failed},
+    attempt::{Cause, Failure},
     dialect::Execution,
     event::Event,
-    refusal::{Ran, Reason, Refusal},
+    refusal::{Reason, Refusal, Started},
 };
 
-/// How often a request may be turned away by endpoints that didn't run it.
+/// How many attempts of a request may be rejected by endpoints that did not run it.
 const MAX_REJECTIONS: u32 = 5;
-/// When to come back while all endpoints are full: the time in which they end some requests.
-const RETRY_FULL: Duration = Duration::from_millis(400);
-/// How long it's asked whether an endpoint that broke off still takes connections.
-const ALIVE_TIMEOUT: Duration = Duration::from_millis(100);
+/// The `Retry-After` while all endpoints are full: about the time in which they complete some
+/// requests.
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
+/// The time limit for probing whether an endpoint that dropped a connection still accepts
+/// connections.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Whether another attempt follows.
+/// What follows a failed attempt.
 pub(super) enum Next {
-    /// One does.
+    /// Another attempt.
     Retry,
-    /// None does, and the caller gets this.
+    /// This refusal is sent to the caller.
     Respond(Refusal),
 }
 
 impl Job {
-    /// What follows an attempt at `endpoint` that failed.
-    pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failed: &Failed) -> Next {
-        if failed.execution == Execution::MayHaveRun {
-            self.runs += 1;
-            self.ran = Ran::Maybe;
-            return self.on_maybe_run(endpoint, failed).await;
+    /// Handles a failed attempt at `endpoint`.
+    pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failure: &Failure) -> Next {
+        if failure.execution == Execution::MayHaveRun {
+            self.n_runs += 1;
+            self.started = Started::Maybe;
+            return self.on_possible_run(endpoint, failure).await;
         }
-        self.rejections += 1;
-        if failed.cause != Cause::Stale {
-            self.tried.push(endpoint.clone());
+        self.n_rejections += 1;
+        if failure.cause != Cause::StaleConnection {
+            self.tried_endpoints.push(endpoint.clone());
         }
-        let reason = match failed.cause {
+        let reason = match failure.cause {
             Cause::Full => Reason::Full,
             _ => Reason::NoEndpoint,
         };
-        let arrived = matches!(failed.cause, Cause::Full | Cause::Misdirected);
-        let is_spent = arrived && !self.spend(failed.cause.name());
-        if MAX_REJECTIONS <= self.rejections || is_spent {
-            return Next::Respond(self.refusal(reason).with_retry_after(RETRY_FULL));
+        let reached_endpoint = matches!(failure.cause, Cause::Full | Cause::Misdirected);
+        let is_budget_spent = reached_endpoint && !self.try_spend(failure.cause.name());
+        if MAX_REJECTIONS <= self.n_rejections || is_budget_spent {
+            return Next::Respond(self.refusal(reason).with_retry_after(RETRY_AFTER_FULL));
         }
-        self.gateway.metrics.retried(failed.cause.name());
+        self.gateway.metrics.record_retry(failure.cause.name());
         Next::Retry
     }
 
-    /// What follows an attempt at `endpoint` that may have run.
-    pub(super) async fn on_maybe_run(&mut self, endpoint: &endpoint::Id, failed: &Failed) -> Next {
-        if failed.cause == Cause::Cut {
-            self.charge(endpoint).await;
+    /// Handles a failed attempt at `endpoint` that may have run the request.
+    pub(super) async fn on_possible_run(
+        &mut self,
+        endpoint: &endpoint::Id,
+        failure: &Failure,
+    ) -> Next {
+        if failure.cause == Cause::Disconnected {
+            self.charge_poison(endpoint).await;
         }
-        if failed.cause != Cause::Stale {
-            self.tried.push(endpoint.clone());
+        if failure.cause != Cause::StaleConnection {
+            self.tried_endpoints.push(endpoint.clone());
         }
-        if failed.cause == Cause::Timeout {
+        if failure.cause == Cause::Timeout {
             return Next::Respond(self.refusal(Reason::Timeout));
         }
         let now = self.gateway.now();
-        if self.gateway.poison.lock().is_poison(self.ask.fingerprint, now) {
+        if self.gateway.poison.lock().is_poison(self.request.fingerprint, now) {
             return Next::Respond(self.refusal(Reason::Poison));
         }
-        if !self.route.repeat.is_repeatable() || !self.may_run_again(failed.cause.name()) {
+        if !self.route.retry_policy.is_retryable() || !self.try_rerun(failure.cause.name()) {
             return Next::Respond(self.refusal(Reason::EndpointFailed));
         }
         Next::Retry
     }
 
-    /// Whether it may run once more, and takes that from the budget.
-    pub(super) fn may_run_again(&mut self, why: &'static str) -> bool {
-        if self.route.max_attempts <= self.runs {
-            self.not_repeated("attempts");
+    /// Takes one run from the budget; returns whether the request may run once more.
+    pub(super) fn try_rerun(&mut self, why: &'static str) -> bool {
+        if self.route.max_attempts <= self.n_runs {
+            self.log_not_repeated("attempts");
             return false;
         }
-        self.spend(why)
+        self.try_spend(why)
     }
 
-    fn spend(&self, why: &'static str) -> bool {
+    fn try_spend(&self, why: &'static str) -> bool {
         let (n_nodes, now) = (self.gateway.n_nodes(), self.gateway.now());
-        if !self.gateway.budget.lock().spend(&self.service, n_nodes, now) {
-            self.not_repeated("budget");
+        if !self.gateway.retry_budget.lock().try_spend(&self.service, n_nodes, now) {
+            self.log_not_repeated("budget");
             return false;
         }
-        self.gateway.metrics.retried(why);
+        self.gateway.metrics.record_retry(why);
         true
     }
 
-    /// Charges the request with the end of `endpoint`, if that no longer takes connections.
-    async fn charge(&self, endpoint: &endpoint::Id) {
-        let addr = self.gateway.directory.lock().tracked(endpoint).map(|it| it.entry.addr);
+    /// Charges the request with the crash of `endpoint`, if that no longer accepts connections.
+    async fn charge_poison(&self, endpoint: &endpoint::Id) {
+        let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
         let connect = self.gateway.pool.take(addr, Freshness::New);
-        if let Ok(Ok(conn)) = timeout::run(ALIVE_TIMEOUT, connect).await {
+        if let Ok(Ok(conn)) = timeout::run(PROBE_TIMEOUT, connect).await {
             self.gateway.pool.put(conn);
             return;
         }
         let now = self.gateway.now();
-        self.gateway.poison.lock().record_crash(self.ask.fingerprint, endpoint, now);
+        self.gateway.poison.lock().record_crash(self.request.fingerprint, endpoint, now);
         self.gateway.log.write(&Event::PoisonCharged {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             endpoint: endpoint.as_str(),
         });
     }
 
-    fn not_repeated(&self, why: &str) {
-        self.gateway.log.write(&Event::NotRepeated { request: &self.ask.head.id, why });
+    fn log_not_repeated(&self, why: &str) {
+        self.gateway.log.write(&Event::NotRepeated { request: &self.request.head.id, why });
     }
 }
--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -1,72 +1,73 @@
-//! The models that may answer a request, and the one that is asked now.
+//! The models that may answer a request, and the one that is in use.
 
 use crate::{
-    ask::Model,
     document::{Document, Route},
+    request::Model,
 };
 
-/// The models that may answer, the smallest first; empty for plain services.
+/// The models that may answer, the smallest first; empty for services without models.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Models {
-    list: Vec<Candidate>,
-    current: usize,
+    candidates: Vec<Candidate>,
+    current_index: usize,
     tokens_per_event: u32,
 }
 
 /// A model that may answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Its name.
+    /// The name of the model.
     pub name: String,
-    /// Its price against the dearest one's, from 0 to 1.
-    pub weight: f64,
+    /// The model's price relative to the most expensive model of the service, from 0 to 1.
+    pub relative_price: f64,
 }
 
 impl Models {
-    /// The models for a request that asks for `asked` on `route`.
-    pub fn new(document: &Document, service: &str, route: &Route, asked: &Model) -> Self {
-        let names = match asked {
+    /// The models for a request that specifies `requested` on `route`.
+    pub fn new(document: &Document, service: &str, route: &Route, requested: &Model) -> Self {
+        let names = match requested {
             Model::None => Vec::new(),
             Model::Any => route.models.clone(),
             Model::Named(name) => vec![name.clone()],
         };
         let service = document.services.get(service);
-        let cost = |name: &str| service.and_then(|it| it.models.get(name)).copied();
-        let dearest = service.and_then(|it| it.models.values().copied().reduce(f64::max));
-        let weight = |name: &str| {
-            let share = cost(name).zip(dearest);
-            share.map_or(1.0, |(cost, dearest)| cost / dearest.max(f64::MIN_POSITIVE))
+        let price = |name: &str| service.and_then(|it| it.models.get(name)).copied();
+        let highest = service.and_then(|it| it.models.values().copied().reduce(f64::max));
+        let relative_price = |name: &str| {
+            let prices = price(name).zip(highest);
+            prices.map_or(1.0, |(price, highest)| price / highest.max(f64::MIN_POSITIVE))
         };
-        let list = names.into_iter().map(|name| Candidate { weight: weight(&name), name });
+        let candidates =
+            names.into_iter().map(|name| Candidate { relative_price: relative_price(&name), name });
         Self {
-            list: list.collect(),
-            current: 0,
+            candidates: candidates.collect(),
+            current_index: 0,
             tokens_per_event: service.map_or(0, |it| it.tokens_per_event),
         }
     }
 
-    /// The one that is asked now.
+    /// The model in use.
     pub fn current(&self) -> Option<&Candidate> {
-        self.list.get(self.current)
+        self.candidates.get(self.current_index)
     }
 
-    /// Its place in the list.
+    /// The index of the model in use.
     pub fn index(&self) -> usize {
-        self.current
+        self.current_index
     }
 
-    /// The largest one, if it's another than the one that is asked now.
+    /// The largest model, unless it is the one in use.
     pub fn larger(&self) -> Option<&Candidate> {
-        self.list[self.list.len().min(self.current + 1)..].last()
+        self.candidates[self.candidates.len().min(self.current_index + 1)..].last()
     }
 
-    /// Asks the largest one from now on.
+    /// Uses the largest model from now on.
     pub fn switch_to_largest(&mut self) {
-        self.current = self.list.len().saturating_sub(1);
+        self.current_index = self.candidates.len().saturating_sub(1);
     }
 
-    /// How many events an answer of `tokens` has.
-    pub fn events(&self, tokens: u64) -> u64 {
+    /// The number of events in an answer of `tokens` tokens.
+    pub fn event_count(&self, tokens: u64) -> u64 {
         tokens.checked_div(u64::from(self.tokens_per_event)).unwrap_or(0)
     }
 }
--- /dev/null
+++ b/crates/curranthook_gateway/src/placement.rs
@@ -0,0 +1,140 @@
+//! Chooses the endpoint for a request among candidates.
+//!
+//! Engines cache the prompts that they process, so a request is cheapest where its shared prefix
+//! was processed last. Rendezvous hashing over the endpoints gives each prefix the same preference
+//! order at every node, without communication; a preferred endpoint that is busy is skipped if
+//! processing the prefix again elsewhere takes less time than waiting. Where nodes report which
+//! prefixes were processed where, that takes precedence over the hash: most prefixes occur for the
+//! first time, and then no endpoint is better than another.
+
+use std::time::Duration;
+
+use curranthook_policy::hash;
+
+/// An endpoint that may take a request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Candidate {
+    /// The hash of the endpoint's id.
+    pub id_hash: u64,
+    /// How long the work that is already there delays the request.
+    pub wait: Duration,
+    /// The recent share of failed requests, from 0 to 1.
+    pub failure_rate: f64,
+    /// Whether the endpoint is in the failure domain of the node.
+    pub locality: Locality,
+    /// Whether this node knows that the shared prefix was processed there.
+    pub has_prefix_cached: bool,
+}
+
+/// The location of an endpoint relative to the node.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Locality {
+    /// The endpoint is in the node's failure domain.
+    SameDomain,
+    /// The endpoint is in another failure domain.
+    DifferentDomain,
+}
+
+/// A request to be placed.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Task {
+    /// The hash of the model and of the prompt prefix that the request shares with others.
+    pub prefix_hash: Option<u64>,
+    /// The prefill time of that prefix.
+    pub prefix_prefill: Duration,
+    /// What is known about which endpoints have the prefix cached.
+    pub holders: CacheHolders,
+    /// A value that differs between requests, to break ties.
+    pub salt: u64,
+}
+
+/// What is known about the endpoints that have a shared prefix cached.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CacheHolders {
+    /// Exactly the marked candidates have it cached.
+    Known,
+    /// Unmarked candidates may have it cached, most likely the one that rendezvous hashing prefers.
+    Guessed,
+}
+
+/// The cost of another failure domain, as a delay: a round trip and the transferred bytes.
+const CROSS_DOMAIN_PENALTY: Duration = Duration::from_millis(3);
+/// The cost of an endpoint at which every request fails, as a delay: longer than any wait that is
+/// acceptable.
+const FAILING_PENALTY: Duration = Duration::from_millis(1_500);
+/// Up to this share of failures an endpoint counts as healthy, since some requests fail for reasons
+/// of their own.
+const MAX_HEALTHY_FAILURE_RATE: f64 = 0.3;
+
+/// The index of the best candidate.
+///
+/// ```
+/// # use std::time::Duration;
+/// # use curranthook_gateway::placement::{self, Candidate, Locality, CacheHolders, Task};
+/// let idle = Candidate {
+///     id_hash: 1,
+///     wait: Duration::ZERO,
+///     failure_rate: 0.0,
+///     locality: Locality::SameDomain,
+///     has_prefix_cached: false,
+/// };
+/// let busy = Candidate { id_hash: 2, wait: Duration::from_secs(1), ..idle };
+/// let holders = CacheHolders::Guessed;
+/// let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt: 7 };
+/// assert_eq!(placement::choose(&[busy, idle], &task), Some(1));
+/// ```
+pub fn choose(candidates: &[Candidate], task: &Task) -> Option<usize> {
+    costs(candidates, task).min().map(|it| it.index)
+}
+
+/// The indices of the `n` best candidates, the best first.
+///
+/// ```
+/// # use std::time::Duration;
+/// # use curranthook_gateway::placement::{self, Candidate, Locality, CacheHolders, Task};
+/// let at = |id_hash, wait| Candidate {
+///     id_hash,
+///     wait: Duration::from_millis(wait),
+///     failure_rate: 0.0,
+///     locality: Locality::SameDomain,
+///     has_prefix_cached: false,
+/// };
+/// let holders = CacheHolders::Guessed;
+/// let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt: 7 };
+/// assert_eq!(placement::best(&[at(1, 300), at(2, 100), at(3, 200)], &task, 2), [1, 2]);
+/// ```
+pub fn best(candidates: &[Candidate], task: &Task, n: usize) -> Vec<usize> {
+    let mut all: Vec<_> = costs(candidates, task).collect();
+    all.sort_unstable();
+    all.truncate(n);
+    all.into_iter().map(|it| it.index).collect()
+}
+
+/// The cost of a candidate. The hash breaks ties.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Cost {
+    time: Duration,
+    tie_breaker: u64,
+    index: usize,
+}
+
+fn costs(candidates: &[Candidate], task: &Task) -> impl Iterator<Item = Cost> {
+    let preferred = task.prefix_hash.and_then(|prefix_hash| {
+        let weights = candidates.iter().map(|it| hash::pair(prefix_hash, it.id_hash));
+        weights.enumerate().max_by_key(|(_, weight)| *weight).map(|(index, _)| index)
+    });
+    candidates.iter().enumerate().map(move |(index, it)| {
+        let is_preferred = preferred == Some(index) && task.holders == CacheHolders::Guessed;
+        let prefill =
+            if is_preferred || it.has_prefix_cached { Duration::ZERO } else { task.prefix_prefill };
+        let failure_penalty =
+            FAILING_PENALTY.mul_f64((it.failure_rate - MAX_HEALTHY_FAILURE_RATE).max(0.0));
+        let cross_domain =
+            if it.locality == Locality::SameDomain { Duration::ZERO } else { CROSS_DOMAIN_PENALTY };
+        let tie_breaker = match task.prefix_hash {
+            Some(prefix_hash) => u64::MAX - hash::pair(prefix_hash, it.id_hash),
+            None => hash::pair(task.salt, it.id_hash),
+        };
+        Cost { time: it.wait + prefill + failure_penalty + cross_domain, tie_breaker, index }
+    })
+}
--- /dev/null
+++ b/crates/curranthook_gateway/src/retry_schedule.rs
@@ -0,0 +1,39 @@
+//! Spreads the `Retry-After` times of callers that were refused because the endpoints are
+//! throttled.
+
+use std::{
+    collections::HashMap,
+    time::{Duration, Instant},
+};
+
+/// The longest `Retry-After`; by then the endpoints may admit more.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
+
+/// The last time slot given out, per service.
+#[derive(Debug, Default)]
+pub struct Reservations {
+    last_slots: HashMap<String, Instant>,
+}
+
+impl Reservations {
+    /// Reserves a time slot for a caller, if this node may send the service `rate` requests per
+    /// second. Each caller gets a slot of its own; otherwise all would return at once and compete
+    /// for the same few requests.
+    ///
+    /// ```
+    /// # use std::time::{Duration, Instant};
+    /// # use curranthook_gateway::retry_schedule::Reservations;
+    /// let (mut reservations, now, s) = (Reservations::default(), Instant::now(), Duration::from_secs(1));
+    /// assert_eq!(reservations.reserve("engines", 0.5, now), 2 * s);
+    /// assert_eq!(reservations.reserve("engines", 0.5, now), 4 * s);
+    /// assert_eq!(reservations.reserve("engines", 0.5, now + 5 * s), 2 * s);
+    /// ```
+    pub fn reserve(&mut self, service: &str, rate: f64, now: Instant) -> Duration {
+        let interval =
+            Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER).min(MAX_RETRY_AFTER);
+        let last_slot = self.last_slots.get(service).copied().unwrap_or(now).max(now);
+        let slot = (last_slot + interval).min(now + MAX_RETRY_AFTER);
+        self.last_slots.insert(service.to_owned(), slot);
+        slot - now
+    }
+}
--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -23,9 +23,9 @@
 use crate::{
     Gateway,
     event::Event,
-    front::Front,
-    lead,
-    load_reports::{self, Reports},
+    fleet_writer,
+    frontend::Frontend,
+    load_reports::{self, Socket},
     peers,
     settings::Settings,
     store::Table,
@@ -105,11 +105,11 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     log_start(&gateway);
     let (trigger, stop) = stop::new();
-    let front = Arc::new(Front { gateway: Arc::clone(&gateway), closed: false.into() });
+    let frontend = Arc::new(Frontend { gateway: Arc::clone(&gateway), closed: false.into() });
     let callers = listeners.callers;
     let served = {
-        let (ex, front) = (Arc::clone(&gateway.ex), Arc::clone(&front));
-        gateway.ex.spawn(async move { callers.serve(&ex, front, stop).await })
+        let (ex, frontend) = (Arc::clone(&gateway.ex), Arc::clone(&frontend));
+        gateway.ex.spawn(async move { callers.serve(&ex, frontend, stop).await })
     };
     detach(&gateway, listeners.readiness, Arc::new(Readiness(Arc::clone(&gateway))));
     if let Some(server) = listeners.peers {
@@ -121,7 +121,7 @@
     }
     tasks(&gateway);
     if let Some(socket) = listeners.reports {
-        let reports = Arc::new(Reports::new(socket));
+        let reports = Arc::new(Socket::new(socket));
         let reports = Arc::clone(gateway.load_reports.get_or_init(|| reports));
         gateway.ex.spawn(load_reports::run(Arc::clone(&gateway), reports)).detach();
     }
@@ -130,7 +130,7 @@
     gateway.log.write(&Event::Stopping { in_flight: gateway.in_flight() });
     let limit = gateway.settings.grace.saturating_sub(RESERVE);
     Timer::after(LINGER.min(limit)).await;
-    front.closed.store(true, Ordering::Relaxed);
+    frontend.closed.store(true, Ordering::Relaxed);
     trigger.set();
     drain(&gateway, limit.saturating_sub(LINGER)).await;
     gateway.log.write(&Event::Stopped { in_flight: gateway.in_flight() });
@@ -186,7 +186,7 @@
         let task = watch::run(Arc::clone(gateway), table, Arc::clone(&shared));
         gateway.ex.spawn(task).detach();
     }
-    gateway.ex.spawn(lead::run(Arc::clone(gateway))).detach();
+    gateway.ex.spawn(fleet_writer::run(Arc::clone(gateway))).detach();
 }
 
 fn bind(addr: SocketAddr) -> Result<Server, Error> {
--- a/crates/curranthook_gateway/src/splitter.rs
+++ b/crates/curranthook_gateway/src/splitter.rs
@@ -1,29 +1,29 @@
-//! Cuts a stream of bytes into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The bytes of a stream that aren't passed on yet.
+/// The bytes of a stream that have not been forwarded yet.
 ///
-/// An endpoint can break off in the middle of an event. What was passed on then ends at a whole
-/// event, so that another endpoint can go on after it.
+/// An endpoint can disconnect in the middle of an event. Forwarded bytes always end at an event
+/// boundary, so another endpoint can continue from there.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
-/// Whole events.
+/// A run of complete events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes as they came.
+    /// The bytes of the events as received.
     pub bytes: Bytes,
-    /// The id of the last of them that has one.
+    /// The id of the last event that has one.
     pub last_id: Option<u64>,
-    /// How many there are.
+    /// The number of events.
     pub count: u32,
 }
 
 impl Splitter {
-    /// Takes in bytes and returns the events that are whole now.
+    /// Appends received bytes and returns the events that are complete now.
     ///
     /// ```
     /// # use curranthook_gateway::splitter::Splitter;
@@ -34,35 +34,36 @@
     /// assert!(!splitter.is_empty());
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
-        self.held.extend_from_slice(bytes);
-        let end = last_blank_line(&self.held)?;
-        let bytes = self.held.split_to(end).freeze();
-        let (last_id, count) = (last_id(&bytes), count(&bytes));
+        self.buffer.extend_from_slice(bytes);
+        let end = last_event_end(&self.buffer)?;
+        let bytes = self.buffer.split_to(end).freeze();
+        let (last_id, count) = (last_id(&bytes), count_events(&bytes));
         Some(Events { bytes, last_id, count })
     }
 
-    /// Whether nothing is held back.
+    /// Whether no bytes of an incomplete event are buffered.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.buffer.is_empty()
     }
 
-    /// Drops the beginning of an event that broke off.
+    /// Discards the beginning of an event that was cut off.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.buffer.clear();
     }
 }
 
-/// The place after the last blank line.
-fn last_blank_line(bytes: &[u8]) -> Option<usize> {
+/// The index after the last blank line, which ends an event.
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
     (1..bytes.len()).rev().find_map(|at| {
-        let ends = bytes[at] == b'\n' && (bytes[at - 1] == b'\n' || bytes[..at].ends_with(b"\n\r"));
-        ends.then_some(at + 1)
+        let is_end =
+            bytes[at] == b'\n' && (bytes[at - 1] == b'\n' || bytes[..at].ends_with(b"\n\r"));
+        is_end.then_some(at + 1)
     })
 }
 
-fn count(events: &[u8]) -> u32 {
+fn count_events(events: &[u8]) -> u32 {
     let blank = events.split(|it| *it == b'\n').filter(|it| it.is_empty() || *it == b"\r");
-    // What follows the last line feed is empty too.
+    // The segment after the last line feed is empty too.
     u32::try_from(blank.count().saturating_sub(1)).unwrap_or(u32::MAX)
 }
 
