--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -16,10 +16,10 @@
     rate_limit::{Notice, RateLimit},
 };
 
-/// How long it's remembered what an endpoint without an entry said; by then one that is leaving is gone.
+/// How long it's cached what an endpoint without an entry said; by then one that is leaving is gone.
 const ADVERTISED_EXPIRY: Duration = Duration::from_secs(600);
-/// Of how many endpoints without an entry it's remembered.
-const MAX_REMEMBERED: usize = 1_024;
+/// Of how many endpoints without an entry it's cached.
+const MAX_CACHED: usize = 1_024;
 
 /// The longest pause that is believed.
 const MAX_PAUSE: Duration = Duration::from_secs(600);
@@ -30,7 +30,7 @@
     /// The limit that it names, while it names one.
     pub rate_limit: Option<RateLimit>,
     /// When it was last said, by the store's clock, whether it names a limit.
-    limit_at: Duration,
+    rate_limit_at: Duration,
     /// Whether it's leaving; an endpoint that said so never takes that back.
     pub is_leaving: bool,
     /// Until when it wants no requests of this node.
@@ -69,10 +69,10 @@
 
     /// Takes in what was said of its limit. Returns whether that changes it.
     pub fn set_rate_limit(&mut self, notice: &Notice) -> bool {
-        if notice.at < self.limit_at {
+        if notice.at < self.rate_limit_at {
             return false;
         }
-        self.limit_at = notice.at;
+        self.rate_limit_at = notice.at;
         let before = self.rate_limit.map(|it| it.rate);
         if before == notice.rate {
             return false;
@@ -105,47 +105,51 @@
 
 /// What endpoints said whose entries are gone.
 #[derive(Debug, Default)]
-pub struct Departed {
-    all: HashMap<endpoint::Id, Remembered>,
+pub struct Cache {
+    entries: HashMap<endpoint::Id, Cached>,
 }
 
 #[derive(Debug)]
-struct Remembered {
+struct Cached {
     incarnation: Incarnation,
     advertised: Advertised,
-    until: Instant,
+    expires_at: Instant,
 }
 
-impl Departed {
+impl Cache {
     /// The entry of an endpoint is gone.
-    pub fn put(&mut self, entry: &Entry, advertised: Advertised, now: Instant) {
+    pub fn insert(&mut self, entry: &Entry, advertised: Advertised, now: Instant) {
         if !advertised.is_empty()
-            && let Some(it) = self.get_mut(&Incarnation::of(entry), now)
+            && let Some(it) = self.get_or_insert(&Incarnation::of(entry), now)
         {
             *it = advertised;
         }
     }
 
-    /// What an endpoint without an entry said; none if no more of them can be remembered.
-    pub fn get_mut(&mut self, incarnation: &Incarnation, now: Instant) -> Option<&mut Advertised> {
-        self.all.retain(|_, it| now < it.until && !it.advertised.is_empty());
+    /// What an endpoint without an entry said; none if no more of them can be cached.
+    pub fn get_or_insert(
+        &mut self,
+        incarnation: &Incarnation,
+        now: Instant,
+    ) -> Option<&mut Advertised> {
+        self.entries.retain(|_, it| now < it.expires_at && !it.advertised.is_empty());
         let is_known =
-            self.all.get(&incarnation.id).is_some_and(|it| it.incarnation == *incarnation);
+            self.entries.get(&incarnation.id).is_some_and(|it| it.incarnation == *incarnation);
         if !is_known {
-            if MAX_REMEMBERED <= self.all.len() {
+            if MAX_CACHED <= self.entries.len() {
                 return None;
             }
             let (incarnation, advertised) = (incarnation.clone(), Advertised::default());
-            let remembered = Remembered { incarnation, advertised, until: now + ADVERTISED_EXPIRY };
-            self.all.insert(remembered.incarnation.id.clone(), remembered);
+            let cached = Cached { incarnation, advertised, expires_at: now + ADVERTISED_EXPIRY };
+            self.entries.insert(cached.incarnation.id.clone(), cached);
         }
-        self.all.get_mut(&incarnation.id).map(|it| &mut it.advertised)
+        self.entries.get_mut(&incarnation.id).map(|it| &mut it.advertised)
     }
 
     /// What an endpoint said before, as its entry comes back.
     pub fn take(&mut self, entry: &Entry, now: Instant) -> Advertised {
-        let known = self.all.remove(&entry.id);
-        let is_same = |it: &Remembered| now < it.until && it.incarnation == Incarnation::of(entry);
+        let known = self.entries.remove(&entry.id);
+        let is_same = |it: &Cached| now < it.expires_at && it.incarnation == Incarnation::of(entry);
         known.filter(is_same).map(|it| it.advertised).unwrap_or_default()
     }
 }
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -12,7 +12,7 @@
 use curranthook_types::{domain, endpoint};
 
 use crate::{
-    advertised::{Advertised, Departed, Incarnation},
+    advertised::{Advertised, Cache, Incarnation},
     dialect::Load,
     entry::Entry,
     rate_limit,
@@ -50,7 +50,7 @@
     /// From when on each version may be used, by service.
     versions: HashMap<String, HashMap<String, Instant>>,
     /// What endpoints said of themselves that aren't in the list for now.
-    departed: Departed,
+    advertised_cache: Cache,
     /// Failure domains whose endpoints get no new work.
     evacuated: HashSet<domain::Id>,
     /// When an endpoint last answered.
@@ -95,7 +95,7 @@
                 it.missing = false;
             }
             _ => {
-                let advertised = self.departed.take(&entry, now);
+                let advertised = self.advertised_cache.take(&entry, now);
                 self.endpoints.insert(id.clone(), Tracked::new(entry, advertised, established_at));
             }
         }
@@ -135,7 +135,7 @@
     /// Takes an endpoint out of the list. What it said of itself holds if its entry comes back.
     fn forget(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.remove(id) {
-            self.departed.put(&it.entry, it.advertised, now);
+            self.advertised_cache.insert(&it.entry, it.advertised, now);
         }
     }
 
@@ -165,7 +165,7 @@
             self.lapsing_until = None;
             let missing = self.endpoints.extract_if(|_, it| it.missing);
             for (_, it) in missing {
-                self.departed.put(&it.entry, it.advertised, now);
+                self.advertised_cache.insert(&it.entry, it.advertised, now);
             }
         }
     }
@@ -250,7 +250,7 @@
         match self.endpoints.get_mut(&incarnation.id) {
             Some(it) if Incarnation::of(&it.entry) == *incarnation => Some(&mut it.advertised),
             Some(_) => None,
-            None => self.departed.get_mut(incarnation, now),
+            None => self.advertised_cache.get_or_insert(incarnation, now),
         }
     }
 
