--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -22,13 +22,13 @@
 pub use self::tracked::Tracked;
 
 /// How much one answer or failure moves the share of failures: about the last ten count.
-const SMOOTHING: f64 = 0.1;
+const FAILURE_SMOOTHING: f64 = 0.1;
 /// How long ago an endpoint must have answered for this node to blame another endpoint, and not its own
 /// links, for a connection that fails.
-const LINKS_EXPIRY: Duration = Duration::from_secs(1);
+const RECENT_ANSWER: Duration = Duration::from_secs(1);
 /// How long a new version of a service that has others gets nothing, if no order for it is known.
 /// Entries and orders come by different calls; a lost call delays an order by up to this.
-const UNKNOWN_VERSION: Duration = Duration::from_secs(4);
+const NEW_VERSION_DELAY: Duration = Duration::from_secs(4);
 
 /// What this node may send to an endpoint whose rate all nodes share: the least time between two requests,
 /// none if there may be none. Endpoints are told by the hash of their id.
@@ -56,7 +56,7 @@
     /// When an endpoint last answered.
     last_answer: Option<Instant>,
     /// Until when removed entries are kept, because they may have lapsed with the store.
-    lapsing_until: Option<Instant>,
+    missing_kept_until: Option<Instant>,
 }
 
 /// How a request at an endpoint ended.
@@ -81,18 +81,18 @@
 impl Directory {
     /// Takes in an entry.
     pub fn upsert(&mut self, entry: Entry, now: Instant) {
-        if self.drop_older(&entry, now) == Some(entry.id.clone()) {
+        if self.remove_older_at_address(&entry, now) == Some(entry.id.clone()) {
             return;
         }
         let versions = self.versions.entry(entry.service.clone()).or_default();
-        let from = if versions.is_empty() { now } else { now + UNKNOWN_VERSION };
-        let established_at = *versions.entry(entry.version.clone()).or_insert(from);
+        let established_at = if versions.is_empty() { now } else { now + NEW_VERSION_DELAY };
+        let established_at = *versions.entry(entry.version.clone()).or_insert(established_at);
         let (id, warm_in) = (entry.id.clone(), entry.warm_in);
         match self.endpoints.get_mut(&id) {
             // The same id after a restart is another endpoint: nothing known of it holds.
             Some(it) if Incarnation::of(&it.entry) == Incarnation::of(&entry) => {
                 it.entry = entry;
-                it.missing = false;
+                it.is_missing = false;
             }
             _ => {
                 let advertised = self.advertised_cache.take(&entry, now);
@@ -105,13 +105,13 @@
     }
 
     /// Drops the older one of `entry` and another endpoint that was known at its address, and says which.
-    /// The list keeps the entry of an endpoint that crashed for some seconds, beside that of its successor.
-    fn drop_older(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
+    /// The list keeps_missing the entry of an endpoint that crashed for some seconds, beside that of its successor.
+    fn remove_older_at_address(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
         let known = self.by_addr.insert(entry.addr, entry.id.clone());
         let other = known.filter(|it| *it != entry.id)?;
-        let born = self.endpoints.get(&other)?.entry.born;
-        let (own, others) = entry.born.zip(born)?;
-        let older = match own.cmp(&others) {
+        let other_born = self.endpoints.get(&other)?.entry.born;
+        let (born, other_born) = entry.born.zip(other_born)?;
+        let older = match born.cmp(&other_born) {
             Ordering::Greater => other,
             Ordering::Less => {
                 self.by_addr.insert(entry.addr, other);
@@ -119,21 +119,21 @@
             }
             Ordering::Equal => return None,
         };
-        self.forget(&older, now);
+        self.remove_tracked(&older, now);
         Some(older)
     }
 
     /// An entry was removed.
     pub fn remove(&mut self, id: &endpoint::Id, now: Instant) {
-        let keeps = self.lapsing_until.is_some_and(|until| now < until);
+        let keeps_missing = self.missing_kept_until.is_some_and(|until| now < until);
         match self.endpoints.get_mut(id) {
-            Some(it) if keeps && it.is_ready() => it.missing = true,
-            _ => self.forget(id, now),
+            Some(it) if keeps_missing && it.is_ready() => it.is_missing = true,
+            _ => self.remove_tracked(id, now),
         }
     }
 
     /// Takes an endpoint out of the list. What it said of itself holds if its entry comes back.
-    fn forget(&mut self, id: &endpoint::Id, now: Instant) {
+    fn remove_tracked(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.remove(id) {
             self.advertised_cache.insert(&it.entry, it.advertised, now);
         }
@@ -156,14 +156,14 @@
     /// endpoints live; dropping them at once would leave nobody to send to, so they're kept `until`
     /// then.
     pub fn keep_missing_until(&mut self, until: Instant) {
-        self.lapsing_until = Some(until);
+        self.missing_kept_until = Some(until);
     }
 
     /// Drops entries that lapsed and didn't come back in time.
     pub fn remove_lapsed(&mut self, now: Instant) {
-        if self.lapsing_until.is_some_and(|until| until <= now) {
-            self.lapsing_until = None;
-            let missing = self.endpoints.extract_if(|_, it| it.missing);
+        if self.missing_kept_until.is_some_and(|until| until <= now) {
+            self.missing_kept_until = None;
+            let missing = self.endpoints.extract_if(|_, it| it.is_missing);
             for (_, it) in missing {
                 self.advertised_cache.insert(&it.entry, it.advertised, now);
             }
@@ -298,33 +298,33 @@
         it.pending = it.pending.saturating_sub(work);
         let failed = match outcome {
             Outcome::Answered => {
-                it.pause = Duration::ZERO;
+                it.ejection_time = Duration::ZERO;
                 it.ejected_until = None;
                 it.unreachable_since = None;
                 0.0
             }
             Outcome::Failed => 1.0,
             Outcome::ConnectFailed => {
-                it.failed(now);
+                it.eject_after_failure(now);
                 it.unreachable_since = Some(now);
                 1.0
             }
             Outcome::ConnectionLost => {
-                it.failed(now);
+                it.eject_after_failure(now);
                 1.0
             }
             Outcome::AddressReused => {
-                self.forget(id, now);
+                self.remove_tracked(id, now);
                 return;
             }
             Outcome::Full | Outcome::Abandoned => return,
         };
-        it.failures += SMOOTHING * (failed - it.failures);
+        it.failures += FAILURE_SMOOTHING * (failed - it.failures);
     }
 
     /// Whether a connection that fails is its endpoint's fault, as this node reaches others.
     pub fn has_recent_answer(&self, now: Instant) -> bool {
-        self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < LINKS_EXPIRY)
+        self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < RECENT_ANSWER)
     }
 
     /// Another node found that no connection to an endpoint can be opened.
--- a/crates/curranthook_gateway/src/directory/tracked.rs
+++ b/crates/curranthook_gateway/src/directory/tracked.rs
@@ -13,10 +13,10 @@
 };
 
 /// How long an endpoint that can't be reached is left alone after the first failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
+const FIRST_EJECTION: Duration = Duration::from_millis(400);
 /// The longest that an endpoint is left alone; about the time that one takes to start again.
-const MAX_PAUSE: Duration = Duration::from_secs(4);
-/// How old a load may be that an endpoint told of itself.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// How old a load may be that an endpoint reported of itself.
 const LOAD_EXPIRY: Duration = Duration::from_secs(1);
 /// How long it's believed that an endpoint can't be reached; then a node tries it again.
 const UNREACHABLE_EXPIRY: Duration = Duration::from_secs(1);
@@ -37,16 +37,16 @@
     /// The share of requests that failed lately.
     pub failures: f64,
     pub(super) load: Option<(Load, Instant, u32)>,
-    pub(super) pause: Duration,
+    pub(super) ejection_time: Duration,
     pub(super) ejected_until: Option<Instant>,
-    /// When this node, or one that told it, last found that no connection can be opened.
+    /// When this node, or one that reported it, last found that no connection can be opened.
     pub(super) unreachable_since: Option<Instant>,
     /// Its slow start, while there is one.
     pub(super) slow_start: Option<SlowStart>,
     /// What it says of itself.
     pub(super) advertised: Advertised,
     /// Whether it's missing from the list.
-    pub(super) missing: bool,
+    pub(super) is_missing: bool,
     /// From when on its version may be used without an order.
     pub(super) established_at: Instant,
 }
@@ -61,12 +61,12 @@
             pending: Duration::ZERO,
             failures: 0.0,
             load: None,
-            pause: Duration::ZERO,
+            ejection_time: Duration::ZERO,
             ejected_until: None,
             unreachable_since: None,
             slow_start: None,
             advertised,
-            missing: false,
+            is_missing: false,
         }
     }
 
@@ -80,7 +80,7 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether this node, or one that told it, found lately that no connection can be opened.
+    /// Whether this node, or one that reported it, found lately that no connection can be opened.
     pub fn is_unreachable(&self, now: Instant) -> bool {
         let since = self.unreachable_since;
         since.is_some_and(|at| now.saturating_duration_since(at) < UNREACHABLE_EXPIRY)
@@ -94,9 +94,9 @@
     /// How many requests it has, its own word and this node's knowledge taken together.
     pub fn estimated_requests(&self, now: Instant) -> u32 {
         match self.load {
-            Some((load, at, then)) if now.saturating_duration_since(at) < LOAD_EXPIRY => {
-                let told = load.running.saturating_add(load.waiting);
-                told.saturating_sub(then).saturating_add(self.in_flight)
+            Some((load, at, in_flight_then)) if now.saturating_duration_since(at) < LOAD_EXPIRY => {
+                let reported = load.running.saturating_add(load.waiting);
+                reported.saturating_sub(in_flight_then).saturating_add(self.in_flight)
             }
             _ => self.in_flight,
         }
@@ -140,8 +140,8 @@
         self.ejected_until = self.ejected_until.max(Some(now + UNREACHABLE_EXPIRY));
     }
 
-    pub(super) fn failed(&mut self, now: Instant) {
-        self.pause = (self.pause * 2).clamp(FIRST_PAUSE, MAX_PAUSE);
-        self.ejected_until = Some(now + self.pause);
+    pub(super) fn eject_after_failure(&mut self, now: Instant) {
+        self.ejection_time = (self.ejection_time * 2).clamp(FIRST_EJECTION, MAX_EJECTION);
+        self.ejected_until = Some(now + self.ejection_time);
     }
 }
