--- a/crates/curranthook_gateway/src/document.rs
+++ b/crates/curranthook_gateway/src/document.rs
@@ -197,15 +197,15 @@
 }
 
 impl Route {
-    /// The service for a request. The same `place`, from 0 up to 1, always gives the same one.
-    pub fn service(&self, place: f64) -> Option<&str> {
+    /// The service for a request. The same `position`, from 0 up to 1, always gives the same one.
+    pub fn service(&self, position: f64) -> Option<&str> {
         let total: f64 = self.split.iter().map(|it| it.weight).sum();
-        let mut left = place * total;
+        let mut remaining = position * total;
         for it in &self.split {
-            if left < it.weight {
+            if remaining < it.weight {
                 return Some(&it.service);
             }
-            left -= it.weight;
+            remaining -= it.weight;
         }
         self.split.last().map(|it| it.service.as_str())
     }
--- a/crates/curranthook_gateway/src/event.rs
+++ b/crates/curranthook_gateway/src/event.rs
@@ -19,7 +19,7 @@
 use serde::Serialize;
 
 /// How many lines may wait; about a second of a busy node.
-const CAPACITY: usize = 2_048;
+const QUEUE_CAPACITY: usize = 2_048;
 
 /// A decision that touched a request or changed what the node believes.
 #[derive(Debug, Serialize)]
@@ -150,7 +150,7 @@
 }
 
 #[derive(Serialize)]
-struct Dated<'a> {
+struct Record<'a> {
     at_ms: u64,
     node: &'a str,
     #[serde(flatten)]
@@ -164,11 +164,11 @@
         clock: Arc<dyn Clock>,
         out: Box<dyn Write + Send>,
     ) -> std::io::Result<Self> {
-        let (lines, queue) = sync_channel(CAPACITY);
+        let (lines, queue) = sync_channel(QUEUE_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
         let log = Self { node: node.into(), clock, lines, dropped };
         let writer = thread::Builder::new().name("log".to_owned());
-        writer.spawn(move || write(&queue, out))?;
+        writer.spawn(move || write_lines(&queue, out))?;
         Ok(log)
     }
 
@@ -189,20 +189,20 @@
     }
 
     fn push(&self, event: &Event<'_>) -> bool {
-        let line = Dated { at_ms: self.clock.unix_millis(), node: &self.node, event };
+        let line = Record { at_ms: self.clock.unix_millis(), node: &self.node, event };
         let text = serde_json::to_string(&line).expect("an event can be written as JSON");
         self.lines.try_send(Line(text)).is_ok()
     }
 }
 
-fn write(queue: &Receiver<Line>, mut out: Box<dyn Write + Send>) {
+fn write_lines(queue: &Receiver<Line>, mut out: Box<dyn Write + Send>) {
     /// How long lines are gathered, so that a busy node makes one call for many.
-    const GATHER: Duration = Duration::from_millis(50);
+    const GATHER_TIME: Duration = Duration::from_millis(50);
     while let Ok(Line(first)) = queue.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(GATHER_TIME);
         let mut text = first;
         text.push('\n');
-        for Line(more) in queue.try_iter().take(CAPACITY) {
+        for Line(more) in queue.try_iter().take(QUEUE_CAPACITY) {
             text.push_str(&more);
             text.push('\n');
         }
