--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -14,20 +14,20 @@
     watch::name,
 };
 
-/// Takes in rows. `is_whole` says that a row that isn't among them doesn't exist.
-pub fn batch(gateway: &Arc<Gateway>, table: Table, batch: Batch, is_whole: bool, from: &str) {
+/// Takes in rows. `is_snapshot` says that a row that isn't among them doesn't exist.
+pub fn batch(gateway: &Arc<Gateway>, table: Table, batch: Batch, is_snapshot: bool, from: &str) {
     if let Some(now) = batch.now {
         gateway.mirror.lock().set_clock(now, gateway.now());
     }
-    let news = {
+    let changed = {
         let mut mirror = gateway.mirror.lock();
-        if is_whole { mirror.replace(table, batch) } else { mirror.merge(table, batch) }
+        if is_snapshot { mirror.replace(table, batch) } else { mirror.merge(table, batch) }
     };
-    for row in &news {
+    for row in &changed {
         match table {
-            Table::Operator => operator(gateway, row, from),
-            Table::Endpoints => entry(gateway, row),
-            Table::Fleet => fleet::row(gateway, row),
+            Table::Operator => apply_operator_row(gateway, row, from),
+            Table::Endpoints => apply_endpoint_row(gateway, row),
+            Table::Fleet => fleet::apply_row(gateway, row),
         }
     }
     if table == Table::Endpoints {
@@ -36,14 +36,14 @@
     }
     // Last, as whoever is woken looks at what was taken in. The first read of a table counts even
     // if that is empty: requests may be waiting for it.
-    if !news.is_empty() || is_whole {
+    if !changed.is_empty() || is_snapshot {
         gateway.rows_changed.wake();
     }
 }
 
-fn operator(gateway: &Arc<Gateway>, row: &Row, from: &str) {
+fn apply_operator_row(gateway: &Arc<Gateway>, row: &Row, from: &str) {
     if let Some(domain) = gateway.decoder.evacuation(&row.key) {
-        evacuation(gateway, domain, row, from);
+        apply_evacuation(gateway, domain, row, from);
         return;
     }
     let Some(value) = &row.value else { return };
@@ -64,17 +64,17 @@
         }
         Ok(Operator::Order(order)) => {
             let service = order.service.clone();
-            let heard = gateway.store_time();
-            gateway.rollouts.lock().apply_order(order, row.rev, heard);
+            let received_at = gateway.store_time();
+            gateway.rollouts.lock().apply_order(order, row.rev, received_at);
             // Steps of this order may have been read before it.
-            fleet::reread(gateway, &service);
+            fleet::reapply_rows(gateway, &service);
         }
         Ok(Operator::Other) => {}
-        Err(e) => rejected(gateway, Table::Operator, &e.to_string()),
+        Err(e) => log_rejected(gateway, Table::Operator, &e.to_string()),
     }
 }
 
-fn evacuation(gateway: &Gateway, domain: domain::Id, row: &Row, from: &str) {
+fn apply_evacuation(gateway: &Gateway, domain: domain::Id, row: &Row, from: &str) {
     let (state, rev) = (if row.value.is_some() { "ordered" } else { "ended" }, row.rev.0);
     gateway.log.write(&Event::Evacuation { domain: domain.as_str(), state, rev, from });
     let mut directory = gateway.directory.lock();
@@ -84,7 +84,7 @@
     }
 }
 
-fn entry(gateway: &Arc<Gateway>, row: &Row) {
+fn apply_endpoint_row(gateway: &Arc<Gateway>, row: &Row) {
     let id = endpoint::Id::new(&row.key);
     let now = gateway.now();
     let Some(value) = &row.value else {
@@ -100,7 +100,7 @@
         }
         Err(e) => {
             gateway.directory.lock().remove(&id, now);
-            rejected(gateway, Table::Endpoints, &e.to_string());
+            log_rejected(gateway, Table::Endpoints, &e.to_string());
         }
     }
 }
@@ -122,6 +122,6 @@
     });
 }
 
-fn rejected(gateway: &Gateway, table: Table, why: &str) {
+fn log_rejected(gateway: &Gateway, table: Table, why: &str) {
     gateway.log.write(&Event::RowRejected { table: name(table), why });
 }
--- a/crates/curranthook_gateway/src/fleet.rs
+++ b/crates/curranthook_gateway/src/fleet.rs
@@ -79,7 +79,7 @@
 
 /// What a node saw of a roll-out.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// The order.
     pub order: Rev,
     /// What was seen.
@@ -87,7 +87,7 @@
 }
 
 /// Takes in a row.
-pub fn row(gateway: &Arc<Gateway>, row: &Row) {
+pub fn apply_row(gateway: &Arc<Gateway>, row: &Row) {
     let Some(key) = Key::parse(&row.key) else { return };
     let Some(value) = &row.value else {
         if let Key::Node(name) = key {
@@ -96,13 +96,13 @@
         }
         return;
     };
-    if let Err(e) = take(gateway, &key, value, row.rev) {
+    if let Err(e) = decode_and_apply(gateway, &key, value, row.rev) {
         let why = format!("{}: {e}", row.key);
         gateway.log.write(&Event::RowRejected { table: "fleet", why: &why });
     }
 }
 
-fn take(
+fn decode_and_apply(
     gateway: &Arc<Gateway>,
     key: &Key<'_>,
     value: &[u8],
@@ -120,13 +120,18 @@
             if rollouts.apply_step(service, step, rev)
                 && let Some(it) = rollouts.get(service)
             {
-                log_step(gateway, it, "seen");
+                log_rollout(gateway, it, "seen");
             }
         }
         Key::Evidence(_, node) if *node == gateway.settings.node => {}
         Key::Evidence(service, node) => {
-            let seen: Seen = serde_json::from_slice(value)?;
-            gateway.rollouts.lock().apply_evidence(service, seen.order, node, seen.evidence);
+            let observation: Observation = serde_json::from_slice(value)?;
+            gateway.rollouts.lock().apply_evidence(
+                service,
+                observation.order,
+                node,
+                observation.evidence,
+            );
         }
         Key::Poison(node) if *node == gateway.settings.node => {}
         Key::Poison(_) => {
@@ -138,7 +143,7 @@
 }
 
 /// Takes in once more what is known of the roll-out of `service`.
-pub fn reread(gateway: &Arc<Gateway>, service: &str) {
+pub fn reapply_rows(gateway: &Arc<Gateway>, service: &str) {
     let rows = gateway.mirror.lock().batch(Table::Fleet).rows;
     for it in rows {
         let is_of_service = match Key::parse(&it.key) {
@@ -146,13 +151,13 @@
             _ => false,
         };
         if is_of_service {
-            row(gateway, &it);
+            apply_row(gateway, &it);
         }
     }
 }
 
 /// Logs how far a roll-out is.
-pub fn log_step(gateway: &Gateway, it: &crate::rollouts::Rollout, outcome: &str) {
+pub fn log_rollout(gateway: &Gateway, it: &crate::rollouts::Rollout, outcome: &str) {
     let evidence = it.evidence();
     gateway.log.write(&Event::RollOut {
         service: &it.order.service,
--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -14,7 +14,7 @@
 use crate::{
     Gateway,
     event::Event,
-    fleet::{Key, Node, Seen, log_step},
+    fleet::{Key, Node, Observation, log_rollout},
     rollouts::Rollout,
     settings::Settings,
     steps::{self, Evidence, Phase, Step},
@@ -161,10 +161,10 @@
                 let mut rollouts = self.gateway.rollouts.lock();
                 rollouts.apply_step(service, step, rev);
                 if let Some(it) = rollouts.get(service) {
-                    log_step(&self.gateway, it, "taken");
+                    log_rollout(&self.gateway, it, "taken");
                 }
             }
-            Committed::Conflict => log_step(&self.gateway, it, "conflict"),
+            Committed::Conflict => log_rollout(&self.gateway, it, "conflict"),
         }
         Ok(())
     }
@@ -192,7 +192,7 @@
             return;
         }
         let key = Key::Evidence(service, &self.gateway.settings.node).to_string();
-        let value = encode(&Seen { order: it.order_rev, evidence: it.own });
+        let value = encode(&Observation { order: it.order_rev, evidence: it.own });
         let is_written = self.write(&key, None, &value, None).await.is_ok();
         // A failed write waits like a done one; otherwise each node would call a store that is
         // away four times a second.
--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -206,7 +206,7 @@
     let known = gateway.mirror.lock().rev(table);
     let since = Some(known).filter(|it| *it != Rev(0));
     let question = Question { table, since, wait: Duration::ZERO, max_age: None };
-    let (told, is_whole) = match fetch(gateway, addr, &question).await {
+    let (told, is_snapshot) = match fetch(gateway, addr, &question).await {
         Err(Error::Compacted) => {
             (fetch(gateway, addr, &Question { since: None, ..question }).await?, true)
         }
@@ -219,7 +219,7 @@
     // A peer that knows less must not make this node forget.
     if known < told.batch.rev {
         let batch = Batch { now: told.now, ..told.batch };
-        apply::batch(gateway, table, batch, is_whole, "peer");
+        apply::batch(gateway, table, batch, is_snapshot, "peer");
     }
     Ok(())
 }
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -122,7 +122,7 @@
     batch: Batch,
     origin: Origin,
     /// Whether these are all rows of the table.
-    is_whole: bool,
+    is_snapshot: bool,
 }
 
 impl Watch {
@@ -149,11 +149,11 @@
         if role == Role::Child && !self.tries_itself() {
             return Some(Err(Error::Down("no parent has heard from it".to_owned())));
         }
-        let (is_whole, result) = match self.since {
+        let (is_snapshot, result) = match self.since {
             None => (true, self.read_all().await?),
             Some(since) => (false, self.read_changes(since, role).await?),
         };
-        Some(result.map(|batch| Told { batch, origin: Origin::Store, is_whole }))
+        Some(result.map(|batch| Told { batch, origin: Origin::Store, is_snapshot }))
     }
 
     /// Whether a node that has parents asks the store itself now. When all leaves find their relays out of
@@ -171,7 +171,7 @@
         let (gateway, shared, table) = (&self.gateway, &self.shared, self.table);
         let (addr, max_age) = (parent.addr, parent.max_age);
         let wait = if table == Table::Operator { WAIT_RELAYED_OPERATOR } else { WAIT_RELAYED };
-        let told = |batch, is_whole| Told { batch, origin: Origin::Parent, is_whole };
+        let told = |batch, is_snapshot| Told { batch, origin: Origin::Parent, is_snapshot };
         let whole = async {
             let call = peers::snapshot(gateway, addr, table, SNAPSHOT_LIMIT, max_age);
             let batch = timeout::run(SNAPSHOT_LIMIT, call).await;
@@ -236,7 +236,7 @@
     }
 
     async fn take(&mut self, told: Told) {
-        let Told { batch, origin, is_whole } = told;
+        let Told { batch, origin, is_snapshot } = told;
         if self.is_away {
             self.is_away = false;
             self.gateway.log.write(&Event::Dependency {
@@ -254,7 +254,7 @@
         self.failures = 0;
         self.since = Some(batch.rev);
         let is_empty = batch.rows.is_empty();
-        apply::batch(&self.gateway, self.table, batch, is_whole, "store");
+        apply::batch(&self.gateway, self.table, batch, is_snapshot, "store");
         if self.table != Table::Operator && !is_empty {
             Timer::after(self.pause(origin)).await;
         }
