--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -44,10 +44,10 @@
 const POISON_CAPACITY: usize = 4_096;
 /// How long sent bytes may stay unacknowledged before a connection is given up. An endpoint, peer
 /// or store without power is noticed after this; a busy one still acknowledges.
-const UNACKED: Duration = Duration::from_millis(1_200);
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// How long a connection attempt may take: many round trips between failure domains, and less
 /// than the second after which the system would send its first packet again.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What a node is made of.
 #[derive(Debug)]
@@ -154,7 +154,7 @@
         let Parts { ex, clock, dialect, decoder, store, log } = parts;
         let started = clock.now();
         let pool = Pool::new(Arc::clone(&ex), Arc::clone(&clock));
-        let pool = pool.with_connect_timeout(CONNECT).with_liveness(UNACKED);
+        let pool = pool.with_connect_timeout(CONNECT_TIMEOUT).with_liveness(UNACKED_TIMEOUT);
         Arc::new(Self {
             pool,
             rollouts: Mutex::new(Rollouts::new(Schedule::new(settings.max_exposure))),
@@ -205,13 +205,13 @@
     }
 
     /// What the configuration in force says of a service; none if it says nothing.
-    pub fn service<T>(&self, name: &str, say: impl FnOnce(&Service) -> Option<T>) -> Option<T> {
-        say(self.configuration.load().as_ref()?.document.services.get(name)?)
+    pub fn service<T>(&self, name: &str, read: impl FnOnce(&Service) -> Option<T>) -> Option<T> {
+        read(self.configuration.load().as_ref()?.document.services.get(name)?)
     }
 
     /// Waits until the rows of the fleet are read, `limit` at most.
     pub async fn wait_for_members(&self, limit: Duration) {
-        let read = async {
+        let members_read = async {
             loop {
                 let changed = self.rows_changed.wait();
                 if self.mirror.lock().knows(Table::Fleet) {
@@ -220,7 +220,7 @@
                 changed.await;
             }
         };
-        let _elapsed = timeout::run(limit, read).await;
+        let _elapsed = timeout::run(limit, members_read).await;
     }
 
     /// Whether it takes new callers.
