--- a/crates/curranthook_gateway/src/fleet.rs
+++ b/crates/curranthook_gateway/src/fleet.rs
@@ -92,7 +92,7 @@
     let Some(value) = &row.value else {
         if let Key::Node(name) = key {
             gateway.peers.lock().remove(name);
-            gateway.load_owners.lock().set(name, None);
+            gateway.load_owners.lock().set_node(name, None);
         }
         return;
     };
@@ -111,7 +111,7 @@
     match key {
         Key::Node(name) => {
             let node: Node = serde_json::from_slice(value)?;
-            gateway.load_owners.lock().set(name, node.reports);
+            gateway.load_owners.lock().set_node(name, node.reports);
             gateway.peers.lock().insert((*name).to_owned(), node);
         }
         Key::Step(service) => {
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -219,7 +219,7 @@
     let now = gateway.now();
     match message {
         Message::Report { node, waiting, reads, unreachable } => {
-            gateway.load_table.lock().report(node, waiting, now);
+            gateway.load_table.lock().update(node, waiting, now);
             let mut directory = gateway.directory.lock();
             unreachable.iter().for_each(|it| directory.report_unreachable(it, now));
             drop(directory);
@@ -317,19 +317,19 @@
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
     let mut shares: HashMap<SocketAddr, Share> = HashMap::new();
     for (id, work) in all.waiting {
-        let owner = owners.of(&id, now).filter(|it| Some(*it) != own);
+        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
             shares.entry(addr).or_default().waiting.insert(id, work);
         }
     }
     for id in all.unreachable {
-        let owner = owners.of(&id, now).filter(|it| Some(*it) != own);
+        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
             shares.entry(addr).or_default().unreachable.push(id);
         }
     }
     for read in all.reads {
-        let owner = owners.of_subject(read.subject, now).filter(|it| Some(*it) != own);
+        let owner = owners.owner_of_subject(read.subject, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
             shares.entry(addr).or_default().reads.push(read);
         }
--- a/crates/curranthook_gateway/src/load_reports/questions.rs
+++ b/crates/curranthook_gateway/src/load_reports/questions.rs
@@ -45,11 +45,11 @@
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
     let mut all: HashMap<SocketAddr, Asked> = HashMap::new();
     for id in endpoints {
-        if let Some(addr) = owners.of(&id, now) {
+        if let Some(addr) = owners.owner_of(&id, now) {
             all.entry(addr).or_default().endpoints.push(id);
         }
     }
-    if let Some(addr) = subject.and_then(|it| owners.of_subject(it, now)) {
+    if let Some(addr) = subject.and_then(|it| owners.owner_of_subject(it, now)) {
         all.entry(addr).or_default().subject = subject;
     }
     all
@@ -90,7 +90,7 @@
             while !self.open.is_empty() {
                 let Ok((id, told)) = self.answers.recv().await else { return };
                 if let Some(addr) = self.open.remove(&id) {
-                    self.gateway.load_owners.lock().answered(addr);
+                    self.gateway.load_owners.lock().record_answer(addr);
                     self.gateway.metrics.record_query("answered");
                 }
                 heard.extend(told);
@@ -105,7 +105,7 @@
     /// Gives up the questions that have no answer.
     fn close(self) {
         for addr in self.open.values() {
-            self.gateway.load_owners.lock().missed(*addr, self.gateway.now());
+            self.gateway.load_owners.lock().record_timeout(*addr, self.gateway.now());
             self.gateway.metrics.record_query("unanswered");
         }
     }
--- a/crates/curranthook_gateway/src/load_table.rs
+++ b/crates/curranthook_gateway/src/load_table.rs
@@ -24,24 +24,24 @@
 
 impl LoadTable {
     /// Takes in what `node` has waiting.
-    pub fn report(&mut self, node: String, waiting: HashMap<endpoint::Id, Duration>, now: Instant) {
+    pub fn update(&mut self, node: String, waiting: HashMap<endpoint::Id, Duration>, now: Instant) {
         self.nodes.insert(node, (now, waiting));
     }
 
-    /// The work that waits at an endpoint, but for that of the node `asker`, which knows its own.
+    /// The work that waits at an endpoint, but for that of the node `requester`, which knows its own.
     ///
     /// ```
     /// # use std::{collections::HashMap, time::{Duration, Instant}};
     /// # use curranthook_gateway::load_table::LoadTable;
     /// let (mut load_table, now) = (LoadTable::default(), Instant::now());
     /// let work = Duration::from_millis(400);
-    /// load_table.report("node-2".to_owned(), HashMap::from([("engine-1".into(), work)]), now);
+    /// load_table.update("node-2".to_owned(), HashMap::from([("engine-1".into(), work)]), now);
     /// assert_eq!(load_table.waiting(&"engine-1".into(), "node-1", now), work);
     /// assert_eq!(load_table.waiting(&"engine-1".into(), "node-2", now), Duration::ZERO);
     /// assert_eq!(load_table.waiting(&"engine-1".into(), "node-1", now + work * 3), Duration::ZERO);
     /// ```
-    pub fn waiting(&self, endpoint: &endpoint::Id, asker: &str, now: Instant) -> Duration {
-        let others = self.nodes.iter().filter(|(node, _)| *node != asker);
+    pub fn waiting(&self, endpoint: &endpoint::Id, requester: &str, now: Instant) -> Duration {
+        let others = self.nodes.iter().filter(|(node, _)| *node != requester);
         let fresh = others.filter(|(_, (at, _))| now.saturating_duration_since(*at) < EXPIRY);
         fresh.filter_map(|(_, (_, waiting))| waiting.get(endpoint)).sum()
     }
