--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -1,14 +1,14 @@
 //! The datagrams by which nodes know of each other's work at engines.
 //!
 //! In a small fleet each node tells all others what it has waiting. In a large one it tells only
-//! the [`load_owners`] of the endpoints concerned, and asks the owners of a few candidates before it
+//! the [`load_owners`] of the endpoints concerned, and asks the owners of a few candidates previous it
 //! places a request. A lost datagram is made good by the next; a question without an answer costs
 //! 15 ms, and the request is placed by what its node knows itself.
 //!
 //! [`load_owners`]: crate::load_owners
 
 mod limits;
-mod questions;
+mod queries;
 
 use std::{
     collections::{HashMap, HashSet},
@@ -28,39 +28,39 @@
 use crate::{Gateway, affinity::Read, load_owners, rate_limit};
 
 use self::limits::Limit;
-pub use self::questions::query;
+pub use self::queries::query;
 
 /// How often a node with work waiting tells it again.
-const REPEAT: Duration = Duration::from_millis(300);
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 /// The least time between two rounds of reports.
-const PAUSE: Duration = Duration::from_millis(20);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Work below this isn't worth telling: less than the way to an engine and back.
-const MIN_WORK: Duration = Duration::from_millis(10);
-/// The largest datagram; what doesn't fit isn't told.
+const MIN_REPORTED_WORK: Duration = Duration::from_millis(10);
+/// The largest datagram; what doesn't fit isn't reported_to.
 const MAX_DATAGRAM: usize = 1_400;
 /// How many endpoints fit into one.
-const MAX_ENTRIES: usize = 32;
+const MAX_REPORTED_ENDPOINTS: usize = 32;
 
 /// How many prompts sent to be read fit into one beside them.
-const MAX_READS: usize = 8;
+const MAX_REPORTED_READS: usize = 8;
 
 /// How many unreachable endpoints fit into one beside them.
-const MAX_UNREACHABLE: usize = 8;
+const MAX_REPORTED_UNREACHABLE: usize = 8;
 
 /// Work that waits at endpoints.
-type Waiting = HashMap<endpoint::Id, Duration>;
+type PendingWork = HashMap<endpoint::Id, Duration>;
 
 /// What nodes send each other.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Message {
-    /// What `node` has waiting, in place of what it told before.
+    /// What `node` has waiting, in place of what it reported_to previous.
     #[serde(rename = "notice")]
     Report {
         node: String,
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
-        waiting: Waiting,
+        waiting: PendingWork,
         /// What it has sent to be read since.
         #[serde(default)]
         reads: Vec<Read>,
@@ -83,7 +83,7 @@
     Answer {
         id: u64,
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
-        waiting: Waiting,
+        waiting: PendingWork,
         /// Where the subject's parts were read, if that was asked.
         #[serde(default)]
         holders: Option<Vec<endpoint::Id>>,
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PeerState {
     /// The work that they have waiting, for the endpoints asked about.
-    pub waiting: Waiting,
+    pub waiting: PendingWork,
     /// The endpoints that read the shared parts lately; none if nobody could tell.
     pub holders: Option<Vec<endpoint::Id>>,
     /// Those of the endpoints asked about to which no connection can be opened.
@@ -112,17 +112,17 @@
     }
 }
 
-/// The socket, and the questions that wait for answers.
+/// The socket, and the queries that wait for answers.
 #[derive(Debug)]
 pub struct Socket {
     socket: Async<UdpSocket>,
-    next: AtomicU64,
-    asked: Mutex<HashMap<u64, Sender<(u64, PeerState)>>>,
-    /// What this node sent to be read and hasn't told yet.
+    next_query_id: AtomicU64,
+    open_queries: Mutex<HashMap<u64, Sender<(u64, PeerState)>>>,
+    /// What this node sent to be read and hasn't reported_to yet.
     reads: Mutex<Vec<Read>>,
-    /// The endpoints that it couldn't reach and hasn't told of yet.
+    /// The endpoints that it couldn't reach and hasn't reported_to of yet.
     unreachable: Mutex<Vec<endpoint::Id>>,
-    /// What it heard of limits and hasn't told yet.
+    /// What it heard of limits and hasn't reported_to yet.
     limits: limits::Queue,
 }
 
@@ -131,31 +131,31 @@
     pub fn new(socket: Async<UdpSocket>) -> Self {
         Self {
             socket,
-            next: AtomicU64::new(0),
-            asked: Mutex::default(),
+            next_query_id: AtomicU64::new(0),
+            open_queries: Mutex::default(),
             reads: Mutex::default(),
             unreachable: Mutex::default(),
             limits: limits::Queue::default(),
         }
     }
 
-    /// Notes that parts were sent to be read, to be told with the next report.
+    /// Notes that parts were sent to be read, to be reported_to with the next report.
     pub fn queue_read(&self, read: Read) {
         let mut reads = self.reads.lock();
-        if reads.len() < MAX_READS {
+        if reads.len() < MAX_REPORTED_READS {
             reads.push(read);
         }
     }
 
-    /// Notes that no connection to an endpoint could be opened, to be told with the next report.
+    /// Notes that no connection to an endpoint could be opened, to be reported_to with the next report.
     pub fn queue_unreachable(&self, endpoint: endpoint::Id) {
         let mut all = self.unreachable.lock();
-        if all.len() < MAX_UNREACHABLE && !all.contains(&endpoint) {
+        if all.len() < MAX_REPORTED_UNREACHABLE && !all.contains(&endpoint) {
             all.push(endpoint);
         }
     }
 
-    /// Notes what an endpoint said of its limit, to be told soon.
+    /// Notes what an endpoint said of its limit, to be reported_to soon.
     pub fn queue_limit(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
         self.limits.push(endpoint, notice);
     }
@@ -163,59 +163,59 @@
     async fn send(&self, message: &Message, addr: SocketAddr) {
         let bytes = serde_json::to_vec(message).expect("a message can be written as JSON");
         if let Err(e) = self.socket.send_to(&bytes, addr).await {
-            log::debug!("{addr} can't be told: {e}");
+            log::debug!("cannot send to {addr}: {e}");
         }
     }
 }
 
 /// Tells the others and listens to them, for as long as the process lives.
 pub async fn run(gateway: Arc<Gateway>, reports: Arc<Socket>) {
-    let hears = hear(Arc::clone(&gateway), Arc::clone(&reports));
-    gateway.ex.spawn(hears).detach();
-    let mut told = HashSet::new();
+    let receiver = receive(Arc::clone(&gateway), Arc::clone(&reports));
+    gateway.ex.spawn(receiver).detach();
+    let mut reported_to = HashSet::new();
     loop {
-        wait_for_news(&gateway, &reports, &told).await;
-        told = tell(&gateway, &reports, told).await;
-        limits::tell(&gateway, &reports).await;
-        Timer::after(PAUSE).await;
+        wait_for_changes(&gateway, &reports, &reported_to).await;
+        reported_to = send_reports(&gateway, &reports, reported_to).await;
+        limits::send(&gateway, &reports).await;
+        Timer::after(MIN_REPORT_INTERVAL).await;
     }
 }
 
-/// Waits until there may be something to tell. Whoever was told of work is told again after a while.
-async fn wait_for_news(gateway: &Gateway, reports: &Socket, told: &HashSet<SocketAddr>) {
+/// Waits until there may be something to tell. Whoever was reported_to of work is reported_to again after a while.
+async fn wait_for_changes(gateway: &Gateway, reports: &Socket, reported_to: &HashSet<SocketAddr>) {
     let changed = gateway.pending_work_changed.wait();
-    // What came while others were being told woke nobody.
+    // What came while others were being reported_to woke nobody.
     if !reports.limits.is_empty() {
         return;
     }
-    let again = async {
-        match told.is_empty() {
+    let repeat = async {
+        match reported_to.is_empty() {
             true => std::future::pending().await,
             false => {
-                Timer::after(REPEAT).await;
+                Timer::after(REPORT_INTERVAL).await;
             }
         }
     };
-    future::or(changed, again).await;
+    future::or(changed, repeat).await;
 }
 
-async fn hear(gateway: Arc<Gateway>, reports: Arc<Socket>) {
+async fn receive(gateway: Arc<Gateway>, reports: Arc<Socket>) {
     let mut bytes = [0; MAX_DATAGRAM];
     loop {
         match reports.socket.recv_from(&mut bytes).await {
             Ok((n, from)) => match serde_json::from_slice(&bytes[..n]) {
-                Ok(message) => take(&gateway, &reports, message, from).await,
+                Ok(message) => handle(&gateway, &reports, message, from).await,
                 Err(e) => log::debug!("a message of {from} can't be read: {e}"),
             },
             Err(e) => {
                 log::debug!("no message can be received: {e}");
-                Timer::after(PAUSE).await;
+                Timer::after(MIN_REPORT_INTERVAL).await;
             }
         }
     }
 }
 
-async fn take(gateway: &Gateway, reports: &Socket, message: Message, from: SocketAddr) {
+async fn handle(gateway: &Gateway, reports: &Socket, message: Message, from: SocketAddr) {
     let now = gateway.now();
     match message {
         Message::Report { node, waiting, reads, unreachable } => {
@@ -227,39 +227,39 @@
             reads.iter().for_each(|it| affinity.read(it.subject, &it.endpoint, now));
         }
         Message::Limits { limits } => {
-            limits.iter().for_each(|it| limits::hear(gateway, reports, it));
+            limits.iter().for_each(|it| limits::receive(gateway, reports, it));
         }
         Message::Question { id, node, endpoints, subject } => {
             let PeerState { waiting, holders, unreachable } =
-                kept(gateway, endpoints, subject, &node);
+                local_state(gateway, endpoints, subject, &node);
             reports.send(&Message::Answer { id, waiting, holders, unreachable }, from).await;
         }
         Message::Answer { id, waiting, holders, unreachable } => {
-            let asked = reports.asked.lock().remove(&id);
+            let query = reports.open_queries.lock().remove(&id);
             // Whoever asked may have gone on without it.
             let _late =
-                asked.map(|it| it.try_send((id, PeerState { waiting, holders, unreachable })));
+                query.map(|it| it.try_send((id, PeerState { waiting, holders, unreachable })));
         }
     }
 }
 
-/// What all nodes but `asker` have waiting at `endpoints`, and where `subject` was read, as far as this
-/// node was told.
-fn kept(
+/// What all nodes but `requester` have waiting at `endpoints`, and where `subject` was read, as far as this
+/// node was reported_to.
+fn local_state(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
     subject: Option<u64>,
-    asker: &str,
+    requester: &str,
 ) -> PeerState {
     let holders = subject.map(|it| gateway.affinity.lock().holders(it, gateway.now()));
     let (directory, load_table, now) =
         (gateway.directory.lock(), gateway.load_table.lock(), gateway.now());
     let own = &gateway.settings.node;
     let waiting = |id: &endpoint::Id| {
-        let of_others = load_table.waiting(id, asker, now);
-        let of_this = directory.get(id).map_or(Duration::ZERO, |it| it.pending);
+        let others_work = load_table.waiting(id, requester, now);
+        let own_work = directory.get(id).map_or(Duration::ZERO, |it| it.pending);
         // This node doesn't tell itself.
-        if own == asker { of_others } else { of_others + of_this }
+        if own == requester { others_work } else { others_work + own_work }
     };
     let is_unreachable =
         |id: &&endpoint::Id| directory.get(id).is_some_and(|it| it.is_unreachable(now));
@@ -269,44 +269,44 @@
 }
 
 /// Tells others what this node has waiting: all of them, or the owners of the endpoints. Returns
-/// who was told of any work; whoever was before is told that there's none.
-async fn tell(
+/// who was reported_to of any work; whoever was previous is reported_to that there's none.
+async fn send_reports(
     gateway: &Gateway,
     reports: &Socket,
-    before: HashSet<SocketAddr>,
+    previous: HashSet<SocketAddr>,
 ) -> HashSet<SocketAddr> {
-    let waiting: Waiting = {
+    let waiting: PendingWork = {
         let directory = gateway.directory.lock();
-        let all = directory.all().filter(|it| MIN_WORK <= it.pending);
-        all.map(|it| (it.entry.id.clone(), it.pending)).take(MAX_ENTRIES).collect()
+        let all = directory.all().filter(|it| MIN_REPORTED_WORK <= it.pending);
+        all.map(|it| (it.entry.id.clone(), it.pending)).take(MAX_REPORTED_ENDPOINTS).collect()
     };
     let reads = std::mem::take(&mut *reports.reads.lock());
     let unreachable = std::mem::take(&mut *reports.unreachable.lock());
-    let mut shares = shares(gateway, Share { waiting, reads, unreachable });
-    for addr in before {
-        shares.entry(addr).or_default();
+    let mut reports_by_node = reports_by_node(gateway, Report { waiting, reads, unreachable });
+    for addr in previous {
+        reports_by_node.entry(addr).or_default();
     }
-    let mut told = HashSet::new();
-    for (addr, Share { waiting, reads, unreachable }) in shares {
+    let mut reported_to = HashSet::new();
+    for (addr, Report { waiting, reads, unreachable }) in reports_by_node {
         if !waiting.is_empty() {
-            told.insert(addr);
+            reported_to.insert(addr);
         }
         let node = gateway.settings.node.clone();
         reports.send(&Message::Report { node, waiting, reads, unreachable }, addr).await;
     }
-    told
+    reported_to
 }
 
-/// What one node is told.
+/// What one node is reported_to.
 #[derive(Debug, Clone, Default)]
-struct Share {
-    waiting: Waiting,
+struct Report {
+    waiting: PendingWork,
     reads: Vec<Read>,
     unreachable: Vec<endpoint::Id>,
 }
 
-/// Who is told what of `all`.
-fn shares(gateway: &Gateway, all: Share) -> HashMap<SocketAddr, Share> {
+/// Who is reported_to what of `all`.
+fn reports_by_node(gateway: &Gateway, all: Report) -> HashMap<SocketAddr, Report> {
     let own = gateway.settings.reports;
     let peers = gateway.peers.lock();
     if !load_owners::are_used(peers.len()) {
@@ -315,24 +315,24 @@
     }
     drop(peers);
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
-    let mut shares: HashMap<SocketAddr, Share> = HashMap::new();
+    let mut reports_by_node: HashMap<SocketAddr, Report> = HashMap::new();
     for (id, work) in all.waiting {
         let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
-            shares.entry(addr).or_default().waiting.insert(id, work);
+            reports_by_node.entry(addr).or_default().waiting.insert(id, work);
         }
     }
     for id in all.unreachable {
         let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
-            shares.entry(addr).or_default().unreachable.push(id);
+            reports_by_node.entry(addr).or_default().unreachable.push(id);
         }
     }
     for read in all.reads {
         let owner = owners.owner_of_subject(read.subject, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
-            shares.entry(addr).or_default().reads.push(read);
+            reports_by_node.entry(addr).or_default().reads.push(read);
         }
     }
-    shares
+    reports_by_node
 }
--- a/crates/curranthook_gateway/src/load_reports/limits.rs
+++ b/crates/curranthook_gateway/src/load_reports/limits.rs
@@ -12,13 +12,13 @@
 use crate::{Gateway, event::Event, load_owners, rate_limit};
 
 /// How many limits fit into one datagram.
-const MAX_LIMITS: usize = 16;
+const MAX_LIMITS_PER_DATAGRAM: usize = 16;
 /// How many limits may wait to be told; a node that misses some hears of them at its next turn.
 const MAX_LIMITS_QUEUED: usize = 256;
 
 /// To how many nodes of a large fleet a node passes on what it hears of limits. Each of them does the same,
 /// so that nearly all nodes of a fleet of thousands hear of it within a few rounds.
-const LIMIT_FANOUT: usize = 8;
+const GOSSIP_FANOUT: usize = 8;
 
 /// What an endpoint said of its limit.
 #[serde_as]
@@ -61,7 +61,7 @@
 }
 
 /// Takes in what another node heard of a limit, and passes it on if it's news.
-pub(super) fn hear(gateway: &Gateway, reports: &Socket, limit: &Limit) {
+pub(super) fn receive(gateway: &Gateway, reports: &Socket, limit: &Limit) {
     let notice = rate_limit::Notice { rate: limit.rate, at: limit.at };
     if !gateway.directory.lock().apply_reported_limit(&limit.endpoint, &notice) {
         return;
@@ -76,8 +76,8 @@
 }
 
 /// Tells others what endpoints said of their limits: all of them in a small fleet, a few in a large one.
-pub(super) async fn tell(gateway: &Gateway, reports: &Socket) {
-    let limits = reports.limits.take(MAX_LIMITS);
+pub(super) async fn send(gateway: &Gateway, reports: &Socket) {
+    let limits = reports.limits.take(MAX_LIMITS_PER_DATAGRAM);
     if limits.is_empty() {
         return;
     }
@@ -86,7 +86,7 @@
         let peers = gateway.peers.lock();
         let others = peers.values().filter_map(|it| it.reports).filter(|it| Some(*it) != own);
         match load_owners::are_used(peers.len()) {
-            true => others.sample(&mut rand::rng(), LIMIT_FANOUT),
+            true => others.sample(&mut rand::rng(), GOSSIP_FANOUT),
             false => others.collect(),
         }
     };
--- a/crates/curranthook_gateway/src/load_reports/questions.rs
+++ b/crates/curranthook_gateway/src/load_reports/queries.rs
@@ -1,4 +1,4 @@
-//! Questions to load owners, asked before a request is placed.
+//! Queries to load owners, asked before a request is placed.
 
 use std::{collections::HashMap, net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
@@ -6,7 +6,7 @@
 use curranthook_http::timeout;
 use curranthook_types::endpoint;
 
-use super::{Message, PeerState, Socket, kept};
+use super::{Message, PeerState, Socket, local_state};
 use crate::Gateway;
 
 /// How long the answer of an owner may take: a few ways between failure domains and the turn of a
@@ -24,15 +24,15 @@
     let settings = &gateway.settings;
     let mut by_owner = by_owner(gateway, endpoints, subject);
     let own = settings.reports.and_then(|own| by_owner.remove(&own)).unwrap_or_default();
-    let mut heard = kept(gateway, own.endpoints, own.subject, &settings.node);
-    let questions = Questions::send(gateway, reports, by_owner).await;
-    heard.extend(questions.answers().await);
-    heard
+    let mut state = local_state(gateway, own.endpoints, own.subject, &settings.node);
+    let queries = Queries::send(gateway, reports, by_owner).await;
+    state.extend(queries.answers().await);
+    state
 }
 
 /// What one owner is asked.
 #[derive(Debug, Default)]
-struct Asked {
+struct Query {
     endpoints: Vec<endpoint::Id>,
     subject: Option<u64>,
 }
@@ -41,9 +41,9 @@
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
     subject: Option<u64>,
-) -> HashMap<SocketAddr, Asked> {
+) -> HashMap<SocketAddr, Query> {
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
-    let mut all: HashMap<SocketAddr, Asked> = HashMap::new();
+    let mut all: HashMap<SocketAddr, Query> = HashMap::new();
     for id in endpoints {
         if let Some(addr) = owners.owner_of(&id, now) {
             all.entry(addr).or_default().endpoints.push(id);
@@ -55,8 +55,8 @@
     all
 }
 
-/// Questions on their way.
-struct Questions<'a> {
+/// Queries on their way.
+struct Queries<'a> {
     gateway: &'a Gateway,
     reports: &'a Socket,
     /// Who was asked, by the question's id.
@@ -64,18 +64,18 @@
     answers: Receiver<(u64, PeerState)>,
 }
 
-impl<'a> Questions<'a> {
+impl<'a> Queries<'a> {
     /// Asks each owner.
     async fn send(
         gateway: &'a Gateway,
         reports: &'a Socket,
-        by_owner: HashMap<SocketAddr, Asked>,
+        by_owner: HashMap<SocketAddr, Query>,
     ) -> Self {
         let (tx, answers) = async_channel::bounded(by_owner.len().max(1));
         let mut open = HashMap::new();
-        for (addr, Asked { endpoints, subject }) in by_owner {
-            let id = reports.next.fetch_add(1, Ordering::Relaxed);
-            reports.asked.lock().insert(id, tx.clone());
+        for (addr, Query { endpoints, subject }) in by_owner {
+            let id = reports.next_query_id.fetch_add(1, Ordering::Relaxed);
+            reports.open_queries.lock().insert(id, tx.clone());
             open.insert(id, addr);
             let node = gateway.settings.node.clone();
             reports.send(&Message::Question { id, node, endpoints, subject }, addr).await;
@@ -85,25 +85,25 @@
 
     /// The answers that come in time.
     async fn answers(mut self) -> PeerState {
-        let mut heard = PeerState::default();
+        let mut state = PeerState::default();
         let gather = async {
             while !self.open.is_empty() {
-                let Ok((id, told)) = self.answers.recv().await else { return };
+                let Ok((id, answer)) = self.answers.recv().await else { return };
                 if let Some(addr) = self.open.remove(&id) {
                     self.gateway.load_owners.lock().record_answer(addr);
                     self.gateway.metrics.record_query("answered");
                 }
-                heard.extend(told);
+                state.extend(answer);
             }
         };
-        // Elapsed or not, what was told by then counts.
+        // Elapsed or not, what was answer by then counts.
         let _elapsed = timeout::run(ANSWER_TIMEOUT, gather).await;
-        self.close();
-        heard
+        self.record_timeouts();
+        state
     }
 
-    /// Gives up the questions that have no answer.
-    fn close(self) {
+    /// Gives up the queries that have no answer.
+    fn record_timeouts(self) {
         for addr in self.open.values() {
             self.gateway.load_owners.lock().record_timeout(*addr, self.gateway.now());
             self.gateway.metrics.record_query("unanswered");
@@ -111,13 +111,13 @@
     }
 }
 
-impl Drop for Questions<'_> {
-    /// A caller that leaves drops its request here, too; without this, what it asked would be kept
+impl Drop for Queries<'_> {
+    /// A caller that leaves drops its request here, too; without this, what it asked would be local_state
     /// for good if the answers are lost.
     fn drop(&mut self) {
-        let mut asked = self.reports.asked.lock();
+        let mut open_queries = self.reports.open_queries.lock();
         for id in self.open.keys() {
-            asked.remove(id);
+            open_queries.remove(id);
         }
     }
 }
