--- a/crates/curranthook_gateway/src/metrics.rs
+++ b/crates/curranthook_gateway/src/metrics.rs
@@ -36,14 +36,14 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
-    ended: Family<Label, Counter>,
+    requests: Family<Label, Counter>,
     refusals: Family<Label, Counter>,
     retries: Family<Label, Counter>,
-    store: Family<StoreLabels, Counter>,
-    questions: Family<Label, Counter>,
-    first_byte: Histogram,
+    store_calls: Family<StoreLabels, Counter>,
+    queries: Family<Label, Counter>,
+    first_byte_time: Histogram,
     estimate_error: Histogram,
-    whole: Histogram,
+    answer_time: Histogram,
     /// The version of the configuration in force.
     pub configuration: Gauge<u64, AtomicU64>,
     /// The endpoints in the list.
@@ -60,15 +60,15 @@
         let buckets = || Histogram::new(exponential_buckets(0.001, 2.0, 15));
         let it = Self {
             registry: Mutex::new(Registry::with_prefix("curranthook")),
-            ended: Family::default(),
+            requests: Family::default(),
             refusals: Family::default(),
             retries: Family::default(),
-            store: Family::default(),
-            questions: Family::default(),
-            first_byte: buckets(),
+            store_calls: Family::default(),
+            queries: Family::default(),
+            first_byte_time: buckets(),
             // From 2 % to 10 times in steps of two.
             estimate_error: Histogram::new(exponential_buckets(0.02, 2.0, 10)),
-            whole: buckets(),
+            answer_time: buckets(),
             configuration: Gauge::default(),
             endpoints: Gauge::default(),
             in_flight: Gauge::default(),
@@ -81,31 +81,40 @@
 
 impl Metrics {
     fn register(&self) {
-        let mut all = self.registry.lock();
-        all.register("requests", "Requests that ended, by outcome", self.ended.clone());
-        all.register("refusals", "Requests ended by the node, by reason", self.refusals.clone());
-        all.register("retries", "Further attempts, by reason", self.retries.clone());
-        all.register("store_calls", "Calls to the store", self.store.clone());
+        let mut registry = self.registry.lock();
+        registry.register("requests", "Requests that ended, by outcome", self.requests.clone());
+        registry.register(
+            "refusals",
+            "Requests ended by the node, by reason",
+            self.refusals.clone(),
+        );
+        registry.register("retries", "Further attempts, by reason", self.retries.clone());
+        registry.register("store_calls", "Calls to the store", self.store_calls.clone());
         let help = "Questions about work waiting at endpoints, by result";
-        all.register("questions", help, self.questions.clone());
+        registry.register("questions", help, self.queries.clone());
         let unit = Unit::Seconds;
         let help = "Time to the first byte of an answer";
-        all.register_with_unit("first_byte", help, unit.clone(), self.first_byte.clone());
-        all.register_with_unit("answer", "Time to the end of an answer", unit, self.whole.clone());
+        registry.register_with_unit("first_byte", help, unit.clone(), self.first_byte_time.clone());
+        registry.register_with_unit(
+            "answer",
+            "Time to the end of an answer",
+            unit,
+            self.answer_time.clone(),
+        );
         let help = "How far off first events were, as a part of what was expected";
-        all.register("first_event_estimate_error", help, self.estimate_error.clone());
+        registry.register("first_event_estimate_error", help, self.estimate_error.clone());
         let help = "Version of the configuration in force";
-        all.register("configuration_version", help, self.configuration.clone());
-        all.register("endpoints", "Endpoints in the list", self.endpoints.clone());
-        all.register("in_flight", "Requests under way", self.in_flight.clone());
+        registry.register("configuration_version", help, self.configuration.clone());
+        registry.register("endpoints", "Endpoints in the list", self.endpoints.clone());
+        registry.register("in_flight", "Requests under way", self.in_flight.clone());
         let help = "Log lines that were dropped and not yet reported";
-        all.register("log_lines_dropped", help, self.lines_dropped.clone());
+        registry.register("log_lines_dropped", help, self.lines_dropped.clone());
     }
 
     /// Counts a request that ended.
     pub fn record_ended(&self, outcome: &'static str, took: Duration) {
-        self.ended.get_or_create(&Label { name: outcome }).inc();
-        self.whole.observe(took.as_secs_f64());
+        self.requests.get_or_create(&Label { name: outcome }).inc();
+        self.answer_time.observe(took.as_secs_f64());
     }
 
     /// Counts a request that the node ended by itself.
@@ -120,7 +129,7 @@
 
     /// Notes when the first byte of an answer came.
     pub fn record_first_byte(&self, took: Duration) {
-        self.first_byte.observe(took.as_secs_f64());
+        self.first_byte_time.observe(took.as_secs_f64());
     }
 
     /// Notes how far off the time was in which a first event was expected.
@@ -144,12 +153,12 @@
             Err(store::Error::Stale(_)) => "stale",
             Err(store::Error::Compacted) => "compacted",
         };
-        self.store.get_or_create(&StoreLabels { table, result }).inc();
+        self.store_calls.get_or_create(&StoreLabels { table, result }).inc();
     }
 
     /// Counts a question about the work that waits at endpoints: answered in time, or not.
     pub fn record_query(&self, result: &'static str) {
-        self.questions.get_or_create(&Label { name: result }).inc();
+        self.queries.get_or_create(&Label { name: result }).inc();
     }
 
     /// All of them as text.
