--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -214,7 +214,7 @@
     };
     let answered = told.age.and_then(|age| gateway.now().checked_sub(age));
     if let Some(at) = answered {
-        gateway.outage.lock().heard(at);
+        gateway.outage.lock().record_peer_answer(at);
     }
     // A peer that knows less must not make this node forget.
     if known < told.batch.rev {
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -244,7 +244,7 @@
                 state: "back",
                 why: name(self.table),
             });
-            let until = self.gateway.outage.lock().returned(self.gateway.now());
+            let until = self.gateway.outage.lock().record_recovery(self.gateway.now());
             self.gateway.directory.lock().keep_missing_until(until);
         }
         // After a single failure too: calls for other rows may have failed more often.
@@ -276,7 +276,7 @@
     async fn failed(&mut self, error: &Error) {
         self.failures += 1;
         self.gateway.mirror.lock().interrupted(self.table);
-        self.gateway.outage.lock().lost(self.gateway.now());
+        self.gateway.outage.lock().record_failure(self.gateway.now());
         // One lost answer is no outage; its repeat tells.
         if self.failures == 2 && !self.is_away {
             self.is_away = true;
