--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -26,16 +26,16 @@
 /// Where a node's rows are read.
 const PATH: &str = "/rows";
 /// How many peers are asked at a time while the store is away.
-const ASKED: usize = 2;
+const PEERS_PER_POLL: usize = 2;
 /// How long a peer may take.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A question to a peer.
+/// A query to a peer.
 #[serde_as]
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Question {
+struct Query {
     table: Table,
-    /// What the asker knows already; all rows are told if there is none.
+    /// What the asker knows already; all rows are reply if there is none.
     since: Option<Rev>,
     /// How long to wait for a change.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
@@ -48,7 +48,7 @@
 /// A peer's answer.
 #[serde_as]
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Told {
+struct Reply {
     batch: Batch,
     /// How long ago the peer heard from the store.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
@@ -68,21 +68,21 @@
 impl Handler for Server {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> Boxed<Response<Body>> {
         Box::pin(async move {
-            /// The largest question, in bytes.
-            const MAX_QUESTION: usize = 4_096;
+            /// The largest query, in bytes.
+            const MAX_QUERY_BYTES: usize = 4_096;
             if req.uri().path() != PATH {
                 return body::json(404, &serde_json::json!({ "error": "no such path" }));
             }
-            let question = match body::read(req.into_body(), MAX_QUESTION).await {
-                Ok(bytes) => serde_json::from_slice::<Question>(&bytes),
+            let query = match body::read(req.into_body(), MAX_QUERY_BYTES).await {
+                Ok(bytes) => serde_json::from_slice::<Query>(&bytes),
                 Err(e) => return body::json(400, &serde_json::json!({ "error": e.to_string() })),
             };
-            let question = match question {
-                Ok(question) => question,
+            let query = match query {
+                Ok(query) => query,
                 Err(e) => return body::json(400, &serde_json::json!({ "error": e.to_string() })),
             };
-            match self.answer(&question).await {
-                Ok(told) => body::json(200, &told),
+            match self.answer(&query).await {
+                Ok(reply) => body::json(200, &reply),
                 Err(Unknown::Earlier) => body::json(410, &serde_json::json!({})),
                 Err(Unknown::Stale) => body::json(503, &serde_json::json!({})),
             }
@@ -94,23 +94,23 @@
     /// Waits until there is something to tell, the wait is over, or this node has itself not
     /// heard from the store for too long: the asker then looks elsewhere, so that a relay that
     /// is cut off doesn't keep the others from news.
-    async fn answer(&self, question: &Question) -> Result<Told, Unknown> {
-        let end = self.gateway.now() + question.wait;
+    async fn answer(&self, query: &Query) -> Result<Reply, Unknown> {
+        let end = self.gateway.now() + query.wait;
         loop {
             let changed = self.gateway.rows_changed.wait();
             let now = self.gateway.now();
-            if self.is_unread(question) && now < end {
+            if self.awaits_first_read(query) && now < end {
                 let _elapsed = timeout::run(end - now, changed).await;
                 continue;
             }
-            let told = self.told(question)?;
+            let reply = self.reply(query)?;
             let is_news =
-                question.since.is_none_or(|since| told.batch.rows.iter().any(|it| since < it.rev));
+                query.since.is_none_or(|since| reply.batch.rows.iter().any(|it| since < it.rev));
             if is_news || end <= now {
-                return Ok(told);
+                return Ok(reply);
             }
-            let age = told.age.unwrap_or_default();
-            let fresh_for = question.max_age.map_or(question.wait, |it| it.saturating_sub(age));
+            let age = reply.age.unwrap_or_default();
+            let fresh_for = query.max_age.map_or(query.wait, |it| it.saturating_sub(age));
             let pause = fresh_for.min(end - now) + Duration::from_millis(1);
             future::or(changed, async {
                 Timer::after(pause).await;
@@ -121,23 +121,23 @@
 
     /// Whether this node is itself about to read what a child asks for. The nodes of a fleet start
     /// together.
-    fn is_unread(&self, question: &Question) -> bool {
-        let is_child = question.max_age.is_some();
-        is_child && question.since.is_none() && !self.gateway.mirror.lock().knows(question.table)
+    fn awaits_first_read(&self, query: &Query) -> bool {
+        let is_child = query.max_age.is_some();
+        is_child && query.since.is_none() && !self.gateway.mirror.lock().knows(query.table)
     }
 
-    fn told(&self, question: &Question) -> Result<Told, Unknown> {
-        let (table, now) = (question.table, self.gateway.now());
+    fn reply(&self, query: &Query) -> Result<Reply, Unknown> {
+        let (table, now) = (query.table, self.gateway.now());
         let mirror = self.gateway.mirror.lock();
         let age = mirror.age(now);
-        if question.max_age.is_some_and(|max| !mirror.is_fresh(table, max, now)) {
+        if query.max_age.is_some_and(|max| !mirror.is_fresh(table, max, now)) {
             return Err(Unknown::Stale);
         }
-        let batch = match question.since {
+        let batch = match query.since {
             Some(since) => mirror.changes(table, since)?,
             None => mirror.batch(table),
         };
-        Ok(Told { batch, age, now: mirror.store_time(now) })
+        Ok(Reply { batch, age, now: mirror.store_time(now) })
     }
 }
 
@@ -150,8 +150,8 @@
     wait: Duration,
     max_age: Duration,
 ) -> Result<Batch, Error> {
-    let question = Question { table, since: Some(since), wait, max_age: Some(max_age) };
-    let batch = ask_parent(gateway, parent, &question).await?;
+    let query = Query { table, since: Some(since), wait, max_age: Some(max_age) };
+    let batch = query_parent(gateway, parent, &query).await?;
     Ok(Batch { rev: batch.rev.max(since), ..batch })
 }
 
@@ -163,38 +163,38 @@
     wait: Duration,
     max_age: Duration,
 ) -> Result<Batch, Error> {
-    let question = Question { table, since: None, wait, max_age: Some(max_age) };
-    let batch = ask_parent(gateway, parent, &question).await?;
+    let query = Query { table, since: None, wait, max_age: Some(max_age) };
+    let batch = query_parent(gateway, parent, &query).await?;
     match batch.rev {
         Rev(0) => Err(Error::Down(format!("peer {parent} hasn't read it"))),
         _ => Ok(batch),
     }
 }
 
-async fn ask_parent(
+async fn query_parent(
     gateway: &Gateway,
     parent: SocketAddr,
-    question: &Question,
+    query: &Query,
 ) -> Result<Batch, Error> {
-    let told = fetch(gateway, parent, question).await?;
-    if let Some(at) = told.age.and_then(|age| gateway.now().checked_sub(age)) {
+    let reply = fetch(gateway, parent, query).await?;
+    if let Some(at) = reply.age.and_then(|age| gateway.now().checked_sub(age)) {
         gateway.mirror.lock().confirm(at);
     }
-    Ok(Batch { now: told.now, ..told.batch })
+    Ok(Batch { now: reply.now, ..reply.batch })
 }
 
 /// Takes in what some peers know, after the store gave no answer.
-pub async fn ask(gateway: &Arc<Gateway>) {
+pub async fn poll_peers(gateway: &Arc<Gateway>) {
     let own = gateway.settings.peers;
     let addrs: Vec<SocketAddr> = {
         let known: HashMap<_, _> = gateway.peers.lock().clone();
         let seeds = gateway.settings.seeds.iter().copied();
         let all: BTreeSet<_> = known.into_values().map(|it| it.peers).chain(seeds).collect();
-        all.into_iter().filter(|it| Some(*it) != own).sample(&mut rand::rng(), ASKED)
+        all.into_iter().filter(|it| Some(*it) != own).sample(&mut rand::rng(), PEERS_PER_POLL)
     };
     for addr in addrs {
         for table in Table::ALL {
-            if let Err(e) = ask_one(gateway, addr, table).await {
+            if let Err(e) = poll_peer(gateway, addr, table).await {
                 log::debug!("peer {addr}: {e}");
                 break;
             }
@@ -202,31 +202,31 @@
     }
 }
 
-async fn ask_one(gateway: &Arc<Gateway>, addr: SocketAddr, table: Table) -> Result<(), Error> {
+async fn poll_peer(gateway: &Arc<Gateway>, addr: SocketAddr, table: Table) -> Result<(), Error> {
     let known = gateway.mirror.lock().rev(table);
     let since = Some(known).filter(|it| *it != Rev(0));
-    let question = Question { table, since, wait: Duration::ZERO, max_age: None };
-    let (told, is_snapshot) = match fetch(gateway, addr, &question).await {
+    let query = Query { table, since, wait: Duration::ZERO, max_age: None };
+    let (reply, is_snapshot) = match fetch(gateway, addr, &query).await {
         Err(Error::Compacted) => {
-            (fetch(gateway, addr, &Question { since: None, ..question }).await?, true)
+            (fetch(gateway, addr, &Query { since: None, ..query }).await?, true)
         }
         other => (other?, since.is_none()),
     };
-    let answered = told.age.and_then(|age| gateway.now().checked_sub(age));
+    let answered = reply.age.and_then(|age| gateway.now().checked_sub(age));
     if let Some(at) = answered {
         gateway.outage.lock().record_peer_answer(at);
     }
     // A peer that knows less must not make this node forget.
-    if known < told.batch.rev {
-        let batch = Batch { now: told.now, ..told.batch };
+    if known < reply.batch.rev {
+        let batch = Batch { now: reply.now, ..reply.batch };
         apply::batch(gateway, table, batch, is_snapshot, "peer");
     }
     Ok(())
 }
 
-async fn fetch(gateway: &Gateway, addr: SocketAddr, question: &Question) -> Result<Told, Error> {
-    let call = Exchange::post(addr, PATH).with_json(question);
-    let call = call.with_timeout(question.wait + TIMEOUT);
+async fn fetch(gateway: &Gateway, addr: SocketAddr, query: &Query) -> Result<Reply, Error> {
+    let call = Exchange::post(addr, PATH).with_json(query);
+    let call = call.with_timeout(query.wait + PEER_TIMEOUT);
     let res = call.run(&gateway.pool).await.map_err(|e| Error::Down(e.to_string()))?;
     match res.status() {
         StatusCode::OK => {
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -285,7 +285,7 @@
             self.gateway.log.write(&Event::Dependency { name: "store", state, why: &why });
         }
         if self.table == Table::Operator {
-            peers::ask(&self.gateway).await;
+            peers::poll_peers(&self.gateway).await;
         } else if self.gateway.configuration.load().is_none() {
             // Any rows that are applied may be the configuration.
             let applied = self.gateway.rows_changed.wait();
