--- a/crates/curranthook_gateway/src/rate_limit.rs
+++ b/crates/curranthook_gateway/src/rate_limit.rs
@@ -11,16 +11,16 @@
 use crate::permit::{self, Share};
 
 /// How long the same nodes hold the permits of an endpoint.
-const ROTATION: Duration = Duration::from_secs(4);
+const ROTATION_PERIOD: Duration = Duration::from_secs(4);
 /// The part of the rate that is handed out. What is left covers requests that are sent before they are due,
 /// and nodes that don't know of each other yet.
-const GRANTED: f64 = 0.85;
+const GRANTED_SHARE: f64 = 0.85;
 /// How many requests a node may send before they are due. Requests come at random, and what can't be sent
 /// the moment it comes is refused or burdens other endpoints, while permits go unused.
-const BURST: u32 = 1;
+const MAX_BURST: u32 = 1;
 /// The least rate that is handed out, in requests a second: some node has to ask an endpoint that takes
 /// nothing whether it still does.
-const MIN_RATE: f64 = 0.25;
+const MIN_GRANTED_RATE: f64 = 0.25;
 
 /// What an endpoint said of its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -72,12 +72,12 @@
 /// assert!(0.0 < rate_limit::granted(0.0));
 /// ```
 pub fn granted(rate: f64) -> f64 {
-    (rate * GRANTED).max(MIN_RATE)
+    (rate * GRANTED_SHARE).max(MIN_GRANTED_RATE)
 }
 
 /// The rotation at a time of the store's clock.
 pub fn rotation(time: Duration) -> u64 {
-    time.as_secs() / ROTATION.as_secs()
+    time.as_secs() / ROTATION_PERIOD.as_secs()
 }
 
 impl RateLimit {
@@ -94,7 +94,7 @@
     /// assert!(limit.is_outdated(8, now));
     /// ```
     pub fn new(rate: f64) -> Self {
-        Self { rate, share: Share::default().with_burst(BURST), rotation: None }
+        Self { rate, share: Share::default().with_burst(MAX_BURST), rotation: None }
     }
 
     /// The same limit at another rate.
--- a/crates/curranthook_gateway/src/slow_start.rs
+++ b/crates/curranthook_gateway/src/slow_start.rs
@@ -10,7 +10,7 @@
 
 /// The part of the rate that is handed out. What is left covers requests that are held up on their way and
 /// nodes that don't know of each other yet.
-const GRANTED: f64 = 0.75;
+const GRANTED_SHARE: f64 = 0.75;
 
 /// The requests a second that the fleet may send to an endpoint in slow start that takes `rate`.
 ///
@@ -19,7 +19,7 @@
 /// assert!(slow_start::granted(8.0) < 8.0);
 /// ```
 pub fn granted(rate: f64) -> f64 {
-    rate * GRANTED
+    rate * GRANTED_SHARE
 }
 
 /// The slow start of an endpoint, as one node takes part in it.
