--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -146,7 +146,7 @@
         let (began, expected) = match &it.step {
             Some((step, rev)) => (step.began, *rev),
             // Nodes whose place is later take this step later; the time they had the order counts.
-            None => (it.heard.unwrap_or(now), self.step_row_rev(service)),
+            None => (it.received_at.unwrap_or(now), self.step_row_rev(service)),
         };
         let target = it.order.target.clone();
         let step = Step { order: it.order_rev, target, phase, began, since: now };
--- a/crates/curranthook_gateway/src/rollouts.rs
+++ b/crates/curranthook_gateway/src/rollouts.rs
@@ -10,17 +10,17 @@
 };
 
 /// What is added to all times, in milliseconds, so that differences of a few don't count.
-const MARGIN_MS: f64 = 5.0;
-/// How much one answer moves the usual time.
-const SMOOTHING: f64 = 0.1;
+const TIME_OFFSET_MS: f64 = 5.0;
+/// How much one answer moves the baseline time.
+const BASELINE_SMOOTHING: f64 = 0.1;
 
 /// Roll-outs by service.
 #[derive(Debug)]
 pub struct Rollouts {
     schedule: Schedule,
     services: HashMap<String, Rollout>,
-    /// The logarithm of the usual time in milliseconds, by route, model and part of the answer.
-    usual: HashMap<(String, usize, Part), f64>,
+    /// The logarithm of the baseline time in milliseconds, by route, model and part of the answer.
+    baseline: HashMap<(String, usize, Part), f64>,
 }
 
 /// Answers that are alike in how long they take.
@@ -28,15 +28,15 @@
 pub struct Kind<'a> {
     /// The route.
     pub route: &'a str,
-    /// The model's place in the route's list.
+    /// The model's position in the route's list.
     pub model: usize,
 }
 
 /// A part of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Part {
-    First,
-    Rest,
+    FirstEvent,
+    EventGap,
 }
 
 /// A roll-out of one service.
@@ -46,8 +46,8 @@
     pub order: Order,
     /// The revision of the order, which tells orders apart.
     pub order_rev: Rev,
-    /// When this node heard of the order, by the store's clock; none if that isn't known.
-    pub heard: Option<Duration>,
+    /// When this node received_at of the order, by the store's clock; none if that isn't known.
+    pub received_at: Option<Duration>,
     /// The newest step and its revision; none if none was taken.
     pub step: Option<(Step, Rev)>,
     /// What this node saw.
@@ -93,7 +93,7 @@
 impl Rollouts {
     /// None yet; all will follow `schedule`.
     pub fn new(schedule: Schedule) -> Self {
-        Self { schedule, services: HashMap::new(), usual: HashMap::new() }
+        Self { schedule, services: HashMap::new(), baseline: HashMap::new() }
     }
 
     /// The schedule of all roll-outs.
@@ -101,8 +101,8 @@
         &self.schedule
     }
 
-    /// Takes in an order, heard of when the store's clock said `heard`.
-    pub fn apply_order(&mut self, order: Order, rev: Rev, heard: Option<Duration>) {
+    /// Takes in an order, received_at of when the store's clock said `received_at`.
+    pub fn apply_order(&mut self, order: Order, rev: Rev, received_at: Option<Duration>) {
         let known = self.services.get(&order.service);
         if known.is_some_and(|it| rev <= it.order_rev) {
             return;
@@ -112,7 +112,7 @@
         let rollout = Rollout {
             order,
             order_rev: rev,
-            heard,
+            received_at,
             step,
             own: Evidence::default(),
             others: HashMap::new(),
@@ -155,11 +155,11 @@
     pub fn rule(&self, service: &str, session: u64) -> Rule {
         let Some(it) = self.services.get(service) else { return Rule::Any };
         let target = &it.order.target;
-        let place = hash::unit(hash::pair(hash::bytes(target.as_bytes()), session));
+        let position = hash::unit(hash::pair(hash::bytes(target.as_bytes()), session));
         // Steps of the whole fleet take their time, more so while the store is away; a node that
         // knows better doesn't wait for them.
         let is_suspect = !it.phase().is_final() && it.evidence().is_bad();
-        if !is_suspect && place < self.schedule.share(it.phase()) {
+        if !is_suspect && position < self.schedule.share(it.phase()) {
             Rule::Only(target.clone())
         } else {
             Rule::Not(target.clone())
@@ -174,7 +174,7 @@
         kind: Kind<'_>,
         took: Option<Duration>,
     ) {
-        let ratio = took.map(|it| self.ratio(service, version, kind, Part::First, it));
+        let ratio = took.map(|it| self.ratio(service, version, kind, Part::FirstEvent, it));
         let Some(counts) = self.counts(service, version) else { return };
         counts.answers += 1;
         counts.bad += u64::from(ratio.is_none());
@@ -191,13 +191,13 @@
         kind: Kind<'_>,
         each: Duration,
     ) {
-        let ratio = self.ratio(service, version, kind, Part::Rest, each);
+        let ratio = self.ratio(service, version, kind, Part::EventGap, each);
         if let Some(counts) = self.counts(service, version) {
             counts.rest.add(ratio);
         }
     }
 
-    /// How many times longer than usual something took. What is usual, the old version says.
+    /// How many times longer than baseline something took. What is baseline, the old version says.
     fn ratio(
         &mut self,
         service: &str,
@@ -206,19 +206,19 @@
         part: Part,
         took: Duration,
     ) -> f64 {
-        let log = (took.as_secs_f64() * 1e3 + MARGIN_MS).ln();
+        let log = (took.as_secs_f64() * 1e3 + TIME_OFFSET_MS).ln();
         let is_target = self.services.get(service).is_some_and(|it| it.order.target == version);
         let key = (kind.route.to_owned(), kind.model, part);
-        let usual = match is_target {
-            true => self.usual.get(&key).copied().unwrap_or(log),
+        let baseline = match is_target {
+            true => self.baseline.get(&key).copied().unwrap_or(log),
             false => {
-                let it = self.usual.entry(key).or_insert(log);
+                let it = self.baseline.entry(key).or_insert(log);
                 let before = *it;
-                *it += SMOOTHING * (log - before);
+                *it += BASELINE_SMOOTHING * (log - before);
                 before
             }
         };
-        (log - usual).exp()
+        (log - baseline).exp()
     }
 
     /// What was seen of a version, while that is of interest.
