--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -34,15 +34,15 @@
 
 /// How long a node goes on taking requests after the signal to stop: the balancer asks once a
 /// second and sends new callers until it missed two answers.
-const LINGER: Duration = Duration::from_millis(2_600);
+const STOP_DELAY: Duration = Duration::from_millis(2_600);
 /// What is kept of the time until the process is killed, to end by itself.
-const RESERVE: Duration = Duration::from_millis(400);
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
 /// How often the settings are looked at, as they may change without a signal.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(5);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// How often the end of the last requests is looked for.
-const DRAIN_PERIOD: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a caller's connection may be idle. Callers keep theirs for less.
-const CALLER_IDLE: Duration = Duration::from_secs(30);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a node can't start.
 #[derive(Debug, thiserror::Error)]
@@ -79,7 +79,7 @@
 impl Listeners {
     /// Binds the addresses of `settings` and writes the real ports there.
     pub fn bind(settings: &mut Settings) -> Result<Self, Error> {
-        let limits = Limits { head_timeout: CALLER_IDLE, ..Limits::default() };
+        let limits = Limits { head_timeout: CALLER_IDLE_TIMEOUT, ..Limits::default() };
         let it = Self {
             callers: bind(settings.callers)?.with_limits(limits),
             readiness: bind(settings.readiness)?,
@@ -111,15 +111,15 @@
         let (ex, front) = (Arc::clone(&gateway.ex), Arc::clone(&front));
         gateway.ex.spawn(async move { callers.serve(&ex, front, stop).await })
     };
-    detach(&gateway, listeners.readiness, Arc::new(Readiness(Arc::clone(&gateway))));
+    serve_detached(&gateway, listeners.readiness, Arc::new(ReadinessHandler(Arc::clone(&gateway))));
     if let Some(server) = listeners.peers {
         let handler = Arc::new(peers::Server { gateway: Arc::clone(&gateway) });
-        detach(&gateway, server, handler);
+        serve_detached(&gateway, server, handler);
     }
     if let Some(server) = listeners.metrics {
-        detach(&gateway, server, Arc::new(Counters(Arc::clone(&gateway))));
+        serve_detached(&gateway, server, Arc::new(MetricsHandler(Arc::clone(&gateway))));
     }
-    tasks(&gateway);
+    spawn_tasks(&gateway);
     if let Some(socket) = listeners.reports {
         let reports = Arc::new(Socket::new(socket));
         let reports = Arc::clone(gateway.load_reports.get_or_init(|| reports));
@@ -128,33 +128,33 @@
     wait_for_stop(&gateway, &mut signals, reload).await;
     gateway.stop();
     gateway.log.write(&Event::Stopping { in_flight: gateway.in_flight() });
-    let limit = gateway.settings.grace.saturating_sub(RESERVE);
-    Timer::after(LINGER.min(limit)).await;
+    let limit = gateway.settings.grace.saturating_sub(EXIT_RESERVE);
+    Timer::after(STOP_DELAY.min(limit)).await;
     front.closed.store(true, Ordering::Relaxed);
     trigger.set();
-    drain(&gateway, limit.saturating_sub(LINGER)).await;
+    drain(&gateway, limit.saturating_sub(STOP_DELAY)).await;
     gateway.log.write(&Event::Stopped { in_flight: gateway.in_flight() });
     // The log's thread gathers lines for a moment before it writes them.
-    Timer::after(DRAIN_PERIOD * 2).await;
+    Timer::after(DRAIN_POLL_INTERVAL * 2).await;
     drop(served);
     Ok(())
 }
 
 async fn wait_for_stop(gateway: &Gateway, signals: &mut Signals, reload: &mut dyn Reload) {
     loop {
-        let look = async {
-            Timer::after(SETTINGS_PERIOD).await;
+        let poll = async {
+            Timer::after(SETTINGS_POLL_INTERVAL).await;
             Some(Ok(Signal::Hup))
         };
-        match future::or(signals.next(), look).await {
-            Some(Ok(Signal::Hup)) => read_again(gateway, reload),
+        match future::or(signals.next(), poll).await {
+            Some(Ok(Signal::Hup)) => reload_settings(gateway, reload),
             Some(Ok(_)) | None => return,
             Some(Err(e)) => log::error!("a signal can't be received: {e}"),
         }
     }
 }
 
-fn read_again(gateway: &Gateway, reload: &mut dyn Reload) {
+fn reload_settings(gateway: &Gateway, reload: &mut dyn Reload) {
     match reload.reload() {
         Ok(changed) if changed.is_empty() => {}
         Ok(changed) => gateway.log.write(&Event::Reloaded { changed: &changed }),
@@ -165,7 +165,7 @@
 async fn drain(gateway: &Gateway, limit: Duration) {
     let start = gateway.now();
     while 0 < gateway.in_flight() && gateway.now().saturating_duration_since(start) < limit {
-        Timer::after(DRAIN_PERIOD).await;
+        Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 }
 
@@ -180,7 +180,7 @@
     });
 }
 
-fn tasks(gateway: &Arc<Gateway>) {
+fn spawn_tasks(gateway: &Arc<Gateway>) {
     let shared = Arc::new(watch::Shared::default());
     for table in Table::ALL {
         let task = watch::run(Arc::clone(gateway), table, Arc::clone(&shared));
@@ -198,7 +198,7 @@
 }
 
 /// Serves until the process ends.
-fn detach<H: Handler>(gateway: &Arc<Gateway>, server: Server, handler: Arc<H>) {
+fn serve_detached<H: Handler>(gateway: &Arc<Gateway>, server: Server, handler: Arc<H>) {
     let ex = Arc::clone(&gateway.ex);
     let serve = async move {
         let (_never, stop) = stop::new();
@@ -209,9 +209,9 @@
 
 /// Tells the balancer whether the node takes new callers.
 #[derive(Debug)]
-struct Readiness(Arc<Gateway>);
+struct ReadinessHandler(Arc<Gateway>);
 
-impl Handler for Readiness {
+impl Handler for ReadinessHandler {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> Boxed<Response<Body>> {
         Box::pin(async move {
             let status = if self.0.is_ready() { 200 } else { 503 };
@@ -222,9 +222,9 @@
 
 /// Serves the counters.
 #[derive(Debug)]
-struct Counters(Arc<Gateway>);
+struct MetricsHandler(Arc<Gateway>);
 
-impl Handler for Counters {
+impl Handler for MetricsHandler {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> Boxed<Response<Body>> {
         Box::pin(async move {
             let metrics = &self.0.metrics;
