--- a/crates/curranthook_gateway/src/fleet.rs
+++ b/crates/curranthook_gateway/src/fleet.rs
@@ -167,8 +167,8 @@
         new_bad: evidence.new.bad,
         old_answers: evidence.old.answers,
         old_bad: evidence.old.bad,
-        slower_first: evidence.slower_first(),
-        slower_rest: evidence.slower_rest(),
+        slower_first: evidence.first_event_slowdown(),
+        slower_rest: evidence.event_gap_slowdown(),
         outcome,
     });
 }
--- a/crates/curranthook_gateway/src/steps.rs
+++ b/crates/curranthook_gateway/src/steps.rs
@@ -26,16 +26,16 @@
 /// How much of the time is left when the old version is given up, in units of the bound. It covers
 /// an order that is heard late, a step whose node is lost, and a lost write; requests in it count
 /// as met by the new version, too.
-const REST: f64 = 0.33;
+const FINAL_SPAN: f64 = 0.33;
 /// For which part of the time all requests go to the new version before that, in units of the bound. Most
 /// answers of the old version end in it.
-const FULL: f64 = 0.45;
+const FULL_SPAN: f64 = 0.45;
 /// Which share of the requests goes there before, in units of the bound, and for how long.
-const PARTIAL: (f64, f64) = (1.2, 0.08);
-/// The same for the first requests. Few for long rather than many for a short time: a version that fails
+const PARTIAL_SHARE_AND_SPAN: (f64, f64) = (1.2, 0.08);
+/// The same for the first requests. Few for long rather than many for a short time: a version that fails_more
 /// is found before the time is short, also if the store goes away meanwhile. All phases together stay within
 /// the bound.
-const CANARY: (f64, f64) = (0.3, 0.26);
+const CANARY_SHARE_AND_SPAN: (f64, f64) = (0.3, 0.26);
 
 impl Schedule {
     /// A schedule for a bound on exposure.
@@ -54,8 +54,8 @@
     pub fn share(&self, phase: Phase) -> f64 {
         match phase {
             Phase::Waiting | Phase::RolledBack => 0.0,
-            Phase::Canary => CANARY.0 * self.exposure,
-            Phase::Partial => PARTIAL.0 * self.exposure,
+            Phase::Canary => CANARY_SHARE_AND_SPAN.0 * self.exposure,
+            Phase::Partial => PARTIAL_SHARE_AND_SPAN.0 * self.exposure,
             Phase::Full | Phase::Completed => 1.0,
         }
     }
@@ -63,17 +63,21 @@
     /// The share of all requests until the end of the order's time that go to the new version, if
     /// nothing speaks against it.
     pub fn exposure(&self) -> f64 {
-        self.exposure * (CANARY.0 * CANARY.1 + PARTIAL.0 * PARTIAL.1 + FULL + REST)
+        self.exposure
+            * (CANARY_SHARE_AND_SPAN.0 * CANARY_SHARE_AND_SPAN.1
+                + PARTIAL_SHARE_AND_SPAN.0 * PARTIAL_SHARE_AND_SPAN.1
+                + FULL_SPAN
+                + FINAL_SPAN)
     }
 
-    /// When a phase begins, as a part of the time that the order allows.
-    fn begins(&self, phase: Phase) -> f64 {
-        let completed = 1.0 - REST * self.exposure;
-        let full = completed - FULL * self.exposure;
+    /// When a phase start_of, as a part of the time that the order allows.
+    fn start_of(&self, phase: Phase) -> f64 {
+        let completed = 1.0 - FINAL_SPAN * self.exposure;
+        let full = completed - FULL_SPAN * self.exposure;
         match phase {
             Phase::Waiting | Phase::RolledBack => 0.0,
-            Phase::Canary => full - PARTIAL.1 - CANARY.1,
-            Phase::Partial => full - PARTIAL.1,
+            Phase::Canary => full - PARTIAL_SHARE_AND_SPAN.1 - CANARY_SHARE_AND_SPAN.1,
+            Phase::Partial => full - PARTIAL_SHARE_AND_SPAN.1,
             Phase::Full => full,
             Phase::Completed => completed,
         }
@@ -87,9 +91,9 @@
 /// How many bad answers speak against a version; fewer may be chance.
 const MIN_BAD: u64 = 3;
 /// By how much its share of bad answers must be above the old version's.
-const BAD_MARGIN: f64 = 0.03;
+const MIN_BAD_EXCESS: f64 = 0.03;
 /// How many standard errors above the old version's it may be for a larger share.
-const DOUBTFUL: f64 = 1.5;
+const MAX_DOUBTFUL_SIGMAS: f64 = 1.5;
 
 /// How far a roll-out is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -164,19 +168,19 @@
     }
 
     /// The square of the mean's standard error.
-    fn error(self) -> f64 {
+    fn squared_error(self) -> f64 {
         let variance = self.squares / self.n.max(1.0) - self.mean().powi(2);
         variance.max(MIN_VARIANCE) / self.n.max(1.0)
     }
 
     /// Whether these answers surely took longer than `others`, by `factor` or more.
-    fn is_longer(self, others: Self, factor: f64) -> bool {
-        if self.n < MIN_DELAYS || others.n < MIN_DELAYS {
+    fn is_significantly_longer(self, others: Self, factor: f64) -> bool {
+        if self.n < MIN_SAMPLES || others.n < MIN_SAMPLES {
             return false;
         }
         let shift = self.mean() - others.mean();
-        let error = (self.error() + others.error()).sqrt();
-        factor.ln() < shift && SURE * error < shift
+        let error = (self.squared_error() + others.squared_error()).sqrt();
+        factor.ln() < shift && SIGNIFICANT_SIGMAS * error < shift
     }
 }
 
@@ -185,19 +189,19 @@
 /// What the ratios of a version vary by at least, so that a few alike ones prove nothing.
 const MIN_VARIANCE: f64 = 0.25;
 /// How many answers of each version a comparison needs.
-const MIN_DELAYS: f64 = 8.0;
+const MIN_SAMPLES: f64 = 8.0;
 /// How many standard errors apart two versions must be: by chance once in some thousand looks.
-const SURE: f64 = 3.3;
+const SIGNIFICANT_SIGMAS: f64 = 3.3;
 /// How much longer a new version's first events may take. Its engines begin without the prompts
 /// that the old ones keep, and read all anew.
-const FIRST_FACTOR: f64 = 3.0;
+const MAX_FIRST_SLOWDOWN: f64 = 3.0;
 /// How much longer it may take from event to event, which its start doesn't change.
-const REST_FACTOR: f64 = 1.3;
+const MAX_GAP_SLOWDOWN: f64 = 1.3;
 
 /// How much longer the first events and the pauses of a version may seem before all requests go
 /// there. Good versions were at 0.4 to 1.2 and 0.4 to 1.0 at that time, as their engines have less
 /// to do; one whose answers take some times as long at 1.6 to 1.8 and 1.3 to 1.5.
-const SEEMS_SLOW: (f64, f64) = (1.5, 1.25);
+const DOUBTFUL_SLOWDOWNS: (f64, f64) = (1.5, 1.25);
 
 /// Answers of a version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
@@ -257,57 +261,61 @@
     /// assert!(!Evidence { new: counts(100, 6), old }.is_bad());
     /// ```
     pub fn is_bad(self) -> bool {
-        self.fails() || self.is_slow()
+        self.fails_more() || self.is_slow()
     }
 
     /// Whether enough answers are known, and not clearly more of them are bad than the old
     /// version's. A version may be neither good nor bad for a while.
     fn seems_good(self, min_answers: u64) -> bool {
-        let (shift, error) = self.bad_shift();
-        let seems_sound = shift < BAD_MARGIN || shift < DOUBTFUL * error;
-        min_answers <= self.new.answers && seems_sound && !self.seems_slow()
+        let (excess, error) = self.bad_share_excess();
+        let seems_reliable = excess < MIN_BAD_EXCESS || excess < MAX_DOUBTFUL_SIGMAS * error;
+        min_answers <= self.new.answers && seems_reliable && !self.seems_slow()
     }
 
     /// Whether it seems slower, though perhaps not surely. What few answers say is left aside.
     fn seems_slow(self) -> bool {
-        let says = |new: Delay, old: Delay| MIN_DELAYS <= new.n && MIN_DELAYS <= old.n;
-        (says(self.new.first, self.old.first) && SEEMS_SLOW.0 < self.slower_first())
-            || (says(self.new.rest, self.old.rest) && SEEMS_SLOW.1 < self.slower_rest())
+        let is_enough = |new: Delay, old: Delay| MIN_SAMPLES <= new.n && MIN_SAMPLES <= old.n;
+        (is_enough(self.new.first, self.old.first)
+            && DOUBTFUL_SLOWDOWNS.0 < self.first_event_slowdown())
+            || (is_enough(self.new.rest, self.old.rest)
+                && DOUBTFUL_SLOWDOWNS.1 < self.event_gap_slowdown())
     }
 
     /// How many times longer than the old version's the new one's first events take.
-    pub fn slower_first(self) -> f64 {
+    pub fn first_event_slowdown(self) -> f64 {
         (self.new.first.mean() - self.old.first.mean()).exp()
     }
 
     /// How many times longer than the old version's the new one's pauses are.
-    pub fn slower_rest(self) -> f64 {
+    pub fn event_gap_slowdown(self) -> f64 {
         (self.new.rest.mean() - self.old.rest.mean()).exp()
     }
 
     /// Whether it speaks against the new version, though perhaps not surely.
     pub fn is_suspicious(self) -> bool {
-        0 < self.new.bad || FIRST_FACTOR < self.slower_first() || REST_FACTOR < self.slower_rest()
+        0 < self.new.bad
+            || MAX_FIRST_SLOWDOWN < self.first_event_slowdown()
+            || MAX_GAP_SLOWDOWN < self.event_gap_slowdown()
     }
 
     fn is_slow(self) -> bool {
-        self.new.first.is_longer(self.old.first, FIRST_FACTOR)
-            || self.new.rest.is_longer(self.old.rest, REST_FACTOR)
+        self.new.first.is_significantly_longer(self.old.first, MAX_FIRST_SLOWDOWN)
+            || self.new.rest.is_significantly_longer(self.old.rest, MAX_GAP_SLOWDOWN)
     }
 
-    fn fails(self) -> bool {
-        let (shift, error) = self.bad_shift();
-        MIN_BAD <= self.new.bad && BAD_MARGIN < shift && SURE * error < shift
+    fn fails_more(self) -> bool {
+        let (excess, error) = self.bad_share_excess();
+        MIN_BAD <= self.new.bad && MIN_BAD_EXCESS < excess && SIGNIFICANT_SIGMAS * error < excess
     }
 
     /// By how much the new version's share of bad answers is above the old one's, and the standard
     /// error of that.
-    fn bad_shift(self) -> (f64, f64) {
-        let shift = self.new.bad_share() - self.old.bad_share();
-        let both = self.new.plus(self.old).bad_share();
+    fn bad_share_excess(self) -> (f64, f64) {
+        let excess = self.new.bad_share() - self.old.bad_share();
+        let overall = self.new.plus(self.old).bad_share();
         let answers = |it: Counts| (it.answers as f64).max(1.0);
         let per_answer = 1.0 / answers(self.new) + 1.0 / answers(self.old);
-        (shift, (both * (1.0 - both) * per_answer).sqrt())
+        (excess, (overall * (1.0 - overall) * per_answer).sqrt())
     }
 }
 
@@ -333,10 +341,10 @@
         Phase::Completed | Phase::RolledBack => return None,
     };
     let elapsed = now.saturating_sub(step.began).as_secs_f64() / order.time_limit.as_secs_f64();
-    let is_known = match next {
+    let is_backed = match next {
         Phase::Partial => evidence.seems_good(MIN_ANSWERS.0),
         Phase::Full | Phase::Completed => evidence.seems_good(MIN_ANSWERS.1),
         _ => true,
     };
-    (schedule.begins(next) <= elapsed && is_known).then_some(next)
+    (schedule.start_of(next) <= elapsed && is_backed).then_some(next)
 }
