--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -11,7 +11,7 @@
     fleet,
     gateway::Configuration,
     store::{Batch, Operator, Row, Table},
-    watch::name,
+    watch::table_name,
 };
 
 /// Takes in rows. `is_snapshot` says that a row that isn't among them doesn't exist.
@@ -123,5 +123,5 @@
 }
 
 fn log_rejected(gateway: &Gateway, table: Table, why: &str) {
-    gateway.log.write(&Event::RowRejected { table: name(table), why });
+    gateway.log.write(&Event::RowRejected { table: table_name(table), why });
 }
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -21,7 +21,7 @@
 };
 
 pub use self::parents::Shared;
-use self::parents::{Parent, Role, are_relays_stale, place, role_changed};
+use self::parents::{Parent, Role, are_relays_stale, role_and_parents, role_changed};
 
 /// How long a call for operators' rows waits for a change in a fleet without relays. It also notices
 /// that the store is away, so it's short; a lost answer delays a configuration by no more than this.
@@ -37,16 +37,16 @@
 /// has written its address ([`crate::fleet_writer`]), and most find a parent instead of reading the store.
 const FIRST_START_PAUSE: Duration = Duration::from_secs(1);
 /// How long a node that starts waits for the rows of the other nodes, among which it finds a parent.
-const MEMBERS_LIMIT: Duration = Duration::from_millis(100);
+const MEMBERS_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long a parent may take to hand all rows to a node that starts, before that reads them in the store.
-const SNAPSHOT_LIMIT: Duration = Duration::from_millis(200);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(200);
 /// The pause after rows of endpoints or of the fleet changed, for each node of a fleet without relays.
 /// Such rows change in quick succession: when many endpoints start, each call that waits would be answered
 /// once for each. With the pause, all nodes together make no more than 80 calls a second for a table.
 const PAUSE_PER_NODE: Duration = Duration::from_millis(12);
 /// The bounds of that pause. The longer is half of the time in which a leaving endpoint must get
 /// no more work.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
+const PAUSE_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 /// The same pause at a root.
 const PAUSE_ROOT: Duration = Duration::from_millis(250);
 /// The same for rows of the fleet, which no bound waits for.
@@ -60,19 +60,19 @@
 /// that leaves right after may get no more work two seconds later.
 const OUTAGE_BACKOFF: Duration = Duration::from_secs(1);
 /// The same for a node without a configuration, to which those rows are of no use yet.
-const UNREAD_BACKOFF: Duration = Duration::from_secs(3);
+const NO_CONFIGURATION_BACKOFF: Duration = Duration::from_secs(3);
 /// Every how many tries a node that has parents asks a store that is away itself.
-const OWN_TRIES: u32 = 4;
+const STORE_CALL_PERIOD: u32 = 4;
 /// How many leaves of a fleet whose relays are all out of date ask the store at a time.
-const OWN_TRIES_AT_ONCE: f64 = 8.0;
+const MAX_LEAVES_AT_STORE: f64 = 8.0;
 /// The longest pause between calls to a store that is away.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// The same for a node that has no configuration and so serves nobody.
-const MAX_BACKOFF_UNREAD: Duration = Duration::from_millis(300);
+const MAX_BACKOFF_NO_CONFIGURATION: Duration = Duration::from_millis(300);
 /// How long a first call for the configuration is waited for before another one is made beside it.
 /// A call that was sent while the store was silent hangs until its own limit, though the store may be
 /// back long before; a slow store still answers the older call.
-const FIRST_LIMIT: Duration = Duration::from_millis(600);
+const FIRST_CALL_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Watches one table for as long as the process lives.
 pub async fn run(gateway: Arc<Gateway>, table: Table, shared: Arc<Shared>) {
@@ -80,7 +80,7 @@
         Timer::after(FIRST_START_PAUSE).await;
     }
     if table != Table::Fleet {
-        gateway.wait_for_members(MEMBERS_LIMIT).await;
+        gateway.wait_for_members(MEMBERS_TIMEOUT).await;
     }
     let mut watch = Watch {
         gateway,
@@ -88,11 +88,11 @@
         shared,
         since: None,
         failures: 0,
-        is_away: false,
+        is_store_lost: false,
         first_calls: Vec::new(),
     };
     loop {
-        watch.step().await;
+        watch.poll().await;
     }
 }
 
@@ -103,7 +103,7 @@
     /// Up to where the rows are known; none if all must be read.
     since: Option<Rev>,
     failures: u32,
-    is_away: bool,
+    is_store_lost: bool,
     /// First calls for the configuration that have no answer yet.
     first_calls: Vec<Boxed<Result<Batch, Error>>>,
 }
@@ -117,8 +117,8 @@
     Parent,
 }
 
-/// Rows that were told.
-struct Told {
+/// Rows that were update.
+struct Update {
     batch: Batch,
     origin: Origin,
     /// Whether these are all rows of the table.
@@ -126,66 +126,66 @@
 }
 
 impl Watch {
-    async fn step(&mut self) {
+    async fn poll(&mut self) {
         let result = self.call().await;
         let Some(result) = result else { return };
         match result {
-            Ok(told) => self.take(told).await,
+            Ok(update) => self.apply(update).await,
             Err(Error::Compacted) => self.since = None,
-            Err(e) => self.failed(&e).await,
+            Err(e) => self.record_failure(&e).await,
         }
     }
 
     /// Asks a parent or the store; none if the call was given up, as the store or the parent was away
     /// meanwhile.
-    async fn call(&mut self) -> Option<Result<Told, Error>> {
-        let (role, parents) = place(&self.gateway, &self.shared);
+    async fn call(&mut self) -> Option<Result<Update, Error>> {
+        let (role, parents) = role_and_parents(&self.gateway, &self.shared);
         for parent in parents {
-            match self.ask_parent(&parent).await? {
-                Ok(told) => return Some(Ok(told)),
-                Err(e) => self.shared.failed(&self.gateway, parent.name, &e),
+            match self.call_parent(&parent).await? {
+                Ok(update) => return Some(Ok(update)),
+                Err(e) => self.shared.record_failure(&self.gateway, parent.name, &e),
             }
         }
-        if role == Role::Child && !self.tries_itself() {
+        if role == Role::Child && !self.should_call_store() {
             return Some(Err(Error::Down("no parent has heard from it".to_owned())));
         }
         let (is_snapshot, result) = match self.since {
             None => (true, self.read_all().await?),
             Some(since) => (false, self.read_changes(since, role).await?),
         };
-        Some(result.map(|batch| Told { batch, origin: Origin::Store, is_snapshot }))
+        Some(result.map(|batch| Update { batch, origin: Origin::Store, is_snapshot }))
     }
 
     /// Whether a node that has parents asks the store itself now. When all leaves find their relays out of
     /// date at once, only some do; the others hear of the store's return from their relays.
-    fn tries_itself(&self) -> bool {
-        if !self.failures.is_multiple_of(OWN_TRIES) {
+    fn should_call_store(&self) -> bool {
+        if !self.failures.is_multiple_of(STORE_CALL_PERIOD) {
             return false;
         }
-        let share = OWN_TRIES_AT_ONCE / self.gateway.n_nodes() as f64;
+        let share = MAX_LEAVES_AT_STORE / self.gateway.n_nodes() as f64;
         !are_relays_stale(&self.gateway, &self.shared) || rand::random::<f64>() < share
     }
 
     /// Waits at a parent; none if it failed meanwhile, as another table's call found.
-    async fn ask_parent(&mut self, parent: &Parent) -> Option<Result<Told, Error>> {
+    async fn call_parent(&mut self, parent: &Parent) -> Option<Result<Update, Error>> {
         let (gateway, shared, table) = (&self.gateway, &self.shared, self.table);
         let (addr, max_age) = (parent.addr, parent.max_age);
         let wait = if table == Table::Operator { WAIT_RELAYED_OPERATOR } else { WAIT_RELAYED };
-        let told = |batch, is_snapshot| Told { batch, origin: Origin::Parent, is_snapshot };
-        let whole = async {
-            let call = peers::snapshot(gateway, addr, table, SNAPSHOT_LIMIT, max_age);
-            let batch = timeout::run(SNAPSHOT_LIMIT, call).await;
-            batch.unwrap_or_else(|e| Err(Error::Lost(e.to_string()))).map(|it| told(it, true))
+        let update = |batch, is_snapshot| Update { batch, origin: Origin::Parent, is_snapshot };
+        let snapshot = async {
+            let call = peers::snapshot(gateway, addr, table, SNAPSHOT_TIMEOUT, max_age);
+            let batch = timeout::run(SNAPSHOT_TIMEOUT, call).await;
+            batch.unwrap_or_else(|e| Err(Error::Lost(e.to_string()))).map(|it| update(it, true))
         };
-        let Some(since) = self.since else { return Some(whole.await) };
+        let Some(since) = self.since else { return Some(snapshot.await) };
         let call = async {
             match peers::changes(gateway, addr, table, since, wait, max_age).await {
                 // It began to watch the table later.
-                Err(Error::Compacted) => Some(whole.await),
-                other => Some(other.map(|it| told(it, false))),
+                Err(Error::Compacted) => Some(snapshot.await),
+                other => Some(other.map(|it| update(it, false))),
             }
         };
-        let given_up = async {
+        let parent_failed = async {
             loop {
                 let failed = shared.parent_failed.wait();
                 if shared.is_failed(&parent.name, gateway.now()) {
@@ -194,12 +194,12 @@
                 failed.await;
             }
         };
-        future::or(call, given_up).await
+        future::or(call, parent_failed).await
     }
 
     async fn read_changes(&mut self, since: Rev, role: Role) -> Option<Result<Batch, Error>> {
         let wait = match (role, self.table) {
-            // A call that waits would hang for its whole wait at a store that is still silent,
+            // A call that waits would hang for its snapshot wait at a store that is still silent,
             // and a configuration written right after its return would come too late.
             _ if 0 < self.failures => Duration::ZERO,
             (Role::Single, Table::Operator) => WAIT_OPERATOR,
@@ -207,8 +207,8 @@
             (_, Table::Operator) => WAIT_RELAYED_OPERATOR,
             _ => WAIT_RELAYED,
         };
-        let call = ask_store(&self.gateway, self.table, Some((since, wait)));
-        let call = unless_returned(&self.shared, call);
+        let call = call_store(&self.gateway, self.table, Some((since, wait)));
+        let call = unless_store_returned(&self.shared, call);
         future::or(call, async {
             role_changed(&self.gateway, &self.shared, role).await;
             None
@@ -218,16 +218,16 @@
 
     async fn read_all(&mut self) -> Option<Result<Batch, Error>> {
         if self.table == Table::Operator {
-            return Some(self.read_first().await);
+            return Some(self.read_configuration().await);
         }
-        unless_returned(&self.shared, ask_store(&self.gateway, self.table, None)).await
+        unless_store_returned(&self.shared, call_store(&self.gateway, self.table, None)).await
     }
 
-    /// Makes one more call for the whole configuration and waits for it and those before it.
-    async fn read_first(&mut self) -> Result<Batch, Error> {
+    /// Makes one more call for the snapshot configuration and waits for it and those before it.
+    async fn read_configuration(&mut self) -> Result<Batch, Error> {
         let (gateway, table) = (Arc::clone(&self.gateway), self.table);
-        self.first_calls.push(Box::pin(async move { ask_store(&gateway, table, None).await }));
-        let read = timeout::run(FIRST_LIMIT, first_answer(&mut self.first_calls)).await;
+        self.first_calls.push(Box::pin(async move { call_store(&gateway, table, None).await }));
+        let read = timeout::run(FIRST_CALL_INTERVAL, first_answer(&mut self.first_calls)).await;
         let result = read.unwrap_or_else(|e| Err(Error::Lost(e.to_string())));
         if result.is_ok() {
             self.first_calls.clear();
@@ -235,14 +235,14 @@
         result
     }
 
-    async fn take(&mut self, told: Told) {
-        let Told { batch, origin, is_snapshot } = told;
-        if self.is_away {
-            self.is_away = false;
+    async fn apply(&mut self, update: Update) {
+        let Update { batch, origin, is_snapshot } = update;
+        if self.is_store_lost {
+            self.is_store_lost = false;
             self.gateway.log.write(&Event::Dependency {
                 name: "store",
                 state: "back",
-                why: name(self.table),
+                why: table_name(self.table),
             });
             let until = self.gateway.outage.lock().record_recovery(self.gateway.now());
             self.gateway.directory.lock().keep_missing_until(until);
@@ -268,18 +268,18 @@
             _ if relays::are_used(n_nodes) => PAUSE_ROOT,
             _ => {
                 let n_nodes = u32::try_from(n_nodes).unwrap_or(u32::MAX);
-                PAUSE_PER_NODE.saturating_mul(n_nodes).clamp(PAUSES.0, PAUSES.1)
+                PAUSE_PER_NODE.saturating_mul(n_nodes).clamp(PAUSE_BOUNDS.0, PAUSE_BOUNDS.1)
             }
         }
     }
 
-    async fn failed(&mut self, error: &Error) {
+    async fn record_failure(&mut self, error: &Error) {
         self.failures += 1;
         self.gateway.mirror.lock().interrupted(self.table);
         self.gateway.outage.lock().record_failure(self.gateway.now());
         // One lost answer is no outage; its repeat tells.
-        if self.failures == 2 && !self.is_away {
-            self.is_away = true;
+        if self.failures == 2 && !self.is_store_lost {
+            self.is_store_lost = true;
             let why = error.to_string();
             let state = "lost";
             self.gateway.log.write(&Event::Dependency { name: "store", state, why: &why });
@@ -290,20 +290,20 @@
             // Any rows that are applied may be the configuration.
             let applied = self.gateway.rows_changed.wait();
             if self.gateway.configuration.load().is_none() {
-                return pause_unless(applied, UNREAD_BACKOFF).await;
+                return pause_or(applied, NO_CONFIGURATION_BACKOFF).await;
             }
-        } else if self.is_away {
+        } else if self.is_store_lost {
             // One call after the other shows whether the store is back; the operators' does.
-            return pause_unless(self.shared.returned.wait(), OUTAGE_BACKOFF).await;
+            return pause_or(self.shared.returned.wait(), OUTAGE_BACKOFF).await;
         }
-        let longest = if self.since.is_some() { MAX_BACKOFF } else { MAX_BACKOFF_UNREAD };
+        let longest = if self.since.is_some() { MAX_BACKOFF } else { MAX_BACKOFF_NO_CONFIGURATION };
         let pause = (FIRST_BACKOFF * 2_u32.saturating_pow(self.failures.min(6) - 1)).min(longest);
-        Timer::after(spread(pause)).await;
+        Timer::after(jitter(pause)).await;
     }
 }
 
 /// Runs a call to the store; none if the store was away and came back meanwhile.
-async fn unless_returned(
+async fn unless_store_returned(
     shared: &Shared,
     call: impl Future<Output = Result<Batch, Error>>,
 ) -> Option<Result<Batch, Error>> {
@@ -315,7 +315,7 @@
     .await
 }
 
-async fn ask_store(
+async fn call_store(
     gateway: &Gateway,
     table: Table,
     since: Option<(Rev, Duration)>,
@@ -355,22 +355,22 @@
     .await
 }
 
-/// Pauses for about `pause`, or until `woken`.
-async fn pause_unless(woken: impl Future<Output = ()>, pause: Duration) {
-    future::or(woken, async {
-        Timer::after(spread(pause)).await;
+/// Pauses for about `pause`, or until `event`.
+async fn pause_or(event: impl Future<Output = ()>, pause: Duration) {
+    future::or(event, async {
+        Timer::after(jitter(pause)).await;
     })
     .await;
 }
 
 /// A pause of about that length. Nodes that all paused alike would come back to the store at the
 /// same moment, be turned away as too many, and pause alike again.
-fn spread(pause: Duration) -> Duration {
+fn jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.6..1.4))
 }
 
 /// A table's name in logs.
-pub fn name(table: Table) -> &'static str {
+pub fn table_name(table: Table) -> &'static str {
     match table {
         Table::Operator => "operator",
         Table::Endpoints => "endpoints",
--- a/crates/curranthook_gateway/src/watch/parents.rs
+++ b/crates/curranthook_gateway/src/watch/parents.rs
@@ -1,4 +1,4 @@
-//! The node's place in the tree of relays, and which of its parents may be asked.
+//! The node's role_and_parents in the tree of relays, and which of its parents may be asked.
 
 use std::{
     collections::HashMap,
@@ -23,14 +23,14 @@
     /// Wakes calls that wait at a store that has been away, as their answers may never come.
     pub(super) returned: Signal,
     /// Until when parents that failed aren't asked.
-    failed_parents: Mutex<HashMap<String, Failed>>,
+    failed_parents: Mutex<HashMap<String, Failure>>,
     /// Wakes calls that wait at parents when one has failed.
     pub(super) parent_failed: Signal,
 }
 
 /// A parent that failed.
 #[derive(Debug, Clone, Copy)]
-struct Failed {
+struct Failure {
     /// Until when it isn't asked.
     until: Instant,
     /// Whether it answered, that it's out of date.
@@ -48,13 +48,13 @@
     }
 
     /// A parent failed, and isn't asked for a while.
-    pub(super) fn failed(&self, gateway: &Gateway, parent: String, error: &Error) {
+    pub(super) fn record_failure(&self, gateway: &Gateway, parent: String, error: &Error) {
         let why = error.to_string();
         let is_stale = matches!(error, Error::Stale(_));
         let pause = if is_stale { STALE_COOLDOWN } else { PARENT_COOLDOWN };
         gateway.log.write(&Event::Dependency { name: &parent, state: "failed", why: &why });
-        let failed = Failed { until: gateway.now() + pause, is_stale };
-        self.failed_parents.lock().insert(parent, failed);
+        let failure = Failure { until: gateway.now() + pause, is_stale };
+        self.failed_parents.lock().insert(parent, failure);
         self.parent_failed.wake();
     }
 }
@@ -77,8 +77,8 @@
     Child,
 }
 
-/// The node's place in the fleet, and the parents that may be asked now.
-pub(super) fn place(gateway: &Gateway, shared: &Shared) -> (Role, Vec<Parent>) {
+/// The node's role_and_parents in the fleet, and the parents that may be asked now.
+pub(super) fn role_and_parents(gateway: &Gateway, shared: &Shared) -> (Role, Vec<Parent>) {
     let now = gateway.now();
     let peers = gateway.peers.lock();
     let nodes = nodes(&peers);
@@ -87,13 +87,13 @@
     }
     let all = relays::parents(&gateway.settings.node, &nodes);
     let role = if all.is_empty() { Role::Root } else { Role::Child };
-    let well = all.iter().filter(|it| !shared.is_failed(it.name, now));
-    let well = well.take(MAX_PARENTS_ASKED).map(|it| Parent {
+    let available = all.iter().filter(|it| !shared.is_failed(it.name, now));
+    let available = available.take(MAX_PARENTS_ASKED).map(|it| Parent {
         name: it.name.to_owned(),
         addr: peers[it.name].peers,
         max_age: it.max_age,
     });
-    (role, well.collect())
+    (role, available.collect())
 }
 
 /// Waits until the node's role is another than `role`. The root of a fleet that has grown would
@@ -101,7 +101,7 @@
 pub(super) async fn role_changed(gateway: &Gateway, shared: &Shared, role: Role) {
     loop {
         let changed = gateway.rows_changed.wait();
-        if place(gateway, shared).0 != role {
+        if role_and_parents(gateway, shared).0 != role {
             return;
         }
         changed.await;
