--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -1,7 +1,9 @@
-//! What an endpoint says of itself in its answers.
+//! State that an endpoint reports about itself in response headers: its rate limit, pauses, and
+//! whether it is leaving.
 //!
-//! It may say so before its entry in the store does, or while the store is away, and it holds for as long
-//! as the endpoint lives, whatever becomes of the entry.
+//! An endpoint may report it before its entry in the store is updated, or while the store is
+//! unavailable. It stays valid for the lifetime of the endpoint, even if the entry is removed and
+//! added again.
 
 use std::{
     collections::HashMap,
@@ -16,44 +18,47 @@
     rate_limit::{Notice, RateLimit},
 };
 
-/// How long it's cached what an endpoint without an entry said; by then one that is leaving is gone.
+/// How long the reported state of an endpoint without an entry is cached. A leaving endpoint has
+/// shut down by then.
 const ADVERTISED_EXPIRY: Duration = Duration::from_secs(600);
-/// Of how many endpoints without an entry it's cached.
+/// The maximum number of endpoints without an entry whose reported state is cached.
 const MAX_CACHED: usize = 1_024;
 
-/// The longest pause that is believed.
+/// The upper limit applied to a pause that an endpoint asks for.
 const MAX_PAUSE: Duration = Duration::from_secs(600);
 
-/// What an endpoint said.
+/// What an endpoint has reported about itself.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Advertised {
-    /// The limit that it names, while it names one.
+    /// The rate limit that it reports, if any.
     pub rate_limit: Option<RateLimit>,
-    /// When it was last said, by the store's clock, whether it names a limit.
+    /// The store's time at the newest report of whether a rate limit applies. Older reports are
+    /// ignored.
     rate_limit_at: Duration,
-    /// Whether it's leaving; an endpoint that said so never takes that back.
+    /// Whether it is leaving. An endpoint never withdraws this.
     pub is_leaving: bool,
-    /// Until when it wants no requests of this node.
+    /// The time until which it wants no requests from this node.
     paused_until: Option<Instant>,
 }
 
 impl Advertised {
-    /// Whether there is nothing to remember.
+    /// Whether there is nothing worth caching.
     fn is_empty(&self) -> bool {
         self.rate_limit.is_none() && !self.is_leaving && self.paused_until.is_none()
     }
 
-    /// Whether it takes a request of this node now.
+    /// Whether this node may send it a request now.
     pub fn admits(&self, now: Instant) -> bool {
         self.paused_until(now).is_none() && self.rate_limit.is_none_or(|it| it.admits(now))
     }
 
-    /// Until when it wants no requests of this node; none if it takes some.
+    /// The time until which it wants no requests from this node, if that is in the future.
     pub fn paused_until(&self, now: Instant) -> Option<Instant> {
         self.paused_until.filter(|until| now < *until)
     }
 
-    /// It wants no requests of this node for so long.
+    /// Stops requests from this node for `length`, capped at `MAX_PAUSE`. A shorter pause
+    /// does not end a longer one.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -67,7 +72,8 @@
         self.paused_until = self.paused_until.max(Some(now + length.min(MAX_PAUSE)));
     }
 
-    /// Takes in what was said of its limit. Returns whether that changes it.
+    /// Applies a report about its rate limit, unless it is older than the last one. Returns whether
+    /// the rate changed.
     pub fn set_rate_limit(&mut self, notice: &Notice) -> bool {
         if notice.at < self.rate_limit_at {
             return false;
@@ -85,25 +91,25 @@
     }
 }
 
-/// One start of an endpoint. The same id after a restart is another endpoint.
+/// One run of an endpoint. An endpoint that restarts under the same id is a different one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Incarnation {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: endpoint::Id,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// When it started, in milliseconds of the wall clock.
+    /// When it started, in milliseconds since the Unix epoch.
     pub born: Option<u64>,
 }
 
 impl Incarnation {
-    /// The start that an entry is of.
+    /// The incarnation that an entry describes.
     pub fn of(entry: &Entry) -> Self {
         Self { id: entry.id.clone(), addr: entry.addr, born: entry.born }
     }
 }
 
-/// What endpoints said whose entries are gone.
+/// The reported state of endpoints that have no entry at present.
 #[derive(Debug, Default)]
 pub struct Cache {
     entries: HashMap<endpoint::Id, Cached>,
@@ -117,7 +123,7 @@
 }
 
 impl Cache {
-    /// The entry of an endpoint is gone.
+    /// Stores the state of an endpoint whose entry was removed.
     pub fn insert(&mut self, entry: &Entry, advertised: Advertised, now: Instant) {
         if !advertised.is_empty()
             && let Some(it) = self.get_or_insert(&Incarnation::of(entry), now)
@@ -126,7 +132,7 @@
         }
     }
 
-    /// What an endpoint without an entry said; none if no more of them can be cached.
+    /// The state of an endpoint without an entry; none if the cache is full.
     pub fn get_or_insert(
         &mut self,
         incarnation: &Incarnation,
@@ -146,7 +152,7 @@
         self.entries.get_mut(&incarnation.id).map(|it| &mut it.advertised)
     }
 
-    /// What an endpoint said before, as its entry comes back.
+    /// Removes and returns the state of an endpoint whose entry is back.
     pub fn take(&mut self, entry: &Entry, now: Instant) -> Advertised {
         let known = self.entries.remove(&entry.id);
         let is_same = |it: &Cached| now < it.expires_at && it.incarnation == Incarnation::of(entry);
