--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -1,4 +1,4 @@
-//! Rows that changed, turned into what a node believes.
+//! Applies changed rows of the store to the node's state.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     watch::table_name,
 };
 
-/// Takes in rows. `is_snapshot` says that a row that isn't among them doesn't exist.
+/// Applies rows of a table. If `is_snapshot` is set, rows that are not in the batch do not exist.
 pub fn batch(gateway: &Arc<Gateway>, table: Table, batch: Batch, is_snapshot: bool, from: &str) {
     if let Some(now) = batch.now {
         gateway.mirror.lock().set_clock(now, gateway.now());
@@ -34,8 +34,8 @@
         let n = gateway.directory.lock().len();
         gateway.metrics.endpoints.set(i64::try_from(n).unwrap_or(i64::MAX));
     }
-    // Last, as whoever is woken looks at what was taken in. The first read of a table counts even
-    // if that is empty: requests may be waiting for it.
+    // Signalled last, because the tasks that wake read the state changed above. The first read of a
+    // table counts even if the table is empty, since requests may be waiting for it.
     if !changed.is_empty() || is_snapshot {
         gateway.rows_changed.wake();
     }
@@ -51,8 +51,8 @@
         Ok(Operator::Document(document)) => {
             let version = document.version;
             let before = gateway.configuration.load().as_ref().map_or(0, |it| it.document.version);
-            // A configuration never goes back: an older row, from a peer that knows less, would
-            // bring back keys and routes that were taken away.
+            // The configuration never goes back to an older version: an older row, from a peer that
+            // is behind, would restore keys and routes that were removed.
             if version <= before {
                 return;
             }
@@ -66,7 +66,7 @@
             let service = order.service.clone();
             let received_at = gateway.store_time();
             gateway.rollouts.lock().apply_order(order, row.rev, received_at);
-            // Steps of this order may have been read before it.
+            // Steps of this order may have been read before the order itself.
             fleet::reapply_rows(gateway, &service);
         }
         Ok(Operator::Other) => {}
