--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a node knows, and what it has seen of each.
+//! The endpoints known to a node, and what the node has observed of each.
 
 mod tracked;
 
@@ -21,23 +21,27 @@
 
 pub use self::tracked::Tracked;
 
-/// How much one answer or failure moves the share of failures: about the last ten count.
+/// The weight of a new outcome in the moving average of failures; roughly the last ten outcomes
+/// count.
 const FAILURE_SMOOTHING: f64 = 0.1;
-/// How long ago an endpoint must have answered for this node to blame another endpoint, and not its own
-/// links, for a connection that fails.
+/// How recently some endpoint must have answered for a failed connection to be blamed on the
+/// endpoint rather than on this node's own network links.
 const RECENT_ANSWER: Duration = Duration::from_secs(1);
-/// How long a new version of a service that has others gets nothing, if no order for it is known.
-/// Entries and orders come by different calls; a lost call delays an order by up to this.
+/// How long a new version of a service that already has another version gets no requests if no
+/// rollout order for it is known. Entries and orders are read by separate calls, and a lost call
+/// can delay an order by up to this.
 const NEW_VERSION_DELAY: Duration = Duration::from_secs(4);
 
-/// What this node may send to an endpoint whose rate all nodes share: the least time between two requests,
-/// none if there may be none. Endpoints are told by the hash of their id.
+/// Computes this node's part of a rate that all nodes share at one endpoint: the minimum interval
+/// between two requests, or none if the node may send no requests. Endpoints are identified by the
+/// hash of their id.
 pub trait Permits {
-    /// To an endpoint in slow start.
+    /// The interval for an endpoint in slow start.
     fn slow_start(&self, endpoint: u64) -> Option<Duration>;
-    /// To one that names a limit of `rate` requests a second, in the present rotation.
+    /// The interval for an endpoint that limits all nodes to `rate` requests per second, in the
+    /// current rotation.
     fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
-    /// The present rotation (see [`rate_limit::rotation`]).
+    /// The number of the current rotation (see [`rate_limit::rotation`]).
     fn rotation(&self) -> u64;
 }
 
@@ -45,41 +49,43 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     endpoints: HashMap<endpoint::Id, Tracked>,
-    /// The endpoint that was last known at each address.
+    /// The id of the endpoint last known at each address.
     by_addr: HashMap<SocketAddr, endpoint::Id>,
-    /// From when on each version may be used, by service.
+    /// When each version counts as established and gets requests without an order, by service and
+    /// version.
     versions: HashMap<String, HashMap<String, Instant>>,
-    /// What endpoints said of themselves that aren't in the list for now.
+    /// The reported state of endpoints that have no entry at present.
     advertised_cache: Cache,
-    /// Failure domains whose endpoints get no new work.
+    /// Failure domains whose endpoints get no new requests.
     evacuated: HashSet<domain::Id>,
-    /// When an endpoint last answered.
+    /// When any endpoint last answered.
     last_answer: Option<Instant>,
-    /// Until when removed entries are kept, because they may have lapsed with the store.
+    /// Until when removed entries are kept, because they may have lapsed while the store was
+    /// unavailable.
     missing_kept_until: Option<Instant>,
 }
 
-/// How a request at an endpoint ended.
+/// How a request to an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer.
+    /// The endpoint answered.
     Answered,
-    /// With an error of the endpoint's own.
+    /// The endpoint itself failed the request.
     Failed,
-    /// It was turned away, as the endpoint is full.
+    /// The endpoint refused the request because it is at capacity.
     Full,
-    /// No connection to it could be opened.
+    /// No connection to the endpoint could be opened.
     ConnectFailed,
-    /// It broke off.
+    /// The connection broke off.
     ConnectionLost,
-    /// The address belongs to another endpoint by now.
+    /// The address now belongs to another endpoint.
     AddressReused,
-    /// The node dropped it.
+    /// This node gave the request up; that says nothing about the endpoint.
     Abandoned,
 }
 
 impl Directory {
-    /// Takes in an entry.
+    /// Adds or updates an endpoint from its entry in the store.
     pub fn upsert(&mut self, entry: Entry, now: Instant) {
         if self.remove_older_at_address(&entry, now) == Some(entry.id.clone()) {
             return;
@@ -89,7 +95,8 @@
         let established_at = *versions.entry(entry.version.clone()).or_insert(established_at);
         let (id, warm_in) = (entry.id.clone(), entry.warm_in);
         match self.endpoints.get_mut(&id) {
-            // The same id after a restart is another endpoint: nothing known of it holds.
+            // An endpoint that restarted under the same id is a different one; nothing observed of
+            // the old one applies to it.
             Some(it) if Incarnation::of(&it.entry) == Incarnation::of(&entry) => {
                 it.entry = entry;
                 it.is_missing = false;
@@ -104,8 +111,9 @@
         }
     }
 
-    /// Drops the older one of `entry` and another endpoint that was known at its address, and says which.
-    /// The list keeps_missing the entry of an endpoint that crashed for some seconds, beside that of its successor.
+    /// If another endpoint was known at the address of `entry`, removes the older of the two and
+    /// returns its id. For some seconds, the store lists the entry of a crashed endpoint beside
+    /// that of its successor.
     fn remove_older_at_address(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
         let known = self.by_addr.insert(entry.addr, entry.id.clone());
         let other = known.filter(|it| *it != entry.id)?;
@@ -123,7 +131,8 @@
         Some(older)
     }
 
-    /// An entry was removed.
+    /// Handles the removal of an entry: drops the endpoint, or marks it as missing while removed
+    /// entries are being kept.
     pub fn remove(&mut self, id: &endpoint::Id, now: Instant) {
         let keeps_missing = self.missing_kept_until.is_some_and(|until| now < until);
         match self.endpoints.get_mut(id) {
@@ -132,14 +141,14 @@
         }
     }
 
-    /// Takes an endpoint out of the list. What it said of itself holds if its entry comes back.
+    /// Removes an endpoint. The state it reported is cached in case its entry comes back.
     fn remove_tracked(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.remove(id) {
             self.advertised_cache.insert(&it.entry, it.advertised, now);
         }
     }
 
-    /// Only these entries exist now.
+    /// Removes all endpoints that are not among `rows`.
     pub fn retain(&mut self, rows: &[Row], now: Instant) {
         let gone: Vec<_> = self
             .endpoints
@@ -152,14 +161,14 @@
         }
     }
 
-    /// The store is back after it was away. Entries may have lapsed meanwhile though their
-    /// endpoints live; dropping them at once would leave nobody to send to, so they're kept `until`
-    /// then.
+    /// Called when the store is available again after an outage. Entries of live endpoints may have
+    /// lapsed during it. Dropping them at once could leave no endpoint to send requests to, so
+    /// removed entries are kept `until` then.
     pub fn keep_missing_until(&mut self, until: Instant) {
         self.missing_kept_until = Some(until);
     }
 
-    /// Drops entries that lapsed and didn't come back in time.
+    /// Removes endpoints whose entries lapsed and did not come back in time.
     pub fn remove_lapsed(&mut self, now: Instant) {
         if self.missing_kept_until.is_some_and(|until| until <= now) {
             self.missing_kept_until = None;
@@ -170,7 +179,7 @@
         }
     }
 
-    /// The endpoints of a service that take new work.
+    /// The endpoints of a service that accept new requests.
     ///
     /// ```
     /// # use curranthook_gateway::directory::Directory;
@@ -182,12 +191,12 @@
         self.endpoints.values().filter(of_service).filter(move |it| !is_evacuated(it))
     }
 
-    /// The endpoints of a failure domain get no new work from now on.
+    /// Stops new requests to the endpoints of a failure domain.
     pub fn evacuate(&mut self, domain: domain::Id) {
         self.evacuated.insert(domain);
     }
 
-    /// The endpoints of a failure domain get work again.
+    /// Allows new requests to the endpoints of a failure domain again.
     pub fn end_evacuation(&mut self, domain: &domain::Id) {
         self.evacuated.remove(domain);
     }
@@ -197,13 +206,13 @@
         self.endpoints.values()
     }
 
-    /// One endpoint.
+    /// The endpoint with this id.
     pub fn get(&self, id: &endpoint::Id) -> Option<&Tracked> {
         self.endpoints.get(id)
     }
 
-    /// Works out what this node may send to the endpoints of a service that take a bounded rate from all
-    /// nodes, where that isn't known.
+    /// Recomputes this node's permits for the endpoints of a service whose rate all nodes share,
+    /// where they are outdated.
     pub fn renew_permits(&mut self, service: &str, permits: &impl Permits, now: Instant) {
         for it in self.endpoints.values_mut().filter(|it| it.entry.service == service) {
             let slow_start = it.slow_start.as_mut();
@@ -217,12 +226,13 @@
         }
     }
 
-    /// Takes in what another node heard of an endpoint's limit. Returns whether that changes it.
+    /// Applies another node's report about an endpoint's rate limit. Returns whether the rate
+    /// changed.
     pub fn apply_reported_limit(&mut self, id: &endpoint::Id, notice: &rate_limit::Notice) -> bool {
         self.endpoints.get_mut(id).is_some_and(|it| it.advertised.set_rate_limit(notice))
     }
 
-    /// Takes in what an endpoint said of its limit. Returns whether that changes it.
+    /// Applies an endpoint's own report about its rate limit. Returns whether the rate changed.
     pub fn set_rate_limit(
         &mut self,
         incarnation: &Incarnation,
@@ -232,20 +242,20 @@
         self.advertised(incarnation, now).is_some_and(|it| it.set_rate_limit(notice))
     }
 
-    /// An endpoint said that it's leaving. Returns whether that's news.
+    /// Marks an endpoint as leaving. Returns whether it was not marked before.
     pub fn set_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
         let known = self.advertised(incarnation, now);
         known.is_some_and(|it| !std::mem::replace(&mut it.is_leaving, true))
     }
 
-    /// An endpoint wants no requests of this node for so long.
+    /// Stops requests from this node to an endpoint for `length`.
     pub fn pause(&mut self, incarnation: &Incarnation, length: Duration, now: Instant) {
         if let Some(it) = self.advertised(incarnation, now) {
             it.pause(length, now);
         }
     }
 
-    /// What a start of an endpoint says of itself; none if there is another one under its id.
+    /// The reported state of this incarnation; none if another incarnation is known under its id.
     fn advertised(&mut self, incarnation: &Incarnation, now: Instant) -> Option<&mut Advertised> {
         match self.endpoints.get_mut(&incarnation.id) {
             Some(it) if Incarnation::of(&it.entry) == *incarnation => Some(&mut it.advertised),
@@ -254,7 +264,8 @@
         }
     }
 
-    /// A request goes to an endpoint.
+    /// Records that a request is being sent; `work` is the expected prefill time that stays pending
+    /// until the first byte.
     pub fn request_sent(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.in_flight += 1;
@@ -268,7 +279,7 @@
         }
     }
 
-    /// The first byte of its answer came.
+    /// Records the first byte of the answer, with the load that the endpoint reported.
     pub fn first_byte_received(
         &mut self,
         id: &endpoint::Id,
@@ -285,7 +296,7 @@
         }
     }
 
-    /// The request ended; `work` is what it still had pending.
+    /// Records the end of a request; `work` is what was still pending for it.
     pub fn request_ended(
         &mut self,
         id: &endpoint::Id,
@@ -322,12 +333,13 @@
         it.failures += FAILURE_SMOOTHING * (failed - it.failures);
     }
 
-    /// Whether a connection that fails is its endpoint's fault, as this node reaches others.
+    /// Whether any endpoint answered recently, so that this node's own links work and a failed
+    /// connection is the endpoint's fault.
     pub fn has_recent_answer(&self, now: Instant) -> bool {
         self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < RECENT_ANSWER)
     }
 
-    /// Another node found that no connection to an endpoint can be opened.
+    /// Applies another node's report that no connection to an endpoint can be opened.
     pub fn report_unreachable(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.unreachable_since = Some(now);
@@ -335,19 +347,19 @@
         }
     }
 
-    /// Leaves an endpoint alone that others can't reach.
+    /// Ejects an endpoint for a while because other nodes cannot reach it.
     pub fn eject(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.eject(now);
         }
     }
 
-    /// How many endpoints are in the list.
+    /// The number of endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
