--- a/crates/curranthook_gateway/src/directory/tracked.rs
+++ b/crates/curranthook_gateway/src/directory/tracked.rs
@@ -1,4 +1,4 @@
-//! One endpoint, as a node sees it.
+//! One endpoint as a node sees it.
 
 use std::time::{Duration, Instant};
 
@@ -12,42 +12,43 @@
     slow_start::SlowStart,
 };
 
-/// How long an endpoint that can't be reached is left alone after the first failure.
+/// How long an unreachable endpoint is ejected after its first failure; doubles with each further
+/// one.
 const FIRST_EJECTION: Duration = Duration::from_millis(400);
-/// The longest that an endpoint is left alone; about the time that one takes to start again.
+/// The longest ejection; about the time an endpoint takes to restart.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// How old a load may be that an endpoint reported of itself.
+/// The maximum age of a load reported by an endpoint.
 const LOAD_EXPIRY: Duration = Duration::from_secs(1);
-/// How long it's believed that an endpoint can't be reached; then a node tries it again.
+/// How long an endpoint counts as unreachable; after that a node tries it again.
 const UNREACHABLE_EXPIRY: Duration = Duration::from_secs(1);
-/// The longest slow start that an entry is believed.
+/// The upper limit applied to the slow start time in an entry.
 const MAX_SLOW_START: Duration = Duration::from_secs(600);
 
-/// An endpoint and what was seen of it.
+/// An endpoint's entry, and what this node has observed of the endpoint.
 #[derive(Debug)]
 pub struct Tracked {
-    /// Its newest entry.
+    /// The newest entry.
     pub entry: Entry,
-    /// A hash of its id.
+    /// The hash of its id.
     pub id_hash: u64,
-    /// Requests that this node has there.
+    /// The number of requests this node has in flight there.
     pub in_flight: u32,
-    /// The work of those of them that have no first byte yet.
+    /// The expected prefill time of those requests that have no first byte yet.
     pub pending: Duration,
-    /// The share of requests that failed lately.
+    /// The moving average of the share of requests that failed.
     pub failures: f64,
     pub(super) load: Option<(Load, Instant, u32)>,
     pub(super) ejection_time: Duration,
     pub(super) ejected_until: Option<Instant>,
-    /// When this node, or one that reported it, last found that no connection can be opened.
+    /// When this node, or another that reported it, last failed to open a connection.
     pub(super) unreachable_since: Option<Instant>,
-    /// Its slow start, while there is one.
+    /// The slow start, if it is in one.
     pub(super) slow_start: Option<SlowStart>,
-    /// What it says of itself.
+    /// What it reports about itself.
     pub(super) advertised: Advertised,
-    /// Whether it's missing from the list.
+    /// Whether its entry was removed and is being kept for now.
     pub(super) is_missing: bool,
-    /// From when on its version may be used without an order.
+    /// When its version counts as established and gets requests without an order.
     pub(super) established_at: Instant,
 }
 
@@ -70,28 +71,29 @@
         }
     }
 
-    /// Whether it takes new work, by its entry and by its own word.
+    /// Whether it accepts new requests, by its entry and by its own reports.
     pub fn is_ready(&self) -> bool {
         self.entry.state == State::Ready && !self.advertised.is_leaving
     }
 
-    /// Whether it's left alone after failures.
+    /// Whether it is ejected after failures.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether this node, or one that reported it, found lately that no connection can be opened.
+    /// Whether this node, or another that reported it, recently failed to open a connection.
     pub fn is_unreachable(&self, now: Instant) -> bool {
         let since = self.unreachable_since;
         since.is_some_and(|at| now.saturating_duration_since(at) < UNREACHABLE_EXPIRY)
     }
 
-    /// Whether its version has been in use for a while, or is the only one.
+    /// Whether its version has been in use for a while or is the only one.
     pub fn is_established_version(&self, now: Instant) -> bool {
         self.established_at <= now
     }
 
-    /// How many requests it has, its own word and this node's knowledge taken together.
+    /// Estimates the number of requests it has: the load it reported, corrected by the change since
+    /// then in the requests of this node.
     pub fn estimated_requests(&self, now: Instant) -> u32 {
         match self.load {
             Some((load, at, in_flight_then)) if now.saturating_duration_since(at) < LOAD_EXPIRY => {
@@ -102,15 +104,15 @@
         }
     }
 
-    /// Whether it takes a request of this node now: always, but for an endpoint in slow start or one that
-    /// names a limit or a pause.
+    /// Whether this node may send it a request now. Always true, except in slow start, under a rate
+    /// limit, or during a pause.
     pub fn admits(&self, now: Instant) -> bool {
         let is_slow_start = self.slow_start.is_some_and(|it| !it.admits(now));
         !is_slow_start && self.advertised.admits(now)
     }
 
-    /// The requests a second that it takes from all nodes, if it's bounded and takes none of this node now.
-    /// `slow_start_rate` is what endpoints in slow start take.
+    /// The requests per second that it accepts from all nodes, if that is bounded and this node may
+    /// send none now. `slow_start_rate` is the rate of endpoints in slow start.
     pub fn throttled_rate(&self, slow_start_rate: Option<f64>, now: Instant) -> Option<f64> {
         let limited = self
             .advertised
@@ -121,12 +123,12 @@
         limited.into_iter().chain(slow_start).reduce(f64::min)
     }
 
-    /// Until when it wants no requests of this node; none if it takes some.
+    /// The time until which it wants no requests from this node, if that is in the future.
     pub fn paused_until(&self, now: Instant) -> Option<Instant> {
         self.advertised.paused_until(now)
     }
 
-    /// Takes in how long its entry says that it stays in slow start.
+    /// Applies the remaining slow start time from its entry; zero ends the slow start.
     pub(super) fn set_warm_in(&mut self, warm_in: Duration, now: Instant) {
         let end = now + warm_in.min(MAX_SLOW_START);
         match &mut self.slow_start {
