--- a/crates/curranthook_gateway/src/document.rs
+++ b/crates/curranthook_gateway/src/document.rs
@@ -8,67 +8,68 @@
 
 use curranthook_types::account;
 
-/// The whole configuration of one version.
+/// One version of the whole configuration.
 #[derive(Debug, Default)]
 pub struct Document {
-    /// Its number. A node only ever moves to a higher one.
+    /// The version number. A node only ever changes to a higher one.
     pub version: u64,
     routes: HashMap<String, Vec<Arc<Route>>>,
-    /// The services that routes name.
+    /// The services that routes refer to.
     pub services: BTreeMap<String, Service>,
     accounts: Option<HashMap<String, Account>>,
-    /// What a caller may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
 }
 
-/// Requests of one host whose paths begin alike.
+/// A route: the requests to one host whose paths share a prefix.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The route's name, for logs.
     pub name: String,
-    /// The host that callers name.
+    /// The host name in requests.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be sent again.
     pub retry_policy: RetryPolicy,
-    /// The longest that a caller is kept waiting for the whole answer.
+    /// The maximum time until a caller has the whole answer.
     pub timeout: Duration,
-    /// The time within which an answer is worth its full credit. For a stream: its first event.
+    /// The latency up to which an answer earns its full score. For a stream, the latency of the
+    /// first event.
     pub latency_target: Duration,
-    /// The longest pause between the events of a stream that is still on time.
+    /// The maximum gap between two events for a stream to be on time.
     pub max_event_gap: Option<Duration>,
-    /// Its rank; 0 is served first.
+    /// The priority; 0 is served first.
     pub priority: u8,
     /// The models that may answer, the smallest first; empty if the caller names the model.
     pub models: Vec<String>,
-    /// The services that take its requests, with the share of each.
+    /// The services that receive its requests, with their weights.
     pub split: Vec<Share>,
-    /// To how many endpoints one request may be sent.
+    /// The maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
     /// Who may call it.
     pub access: Access,
 }
 
-/// A service's part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Share {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// Its weight among the others of the route.
+    /// Its weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// As often as needed.
+    /// Any number of times.
     Idempotent,
     /// At most once.
     AtMostOnce,
-    /// A stream of events that another endpoint can go on with, after the last event received.
+    /// A stream of events that another endpoint can resume after the last event received.
     Resumable,
-    /// A stream of events that runs at most once.
+    /// A stream of events that is executed at most once.
     StreamOnce,
 }
 
@@ -78,7 +79,7 @@
         matches!(self, Self::Resumable | Self::StreamOnce)
     }
 
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have been executed can be sent again.
     pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
@@ -89,38 +90,39 @@
 pub enum Access {
     /// Anybody.
     Public,
-    /// The holder of an account's key, if the document has accounts.
+    /// Holders of an account's key. Anybody if the configuration has no accounts.
     Keyed,
 }
 
 /// A service that endpoints belong to.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Service {
-    /// The models its endpoints run, with what each costs for a thousand generated tokens; empty
-    /// for a plain service.
+    /// The models that its endpoints run, with the cost of each per thousand generated tokens;
+    /// empty for a service without models.
     pub models: BTreeMap<String, f64>,
-    /// How many tokens an event of a stream holds; 0 if unknown.
+    /// The number of tokens in each event of a stream; 0 if unknown.
     pub tokens_per_event: u32,
-    /// How many connections an endpoint takes from all nodes together; any number if there is none.
+    /// The maximum number of connections that an endpoint accepts from all nodes together; none for
+    /// no limit.
     pub max_connections: Option<usize>,
-    /// How many requests a second an endpoint in slow start takes from all nodes together; any number
-    /// if there is none.
+    /// The requests per second that an endpoint in slow start accepts from all nodes together; none
+    /// for no limit.
     pub slow_start_rate: Option<f64>,
 }
 
-/// A client account, as one of its keys finds it.
+/// A client account, as found by one of its keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Account {
-    /// Its id.
+    /// The account's id.
     pub id: account::Id,
-    /// The rank of its requests, which goes before the route's.
+    /// The priority of its requests; overrides the route's.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on what a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest body, in bytes.
+    /// The maximum size of a body, in bytes.
     pub max_body: usize,
 }
 
@@ -131,17 +133,17 @@
     }
 }
 
-/// Why a request isn't let in.
+/// Why a request was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// No route for its host and path.
+    /// No route matches its host and path.
     NoRoute,
     /// No account has its key.
     UnknownKey,
 }
 
 impl Document {
-    /// A document of these parts.
+    /// Builds a configuration from its parts.
     pub fn new(version: u64, routes: Vec<Route>, services: BTreeMap<String, Service>) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for it in routes {
@@ -153,7 +155,7 @@
         Self { version, routes: by_host, services, accounts: None, limits: Limits::default() }
     }
 
-    /// Sets the accounts, by key. Without any, nobody is asked for a key.
+    /// Sets the accounts, by key. Without accounts, no route requires a key.
     pub fn with_accounts(self, accounts: HashMap<String, Account>) -> Self {
         Self { accounts: Some(accounts), ..self }
     }
@@ -163,19 +165,19 @@
         Self { limits, ..self }
     }
 
-    /// The route of the longest prefix.
+    /// The route with the longest matching prefix.
     ///
     /// ```
     /// # use curranthook_gateway::document::Document;
     /// assert!(Document::default().route("a.example", "/x/").is_none());
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        // A port in the host header is the address that the caller dialled, not part of the name.
+        // The port in a Host header is part of the dialled address, not of the name.
         let host = host.split_once(':').map_or(host, |(name, _)| name);
         self.routes.get(host)?.iter().find(|it| path.starts_with(&it.prefix))
     }
 
-    /// The route of a request and the account that calls; none on a public route.
+    /// The route of a request and the calling account; no account on a public route.
     pub fn admit(
         &self,
         host: &str,
@@ -190,14 +192,15 @@
         Ok((route, Some(account)))
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     pub fn n_routes(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 }
 
 impl Route {
-    /// The service for a request. The same `position`, from 0 up to 1, always gives the same one.
+    /// Picks the service for a request by weight. The same `position` in [0, 1) always gives the
+    /// same service.
     pub fn service(&self, position: f64) -> Option<&str> {
         let total: f64 = self.split.iter().map(|it| it.weight).sum();
         let mut remaining = position * total;
