--- a/crates/curranthook_gateway/src/event.rs
+++ b/crates/curranthook_gateway/src/event.rs
@@ -1,7 +1,7 @@
-//! What a node says of its decisions: one line of JSON each.
+//! The log of a node's decisions, one line of JSON per event.
 //!
-//! Lines are written by a thread of their own from a bounded queue. When nobody reads them, they
-//! are dropped and counted; a request never waits for its log.
+//! A separate thread writes the lines from a bounded queue. If the log is read too slowly, lines
+//! are dropped and counted; requests never wait for the log.
 
 use std::{
     io::Write,
@@ -18,10 +18,10 @@
 use curranthook_types::Clock;
 use serde::Serialize;
 
-/// How many lines may wait; about a second of a busy node.
+/// The maximum number of queued lines; about one second's worth on a busy node.
 const QUEUE_CAPACITY: usize = 2_048;
 
-/// A decision that touched a request or changed what the node believes.
+/// A decision that affected a request, or a change of the node's state.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 #[expect(missing_docs, reason = "the fields are listed in docs/OPERATIONS.md")]
@@ -34,37 +34,38 @@
         peers: Option<SocketAddr>,
         metrics: Option<SocketAddr>,
     },
-    /// The process was told to stop.
+    /// The process received a signal to stop.
     Stopping { in_flight: usize },
-    /// The process ends.
+    /// The process is about to exit.
     Stopped { in_flight: usize },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded { changed: &'a str },
-    /// A configuration is in force.
+    /// A new configuration is in force.
     Configuration { version: u64, before: u64, routes: usize, rev: u64, from: &'a str },
-    /// A row can't be understood.
+    /// A row could not be decoded.
     RowRejected { table: &'a str, why: &'a str },
-    /// The store, or a peer in its place, was lost or came back.
+    /// The store, or a parent that relays its rows, failed or is available again.
     Dependency { name: &'a str, state: &'a str, why: &'a str },
-    /// An endpoint appeared, changed or went.
+    /// An endpoint's entry was added, changed or removed.
     Endpoint {
         endpoint: &'a str,
         service: &'a str,
         state: &'a str,
         version: &'a str,
-        /// Which start of it, in milliseconds of the wall clock.
+        /// The endpoint's start time in milliseconds since the Unix epoch; identifies the
+        /// incarnation.
         born: Option<u64>,
         rev: u64,
     },
-    /// An endpoint names a limit in requests a second, another one, or none any more.
+    /// An endpoint set, changed or withdrew a rate limit, in requests per second.
     RateLimit { endpoint: &'a str, rate: Option<f64>, from: &'a str },
-    /// An endpoint says that it's leaving.
+    /// An endpoint reports that it is leaving.
     Leaving { endpoint: &'a str, from: &'a str },
-    /// An endpoint that turned a request away wants none of this node for a while.
+    /// An endpoint that refused a request wants no requests from this node for a while.
     Paused { endpoint: &'a str, length_ms: u64 },
     /// The evacuation of a failure domain was ordered or ended.
     Evacuation { domain: &'a str, state: &'a str, rev: u64, from: &'a str },
-    /// A request wasn't let in.
+    /// A request was refused.
     Refused {
         request: &'a str,
         path: &'a str,
@@ -88,7 +89,7 @@
         left_ms: u64,
         configuration: u64,
     },
-    /// An endpoint sends a header that no decoder reads.
+    /// An endpoint sent a header that is not recognized.
     HeaderUnknown { endpoint: &'a str, name: &'a str, value: &'a str },
     /// An attempt failed.
     AttemptFailed {
@@ -98,9 +99,9 @@
         execution: &'a str,
         took_ms: u64,
     },
-    /// A small model's answer was dropped for a larger model's.
+    /// A small model's answer was discarded in favour of a larger model's.
     Escalated { request: &'a str, model: &'a str, confidence: u8, first_ms: u64, last_ms: u64 },
-    /// A repeat wasn't made.
+    /// A request was not retried.
     NotRepeated { request: &'a str, why: &'a str },
     /// A request ended.
     Ended {
@@ -111,12 +112,12 @@
         endpoint: &'a str,
         attempts: u32,
         first_byte_ms: u64,
-        /// Events of a stream that were passed on, and when the last of them was.
+        /// The number of stream events passed on, and the time of the last one.
         events: u32,
         last_event_ms: u64,
         took_ms: u64,
     },
-    /// A roll-out took a step.
+    /// A rollout reached a new phase.
     RollOut {
         service: &'a str,
         target: &'a str,
@@ -125,22 +126,23 @@
         new_bad: u64,
         old_answers: u64,
         old_bad: u64,
-        /// How many times longer than the old version's the new one's first events and pauses are.
+        /// Ratios of the new version's time to the first event, and between events, to the old
+        /// version's.
         slower_first: f64,
         slower_rest: f64,
         outcome: &'a str,
     },
-    /// A request was charged with the end of an endpoint.
+    /// A request was blamed for the failure of an endpoint.
     PoisonCharged { request: &'a str, endpoint: &'a str },
-    /// Lines were dropped since the last one.
+    /// Lines were dropped since the last line written.
     LinesDropped { count: u64 },
 }
 
-/// A line on its way: the event, already as text.
+/// A queued line: the event serialized as JSON.
 #[derive(Debug)]
 struct Line(String);
 
-/// Where events go.
+/// The handle through which events are logged.
 #[derive(Debug, Clone)]
 pub struct Log {
     node: Arc<str>,
@@ -158,7 +160,7 @@
 }
 
 impl Log {
-    /// A log that is written to `out`.
+    /// Starts a log that writes to `out`.
     pub fn start(
         node: &str,
         clock: Arc<dyn Clock>,
@@ -172,7 +174,7 @@
         Ok(log)
     }
 
-    /// Writes an event, or drops it if the reader of the log is too slow.
+    /// Queues an event, or drops it if the queue is full.
     pub fn write(&self, event: &Event<'_>) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if 0 < dropped && !self.push(&Event::LinesDropped { count: dropped }) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// How many lines were dropped and not yet reported.
+    /// The number of dropped lines that have not been reported yet.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -196,7 +198,7 @@
 }
 
 fn write_lines(queue: &Receiver<Line>, mut out: Box<dyn Write + Send>) {
-    /// How long lines are gathered, so that a busy node makes one call for many.
+    /// How long lines are collected so that a busy node writes many of them with one system call.
     const GATHER_TIME: Duration = Duration::from_millis(50);
     while let Ok(Line(first)) = queue.recv() {
         thread::sleep(GATHER_TIME);
@@ -206,7 +208,7 @@
             text.push_str(&more);
             text.push('\n');
         }
-        // Nobody reads the log; there is nowhere left to say so.
+        // The log cannot be written, and there is no other place to report that.
         let _lost = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     }
 }
