--- a/crates/curranthook_gateway/src/fleet.rs
+++ b/crates/curranthook_gateway/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The rows that the nodes write for each other: addresses, steps of roll-outs, what each saw of
-//! a new version, and requests that ended endpoints.
+//! The rows that nodes write for each other: addresses, steps of rollouts, evidence about new
+//! versions, and requests blamed for endpoint failures.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,21 +14,21 @@
     store::{Rev, Row, Table},
 };
 
-/// The key of a row.
+/// The key of a row in the fleet table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Key<'a> {
-    /// Where a node is reached.
+    /// The addresses of a node.
     Node(&'a str),
-    /// How far the roll-out of a service is.
+    /// The current step of a service's rollout.
     Step(&'a str),
-    /// What a node saw of a roll-out: service and node.
+    /// A node's evidence about a rollout, by service and node.
     Evidence(&'a str, &'a str),
-    /// The requests that a node charges.
+    /// The requests that a node blames for endpoint failures.
     Poison(&'a str),
 }
 
 impl<'a> Key<'a> {
-    /// Reads a key; none if it's no key of ours.
+    /// Parses a key; none if it has no known form.
     ///
     /// ```
     /// # use curranthook_gateway::fleet::Key;
@@ -61,32 +61,32 @@
     }
 }
 
-/// Where a node is reached.
+/// The addresses and properties of a node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Node {
-    /// Its address for peers.
+    /// The address for requests from peers.
     pub peers: SocketAddr,
-    /// Its address for load reports, under the name that it has always had on the wire.
+    /// The address for load reports. Its name in the row is `notices`, for compatibility.
     #[serde(default, rename = "notices")]
     pub reports: Option<SocketAddr>,
-    /// Its failure domain.
+    /// The failure domain.
     #[serde(default)]
     pub domain: Option<domain::Id>,
-    /// How much it can carry for others.
+    /// The capacity for relaying rows to other nodes, in Mbit/s.
     #[serde(default)]
     pub capacity: f64,
 }
 
-/// What a node saw of a roll-out.
+/// A node's evidence about a rollout.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Observation {
-    /// The order.
+    /// The revision of the order.
     pub order: Rev,
-    /// What was seen.
+    /// The evidence.
     pub evidence: Evidence,
 }
 
-/// Takes in a row.
+/// Applies a row of the fleet table.
 pub fn apply_row(gateway: &Arc<Gateway>, row: &Row) {
     let Some(key) = Key::parse(&row.key) else { return };
     let Some(value) = &row.value else {
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-/// Takes in once more what is known of the roll-out of `service`.
+/// Applies the known rows of a service's rollout again.
 pub fn reapply_rows(gateway: &Arc<Gateway>, service: &str) {
     let rows = gateway.mirror.lock().batch(Table::Fleet).rows;
     for it in rows {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Logs how far a roll-out is.
+/// Logs the state of a rollout.
 pub fn log_rollout(gateway: &Gateway, it: &crate::rollouts::Rollout, outcome: &str) {
     let evidence = it.evidence();
     gateway.log.write(&Event::RollOut {
