--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -1,5 +1,5 @@
-//! What a node writes for the others: its address, steps of roll-outs that are due, what it saw
-//! of a new version, and the requests that it charges.
+//! Writes this node's rows for the other nodes: its address, rollout steps that are due, its
+//! evidence about a new version, and the requests it blames for endpoint failures.
 
 use std::{
     cmp::Reverse,
@@ -21,35 +21,40 @@
     store::{Commit, Committed, Error, Progress, Report, Rev, Table},
 };
 
-/// How often it's looked at what is to be written.
+/// How often the node checks what has to be written.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// By how much the nodes stagger a step, so that one takes it and the others see it taken.
+/// The delay between the nodes' attempts to write a step, so that the first one writes it and the
+/// others see that it is written.
 const STAGGER: Duration = Duration::from_millis(200);
-/// How many nodes stagger apart; later ones share the last place.
+/// The highest rank with a delay of its own; nodes of a higher rank share this one.
 const MAX_RANK: usize = 8;
-/// After how long a step is tried again that couldn't be written.
+/// The delay before a step whose write failed is tried again.
 const STEP_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How often what was seen of a new version is written, at min.
+/// The minimum interval between two writes of evidence about a new version.
 const EVIDENCE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How much longer that is for each node there is, so that all nodes together write 40 rows a
-/// second at most.
+/// How much the intervals grow with each node, so that all nodes together write at most 40 rows per
+/// second.
 const INTERVAL_PER_NODE: Duration = Duration::from_millis(25);
-/// How often charges are written, at min. A request that ended three endpoints must be known to
-/// all nodes within the three seconds in which a node counts as in touch.
+/// The minimum interval between two writes of blamed requests. A request that brought down three
+/// endpoints must be known to all nodes within the three seconds for which a node counts as in
+/// touch.
 const POISON_INTERVAL: Duration = Duration::from_millis(500);
-/// How many requests a row of charges holds: at 150 bytes each a sixth of the largest row.
+/// The maximum number of blamed requests in a row. At 150 bytes each, they take a sixth of the
+/// maximum row size.
 const MAX_POISON_ENTRIES: usize = 64;
-/// How many nodes write_evidence of good answers. A few see enough of them; bad ones are written by all.
+/// How many nodes write evidence that contains only good answers. A few nodes see enough of these;
+/// bad answers are written by all.
 const MAX_GOOD_EVIDENCE_WRITERS: u32 = 6;
-/// How long a node that starts waits to see whether its address is known from before.
+/// How long a starting node waits for the fleet rows, to see whether its address is already in
+/// them.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(500);
-/// Over how long the nodes of a fleet that starts for the first time spread these writes. The store
-/// turns away more than some hundred a second.
+/// The span over which the nodes of a fleet that starts for the first time spread these writes. The
+/// store rejects more than a few hundred per second.
 const ANNOUNCE_SPREAD: Duration = Duration::from_millis(900);
-/// How often a failed write of the own address is repeated.
+/// The delay before a failed write of the node's own address is tried again.
 const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Writes what is due for as long as the process lives.
+/// Writes what is due, for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>) {
     let mut writer = Writer {
         gateway,
@@ -67,11 +72,12 @@
 
 struct Writer {
     gateway: Arc<Gateway>,
-    /// Since when a step of a service is due, by the store's clock.
+    /// The due phase of each service's rollout and when it became due, by the store's clock.
     due_since: HashMap<String, (Phase, Duration)>,
-    /// What was written of each service, and when.
+    /// The evidence last written for each service, and when.
     written_evidence: HashMap<String, (Evidence, Duration)>,
-    /// What was charged when that was last written, and when.
+    /// The number of endpoint failures in the last written row of blamed requests, and when it was
+    /// written.
     written_poison: (usize, Option<Instant>),
 }
 
@@ -90,7 +96,7 @@
             self.gateway.wait_for_members(MEMBERS_TIMEOUT).await;
         }
         loop {
-            // Nothing to do if an earlier process of this node wrote the same.
+            // Nothing to do if an earlier process of this node wrote the same row.
             let known = self.gateway.mirror.lock().row(Table::Fleet, &key).cloned();
             if known.is_some_and(|it| it.value.as_deref() == Some(&value[..])) {
                 return;
@@ -145,7 +151,8 @@
         let service = &it.order.service;
         let (began, expected) = match &it.step {
             Some((step, rev)) => (step.began, *rev),
-            // Nodes whose place is later take this step later; the time they had the order counts.
+            // Nodes of a higher rank write this step later, so the step begins when the order was
+            // received.
             None => (it.received_at.unwrap_or(now), self.step_row_rev(service)),
         };
         let target = it.order.target.clone();
@@ -173,13 +180,13 @@
         Ok(())
     }
 
-    /// The revision that the row of a service's steps has from an earlier order.
+    /// The revision of the service's step row, which an earlier order may have written.
     fn step_row_rev(&self, service: &str) -> Rev {
         let key = Key::Step(service).to_string();
         self.gateway.mirror.lock().row(Table::Fleet, &key).map_or(Rev(0), |it| it.rev)
     }
 
-    /// Writes what this node saw of a roll-out, if that is news.
+    /// Writes this node's evidence about a rollout, if it has changed.
     async fn write_evidence(&mut self, it: &Rollout, now: Duration) {
         let service = &it.order.service;
         if matches!(it.phase(), Phase::Waiting | Phase::Completed | Phase::RolledBack) {
@@ -198,13 +205,13 @@
         let key = Key::Evidence(service, &self.gateway.settings.node).to_string();
         let value = encode(&Observation { order: it.order_rev, evidence: it.own });
         let is_written = self.write(&key, None, &value, None).await.is_ok();
-        // A failed write waits like a done one; otherwise each node would call a store that is
-        // away four times a second.
+        // A failed write delays the next one as a successful write does; otherwise each node would
+        // call an unavailable store four times a second.
         let written = if is_written { it.own } else { known };
         self.written_evidence.insert(service.clone(), (written, now));
     }
 
-    /// Writes the requests that this node charges, if there are new ones.
+    /// Writes the requests that this node blames for endpoint failures, if there are new ones.
     async fn write_poison(&mut self) {
         let now = self.gateway.now();
         let interval = self.write_interval(POISON_INTERVAL);
@@ -217,18 +224,20 @@
         if charged <= known {
             return;
         }
-        // When many endpoints end at once, each request under way there is charged. The one that
-        // ends endpoints comes again, so it's among those with most charges or the newest.
+        // When many endpoints fail at once, each request in flight there is blamed. A request that
+        // really brings down endpoints is sent again, so it is among those with the most failures
+        // or the newest.
         entries.sort_by_key(|it| (Reverse(it.endpoints.len()), it.age));
         entries.truncate(MAX_POISON_ENTRIES);
         let key = Key::Poison(&self.gateway.settings.node).to_string();
         let written = self.write(&key, None, &encode(&entries), None).await;
-        // A failed write isn't repeated at once: the store may be away, or refuse it for good.
+        // A failed write is not repeated at once: the store may be unavailable, or reject the row
+        // permanently.
         let charged = if written.is_ok() { charged } else { known };
         self.written_poison = (charged, Some(now));
     }
 
-    /// How often this node may write what all nodes write.
+    /// The interval at which this node may write rows that every node writes.
     fn write_interval(&self, min: Duration) -> Duration {
         let n_nodes = u32::try_from(self.gateway.n_nodes()).unwrap_or(u32::MAX);
         min.max(INTERVAL_PER_NODE.saturating_mul(n_nodes))
@@ -251,7 +260,7 @@
         result
     }
 
-    /// This node's place among those that may take a step of `service`.
+    /// This node's rank among the nodes that may write a step of `service`; rank 0 writes first.
     fn rank(&self, service: &str) -> u32 {
         let weight =
             |node: &str| hash::pair(hash::bytes(service.as_bytes()), hash::bytes(node.as_bytes()));
