--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the stages and tasks of a node share.
+//! State shared by the stages and tasks of a node.
 
 use std::{
     collections::HashMap,
@@ -40,29 +40,29 @@
     unknown_headers::UnknownHeaders,
 };
 
-/// How many requests the register of poison requests remembers.
+/// The maximum number of requests in the register of poison requests.
 const POISON_CAPACITY: usize = 4_096;
-/// How long sent bytes may stay unacknowledged before a connection is given up. An endpoint, peer
-/// or store without power is noticed after this; a busy one still acknowledges.
+/// How long sent bytes may stay unacknowledged before a connection is closed. This detects an
+/// endpoint, peer or store that has lost power; a busy one still acknowledges.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How long a connection attempt may take: many round trips between failure domains, and less
-/// than the second after which the system would send its first packet again.
+/// The timeout for opening a connection: many round trips between failure domains, but less than
+/// the second after which the operating system retransmits its first packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What a node is made of.
+/// The dependencies of a node.
 #[derive(Debug)]
 pub struct Parts {
     /// The executor.
     pub ex: runtime::Handle,
-    /// The time.
+    /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// The wire.
+    /// The protocol spoken with callers and endpoints.
     pub dialect: Arc<dyn Dialect>,
-    /// The rows of others.
+    /// The decoder of rows that others write.
     pub decoder: Arc<dyn Decoder>,
     /// The store.
     pub store: Arc<dyn Store>,
-    /// The log.
+    /// The event log.
     pub log: Log,
 }
 
@@ -71,55 +71,55 @@
 pub struct Gateway {
     /// The executor.
     pub ex: runtime::Handle,
-    /// The time.
+    /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// The wire.
+    /// The protocol spoken with callers and endpoints.
     pub dialect: Arc<dyn Dialect>,
-    /// The rows of others.
+    /// The decoder of rows that others write.
     pub decoder: Arc<dyn Decoder>,
     /// The store.
     pub store: Arc<dyn Store>,
-    /// The log.
+    /// The event log.
     pub log: Log,
-    /// Its settings.
+    /// The node's settings.
     pub settings: Settings,
-    /// Its counters.
+    /// The node's metrics.
     pub metrics: Metrics,
-    /// Connections to endpoints and peers.
+    /// The connections to endpoints and peers.
     pub pool: Pool,
-    /// The configuration in force.
+    /// The configuration in force; none before the first was read.
     pub configuration: ArcSwapOption<Configuration>,
-    /// The endpoints.
+    /// The known endpoints.
     pub directory: Mutex<Directory>,
-    /// Where prompts were read.
+    /// The endpoints where shared prompt parts were prefilled.
     pub affinity: Mutex<Affinity>,
-    /// How fast models are.
+    /// The observed speed of models.
     pub paces: Mutex<Paces>,
-    /// Repeats.
+    /// The budget for retries.
     pub budget: Mutex<Budget>,
-    /// When refused callers may come back.
+    /// When refused callers are told to come back.
     pub returns: Mutex<Returns>,
-    /// Requests that end endpoints.
+    /// Requests that are blamed for endpoint failures.
     pub poison: Mutex<Register>,
-    /// Roll-outs.
+    /// The rollouts.
     pub rollouts: Mutex<Rollouts>,
-    /// The rows of the store as they are known.
+    /// A copy of the store's rows.
     pub mirror: Mutex<Mirror>,
-    /// Whom the store doesn't answer.
+    /// Whether a store outage affects all nodes or only this one.
     pub outage: Mutex<Outage>,
-    /// What other nodes have waiting at endpoints.
+    /// Work that other nodes have pending at endpoints.
     pub load_table: Mutex<LoadTable>,
-    /// Who is told of it in a large fleet.
+    /// The owner of each endpoint's load information, in a large fleet.
     pub load_owners: Mutex<Owners>,
-    /// The datagrams between nodes; none if the node has no address for them.
+    /// The datagram socket for load reports; none if the node has no address for it.
     pub load_reports: OnceLock<Arc<Socket>>,
-    /// Wakes whoever tells other nodes what this one has waiting.
+    /// Wakes the task that reports this node's pending work to others.
     pub pending_work_changed: Signal,
-    /// Wakes peers that wait for rows.
+    /// Wakes peers' queries that wait for changed rows.
     pub rows_changed: Signal,
-    /// Other nodes, by name.
+    /// The nodes of the fleet, by name.
     pub peers: Mutex<HashMap<String, fleet::Node>>,
-    /// What endpoints said that nobody reads.
+    /// Headers from endpoints that are not recognized.
     pub unknown_headers: Mutex<UnknownHeaders>,
     /// Requests that wait for the first configuration.
     pub starting: Waiting,
@@ -129,7 +129,7 @@
     in_flight: AtomicUsize,
 }
 
-/// A configuration and where it stands in the history of the store.
+/// A configuration and its revision in the store.
 #[derive(Debug)]
 pub struct Configuration {
     /// The configuration.
@@ -138,7 +138,7 @@
     pub rev: Rev,
 }
 
-/// Counts a request as under way until it's dropped.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<Gateway>);
 
@@ -149,7 +149,7 @@
 }
 
 impl Gateway {
-    /// A node that knows nothing yet.
+    /// Creates a node without any knowledge of the fleet or a configuration.
     pub fn new(parts: Parts, settings: Settings) -> Arc<Self> {
         let Parts { ex, clock, dialect, decoder, store, log } = parts;
         let started = clock.now();
@@ -189,27 +189,27 @@
         })
     }
 
-    /// The time.
+    /// The current time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// The store's clock, as far as it's known.
+    /// The store's clock; none if it is unknown.
     pub fn store_time(&self) -> Option<Duration> {
         self.mirror.lock().store_time(self.now())
     }
 
-    /// How many nodes there are, this one with them.
+    /// The number of nodes in the fleet, including this one.
     pub fn n_nodes(&self) -> usize {
         self.peers.lock().len().max(1)
     }
 
-    /// What the configuration in force says of a service; none if it says nothing.
+    /// Reads a property of a service from the configuration in force; none if it is not set.
     pub fn service<T>(&self, name: &str, read: impl FnOnce(&Service) -> Option<T>) -> Option<T> {
         read(self.configuration.load().as_ref()?.document.services.get(name)?)
     }
 
-    /// Waits until the rows of the fleet are read, `limit` at most.
+    /// Waits until the fleet table has been read, but at most for `limit`.
     pub async fn wait_for_members(&self, limit: Duration) {
         let members_read = async {
             loop {
@@ -223,33 +223,33 @@
         let _elapsed = timeout::run(limit, members_read).await;
     }
 
-    /// Whether it takes new callers.
+    /// Whether the node accepts new callers.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.is_serving()
     }
 
-    /// Whether it knows all that it needs to serve requests.
+    /// Whether the node has a configuration and has read all tables, as serving requests requires.
     pub fn is_serving(&self) -> bool {
         self.configuration.load().is_some() && self.mirror.lock().is_read()
     }
 
-    /// Whether it was told to stop.
+    /// Whether the node is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Takes no new callers from now on.
+    /// Stops accepting new callers.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Counts a request as under way.
+    /// Counts a request as in flight for the lifetime of the returned guard.
     pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
 
-    /// How many requests are under way.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
