--- a/crates/curranthook_gateway/src/load_owners.rs
+++ b/crates/curranthook_gateway/src/load_owners.rs
@@ -1,10 +1,11 @@
-//! Which node keeps the load account of an endpoint.
+//! Assigns to each endpoint the node that collects its load information.
 //!
-//! In a large fleet nobody can tell everybody what it has waiting where: 71 nodes would get 700
-//! reports a second each. Instead each endpoint has one owner, a node that hears of all work waiting there,
-//! and nodes ask it before they send more. Rendezvous hashing over the known nodes gives all of them
-//! the same owner without a message. Where they disagree, or an owner is lost, a request is placed
-//! by what its own node knows; nothing else depends on it.
+//! In a large fleet, the nodes cannot broadcast their pending work to all others: with 71 nodes,
+//! each would receive 700 reports per second. Instead each endpoint has an owner, a node that is
+//! told of all work pending there, and the other nodes query it before they send more. Rendezvous
+//! hashing over the known nodes yields the same owner on all of them without a message. If they
+//! disagree, or an owner is lost, a node places a request by its own knowledge; nothing else
+//! depends on the owner.
 
 use std::{
     collections::HashMap,
@@ -15,14 +16,16 @@
 use curranthook_policy::hash;
 use curranthook_types::endpoint;
 
-/// Up to this many nodes, each tells all others what it has waiting, and no accounts are kept.
+/// Up to this many nodes, each one broadcasts its pending work to all others, and there are no
+/// owners.
 const MAX_BROADCAST_NODES: usize = 12;
-/// How many questions in a row an owner may leave timeouts. One may be lost or late.
+/// How many successive queries an owner may leave unanswered before it is skipped. A single one may
+/// be lost or late.
 const MAX_UNANSWERED: u32 = 3;
-/// How long a node that left them timeouts is passed over; about the time of a restart.
+/// How long an owner is skipped after too many unanswered queries; about the time of a restart.
 const SKIP_TIME: Duration = Duration::from_secs(4);
 
-/// Whether a fleet of that size keeps accounts.
+/// Whether a fleet of that size uses load owners.
 ///
 /// ```
 /// # use curranthook_gateway::load_owners;
@@ -33,14 +36,14 @@
     MAX_BROADCAST_NODES < n_nodes
 }
 
-/// The nodes that may keep accounts, and how well they answer.
+/// The nodes that may be owners, and their unanswered queries.
 #[derive(Debug, Default)]
 pub struct Owners {
     nodes: Vec<Owner>,
     timeouts: HashMap<SocketAddr, Timeouts>,
 }
 
-/// A node that may keep accounts.
+/// A node that may be an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Owner {
     node_hash: u64,
@@ -54,14 +57,14 @@
 }
 
 impl Owners {
-    /// A node is reached at `addr`, or takes no reports.
+    /// Sets the address at which a node receives load reports; none if it receives none.
     pub fn set_node(&mut self, node: &str, addr: Option<SocketAddr>) {
         let node_hash = hash::bytes(node.as_bytes());
         self.nodes.retain(|it| it.node_hash != node_hash);
         self.nodes.extend(addr.map(|addr| Owner { node_hash, addr }));
     }
 
-    /// The address of the node that keeps the account of `endpoint`.
+    /// The address of the node that owns `endpoint`.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -79,18 +82,19 @@
         self.owner_of_subject(hash::bytes(endpoint.as_str().as_bytes()), now)
     }
 
-    /// The address of the node that knows where the parts of `subject` were read.
+    /// The address of the node that knows where the shared prompt parts of `subject` were
+    /// prefilled.
     pub fn owner_of_subject(&self, subject: u64, now: Instant) -> Option<SocketAddr> {
         let answering = self.nodes.iter().filter(|it| !self.is_skipped(it.addr, now));
         answering.max_by_key(|it| hash::pair(subject, it.node_hash)).map(|it| it.addr)
     }
 
-    /// A node record_answer a question.
+    /// Records that an owner answered a query.
     pub fn record_answer(&mut self, addr: SocketAddr) {
         self.timeouts.remove(&addr);
     }
 
-    /// A node left a question timeouts.
+    /// Records that an owner left a query unanswered.
     pub fn record_timeout(&mut self, addr: SocketAddr, now: Instant) {
         let it = self.timeouts.entry(addr).or_default();
         it.count += 1;
