--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -1,9 +1,9 @@
-//! The datagrams by which nodes know of each other's work at engines.
+//! Datagrams by which nodes tell each other about their pending work at engines.
 //!
-//! In a small fleet each node tells all others what it has waiting. In a large one it tells only
-//! the [`load_owners`] of the endpoints concerned, and asks the owners of a few candidates previous it
-//! places a request. A lost datagram is made good by the next; a question without an answer costs
-//! 15 ms, and the request is placed by what its node knows itself.
+//! In a small fleet, each node reports its pending work to all others. In a large one, it reports
+//! only to the [`load_owners`] of the endpoints concerned, and queries the owners of a few
+//! candidates before it places a request. The next report makes up for a lost one. An unanswered
+//! query costs 15 ms, and the request is then placed by the node's own knowledge.
 //!
 //! [`load_owners`]: crate::load_owners
 
@@ -30,52 +30,52 @@
 use self::limits::Limit;
 pub use self::queries::query;
 
-/// How often a node with work waiting tells it again.
+/// How often a node repeats its report while it has work pending.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
-/// The least time between two rounds of reports.
+/// The minimum interval between two rounds of reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// Work below this isn't worth telling: less than the way to an engine and back.
+/// The minimum pending work to report; less is shorter than the round trip to an engine.
 const MIN_REPORTED_WORK: Duration = Duration::from_millis(10);
-/// The largest datagram; what doesn't fit isn't reported_to.
+/// The maximum size of a datagram, in bytes. What does not fit is not reported.
 const MAX_DATAGRAM: usize = 1_400;
-/// How many endpoints fit into one.
+/// The maximum number of endpoints in a report, so that it fits into a datagram.
 const MAX_REPORTED_ENDPOINTS: usize = 32;
 
-/// How many prompts sent to be read fit into one beside them.
+/// The maximum number of prompts sent for prefill in a report, beside the endpoints.
 const MAX_REPORTED_READS: usize = 8;
 
-/// How many unreachable endpoints fit into one beside them.
+/// The maximum number of unreachable endpoints in a report, beside the others.
 const MAX_REPORTED_UNREACHABLE: usize = 8;
 
-/// Work that waits at endpoints.
+/// Work pending at endpoints, as its expected prefill time.
 type PendingWork = HashMap<endpoint::Id, Duration>;
 
-/// What nodes send each other.
+/// A message between nodes.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Message {
-    /// What `node` has waiting, in place of what it reported_to previous.
+    /// The work that `node` has pending; replaces its previous report.
     #[serde(rename = "notice")]
     Report {
         node: String,
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
         waiting: PendingWork,
-        /// What it has sent to be read since.
+        /// The prompts it sent for prefill since then.
         #[serde(default)]
         reads: Vec<Read>,
-        /// The endpoints to which it couldn't open a connection since.
+        /// The endpoints to which it could not open a connection since then.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
     },
-    /// What endpoints said of their limits.
+    /// Rate limits reported by endpoints.
     Limits { limits: Vec<Limit> },
-    /// What do all nodes but `node` have waiting at these endpoints?
+    /// Asks how much work all nodes except `node` have pending at these endpoints.
     Question {
         id: u64,
         node: String,
         endpoints: Vec<endpoint::Id>,
-        /// Where were the parts of this subject read?
+        /// Also asks where the shared prompt parts of this subject were prefilled.
         #[serde(default)]
         subject: Option<u64>,
     },
@@ -84,23 +84,23 @@
         id: u64,
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
         waiting: PendingWork,
-        /// Where the subject's parts were read, if that was asked.
+        /// Where the shared prompt parts of the subject were prefilled, if that was asked.
         #[serde(default)]
         holders: Option<Vec<endpoint::Id>>,
-        /// Those of the endpoints asked about that can't be reached.
+        /// Those of the given endpoints that are unreachable.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
     },
 }
 
-/// What other nodes know that bears on where a request goes.
+/// What other nodes know that matters for placing a request.
 #[derive(Debug, Clone, Default)]
 pub struct PeerState {
-    /// The work that they have waiting, for the endpoints asked about.
+    /// The work that they have pending at each of the given endpoints.
     pub waiting: PendingWork,
-    /// The endpoints that read the shared parts lately; none if nobody could tell.
+    /// The endpoints that recently prefilled the shared prompt parts; none if unknown.
     pub holders: Option<Vec<endpoint::Id>>,
-    /// Those of the endpoints asked about to which no connection can be opened.
+    /// Those of the given endpoints to which no connection can be opened.
     pub unreachable: Vec<endpoint::Id>,
 }
 
@@ -112,22 +112,22 @@
     }
 }
 
-/// The socket, and the queries that wait for answers.
+/// The datagram socket, the queries that await an answer, and what is queued for the next report.
 #[derive(Debug)]
 pub struct Socket {
     socket: Async<UdpSocket>,
     next_query_id: AtomicU64,
     open_queries: Mutex<HashMap<u64, Sender<(u64, PeerState)>>>,
-    /// What this node sent to be read and hasn't reported_to yet.
+    /// Prompts sent for prefill that have not been reported yet.
     reads: Mutex<Vec<Read>>,
-    /// The endpoints that it couldn't reach and hasn't reported_to of yet.
+    /// Unreachable endpoints that have not been reported yet.
     unreachable: Mutex<Vec<endpoint::Id>>,
-    /// What it heard of limits and hasn't reported_to yet.
+    /// Rate limits that have not been reported yet.
     limits: limits::Queue,
 }
 
 impl Socket {
-    /// Socket over `socket`.
+    /// Wraps a bound socket.
     pub fn new(socket: Async<UdpSocket>) -> Self {
         Self {
             socket,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Notes that parts were sent to be read, to be reported_to with the next report.
+    /// Queues the information that prompt parts were sent for prefill, for the next report.
     pub fn queue_read(&self, read: Read) {
         let mut reads = self.reads.lock();
         if reads.len() < MAX_REPORTED_READS {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Notes that no connection to an endpoint could be opened, to be reported_to with the next report.
+    /// Queues an endpoint to which no connection could be opened, for the next report.
     pub fn queue_unreachable(&self, endpoint: endpoint::Id) {
         let mut all = self.unreachable.lock();
         if all.len() < MAX_REPORTED_UNREACHABLE && !all.contains(&endpoint) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Notes what an endpoint said of its limit, to be reported_to soon.
+    /// Queues what an endpoint reported about its rate limit, to be sent soon.
     pub fn queue_limit(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
         self.limits.push(endpoint, notice);
     }
@@ -168,7 +168,7 @@
     }
 }
 
-/// Tells the others and listens to them, for as long as the process lives.
+/// Sends reports and handles messages from others, for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>, reports: Arc<Socket>) {
     let receiver = receive(Arc::clone(&gateway), Arc::clone(&reports));
     gateway.ex.spawn(receiver).detach();
@@ -181,10 +181,11 @@
     }
 }
 
-/// Waits until there may be something to tell. Whoever was reported_to of work is reported_to again after a while.
+/// Waits until there may be something to report. Nodes that were told of pending work are told
+/// again after a while.
 async fn wait_for_changes(gateway: &Gateway, reports: &Socket, reported_to: &HashSet<SocketAddr>) {
     let changed = gateway.pending_work_changed.wait();
-    // What came while others were being reported_to woke nobody.
+    // The signal has no effect while reports are being sent, so limits may have been queued since.
     if !reports.limits.is_empty() {
         return;
     }
@@ -205,10 +206,10 @@
         match reports.socket.recv_from(&mut bytes).await {
             Ok((n, from)) => match serde_json::from_slice(&bytes[..n]) {
                 Ok(message) => handle(&gateway, &reports, message, from).await,
-                Err(e) => log::debug!("a message of {from} can't be read: {e}"),
+                Err(e) => log::debug!("malformed message from {from}: {e}"),
             },
             Err(e) => {
-                log::debug!("no message can be received: {e}");
+                log::debug!("cannot receive messages: {e}");
                 Timer::after(MIN_REPORT_INTERVAL).await;
             }
         }
@@ -236,15 +237,15 @@
         }
         Message::Answer { id, waiting, holders, unreachable } => {
             let query = reports.open_queries.lock().remove(&id);
-            // Whoever asked may have gone on without it.
+            // The query may have timed out already.
             let _late =
                 query.map(|it| it.try_send((id, PeerState { waiting, holders, unreachable })));
         }
     }
 }
 
-/// What all nodes but `requester` have waiting at `endpoints`, and where `subject` was read, as far as this
-/// node was reported_to.
+/// The work that all nodes except `requester` have pending at `endpoints`, and where `subject` was
+/// prefilled, as far as this node was told.
 fn local_state(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
@@ -258,7 +259,7 @@
     let waiting = |id: &endpoint::Id| {
         let others_work = load_table.waiting(id, requester, now);
         let own_work = directory.get(id).map_or(Duration::ZERO, |it| it.pending);
-        // This node doesn't tell itself.
+        // A node does not send reports to itself, so only other requesters get its own work added.
         if own == requester { others_work } else { others_work + own_work }
     };
     let is_unreachable =
@@ -268,8 +269,9 @@
     PeerState { waiting, holders, unreachable }
 }
 
-/// Tells others what this node has waiting: all of them, or the owners of the endpoints. Returns
-/// who was reported_to of any work; whoever was previous is reported_to that there's none.
+/// Reports this node's pending work: to all nodes, or to the owners of the endpoints. Returns the
+/// nodes that were told of any work. Nodes in `previous` that have no work to be told of any more
+/// get an empty report.
 async fn send_reports(
     gateway: &Gateway,
     reports: &Socket,
@@ -297,7 +299,7 @@
     reported_to
 }
 
-/// What one node is reported_to.
+/// The contents of a report to one node.
 #[derive(Debug, Clone, Default)]
 struct Report {
     waiting: PendingWork,
@@ -305,7 +307,7 @@
     unreachable: Vec<endpoint::Id>,
 }
 
-/// Who is reported_to what of `all`.
+/// Splits `all` into the report for each node.
 fn reports_by_node(gateway: &Gateway, all: Report) -> HashMap<SocketAddr, Report> {
     let own = gateway.settings.reports;
     let peers = gateway.peers.lock();
