--- a/crates/curranthook_gateway/src/load_reports/limits.rs
+++ b/crates/curranthook_gateway/src/load_reports/limits.rs
@@ -1,4 +1,4 @@
-//! How nodes tell each other of the limits that endpoints name.
+//! How nodes pass on the rate limits that endpoints report.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,33 +11,34 @@
 use super::{Message, Socket};
 use crate::{Gateway, event::Event, load_owners, rate_limit};
 
-/// How many limits fit into one datagram.
+/// The maximum number of limits in a datagram.
 const MAX_LIMITS_PER_DATAGRAM: usize = 16;
-/// How many limits may wait to be told; a node that misses some hears of them at its next turn.
+/// The maximum number of limits queued for sending. A node that misses some learns of them when it
+/// next sends requests to the endpoint in a later rotation of the permits.
 const MAX_LIMITS_QUEUED: usize = 256;
 
-/// To how many nodes of a large fleet a node passes on what it hears of limits. Each of them does the same,
-/// so that nearly all nodes of a fleet of thousands hear of it within a few rounds.
+/// The number of nodes to which a node of a large fleet passes on a limit. Each of them does the
+/// same, so that nearly all nodes of a fleet of thousands have it within a few rounds.
 const GOSSIP_FANOUT: usize = 8;
 
-/// What an endpoint said of its limit.
+/// What an endpoint reported about its rate limit.
 #[serde_as]
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct Limit {
     endpoint: endpoint::Id,
-    /// The requests a second that it takes; none if it names no limit.
+    /// The requests per second that it accepts; none if it reports no limit.
     rate: Option<f64>,
-    /// When it said so, by the store's clock.
+    /// When it reported that, by the store's clock.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     at: Duration,
 }
 
-/// What a node heard of limits and hasn't told yet.
+/// Limits that have been received and not yet passed on.
 #[derive(Debug, Default)]
 pub(super) struct Queue(Mutex<Vec<Limit>>);
 
 impl Queue {
-    /// Adds what an endpoint said, in place of what it said before.
+    /// Adds a report of an endpoint; replaces an earlier one.
     pub(super) fn push(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
         let rate_limit::Notice { rate, at } = notice;
         let mut all = self.0.lock();
@@ -47,20 +48,20 @@
         }
     }
 
-    /// Takes the first `n`.
+    /// Removes and returns up to `n` limits, the oldest first.
     fn take(&self, n: usize) -> Vec<Limit> {
         let mut all = self.0.lock();
         let n = all.len().min(n);
         all.drain(..n).collect()
     }
 
-    /// Whether there are none.
+    /// Whether the queue is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.0.lock().is_empty()
     }
 }
 
-/// Takes in what another node heard of a limit, and passes it on if it's news.
+/// Applies a limit received from another node, and passes it on if it is new.
 pub(super) fn receive(gateway: &Gateway, reports: &Socket, limit: &Limit) {
     let notice = rate_limit::Notice { rate: limit.rate, at: limit.at };
     if !gateway.directory.lock().apply_reported_limit(&limit.endpoint, &notice) {
@@ -68,14 +69,15 @@
     }
     let endpoint = limit.endpoint.as_str();
     gateway.log.write(&Event::RateLimit { endpoint, rate: limit.rate, from: "peer" });
-    // In a small fleet whoever heard it told all.
+    // In a small fleet, the node that received it from the endpoint sent it to all others.
     if load_owners::are_used(gateway.n_nodes()) {
         reports.queue_limit(&limit.endpoint, notice);
         gateway.pending_work_changed.wake();
     }
 }
 
-/// Tells others what endpoints said of their limits: all of them in a small fleet, a few in a large one.
+/// Sends queued limits to all other nodes in a small fleet, and to a few random ones in a large
+/// fleet.
 pub(super) async fn send(gateway: &Gateway, reports: &Socket) {
     let limits = reports.limits.take(MAX_LIMITS_PER_DATAGRAM);
     if limits.is_empty() {
