--- a/crates/curranthook_gateway/src/load_reports/queries.rs
+++ b/crates/curranthook_gateway/src/load_reports/queries.rs
@@ -1,4 +1,4 @@
-//! Queries to load owners, asked before a request is placed.
+//! Queries to load owners, sent before a request is placed.
 
 use std::{collections::HashMap, net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
@@ -9,12 +9,13 @@
 use super::{Message, PeerState, Socket, local_state};
 use crate::Gateway;
 
-/// How long the answer of an owner may take: a few ways between failure domains and the turn of a
-/// small node. A request waits for it, so it's little against the second that callers wait.
+/// The timeout for an owner's answer: a few trips between failure domains and the processing time
+/// on a small node. A request waits for it, so it is kept small compared to the second that callers
+/// wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// What the other nodes have waiting at `endpoints`, and where `subject` was read, as far as their owners
-/// tell in time.
+/// Queries the owners of `endpoints` and `subject` for the work that other nodes have pending there
+/// and for where `subject` was prefilled. The result contains what they answer in time.
 pub async fn query(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
@@ -30,7 +31,7 @@
     state
 }
 
-/// What one owner is asked.
+/// The contents of a query to one owner.
 #[derive(Debug, Default)]
 struct Query {
     endpoints: Vec<endpoint::Id>,
@@ -55,17 +56,17 @@
     all
 }
 
-/// Queries on their way.
+/// Queries that have been sent and not all answered.
 struct Queries<'a> {
     gateway: &'a Gateway,
     reports: &'a Socket,
-    /// Who was asked, by the question's id.
+    /// The owner to which each query was sent, by the query's id.
     open: HashMap<u64, SocketAddr>,
     answers: Receiver<(u64, PeerState)>,
 }
 
 impl<'a> Queries<'a> {
-    /// Asks each owner.
+    /// Sends a query to each owner.
     async fn send(
         gateway: &'a Gateway,
         reports: &'a Socket,
@@ -83,7 +84,7 @@
         Self { gateway, reports, open, answers }
     }
 
-    /// The answers that come in time.
+    /// Collects the answers that arrive in time.
     async fn answers(mut self) -> PeerState {
         let mut state = PeerState::default();
         let gather = async {
@@ -96,13 +97,13 @@
                 state.extend(answer);
             }
         };
-        // Elapsed or not, what was answer by then counts.
+        // The answers that arrived before a timeout count as well.
         let _elapsed = timeout::run(ANSWER_TIMEOUT, gather).await;
         self.record_timeouts();
         state
     }
 
-    /// Gives up the queries that have no answer.
+    /// Records the queries that were not answered.
     fn record_timeouts(self) {
         for addr in self.open.values() {
             self.gateway.load_owners.lock().record_timeout(*addr, self.gateway.now());
@@ -112,8 +113,8 @@
 }
 
 impl Drop for Queries<'_> {
-    /// A caller that leaves drops its request here, too; without this, what it asked would be local_state
-    /// for good if the answers are lost.
+    /// Also runs when a caller disconnects and its request is dropped. Without this, the entries of
+    /// queries whose answers are lost would stay forever.
     fn drop(&mut self) {
         let mut open_queries = self.reports.open_queries.lock();
         for id in self.open.keys() {
