--- a/crates/curranthook_gateway/src/load_table.rs
+++ b/crates/curranthook_gateway/src/load_table.rs
@@ -1,8 +1,8 @@
-//! What other nodes have sent to engines that hasn't begun yet.
+//! Work that other nodes have sent to engines and that has not begun yet.
 //!
-//! An engine reads prompts one after another, some of them for seconds, and the nodes that send
-//! them don't see each other's. Each node tells others what it has waiting where (see [`load_reports`]);
-//! this is what a node was told.
+//! An engine prefills prompts one after another, some of them for seconds, and a node does not see
+//! the prompts that others send. So each node reports its pending work at each endpoint (see
+//! [`load_reports`]). This table holds the reports received from other nodes.
 //!
 //! [`load_reports`]: crate::load_reports
 
@@ -13,22 +13,22 @@
 
 use curranthook_types::endpoint;
 
-/// How long what a node told holds.
+/// How long a report is valid.
 const EXPIRY: Duration = Duration::from_millis(800);
 
-/// What each node has waiting.
+/// The last report of each node.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     nodes: HashMap<String, (Instant, HashMap<endpoint::Id, Duration>)>,
 }
 
 impl LoadTable {
-    /// Takes in what `node` has waiting.
+    /// Stores the report of `node`, in place of its previous one.
     pub fn update(&mut self, node: String, waiting: HashMap<endpoint::Id, Duration>, now: Instant) {
         self.nodes.insert(node, (now, waiting));
     }
 
-    /// The work that waits at an endpoint, but for that of the node `requester`, which knows its own.
+    /// The work pending at an endpoint, except that of `requester`, which knows its own.
     ///
     /// ```
     /// # use std::{collections::HashMap, time::{Duration, Instant}};
