--- a/crates/curranthook_gateway/src/metrics.rs
+++ b/crates/curranthook_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text.
+//! Counters and histograms, exported in text format.
 
 use std::{sync::atomic::AtomicU64, time::Duration};
 
@@ -16,23 +16,23 @@
 
 use crate::{refusal, store};
 
-/// The label of a counter that is split by reason, result or state.
+/// The label of a counter that is split by reason, result or outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Label {
-    /// The reason, result or state.
+    /// The reason, result or outcome.
     pub name: &'static str,
 }
 
 /// The labels of calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreLabels {
-    /// Which rows were read or written.
+    /// The table that was read or written.
     pub table: &'static str,
-    /// How it ended.
+    /// The result of the call.
     pub result: &'static str,
 }
 
-/// What a process counts.
+/// The metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
@@ -46,17 +46,17 @@
     answer_time: Histogram,
     /// The version of the configuration in force.
     pub configuration: Gauge<u64, AtomicU64>,
-    /// The endpoints in the list.
+    /// The number of known endpoints.
     pub endpoints: Gauge,
-    /// Requests under way.
+    /// The number of requests in flight.
     pub in_flight: Gauge,
-    /// Log lines that were dropped and not yet reported.
+    /// The number of log lines that were dropped and not yet reported.
     pub lines_dropped: Gauge,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
-        // From 1 ms to 16 s in steps of two.
+        // From 1 ms to 16 s, each bucket twice as large as the one before.
         let buckets = || Histogram::new(exponential_buckets(0.001, 2.0, 15));
         let it = Self {
             registry: Mutex::new(Registry::with_prefix("curranthook")),
@@ -66,7 +66,7 @@
             store_calls: Family::default(),
             queries: Family::default(),
             first_byte_time: buckets(),
-            // From 2 % to 10 times in steps of two.
+            // From 2 % to 10 times the estimate, each bucket twice as large as the one before.
             estimate_error: Histogram::new(exponential_buckets(0.02, 2.0, 10)),
             answer_time: buckets(),
             configuration: Gauge::default(),
@@ -111,28 +111,28 @@
         registry.register("log_lines_dropped", help, self.lines_dropped.clone());
     }
 
-    /// Counts a request that ended.
+    /// Counts a request that ended, and its duration.
     pub fn record_ended(&self, outcome: &'static str, took: Duration) {
         self.requests.get_or_create(&Label { name: outcome }).inc();
         self.answer_time.observe(took.as_secs_f64());
     }
 
-    /// Counts a request that the node ended by itself.
+    /// Counts a request that the node refused.
     pub fn record_refusal(&self, reason: refusal::Reason) {
         self.refusals.get_or_create(&Label { name: reason.name() }).inc();
     }
 
-    /// Counts a further attempt.
+    /// Counts a retry.
     pub fn record_retry(&self, reason: &'static str) {
         self.retries.get_or_create(&Label { name: reason }).inc();
     }
 
-    /// Notes when the first byte of an answer came.
+    /// Records the time to the first byte of an answer.
     pub fn record_first_byte(&self, took: Duration) {
         self.first_byte_time.observe(took.as_secs_f64());
     }
 
-    /// Notes how far off the time was in which a first event was expected.
+    /// Records the relative error of an estimate of the time to the first event.
     pub fn record_estimate(&self, expected: Duration, took: Duration) {
         let error = took.abs_diff(expected).as_secs_f64();
         self.estimate_error.observe(error / expected.as_secs_f64().max(f64::MIN_POSITIVE));
@@ -156,12 +156,12 @@
         self.store_calls.get_or_create(&StoreLabels { table, result }).inc();
     }
 
-    /// Counts a question about the work that waits at endpoints: answered in time, or not.
+    /// Counts a query to a load owner as answered in time or not.
     pub fn record_query(&self, result: &'static str) {
         self.queries.get_or_create(&Label { name: result }).inc();
     }
 
-    /// All of them as text.
+    /// All metrics in text format.
     ///
     /// ```
     /// let text = curranthook_gateway::metrics::Metrics::default().text();
@@ -169,7 +169,7 @@
     /// ```
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _never = encode(&mut text, &self.registry.lock());
         text
     }
