--- a/crates/curranthook_gateway/src/outage.rs
+++ b/crates/curranthook_gateway/src/outage.rs
@@ -1,47 +1,50 @@
-//! Whether the store was away from everybody, or from this node alone.
+//! Tells whether an outage of the store affects all nodes or only this one.
 //!
-//! While the store is away, endpoints can't renew their entries, and those of living ones lapse; so
-//! after its return removed entries are kept for a moment. A node that was cut off by itself must not do
-//! that: the store served all others meanwhile, what it removed is gone, and endpoints would get
-//! requests seconds after they had left. Its peers tell how long ago the store answered them.
+//! While the store is unavailable, endpoints cannot renew their entries, and even the entries of
+//! live endpoints lapse. So removed entries are kept for a short time after the outage. A node that
+//! alone lost its connection must not keep them: the store served the others meanwhile, the
+//! endpoints it removed are gone, and they would get requests seconds after they had left. The
+//! peers tell how long ago the store answered them.
 
 use std::time::{Duration, Instant};
 
-/// How long entries that vanished with the store may still be used after its return. Endpoints
-/// that live are back in the list within two seconds.
+/// How long after an outage entries that lapsed in it may still be used. Live endpoints are listed
+/// again within two seconds.
 const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
-/// The longest between two answers that a peer has of a store which serves it: its calls for the
-/// configuration wait for 3 s, and it's asked every half second.
+/// The maximum time between two store answers at a peer that the store serves. The peer's calls for
+/// the configuration wait for up to 3 s, and it is polled every half second.
 const MAX_ANSWER_GAP: Duration = Duration::from_millis(3_800);
 
-/// What is known of the store while this node doesn't reach it.
+/// What is known about the store while this node cannot reach it.
 #[derive(Debug, Default)]
 pub struct Outage {
-    /// When this node lost it; none if it reaches it.
+    /// When this node lost contact with the store; none if it has contact.
     lost_at: Option<Instant>,
-    /// Since when it has answered anybody all the while, and when it last did.
+    /// The latest span in which the store answered some node without a long gap: since when, and
+    /// the last answer.
     served_span: Option<(Instant, Instant)>,
 }
 
 impl Outage {
-    /// A call of this node failed.
+    /// Records that a call of this node failed.
     pub fn record_failure(&mut self, now: Instant) {
         if self.lost_at.is_none() {
             self.lost_at = Some(now);
-            // Calls for several tables fail and come back at moments of their own.
+            // Calls for the different tables fail and recover independently, so a span that is
+            // still current is kept.
             self.served_span = self.current_span(now);
         }
     }
 
-    /// The store answered a peer at `at`.
+    /// Records that the store answered a peer at `at`.
     pub fn record_peer_answer(&mut self, at: Instant) {
         if self.lost_at.is_some_and(|lost_at| lost_at <= at) {
             self.record_answer(at);
         }
     }
 
-    /// A call of this node was answered again. Returns until when entries may still be missing that
-    /// lapsed.
+    /// Records that a call of this node succeeded again. Returns until when entries that lapsed may
+    /// still be missing.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -52,7 +55,7 @@
     /// assert!(outage.record_recovery(start + s(8)) < start + s(4), "the store served the others");
     ///
     /// outage.record_failure(start + s(20));
-    /// assert!(start + s(30) < outage.record_recovery(start + s(28)), "it was away from all");
+    /// assert!(start + s(30) < outage.record_recovery(start + s(28)), "the outage affected all nodes");
     /// ```
     pub fn record_recovery(&mut self, now: Instant) -> Instant {
         self.lost_at = None;
@@ -65,7 +68,7 @@
         self.served_span = Some((since, last.max(at)));
     }
 
-    /// Since when it has answered, if it still did at `now`.
+    /// The span in which the store has been answering, if that still held at `now`.
     fn current_span(&self, now: Instant) -> Option<(Instant, Instant)> {
         self.served_span.filter(|(_, last)| now.saturating_duration_since(*last) < MAX_ANSWER_GAP)
     }
