--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! How nodes ask each other for rows of the store: the nodes of a large fleet their parents, and any node
-//! its peers while the store turns it away.
+//! Queries between nodes for rows of the store. In a large fleet, nodes query their parents; any
+//! node queries its peers while the store does not answer it.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -23,34 +23,34 @@
     store::{Batch, Error, Rev, Table},
 };
 
-/// Where a node's rows are read.
+/// The path at which a node answers queries for rows.
 const PATH: &str = "/rows";
-/// How many peers are asked at a time while the store is away.
+/// The number of random peers queried at a time while the store is unavailable.
 const PEERS_PER_POLL: usize = 2;
-/// How long a peer may take.
+/// The timeout for a peer's answer, in addition to the wait that the query asks for.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A query to a peer.
+/// A query for rows.
 #[serde_as]
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Query {
     table: Table,
-    /// What the asker knows already; all rows are reply if there is none.
+    /// The revision up to which the sender has all changes; all rows are returned if there is none.
     since: Option<Rev>,
     /// How long to wait for a change.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     wait: Duration,
-    /// How long ago the peer may have heard from the store; any time if there is none.
+    /// The maximum time since the peer last heard from the store; any time if there is none.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     max_age: Option<Duration>,
 }
 
-/// A peer's answer.
+/// A peer's reply.
 #[serde_as]
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Reply {
     batch: Batch,
-    /// How long ago the peer heard from the store.
+    /// How long ago the peer last heard from the store.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     age: Option<Duration>,
     /// The store's clock.
@@ -58,7 +58,7 @@
     now: Option<Duration>,
 }
 
-/// Answers peers.
+/// Answers queries of other nodes.
 #[derive(Debug)]
 pub struct Server {
     /// The node.
@@ -68,7 +68,7 @@
 impl Handler for Server {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> Boxed<Response<Body>> {
         Box::pin(async move {
-            /// The largest query, in bytes.
+            /// The maximum size of a query, in bytes.
             const MAX_QUERY_BYTES: usize = 4_096;
             if req.uri().path() != PATH {
                 return body::json(404, &serde_json::json!({ "error": "no such path" }));
@@ -91,9 +91,9 @@
 }
 
 impl Server {
-    /// Waits until there is something to tell, the wait is over, or this node has itself not
-    /// heard from the store for too long: the asker then looks elsewhere, so that a relay that
-    /// is cut off doesn't keep the others from news.
+    /// Waits until there are changes to return, the wait is over, or this node itself has not heard
+    /// from the store for too long. The sender then asks elsewhere, so that a relay that is cut off
+    /// does not keep changes from the others.
     async fn answer(&self, query: &Query) -> Result<Reply, Unknown> {
         let end = self.gateway.now() + query.wait;
         loop {
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Whether this node is itself about to read what a child asks for. The nodes of a fleet start
-    /// together.
+    /// Whether a child asks for a table that this node is about to read for the first time itself.
+    /// This happens because the nodes of a fleet start together.
     fn awaits_first_read(&self, query: &Query) -> bool {
         let is_child = query.max_age.is_some();
         is_child && query.since.is_none() && !self.gateway.mirror.lock().knows(query.table)
@@ -155,7 +155,7 @@
     Ok(Batch { rev: batch.rev.max(since), ..batch })
 }
 
-/// All rows of a table from a parent, which may read them itself within `wait`.
+/// Reads all rows of a table from a parent, which may take up to `wait` to read them itself.
 pub async fn snapshot(
     gateway: &Gateway,
     parent: SocketAddr,
@@ -166,7 +166,7 @@
     let query = Query { table, since: None, wait, max_age: Some(max_age) };
     let batch = query_parent(gateway, parent, &query).await?;
     match batch.rev {
-        Rev(0) => Err(Error::Down(format!("peer {parent} hasn't read it"))),
+        Rev(0) => Err(Error::Down(format!("peer {parent} has not read the table yet"))),
         _ => Ok(batch),
     }
 }
@@ -183,7 +183,7 @@
     Ok(Batch { now: reply.now, ..reply.batch })
 }
 
-/// Takes in what some peers know, after the store gave no answer.
+/// Applies the rows that some peers know, after the store did not answer.
 pub async fn poll_peers(gateway: &Arc<Gateway>) {
     let own = gateway.settings.peers;
     let addrs: Vec<SocketAddr> = {
@@ -216,7 +216,7 @@
     if let Some(at) = answered {
         gateway.outage.lock().record_peer_answer(at);
     }
-    // A peer that knows less must not make this node forget.
+    // Rows from a peer that is behind must not replace newer ones.
     if known < reply.batch.rev {
         let batch = Batch { now: reply.now, ..reply.batch };
         apply::batch(gateway, table, batch, is_snapshot, "peer");
