--- a/crates/curranthook_gateway/src/permit.rs
+++ b/crates/curranthook_gateway/src/permit.rs
@@ -1,20 +1,21 @@
-//! How the nodes of a fleet share the rate that one endpoint takes from all of them.
+//! Splits the rate that one endpoint accepts from all nodes of a fleet.
 //!
-//! No node sees what the others send. So a few nodes hold a permit for a part of the rate each, and the
-//! others pass the endpoint over. Rendezvous hashing tells all nodes alike who holds them, without a
-//! message; the part of a node that is lost or cut off stays unused.
+//! No node sees what the others send. So a few nodes hold a permit for a part of the rate each, and
+//! the others skip the endpoint. Rendezvous hashing tells all nodes who holds the permits, without
+//! a message. The part of a node that is lost or cut off stays unused.
 
 use std::time::{Duration, Instant};
 
 use curranthook_policy::hash;
 
-/// How long a permit holds before it's worked out again, as nodes come and go.
+/// How long a permit is valid before it is recomputed, as nodes join and leave.
 const PERMIT_EXPIRY: Duration = Duration::from_secs(1);
 
-/// The least time between two requests of `node` to `endpoint`, all as hashes, if the fleet of `nodes` may
-/// send it `rate` requests a second; none if the node may send none.
+/// The minimum interval between two requests from `node` to `endpoint` if all `nodes` together may
+/// send it `rate` requests per second; none if the node may send no requests. Nodes and endpoints
+/// are given as hashes.
 ///
-/// Guards against many nodes that find the same idle endpoint at once.
+/// Prevents many nodes from choosing the same idle endpoint at once.
 ///
 /// ```
 /// # use curranthook_gateway::permit;
@@ -30,7 +31,7 @@
     (rank < n_holders).then_some(interval)
 }
 
-/// What this node may send to an endpoint, and has sent.
+/// What this node may send to an endpoint, and what it has sent.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Share {
     permit: Option<Permit>,
@@ -42,23 +43,23 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Permit {
-    /// The least time between two requests; none if there may be none.
+    /// The minimum interval between two requests; none if the node may send no requests.
     interval: Option<Duration>,
     since: Instant,
 }
 
 impl Share {
-    /// Whether the node has to work out its permit again.
+    /// Whether the permit has to be recomputed.
     pub fn is_outdated(&self, now: Instant) -> bool {
         self.permit.is_none_or(|it| it.since + PERMIT_EXPIRY <= now)
     }
 
-    /// Sets the least time between two requests; none if there may be none.
+    /// Sets the minimum interval between two requests; none if the node may send no requests.
     pub fn set_interval(&mut self, interval: Option<Duration>, now: Instant) {
         self.permit = Some(Permit { interval, since: now });
     }
 
-    /// Whether a request may be sent now; none may before the node knows its permit.
+    /// Whether a request may be sent now. Always false before the permit is known.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -81,24 +82,24 @@
         self.due.is_none_or(|at| at <= now + interval * self.burst)
     }
 
-    /// The least time between two requests; none if there may be none.
+    /// The minimum interval between two requests; none if the node may send no requests.
     pub fn interval(&self) -> Option<Duration> {
         self.permit?.interval
     }
 
-    /// A request was sent.
+    /// Records that a request was sent.
     pub fn sent(&mut self, now: Instant) {
         let due = self.due.map_or(now, |at| at.max(now));
         self.due = Some(due + self.interval().unwrap_or_default());
     }
 
-    /// Nothing may be sent before then.
+    /// Allows no requests before `until`.
     pub fn defer(&mut self, until: Instant) {
         let ahead = self.interval().unwrap_or_default() * self.burst;
         self.due = self.due.max(Some(until + ahead));
     }
 
-    /// Lets `burst` requests be sent before they are due, if fewer than that were sent before.
+    /// Lets up to `burst` requests be sent before they are due.
     pub fn with_burst(self, burst: u32) -> Self {
         Self { burst, ..self }
     }
