--- a/crates/curranthook_gateway/src/rate_limit.rs
+++ b/crates/curranthook_gateway/src/rate_limit.rs
@@ -1,8 +1,8 @@
-//! The rate that an endpoint names in its answers: what it takes from all nodes together.
+//! The rate limit that an endpoint reports in its answers: what it accepts from all nodes together.
 //!
-//! The fleet shares it by [`permit`]. Who holds the permits changes from rotation to rotation, so
-//! that each node sends a request now and then and hears whether the endpoint still names a limit. A node
-//! that hears of a change tells others (see [`load_reports`](crate::load_reports)).
+//! The fleet shares the rate by [`permit`]. The holders of the permits rotate, so that each node
+//! sends a request now and then and learns whether the endpoint still reports a limit. A node that
+//! learns of a change tells others (see [`load_reports`](crate::load_reports)).
 
 use std::time::{Duration, Instant};
 
@@ -12,38 +12,40 @@
 
 /// How long the same nodes hold the permits of an endpoint.
 const ROTATION_PERIOD: Duration = Duration::from_secs(4);
-/// The part of the rate that is handed out. What is left covers requests that are sent before they are due,
-/// and nodes that don't know of each other yet.
+/// The share of the rate that is granted. The rest covers requests that are sent before they are
+/// due, and nodes that do not know of each other yet.
 const GRANTED_SHARE: f64 = 0.85;
-/// How many requests a node may send before they are due. Requests come at random, and what can't be sent
-/// the moment it comes is refused or burdens other endpoints, while permits go unused.
+/// How many requests a node may send before they are due. Requests arrive at random. One that could
+/// not be sent on arrival would be refused or add to the load of other endpoints, while permits
+/// stay unused.
 const MAX_BURST: u32 = 1;
-/// The least rate that is handed out, in requests a second: some node has to ask an endpoint that takes
-/// nothing whether it still does.
+/// The minimum rate that is granted, in requests per second. Some node has to keep checking whether
+/// an endpoint that accepts nothing still does so.
 const MIN_GRANTED_RATE: f64 = 0.25;
 
-/// What an endpoint said of its limit.
+/// What an endpoint reported about its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Notice {
-    /// The requests a second that it takes; none if it names no limit.
+    /// The requests per second that it accepts; none if it reports no limit.
     pub rate: Option<f64>,
-    /// When it said so, by the store's clock.
+    /// When it reported that, by the store's clock.
     pub at: Duration,
 }
 
-/// The limit of an endpoint, as one node takes part in it.
+/// The rate limit of an endpoint, and this node's share of it.
 #[derive(Debug, Clone, Copy)]
 pub struct RateLimit {
-    /// The requests a second that the endpoint takes from all nodes.
+    /// The requests per second that the endpoint accepts from all nodes.
     pub rate: f64,
     share: Share,
     rotation: Option<u64>,
 }
 
-/// The least time between two requests of `node` to `endpoint`, all as hashes, if the fleet of `nodes` may
-/// send it `rate` requests a second; none if it's not this node's rotation.
+/// The minimum interval between two requests from `node` to `endpoint` if all `nodes` together may
+/// send it `rate` requests per second; none if the node holds no permit in this rotation. Nodes and
+/// endpoints are given as hashes.
 ///
-/// Guards against an endpoint in need that gets from each node what it takes from all of them.
+/// Prevents each node from sending an overloaded endpoint as much as it accepts from all of them.
 ///
 /// ```
 /// # use curranthook_gateway::rate_limit;
@@ -64,7 +66,7 @@
     permit::interval(granted(rate), hash::pair(endpoint, rotation), node, nodes)
 }
 
-/// The requests a second that the fleet may send to an endpoint that names `rate`.
+/// The requests per second that the fleet may send to an endpoint that reports a limit of `rate`.
 ///
 /// ```
 /// # use curranthook_gateway::rate_limit;
@@ -75,13 +77,13 @@
     (rate * GRANTED_SHARE).max(MIN_GRANTED_RATE)
 }
 
-/// The rotation at a time of the store's clock.
+/// The number of the rotation at a time of the store's clock.
 pub fn rotation(time: Duration) -> u64 {
     time.as_secs() / ROTATION_PERIOD.as_secs()
 }
 
 impl RateLimit {
-    /// A limit of `rate` requests a second that was named just now.
+    /// A limit of `rate` requests per second, with no permit yet.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -97,23 +99,24 @@
         Self { rate, share: Share::default().with_burst(MAX_BURST), rotation: None }
     }
 
-    /// The same limit at another rate.
+    /// The same limit at another rate; its permit has to be recomputed.
     pub fn with_rate(self, rate: f64) -> Self {
         Self { rate, rotation: None, ..self }
     }
 
-    /// Whether the node has to work out its permit again.
+    /// Whether the permit has to be recomputed.
     pub fn is_outdated(&self, rotation: u64, now: Instant) -> bool {
         self.rotation != Some(rotation) || self.share.is_outdated(now)
     }
 
-    /// Sets the least time between two requests in a rotation; none if there may be none.
+    /// Sets the minimum interval between two requests in a rotation; none if the node may send no
+    /// requests.
     pub fn set_interval(&mut self, interval: Option<Duration>, rotation: u64, now: Instant) {
         let had_permit = self.share.interval().is_some();
         self.rotation = Some(rotation);
         self.share.set_interval(interval, now);
         if let Some(interval) = interval.filter(|_| !had_permit) {
-            // Whoever held the permit before may have used it just now.
+            // The previous holder of the permit may just have used it.
             self.share.defer(now + interval / 2);
         }
     }
@@ -123,7 +126,7 @@
         self.share.admits(now)
     }
 
-    /// A request was sent.
+    /// Records that a request was sent.
     pub fn sent(&mut self, now: Instant) {
         self.share.sent(now);
     }
