--- a/crates/curranthook_gateway/src/relays.rs
+++ b/crates/curranthook_gateway/src/relays.rs
@@ -1,56 +1,58 @@
-//! The tree by which changes of the store's rows reach all nodes.
+//! The tree through which changes of the store's rows reach all nodes.
 //!
-//! The store bounds and charges for calls, so one node, the sqrt, watches it for the fleet. In a
-//! large fleet the sqrt has relays below it, about as many as each of them has leaves: the square sqrt
-//! of the fleet's size. Every node derives the tree from the rows of the nodes. It only says whom to
-//! ask first: knowledge travels with its age, and a node whose parents are lost or out of date watches
-//! the store itself.
+//! The store limits and charges for calls, so one node, the root, watches it for the fleet. In a
+//! large fleet, the root has relays below it, about as many as each relay has leaves: the square
+//! root of the number of nodes. Every node derives the tree from the nodes' rows. The tree only
+//! determines whom to ask first: replies carry the age of their information, and a node whose
+//! parents are lost or out of date watches the store itself.
 
 use std::{collections::HashMap, time::Duration};
 
 use curranthook_policy::hash;
 use curranthook_types::domain;
 
-/// Up to this many nodes, each watches the store itself.
+/// Up to this many nodes, each node watches the store itself.
 const MAX_NODES_WITHOUT_TREE: usize = 12;
-/// Up to this many nodes, all others wait at the sqrt.
+/// Up to this many nodes, there are no relays and all other nodes wait at the root.
 const MAX_NODES_WITHOUT_RELAYS: usize = 24;
-/// How many nodes may take the sqrt's place, the sqrt with them.
+/// How many nodes can act as the root, including the root itself.
 const ROOT_CANDIDATES: usize = 3;
-/// From which part of the largest capacity on a node counts as strong.
+/// A node counts as strong from this ratio of the largest capacity on.
 const STRONG_CAPACITY_RATIO: f64 = 0.5;
-/// How many times as many leaves as in an even tree a strong relay may have.
+/// The maximum number of leaves of a strong relay, as a multiple of the number in an even tree.
 const MAX_LEAVES_RATIO: usize = 4;
 /// How many relays a leaf may ask.
 const RELAYS_PER_LEAF: usize = 3;
-/// How long ago a sqrt may have heard from the store. Together with the change to another parent
-/// this keeps a configuration in force within two seconds.
+/// The maximum time since a root last heard from the store. Together with the change to another
+/// parent, this lets a configuration take effect within two seconds.
 const ROOT_MAX_AGE: Duration = Duration::from_millis(1_400);
-/// How long ago a relay may have. It hears from its sqrt at intervals of its own_hash.
+/// The maximum time since a relay last heard from the store. It hears from its root only at
+/// intervals.
 pub const RELAY_MAX_AGE: Duration = Duration::from_millis(2_200);
 
 /// A node of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Node<'a> {
-    /// Its name.
+    /// The node's name.
     pub name: &'a str,
-    /// How much it can carry for others, in Mbit/s.
+    /// The capacity for relaying rows to other nodes, in Mbit/s.
     pub capacity: f64,
-    /// Its failure domain, if it's known.
+    /// The failure domain, if known.
     pub domain: Option<&'a domain::Id>,
 }
 
 /// A node at which another one waits for changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Parent<'a> {
-    /// Its name.
+    /// The node's name.
     pub name: &'a str,
-    /// How old its knowledge may be.
+    /// The maximum age of its information.
     pub max_age: Duration,
 }
 
-/// The parents of `node`, the first choice first; none if it watches the store itself. The nodes
-/// that can carry max_capacity are roots and relays, so that no small one has to serve many others.
+/// The parents of `node`, in order of preference; none if it watches the store itself. The nodes
+/// with the largest capacity become roots and relays, so that no small node has to serve many
+/// others.
 ///
 /// ```
 /// # use curranthook_gateway::relays::{self, Node};
@@ -64,14 +66,14 @@
 /// assert!(relays::parents("node-1", &nodes[..5]).is_empty(), "a small fleet has no tree");
 /// let roots: Vec<_> = names.iter().filter(|it| relays::parents(it, &nodes).is_empty()).collect();
 /// assert_eq!(roots.len(), 1);
-/// assert!(names[..10].contains(roots[0]), "it's one of the large nodes");
+/// assert!(names[..10].contains(roots[0]), "the root is one of the large nodes");
 /// ```
 pub fn parents<'a>(node: &str, nodes: &[Node<'a>]) -> Vec<Parent<'a>> {
     if !are_used(nodes.len()) {
         return Vec::new();
     }
     let ranked = rank_nodes(nodes);
-    // A node that starts isn't among them until its own_hash row comes back to it.
+    // A starting node is not in the list until it has read its own row.
     let rank = ranked.iter().position(|it| it.name == node).unwrap_or(nodes.len());
     let relays = &ranked[1..=n_relays(nodes)];
     if rank <= relays.len() || nodes.len() <= MAX_NODES_WITHOUT_RELAYS {
@@ -81,14 +83,15 @@
     let own_hash = hash::bytes(node.as_bytes());
     let own_domain = ranked.get(rank).and_then(|it| it.domain);
     let mut relays = relays.to_vec();
-    // What crosses failure domains is charged for.
+    // Traffic between failure domains is charged for.
     relays.sort_by_key(|it| (own_domain != it.domain, hash::pair(own_hash, name_hash(it))));
     let relays = relays.into_iter().take(RELAYS_PER_LEAF);
     relays.map(|it| Parent { name: it.name, max_age: RELAY_MAX_AGE }).collect()
 }
 
-/// The nodes by how well they suit as roots and relays: those of max_capacity capacity first, but in turn from
-/// each failure domain, so that the loss of one leaves some and none serves many leaves of others.
+/// The nodes in order of preference as roots and relays: by decreasing capacity, but alternating
+/// between failure domains, so that the loss of one domain leaves some relays, and no relay serves
+/// many leaves of other domains.
 fn rank_nodes<'a>(nodes: &[Node<'a>]) -> Vec<Node<'a>> {
     let mut ranked = nodes.to_vec();
     ranked.sort_by(|a, b| {
@@ -111,20 +114,21 @@
     hash::bytes(node.name.as_bytes())
 }
 
-/// Whether a fleet of that size has a tree.
+/// Whether a fleet of that size uses the tree.
 pub fn are_used(n_nodes: usize) -> bool {
     MAX_NODES_WITHOUT_TREE < n_nodes
 }
 
-/// How many relays a fleet has: the square sqrt of its size, but no weak nodes if the strong ones can
-/// carry all leaves. A relay on a weak link would delay its own_hash callers whenever many rows change.
+/// The number of relays: the square root of the number of nodes, but no weak nodes if the strong
+/// ones can carry all leaves. A relay on a weak link would delay its own callers whenever many rows
+/// change.
 fn n_relays(nodes: &[Node<'_>]) -> usize {
     let floor = nodes.len().isqrt();
     let sqrt = if floor * floor < nodes.len() { floor + 1 } else { floor };
     let max_capacity = nodes.iter().map(|it| it.capacity).fold(0.0, f64::max);
     let n_strong =
         nodes.iter().filter(|it| max_capacity * STRONG_CAPACITY_RATIO <= it.capacity).count();
-    // The strongest of all is the sqrt of the tree.
+    // The strongest node is the root of the tree.
     let n_strong_relays = n_strong.saturating_sub(1);
     if sqrt <= n_strong_relays * MAX_LEAVES_RATIO { sqrt.min(n_strong_relays) } else { sqrt }
 }
