--- a/crates/curranthook_gateway/src/rollouts.rs
+++ b/crates/curranthook_gateway/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! The roll-outs under way, as a node knows them.
+//! The rollouts in progress, as a node knows them.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -9,12 +9,13 @@
     store::{Order, Rev},
 };
 
-/// What is added to all times, in milliseconds, so that differences of a few don't count.
+/// Added to all times, in milliseconds, so that differences of a few milliseconds have little
+/// weight.
 const TIME_OFFSET_MS: f64 = 5.0;
-/// How much one answer moves the baseline time.
+/// The weight of a new answer in the moving average of the baseline.
 const BASELINE_SMOOTHING: f64 = 0.1;
 
-/// Roll-outs by service.
+/// The rollouts by service.
 #[derive(Debug)]
 pub struct Rollouts {
     schedule: Schedule,
@@ -23,52 +24,52 @@
     baseline: HashMap<(String, usize, Part), f64>,
 }
 
-/// Answers that are alike in how long they take.
+/// A class of answers that take about the same time.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind<'a> {
-    /// The route.
+    /// The route's name.
     pub route: &'a str,
-    /// The model's position in the route's list.
+    /// The model's index in the route's list.
     pub model: usize,
 }
 
-/// A part of an answer.
+/// A part of an answer that is timed separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Part {
     FirstEvent,
     EventGap,
 }
 
-/// A roll-out of one service.
+/// The rollout of one service.
 #[derive(Debug, Clone)]
 pub struct Rollout {
     /// The order.
     pub order: Order,
-    /// The revision of the order, which tells orders apart.
+    /// The revision of the order, which identifies it.
     pub order_rev: Rev,
-    /// When this node received_at of the order, by the store's clock; none if that isn't known.
+    /// When this node received the order, by the store's clock; none if unknown.
     pub received_at: Option<Duration>,
-    /// The newest step and its revision; none if none was taken.
+    /// The newest step and its revision; none before the first step.
     pub step: Option<(Step, Rev)>,
-    /// What this node saw.
+    /// The evidence of this node.
     pub own: Evidence,
-    /// What other nodes saw.
+    /// The evidence of each other node.
     pub others: HashMap<String, Evidence>,
 }
 
-/// Which version a request may go to.
+/// Which versions a request may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Rule {
-    /// Any.
+    /// Any version.
     Any,
-    /// This one.
+    /// Only this version.
     Only(String),
-    /// Any but this one.
+    /// Any version but this one.
     Not(String),
 }
 
 impl Rule {
-    /// Whether it allows `version`.
+    /// Whether requests may be sent to `version`.
     pub fn allows(&self, version: &str) -> bool {
         match self {
             Self::Any => true,
@@ -79,29 +80,29 @@
 }
 
 impl Rollout {
-    /// How far it is.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.step.as_ref().map_or(Phase::Waiting, |(step, _)| step.phase)
     }
 
-    /// What all nodes saw.
+    /// The evidence of all nodes together.
     pub fn evidence(&self) -> Evidence {
         self.others.values().fold(self.own, |sum, it| sum.plus(*it))
     }
 }
 
 impl Rollouts {
-    /// None yet; all will follow `schedule`.
+    /// Starts without any rollouts; all will follow `schedule`.
     pub fn new(schedule: Schedule) -> Self {
         Self { schedule, services: HashMap::new(), baseline: HashMap::new() }
     }
 
-    /// The schedule of all roll-outs.
+    /// The schedule of all rollouts.
     pub fn schedule(&self) -> &Schedule {
         &self.schedule
     }
 
-    /// Takes in an order, received_at of when the store's clock said `received_at`.
+    /// Applies an order that was received when the store's clock read `received_at`.
     pub fn apply_order(&mut self, order: Order, rev: Rev, received_at: Option<Duration>) {
         let known = self.services.get(&order.service);
         if known.is_some_and(|it| rev <= it.order_rev) {
@@ -120,7 +121,7 @@
         self.services.insert(service, rollout);
     }
 
-    /// Takes in a step. Returns whether it's news.
+    /// Applies a step. Returns whether it is new.
     pub fn apply_step(&mut self, service: &str, step: Step, rev: Rev) -> bool {
         let Some(it) = self.services.get_mut(service) else { return false };
         let is_newer = it.step.as_ref().is_none_or(|(_, known)| *known < rev);
@@ -131,7 +132,7 @@
         is_newer && is_for_order
     }
 
-    /// Takes in what another node saw.
+    /// Applies the evidence of another node.
     pub fn apply_evidence(&mut self, service: &str, order: Rev, node: &str, evidence: Evidence) {
         if let Some(it) = self.services.get_mut(service)
             && it.order_rev == order
@@ -140,24 +141,24 @@
         }
     }
 
-    /// The roll-outs that aren't over.
+    /// The rollouts that are not finished.
     pub fn running(&self) -> impl Iterator<Item = &Rollout> {
         self.services.values().filter(|it| !it.phase().is_final())
     }
 
-    /// The roll-out of a service.
+    /// The rollout of a service.
     pub fn get(&self, service: &str) -> Option<&Rollout> {
         self.services.get(service)
     }
 
-    /// The version for a request. `session` is the same for all requests of a session, so that
-    /// they stay together as the share grows.
+    /// The versions for a request. All requests of a session have the same `session`, so that they
+    /// stay on one version as the new version's share grows.
     pub fn rule(&self, service: &str, session: u64) -> Rule {
         let Some(it) = self.services.get(service) else { return Rule::Any };
         let target = &it.order.target;
         let position = hash::unit(hash::pair(hash::bytes(target.as_bytes()), session));
-        // Steps of the whole fleet take their time, more so while the store is away; a node that
-        // knows better doesn't wait for them.
+        // The fleet takes time to write a step, even more so while the store is unavailable. A node
+        // with evidence of a bad version stops using it without waiting for the step.
         let is_suspect = !it.phase().is_final() && it.evidence().is_bad();
         if !is_suspect && position < self.schedule.share(it.phase()) {
             Rule::Only(target.clone())
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Takes in an answer that began. `took` is none for a failure.
+    /// Records an answer with the time to its first byte; `took` is none for a failure.
     pub fn record_answer(
         &mut self,
         service: &str,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Takes in a stream that ended, with the time from event to event.
+    /// Records the end of a stream, with the average time between events.
     pub fn record_stream_end(
         &mut self,
         service: &str,
@@ -197,7 +198,7 @@
         }
     }
 
-    /// How many times longer than baseline something took. What is baseline, the old version says.
+    /// The ratio of `took` to the baseline, which is the moving average of the old version.
     fn ratio(
         &mut self,
         service: &str,
@@ -221,7 +222,7 @@
         (log - baseline).exp()
     }
 
-    /// What was seen of a version, while that is of interest.
+    /// The counters for a version, unless the rollout is waiting or finished.
     fn counts(&mut self, service: &str, version: &str) -> Option<&mut Counts> {
         let it = self.services.get_mut(service)?;
         if it.phase().is_final() || it.phase() == Phase::Waiting {
