--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a node and ends it without cutting a request.
+//! Starts a node, and stops it without cutting off requests.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -32,41 +32,41 @@
     watch,
 };
 
-/// How long a node goes on taking requests after the signal to stop: the balancer asks once a
-/// second and sends new callers until it missed two answers.
+/// How long a node keeps accepting requests after the signal to stop. The load balancer checks
+/// readiness once per second and sends new callers until two checks have failed.
 const STOP_DELAY: Duration = Duration::from_millis(2_600);
-/// What is kept of the time until the process is killed, to end by itself.
+/// The part of the grace period that is reserved for exiting before the process is killed.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
-/// How often the settings are looked at, as they may change without a signal.
+/// How often the settings are reloaded, as they may change without a signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// How often the end of the last requests is looked for.
+/// How often a draining node checks whether its last requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a caller's connection may be idle. Callers keep theirs for less.
+/// How long a caller's connection may be idle. Callers keep theirs open for less.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a node can't start.
+/// Why a node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address can't be bound.
-    #[error("can't listen on {addr}: {source}")]
+    /// An address cannot be bound.
+    #[error("cannot listen on {addr}: {source}")]
     Bind {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Signals can't be received.
-    #[error("can't receive signals: {0}")]
+    /// Signals cannot be received.
+    #[error("cannot receive signals: {0}")]
     Signals(#[from] std::io::Error),
 }
 
-/// What happens to the settings while the node runs.
+/// Reloads the settings while the node runs.
 pub trait Reload: Send {
-    /// Reads the settings again and says what changed.
+    /// Reads the settings again and returns a description of what changed.
     fn reload(&mut self) -> Result<String, String>;
 }
 
-/// The addresses of a node, bound.
+/// The bound sockets of a node.
 #[derive(Debug)]
 pub struct Listeners {
     callers: Server,
@@ -77,7 +77,7 @@
 }
 
 impl Listeners {
-    /// Binds the addresses of `settings` and writes the real ports there.
+    /// Binds the addresses in `settings` and replaces them by the actual ones, with the real ports.
     pub fn bind(settings: &mut Settings) -> Result<Self, Error> {
         let limits = Limits { head_timeout: CALLER_IDLE_TIMEOUT, ..Limits::default() };
         let it = Self {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Runs a node until it's told to stop.
+/// Runs a node until it is told to stop.
 pub async fn run(
     gateway: Arc<Gateway>,
     listeners: Listeners,
@@ -134,7 +134,7 @@
     trigger.set();
     drain(&gateway, limit.saturating_sub(STOP_DELAY)).await;
     gateway.log.write(&Event::Stopped { in_flight: gateway.in_flight() });
-    // The log's thread gathers lines for a moment before it writes them.
+    // The log's thread collects lines for a moment before it writes them.
     Timer::after(DRAIN_POLL_INTERVAL * 2).await;
     drop(served);
     Ok(())
@@ -149,7 +149,7 @@
         match future::or(signals.next(), poll).await {
             Some(Ok(Signal::Hup)) => reload_settings(gateway, reload),
             Some(Ok(_)) | None => return,
-            Some(Err(e)) => log::error!("a signal can't be received: {e}"),
+            Some(Err(e)) => log::error!("cannot receive a signal: {e}"),
         }
     }
 }
@@ -158,7 +158,7 @@
     match reload.reload() {
         Ok(changed) if changed.is_empty() => {}
         Ok(changed) => gateway.log.write(&Event::Reloaded { changed: &changed }),
-        Err(e) => log::error!("the settings can't be read again: {e}"),
+        Err(e) => log::error!("cannot reload the settings: {e}"),
     }
 }
 
@@ -207,7 +207,7 @@
     gateway.ex.spawn(serve).detach();
 }
 
-/// Tells the balancer whether the node takes new callers.
+/// Answers the load balancer's readiness checks.
 #[derive(Debug)]
 struct ReadinessHandler(Arc<Gateway>);
 
@@ -220,7 +220,7 @@
     }
 }
 
-/// Serves the counters.
+/// Serves the metrics.
 #[derive(Debug)]
 struct MetricsHandler(Arc<Gateway>);
 
