--- a/crates/curranthook_gateway/src/settings.rs
+++ b/crates/curranthook_gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told about itself and about the bounds that it must keep.
+//! The settings of a node.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,30 +9,31 @@
 /// A node's settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Its name, unique in the fleet.
+    /// The node's name, unique in the fleet.
     pub node: String,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub domain: domain::Id,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it's ready.
+    /// The address for the load balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// Where other nodes connect.
+    /// The address for queries from other nodes.
     pub peers: Option<SocketAddr>,
-    /// Where other nodes send their load reports, by UDP.
+    /// The UDP address for load reports from other nodes.
     pub reports: Option<SocketAddr>,
-    /// How much it can carry beside its own callers, in Mbit/s of its link; nodes with more of it
-    /// read the store for the others.
+    /// The capacity for traffic other than its own callers', in Mbit/s of its link. Nodes with more
+    /// capacity read the store for the others.
     pub capacity: f64,
-    /// Where its counters are served.
+    /// The address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Some other nodes, for a start while the store is away. They may be out of date.
+    /// Some other nodes, for starting while the store is unavailable. They may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Bound on repeats.
+    /// The bound on retries.
     pub retries: Bound,
-    /// The largest share of a service's requests that a bad version may get during its roll-out.
+    /// The maximum share of a service's requests that a bad version may receive during its rollout.
     pub max_exposure: f64,
-    /// Whether the whole fleet starts for the first time, so that no node has written its address yet.
+    /// Whether the whole fleet starts for the first time, so that no node has written its address
+    /// yet.
     pub is_first_start: bool,
     /// The time from the signal to stop until the process is killed.
     pub grace: Duration,
