--- a/crates/curranthook_gateway/src/slow_start.rs
+++ b/crates/curranthook_gateway/src/slow_start.rs
@@ -1,18 +1,19 @@
 //! The slow start of an endpoint.
 //!
-//! An endpoint that has just started crashes under the load of a warm one, and it looks idle, so every
-//! node would choose it. The rate that it takes is a bound on the whole fleet, which shares it by
-//! [`permit`](crate::permit).
+//! An endpoint that has just started crashes under the load of a warm one. It also looks idle, so
+//! every node would choose it. The rate it accepts is therefore a bound on the whole fleet, which
+//! shares it by [`permit`](crate::permit).
 
 use std::time::Instant;
 
 use crate::permit::Share;
 
-/// The part of the rate that is handed out. What is left covers requests that are held up on their way and
-/// nodes that don't know of each other yet.
+/// The share of the rate that is granted. The rest covers requests that are delayed on their way,
+/// and nodes that do not know of each other yet.
 const GRANTED_SHARE: f64 = 0.75;
 
-/// The requests a second that the fleet may send to an endpoint in slow start that takes `rate`.
+/// The requests per second that the fleet may send to an endpoint in slow start that accepts
+/// `rate`.
 ///
 /// ```
 /// # use curranthook_gateway::slow_start;
@@ -22,40 +23,40 @@
     rate * GRANTED_SHARE
 }
 
-/// The slow start of an endpoint, as one node takes part in it.
+/// The slow start of an endpoint, and this node's share of its rate.
 #[derive(Debug, Clone, Copy)]
 pub struct SlowStart {
     until: Instant,
-    /// What this node may send meanwhile.
+    /// What this node may send during the slow start.
     pub share: Share,
 }
 
 impl SlowStart {
-    /// A slow start that lasts until then.
+    /// A slow start that lasts until `until`.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// # use curranthook_gateway::slow_start::SlowStart;
     /// let (now, s) = (Instant::now(), Duration::from_secs(1));
     /// let it = SlowStart::new(now + 3 * s);
-    /// assert!(!it.admits(now), "nothing before the node knows its part");
+    /// assert!(!it.admits(now), "no requests before the node knows its permit");
     /// assert!(it.is_over(now + 3 * s) && it.admits(now + 3 * s));
     /// ```
     pub fn new(until: Instant) -> Self {
         Self { until, share: Share::default() }
     }
 
-    /// Sets when it ends.
+    /// Changes when it ends.
     pub fn set_end(&mut self, until: Instant) {
         self.until = until;
     }
 
-    /// Whether the endpoint takes any load by now.
+    /// Whether it has ended, so that the endpoint accepts any load.
     pub fn is_over(&self, now: Instant) -> bool {
         self.until <= now
     }
 
-    /// Whether the node has to work out its permit again.
+    /// Whether the permit has to be recomputed.
     pub fn is_outdated(&self, now: Instant) -> bool {
         !self.is_over(now) && self.share.is_outdated(now)
     }
