--- a/crates/curranthook_gateway/src/steps.rs
+++ b/crates/curranthook_gateway/src/steps.rs
@@ -1,8 +1,9 @@
-//! How a roll-out goes on: which share of the requests is on the new version, and for how long.
+//! The progress of a rollout: which share of the requests goes to the new version, and for how
+//! long.
 //!
-//! No node leads. The state of a roll-out is one row of the store; whichever node finds a step
-//! due replaces the row under the condition that it's unchanged, so each step is taken once,
-//! and a node that was frozen or cut off can't undo one.
+//! There is no leader. The state of a rollout is one row of the store. A node that finds a step due
+//! replaces the row on condition that it is unchanged. So each step is taken once, and a node that
+//! was frozen or cut off cannot undo one.
 
 use std::time::Duration;
 
@@ -10,35 +11,36 @@
 
 use crate::store::{Order, Rev};
 
-/// How a roll-out is spread over the time that its order allows.
+/// The schedule of a rollout within the time limit of its order.
 ///
-/// Some versions turn out bad under a load that they meet only in full use, or not at all before
-/// it. So the schedule itself keeps the requests that meet a version of which nobody knows yet
-/// within the bound: most of the time goes by with a few, all of them follow shortly before the
-/// end. Until half the time is over none go there, as sessions under way would have to change
-/// their version early on.
+/// Some versions turn out bad under a load that they only get in full use, or show no fault at all
+/// before that. So the schedule itself keeps the requests that a version receives before it is
+/// known to be good within the bound: for most of the time the version gets few requests, and
+/// shortly before the end it gets all of them. It gets none in the first half of the time, because
+/// running sessions would have to change their version early.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Schedule {
-    /// The largest share of a service's requests that a bad version may get in all.
-    exposure: f64,
+    /// The maximum share of a service's requests that a bad version may receive in total.
+    max_exposure: f64,
 }
 
-/// How much of the time is left when the old version is given up, in units of the bound. It covers
-/// an order that is heard late, a step whose node is lost, and a lost write; requests in it count
-/// as met by the new version, too.
+/// The part of the time limit that remains when the old version is given up, in units of the bound.
+/// It covers an order that is received late, a step whose node is lost, and a lost write. The
+/// requests in this span count towards the bound, too.
 const FINAL_SPAN: f64 = 0.33;
-/// For which part of the time all requests go to the new version before that, in units of the bound. Most
-/// answers of the old version end in it.
+/// The part of the time limit during which all requests go to the new version before that, in units
+/// of the bound. Most answers of the old version end during this span.
 const FULL_SPAN: f64 = 0.45;
-/// Which share of the requests goes there before, in units of the bound, and for how long.
+/// Before that, the share of requests that go to the new version, in units of the bound, and the
+/// part of the time limit for which they do.
 const PARTIAL_SHARE_AND_SPAN: (f64, f64) = (1.2, 0.08);
-/// The same for the first requests. Few for long rather than many for a short time: a version that fails_more
-/// is found before the time is short, also if the store goes away meanwhile. All phases together stay within
-/// the bound.
+/// The same for the first requests to the new version. A few requests for a long time are preferred
+/// to many for a short time: a failing version is found before time runs short, even if the store
+/// becomes unavailable meanwhile. All phases together stay within the bound.
 const CANARY_SHARE_AND_SPAN: (f64, f64) = (0.3, 0.26);
 
 impl Schedule {
-    /// A schedule for a bound on exposure.
+    /// A schedule for a bound on the share of requests that a bad version may receive.
     ///
     /// ```
     /// # use curranthook_gateway::steps::{Phase, Schedule};
@@ -46,34 +48,34 @@
     /// assert!(schedule.exposure() < 0.15);
     /// assert!(schedule.share(Phase::Canary) < schedule.share(Phase::Partial));
     /// ```
-    pub fn new(exposure: f64) -> Self {
-        Self { exposure }
+    pub fn new(max_exposure: f64) -> Self {
+        Self { max_exposure }
     }
 
     /// The share of sessions on the new version.
     pub fn share(&self, phase: Phase) -> f64 {
         match phase {
             Phase::Waiting | Phase::RolledBack => 0.0,
-            Phase::Canary => CANARY_SHARE_AND_SPAN.0 * self.exposure,
-            Phase::Partial => PARTIAL_SHARE_AND_SPAN.0 * self.exposure,
+            Phase::Canary => CANARY_SHARE_AND_SPAN.0 * self.max_exposure,
+            Phase::Partial => PARTIAL_SHARE_AND_SPAN.0 * self.max_exposure,
             Phase::Full | Phase::Completed => 1.0,
         }
     }
 
-    /// The share of all requests until the end of the order's time that go to the new version, if
-    /// nothing speaks against it.
+    /// The share of all requests within the time limit that go to the new version, if no evidence
+    /// stops the rollout.
     pub fn exposure(&self) -> f64 {
-        self.exposure
+        self.max_exposure
             * (CANARY_SHARE_AND_SPAN.0 * CANARY_SHARE_AND_SPAN.1
                 + PARTIAL_SHARE_AND_SPAN.0 * PARTIAL_SHARE_AND_SPAN.1
                 + FULL_SPAN
                 + FINAL_SPAN)
     }
 
-    /// When a phase start_of, as a part of the time that the order allows.
+    /// When a phase starts, as a part of the time limit.
     fn start_of(&self, phase: Phase) -> f64 {
-        let completed = 1.0 - FINAL_SPAN * self.exposure;
-        let full = completed - FULL_SPAN * self.exposure;
+        let completed = 1.0 - FINAL_SPAN * self.max_exposure;
+        let full = completed - FULL_SPAN * self.max_exposure;
         match phase {
             Phase::Waiting | Phase::RolledBack => 0.0,
             Phase::Canary => full - PARTIAL_SHARE_AND_SPAN.1 - CANARY_SHARE_AND_SPAN.1,
@@ -84,53 +86,55 @@
     }
 }
 
-/// How many answers of the new version a larger share needs, and how many its use by all. A plain
-/// service of 16 requests a second sees four during its first phase; were five needed, its good
-/// versions would be done too late.
+/// The minimum number of answers of the new version before its share grows to partial, and before
+/// it gets all requests. A service without models at 16 requests per second sees four answers in
+/// its first phase. If five were required, its good versions would be completed too late.
 const MIN_ANSWERS: (u64, u64) = (3, 8);
-/// How many bad answers speak against a version; fewer may be chance.
+/// The minimum number of bad answers that count as evidence against a version; fewer may be chance.
 const MIN_BAD: u64 = 3;
-/// By how much its share of bad answers must be above the old version's.
+/// By how much the new version's share of bad answers must exceed the old version's to count as
+/// worse.
 const MIN_BAD_EXCESS: f64 = 0.03;
-/// How many standard errors above the old version's it may be for a larger share.
+/// By how many standard errors the new version's share of bad answers may exceed the old version's
+/// while its share of requests still grows.
 const MAX_DOUBTFUL_SIGMAS: f64 = 1.5;
 
-/// How far a roll-out is.
+/// The phase of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
     /// All requests stay on the old version.
     Waiting,
-    /// A few go to the new one.
+    /// A few requests go to the new version.
     Canary,
-    /// A quarter does.
+    /// A larger share of the requests goes to the new version.
     Partial,
-    /// All do.
+    /// All requests go to the new version.
     Full,
-    /// The old version is gone.
+    /// The old version is no longer needed.
     Completed,
-    /// The new version is given up.
+    /// The new version was given up.
     RolledBack,
 }
 
 impl Phase {
-    /// Whether it is over.
+    /// Whether the rollout is finished.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 }
 
-/// The state of a roll-out, as the store keeps it.
+/// The state of a rollout, as stored.
 #[serde_with::serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// The order that it carries out.
+    /// The revision of the order that it carries out.
     pub order: Rev,
     /// The new version.
     pub target: String,
-    /// How far it is.
+    /// The phase.
     pub phase: Phase,
-    /// When it began, by the store's clock.
+    /// When the rollout began, by the store's clock.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub began: Duration,
     /// When this phase began, by the store's clock.
@@ -138,7 +142,7 @@
     pub since: Duration,
 }
 
-/// How much longer than usual answers took, as natural logarithms of the ratios.
+/// How long answers took compared to the baseline: sums over the natural logarithms of the ratios.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delay {
     n: f64,
@@ -147,7 +151,7 @@
 }
 
 impl Delay {
-    /// Adds an answer that took `ratio` times as long as usual.
+    /// Adds an answer that took `ratio` times as long as the baseline.
     pub fn add(&mut self, ratio: f64) {
         let log = ratio.max(MIN_RATIO).ln();
         self.n += 1.0;
@@ -167,13 +171,13 @@
         self.sum / self.n.max(1.0)
     }
 
-    /// The square of the mean's standard error.
+    /// The square of the standard error of the mean.
     fn squared_error(self) -> f64 {
         let variance = self.squares / self.n.max(1.0) - self.mean().powi(2);
         variance.max(MIN_VARIANCE) / self.n.max(1.0)
     }
 
-    /// Whether these answers surely took longer than `others`, by `factor` or more.
+    /// Whether these answers took significantly longer than `others`, by `factor` or more.
     fn is_significantly_longer(self, others: Self, factor: f64) -> bool {
         if self.n < MIN_SAMPLES || others.n < MIN_SAMPLES {
             return false;
@@ -184,43 +188,46 @@
     }
 }
 
-/// Ratios below this count as this: an answer can't be better than good.
+/// Smaller ratios are raised to this: an answer that is even faster does not count as better.
 const MIN_RATIO: f64 = 0.1;
-/// What the ratios of a version vary by at least, so that a few alike ones prove nothing.
+/// The minimum variance assumed for a version's ratios, so that a few equal ones prove nothing.
 const MIN_VARIANCE: f64 = 0.25;
-/// How many answers of each version a comparison needs.
+/// The minimum number of answers of each version for a comparison.
 const MIN_SAMPLES: f64 = 8.0;
-/// How many standard errors apart two versions must be: by chance once in some thousand looks.
+/// By how many standard errors two versions must differ; by chance, this happens once in a few
+/// thousand checks.
 const SIGNIFICANT_SIGMAS: f64 = 3.3;
-/// How much longer a new version's first events may take. Its engines begin without the prompts
-/// that the old ones keep, and read all anew.
+/// By which factor a new version's first events may be slower. Its engines start without the cached
+/// prompts of the old ones and have to prefill all of them again.
 const MAX_FIRST_SLOWDOWN: f64 = 3.0;
-/// How much longer it may take from event to event, which its start doesn't change.
+/// By which factor the time between its events may be longer. A recent start does not change this
+/// time.
 const MAX_GAP_SLOWDOWN: f64 = 1.3;
 
-/// How much longer the first events and the pauses of a version may seem before all requests go
-/// there. Good versions were at 0.4 to 1.2 and 0.4 to 1.0 at that time, as their engines have less
-/// to do; one whose answers take some times as long at 1.6 to 1.8 and 1.3 to 1.5.
+/// The factors by which a version's first events, and the gaps between its events, may seem slower
+/// before it gets all requests. At that time, good versions were at factors of 0.4 to 1.2 and 0.4
+/// to 1.0, because their engines have less to do. A version whose answers take a few times as long
+/// was at 1.6 to 1.8 and 1.3 to 1.5.
 const DOUBTFUL_SLOWDOWNS: (f64, f64) = (1.5, 1.25);
 
-/// Answers of a version.
+/// Counters of a version's answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// All of them.
+    /// The number of answers.
     pub answers: u64,
-    /// Those that were failures. Slow ones aren't among them: under a disturbance that slows both
-    /// versions, the old one's would hide the new one's failures.
+    /// The number of failures. Slow answers are not included: under a disturbance that slows both
+    /// versions, the old version's slow answers would hide the new version's failures.
     pub bad: u64,
     /// The time to the first byte.
     #[serde(default)]
     pub first: Delay,
-    /// The time from event to event.
+    /// The time between events.
     #[serde(default)]
     pub rest: Delay,
 }
 
 impl Counts {
-    /// Both together.
+    /// The sum of both.
     pub fn plus(self, other: Self) -> Self {
         Self {
             answers: self.answers + other.answers,
@@ -236,17 +243,17 @@
     }
 }
 
-/// What all nodes saw of both versions since the roll-out began.
+/// The evidence of all nodes about both versions since the rollout began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Answers of the new version.
     pub new: Counts,
-    /// Answers of the others.
+    /// Answers of other versions.
     pub old: Counts,
 }
 
 impl Evidence {
-    /// Both together.
+    /// The sum of both.
     pub fn plus(self, other: Self) -> Self {
         Self { new: self.new.plus(other.new), old: self.old.plus(other.old) }
     }
@@ -264,15 +271,16 @@
         self.fails_more() || self.is_slow()
     }
 
-    /// Whether enough answers are known, and not clearly more of them are bad than the old
-    /// version's. A version may be neither good nor bad for a while.
+    /// Whether there are enough answers, and the new version's share of bad ones is not clearly
+    /// above the old version's. For a while, a version may be neither good nor bad.
     fn seems_good(self, min_answers: u64) -> bool {
         let (excess, error) = self.bad_share_excess();
         let seems_reliable = excess < MIN_BAD_EXCESS || excess < MAX_DOUBTFUL_SIGMAS * error;
         min_answers <= self.new.answers && seems_reliable && !self.seems_slow()
     }
 
-    /// Whether it seems slower, though perhaps not surely. What few answers say is left aside.
+    /// Whether the new version seems slower, even if not significantly so. Too few answers to
+    /// compare are ignored.
     fn seems_slow(self) -> bool {
         let is_enough = |new: Delay, old: Delay| MIN_SAMPLES <= new.n && MIN_SAMPLES <= old.n;
         (is_enough(self.new.first, self.old.first)
@@ -281,17 +289,17 @@
                 && DOUBTFUL_SLOWDOWNS.1 < self.event_gap_slowdown())
     }
 
-    /// How many times longer than the old version's the new one's first events take.
+    /// The ratio of the new version's time to the first event to the old version's.
     pub fn first_event_slowdown(self) -> f64 {
         (self.new.first.mean() - self.old.first.mean()).exp()
     }
 
-    /// How many times longer than the old version's the new one's pauses are.
+    /// The ratio of the new version's time between events to the old version's.
     pub fn event_gap_slowdown(self) -> f64 {
         (self.new.rest.mean() - self.old.rest.mean()).exp()
     }
 
-    /// Whether it speaks against the new version, though perhaps not surely.
+    /// Whether there is any evidence against the new version, even if not significant.
     pub fn is_suspicious(self) -> bool {
         0 < self.new.bad
             || MAX_FIRST_SLOWDOWN < self.first_event_slowdown()
@@ -308,8 +316,8 @@
         MIN_BAD <= self.new.bad && MIN_BAD_EXCESS < excess && SIGNIFICANT_SIGMAS * error < excess
     }
 
-    /// By how much the new version's share of bad answers is above the old one's, and the standard
-    /// error of that.
+    /// By how much the new version's share of bad answers exceeds the old version's, and the
+    /// standard error of that difference.
     fn bad_share_excess(self) -> (f64, f64) {
         let excess = self.new.bad_share() - self.old.bad_share();
         let overall = self.new.plus(self.old).bad_share();
@@ -319,7 +327,7 @@
     }
 }
 
-/// The phase that is due, if it's another than the present one. `now` is the store's clock.
+/// The next phase if it is due, or none to stay in the current one. `now` is the store's clock.
 pub fn due(
     schedule: &Schedule,
     order: &Order,
