--- a/crates/curranthook_gateway/src/store.rs
+++ b/crates/curranthook_gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as a node sees it: rows that change, and changes that are agreed on.
+//! The platform's store as seen by a node: rows that change, and conditional writes.
 
 use std::{fmt::Debug, net::SocketAddr, time::Duration};
 
@@ -7,47 +7,47 @@
 
 use crate::{document::Document, entry::Entry};
 
-/// A future of a call to the store.
+/// The future of a call to the store.
 pub type Answer<'a, T> = std::pin::Pin<Box<dyn Future<Output = Result<T, Error>> + Send + 'a>>;
 
 /// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Refused or not reached; nothing was done.
-    #[error("the store is down: {0}")]
+    /// The store refused the call or could not be reached; nothing was done.
+    #[error("the store is unavailable: {0}")]
     Down(String),
-    /// No answer came; a write may have taken effect, or may still.
-    #[error("the store's answer was lost: {0}")]
+    /// No answer arrived; a write may have taken effect, or may still do so.
+    #[error("no answer from the store: {0}")]
     Lost(String),
-    /// The answer can't be understood.
-    #[error("the store's answer can't be read: {0}")]
+    /// The answer could not be decoded.
+    #[error("malformed answer from the store: {0}")]
     Garbled(String),
-    /// A peer that was asked in its place is itself out of date.
-    #[error("{0} hasn't heard from the store for too long")]
+    /// A peer that was queried instead of the store is itself out of date.
+    #[error("the rows of {0} are out of date")]
     Stale(SocketAddr),
-    /// The changes asked for are no longer kept; read everything again.
-    #[error("the store no longer has these changes")]
+    /// The requested changes are no longer available; all rows have to be read again.
+    #[error("the store no longer keeps the requested changes")]
     Compacted,
 }
 
-/// A set of rows.
+/// A table of rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Table {
-    /// What operators write: the configuration and orders for roll-outs.
+    /// Rows written by operators: the configuration, and orders for rollouts and evacuations.
     Operator,
-    /// The endpoints.
+    /// The entries of the endpoints.
     Endpoints,
-    /// What the nodes write for each other.
+    /// Rows that the nodes write for each other.
     Fleet,
 }
 
 impl Table {
-    /// All of them.
+    /// All tables.
     pub const ALL: [Self; 3] = [Self::Operator, Self::Endpoints, Self::Fleet];
 }
 
-/// A position in the history of the store; it only grows.
+/// A position in the store's history; it only increases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -58,99 +58,100 @@
 #[serde_with::serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its key within the table.
+    /// The key within the table.
     pub key: String,
-    /// When it was last written.
+    /// The revision at which it was last written.
     pub rev: Rev,
-    /// Its value; none if it was removed.
+    /// The value; none if the row was removed.
     #[serde_as(as = "Option<serde_with::base64::Base64>")]
     pub value: Option<Vec<u8>>,
 }
 
-/// Rows, and the moment they are of.
+/// A set of rows, and the revision up to which it is complete.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// The rows.
     pub rows: Vec<Row>,
-    /// Up to where this is complete.
+    /// The revision up to which all changes are included.
     pub rev: Rev,
-    /// The store's own steady clock, if it told.
+    /// The store's monotonic clock, if it was given.
     pub now: Option<Duration>,
 }
 
-/// A change to one row of [`Table::Fleet`], under a condition.
+/// A write to one row of [`Table::Fleet`], with an optional condition.
 #[derive(Debug, Clone, Copy)]
 pub struct Commit<'a> {
-    /// The row.
+    /// The row's key.
     pub key: &'a str,
-    /// The revision that the row must have; [`Rev`] 0 if it mustn't exist. None: no condition.
+    /// The revision that the row must have, or [`Rev`] 0 if it must not exist. None for no
+    /// condition.
     pub expected: Option<Rev>,
-    /// Its new value.
+    /// The new value.
     pub value: &'a [u8],
-    /// What operators are told in the same step.
+    /// A status report for operators, written in the same transaction.
     pub report: Option<&'a Report>,
 }
 
-/// What operators are told of a roll-out.
+/// The status of a rollout, reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// The service.
     pub service: String,
     /// The new version.
     pub target: String,
-    /// How far it is.
+    /// The progress.
     pub state: Progress,
 }
 
-/// How far a roll-out is.
+/// The progress of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// It goes on.
+    /// The rollout is in progress.
     Running,
-    /// All requests are on the new version; the old one may go.
+    /// All requests are on the new version; the old one may be shut down.
     Completed,
-    /// All requests are on the old version; the new one may go.
+    /// All requests are on the old version; the new one may be shut down.
     RolledBack,
 }
 
-/// How a commit ended.
+/// The result of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Committed {
-    /// It took effect at this revision.
+    /// The write took effect at this revision.
     Done(Rev),
-    /// The condition didn't hold; nothing changed.
+    /// The condition did not hold; nothing was changed.
     Conflict,
 }
 
 /// The store.
 pub trait Store: Debug + Send + Sync {
-    /// All rows of a table.
+    /// Reads all rows of a table.
     fn all(&self, table: Table) -> Answer<'_, Batch>;
-    /// The rows that changed after `since`; waits up to `wait` for the first.
+    /// Reads the rows that changed after `since`; waits up to `wait` for the first change.
     fn changes(&self, table: Table, since: Rev, wait: Duration) -> Answer<'_, Batch>;
-    /// Changes a row.
+    /// Writes a row.
     fn commit<'a>(&'a self, commit: Commit<'a>) -> Answer<'a, Committed>;
 }
 
-/// A row of [`Table::Operator`], decoded.
+/// A decoded row of [`Table::Operator`].
 #[derive(Debug)]
 pub enum Operator {
     /// The configuration.
     Document(Document),
-    /// An order to move a service to a version.
+    /// An order to roll out a version.
     Order(Order),
-    /// Something that no node acts on.
+    /// A row that nodes do not use.
     Other,
 }
 
-/// An order to move a service's requests to a version.
+/// An order to roll out a version of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The service.
     pub service: String,
     /// The new version.
     pub target: String,
-    /// How long it may take.
+    /// The time within which the rollout has to be completed.
     pub time_limit: Duration,
 }
 
@@ -158,19 +159,19 @@
 pub trait Decoder: Debug + Send + Sync {
     /// Decodes a row of [`Table::Operator`].
     fn operator(&self, key: &str, value: &[u8]) -> Result<Operator, Undecodable>;
-    /// The failure domain whose evacuation a row of [`Table::Operator`] orders. The order stands for as
-    /// long as the row exists, whatever its value.
+    /// The failure domain whose evacuation a row of [`Table::Operator`] orders. The order is in
+    /// force for as long as the row exists, whatever its value.
     fn evacuation(&self, key: &str) -> Option<domain::Id>;
     /// Decodes a row of [`Table::Endpoints`].
     fn endpoint(&self, id: &endpoint::Id, value: &[u8]) -> Result<Entry, Undecodable>;
 }
 
-/// A row that can't be understood. It counts as absent; the other rows hold.
+/// A row that could not be decoded. It is treated as absent; other rows are not affected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("row {key}: {why}")]
 pub struct Undecodable {
-    /// The row.
+    /// The row's key.
     pub key: String,
-    /// The field and what is wrong with it.
+    /// The invalid field and the reason.
     pub why: String,
 }
