--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -1,5 +1,5 @@
-//! The tasks that watch the rows of the store, at a parent or in the store itself, and through peers
-//! while the store is away.
+//! Tasks that watch the tables of the store, at a parent or at the store itself, and through peers
+//! while the store is unavailable.
 
 mod parents;
 
@@ -23,58 +23,63 @@
 pub use self::parents::Shared;
 use self::parents::{Parent, Role, are_relays_stale, role_and_parents, role_changed};
 
-/// How long a call for operators' rows waits for a change in a fleet without relays. It also notices
-/// that the store is away, so it's short; a lost answer delays a configuration by no more than this.
+/// How long a call for the operators' rows waits for a change in a fleet without relays. The call
+/// also detects that the store is unavailable, so the wait is short. A lost answer delays a
+/// configuration by no more than this.
 const WAIT_OPERATOR: Duration = Duration::from_secs(3);
-/// How long calls for other rows wait there. Each call is charged for.
+/// How long calls for other rows wait in such a fleet. Each call is charged for.
 const WAIT: Duration = Duration::from_secs(15);
-/// How long calls for operators' rows wait at the root of a fleet and at parents. They tell how old
-/// the knowledge of all tables is.
+/// How long calls for the operators' rows wait at the root of a fleet and at parents. Their answers
+/// tell how old the information in all tables is.
 const WAIT_RELAYED_OPERATOR: Duration = Duration::from_millis(700);
 /// How long calls for other rows wait there. A call whose answer is lost hangs for that long.
 const WAIT_RELAYED: Duration = Duration::from_secs(5);
-/// How long all nodes wait before their first reads when the fleet starts for the first time. By then each
-/// has written its address ([`crate::fleet_writer`]), and most find a parent instead of reading the store.
+/// How long all nodes wait before their first reads when the fleet starts for the first time. By
+/// then, each has written its address ([`crate::fleet_writer`]), and most find a parent instead of
+/// reading the store.
 const FIRST_START_PAUSE: Duration = Duration::from_secs(1);
-/// How long a node that starts waits for the rows of the other nodes, among which it finds a parent.
+/// How long a starting node waits for the rows of the other nodes, which tell it its parents.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long a parent may take to hand all rows to a node that starts, before that reads them in the store.
+/// How long a parent may take to return all rows to a starting node, which then reads them from the
+/// store.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(200);
-/// The pause after rows of endpoints or of the fleet changed, for each node of a fleet without relays.
-/// Such rows change in quick succession: when many endpoints start, each call that waits would be answered
-/// once for each. With the pause, all nodes together make no more than 80 calls a second for a table.
+/// The pause after a change of endpoint or fleet rows, per node of a fleet without relays. Such
+/// rows change in quick succession: when many endpoints start, each waiting call would be answered
+/// once per endpoint. With the pause, all nodes together make at most 80 calls per second for a
+/// table.
 const PAUSE_PER_NODE: Duration = Duration::from_millis(12);
-/// The bounds of that pause. The longer is half of the time in which a leaving endpoint must get
-/// no more work.
+/// The minimum and maximum of that pause. The maximum is half of the time within which a leaving
+/// endpoint must stop getting new requests.
 const PAUSE_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
-/// The same pause at a root.
+/// The pause after a change at a root.
 const PAUSE_ROOT: Duration = Duration::from_millis(250);
-/// The same for rows of the fleet, which no bound waits for.
+/// The pause at a root after a change of fleet rows, which are not subject to a time limit.
 const PAUSE_ROOT_FLEET: Duration = Duration::from_millis(500);
-/// The same pause at a parent. A relay on a weak link that answered its children more often while many
-/// endpoints are replaced would have no room left for its own callers.
+/// The pause of a node that waits at a parent. A relay on a weak link that answered its children
+/// more often while many endpoints are replaced would have no capacity left for its own callers.
 const PAUSE_CHILD: Duration = Duration::from_millis(400);
 /// The pause after a first failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(150);
-/// How long calls for other rows than operators' are put off while the store is away. An endpoint
-/// that leaves right after may get no more work two seconds later.
+/// How long calls for rows other than the operators' are delayed while the store is unavailable. An
+/// endpoint that starts to leave right after the outage must get no new requests two seconds later.
 const OUTAGE_BACKOFF: Duration = Duration::from_secs(1);
-/// The same for a node without a configuration, to which those rows are of no use yet.
+/// The same for a node without a configuration, which cannot use those rows yet.
 const NO_CONFIGURATION_BACKOFF: Duration = Duration::from_secs(3);
-/// Every how many tries a node that has parents asks a store that is away itself.
+/// A node with parents calls an unavailable store itself once in this many tries.
 const STORE_CALL_PERIOD: u32 = 4;
-/// How many leaves of a fleet whose relays are all out of date ask the store at a time.
+/// The average number of leaves that call the store at a time when all their relays are out of
+/// date.
 const MAX_LEAVES_AT_STORE: f64 = 8.0;
-/// The longest pause between calls to a store that is away.
+/// The maximum pause between calls to an unavailable store.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// The same for a node that has no configuration and so serves nobody.
+/// The same for a node without a configuration, which cannot serve any requests.
 const MAX_BACKOFF_NO_CONFIGURATION: Duration = Duration::from_millis(300);
-/// How long a first call for the configuration is waited for before another one is made beside it.
-/// A call that was sent while the store was silent hangs until its own limit, though the store may be
-/// back long before; a slow store still answers the older call.
+/// How long to wait for the first call for the configuration before another one is made in
+/// parallel. A call made while the store does not answer hangs until its own timeout, even if the
+/// store recovers long before that. A slow store still answers the earlier call.
 const FIRST_CALL_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Watches one table for as long as the process lives.
+/// Watches one table for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>, table: Table, shared: Arc<Shared>) {
     if gateway.settings.is_first_start {
         Timer::after(FIRST_START_PAUSE).await;
@@ -100,15 +105,15 @@
     gateway: Arc<Gateway>,
     table: Table,
     shared: Arc<Shared>,
-    /// Up to where the rows are known; none if all must be read.
+    /// The revision up to which the rows are known; none if all rows have to be read.
     since: Option<Rev>,
     failures: u32,
     is_store_lost: bool,
-    /// First calls for the configuration that have no answer yet.
+    /// First calls for the configuration that have not been answered yet.
     first_calls: Vec<Boxed<Result<Batch, Error>>>,
 }
 
-/// Where rows come from.
+/// Where rows were received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     /// The store.
@@ -117,7 +122,7 @@
     Parent,
 }
 
-/// Rows that were update.
+/// Rows received from the store or a parent.
 struct Update {
     batch: Batch,
     origin: Origin,
@@ -136,8 +141,8 @@
         }
     }
 
-    /// Asks a parent or the store; none if the call was given up, as the store or the parent was away
-    /// meanwhile.
+    /// Calls a parent or the store. None if the call was cancelled, because the store came back
+    /// from an outage or the parent failed meanwhile.
     async fn call(&mut self) -> Option<Result<Update, Error>> {
         let (role, parents) = role_and_parents(&self.gateway, &self.shared);
         for parent in parents {
@@ -147,7 +152,9 @@
             }
         }
         if role == Role::Child && !self.should_call_store() {
-            return Some(Err(Error::Down("no parent has heard from it".to_owned())));
+            return Some(Err(Error::Down(
+                "no parent has heard from the store recently".to_owned(),
+            )));
         }
         let (is_snapshot, result) = match self.since {
             None => (true, self.read_all().await?),
@@ -156,8 +163,9 @@
         Some(result.map(|batch| Update { batch, origin: Origin::Store, is_snapshot }))
     }
 
-    /// Whether a node that has parents asks the store itself now. When all leaves find their relays out of
-    /// date at once, only some do; the others hear of the store's return from their relays.
+    /// Whether a node with parents calls the store itself now. When all leaves find their relays
+    /// out of date at the same time, only some of them do. The others learn from their relays that
+    /// the store is available again.
     fn should_call_store(&self) -> bool {
         if !self.failures.is_multiple_of(STORE_CALL_PERIOD) {
             return false;
@@ -166,7 +174,7 @@
         !are_relays_stale(&self.gateway, &self.shared) || rand::random::<f64>() < share
     }
 
-    /// Waits at a parent; none if it failed meanwhile, as another table's call found.
+    /// Waits at a parent. None if the parent failed meanwhile, as noticed by another table's call.
     async fn call_parent(&mut self, parent: &Parent) -> Option<Result<Update, Error>> {
         let (gateway, shared, table) = (&self.gateway, &self.shared, self.table);
         let (addr, max_age) = (parent.addr, parent.max_age);
@@ -180,7 +188,7 @@
         let Some(since) = self.since else { return Some(snapshot.await) };
         let call = async {
             match peers::changes(gateway, addr, table, since, wait, max_age).await {
-                // It began to watch the table later.
+                // The parent began to watch the table after `since`.
                 Err(Error::Compacted) => Some(snapshot.await),
                 other => Some(other.map(|it| update(it, false))),
             }
@@ -199,8 +207,8 @@
 
     async fn read_changes(&mut self, since: Rev, role: Role) -> Option<Result<Batch, Error>> {
         let wait = match (role, self.table) {
-            // A call that waits would hang for its snapshot wait at a store that is still silent,
-            // and a configuration written right after its return would come too late.
+            // A call that waits would hang for its whole wait at a store that still does not
+            // answer, and a configuration written right after the outage would arrive too late.
             _ if 0 < self.failures => Duration::ZERO,
             (Role::Single, Table::Operator) => WAIT_OPERATOR,
             (Role::Single, _) => WAIT,
@@ -223,7 +231,7 @@
         unless_store_returned(&self.shared, call_store(&self.gateway, self.table, None)).await
     }
 
-    /// Makes one more call for the snapshot configuration and waits for it and those before it.
+    /// Makes another call for the whole configuration, and waits for it and the earlier ones.
     async fn read_configuration(&mut self) -> Result<Batch, Error> {
         let (gateway, table) = (Arc::clone(&self.gateway), self.table);
         self.first_calls.push(Box::pin(async move { call_store(&gateway, table, None).await }));
@@ -247,7 +255,7 @@
             let until = self.gateway.outage.lock().record_recovery(self.gateway.now());
             self.gateway.directory.lock().keep_missing_until(until);
         }
-        // After a single failure too: calls for other rows may have failed more often.
+        // Even after a single failure, because calls for other tables may have failed more often.
         if self.table == Table::Operator && 0 < self.failures {
             self.shared.returned.wake();
         }
@@ -277,7 +285,7 @@
         self.failures += 1;
         self.gateway.mirror.lock().interrupted(self.table);
         self.gateway.outage.lock().record_failure(self.gateway.now());
-        // One lost answer is no outage; its repeat tells.
+        // A single lost answer is not an outage; the next call shows whether there is one.
         if self.failures == 2 && !self.is_store_lost {
             self.is_store_lost = true;
             let why = error.to_string();
@@ -287,13 +295,14 @@
         if self.table == Table::Operator {
             peers::poll_peers(&self.gateway).await;
         } else if self.gateway.configuration.load().is_none() {
-            // Any rows that are applied may be the configuration.
+            // Any applied rows may contain the configuration.
             let applied = self.gateway.rows_changed.wait();
             if self.gateway.configuration.load().is_none() {
                 return pause_or(applied, NO_CONFIGURATION_BACKOFF).await;
             }
         } else if self.is_store_lost {
-            // One call after the other shows whether the store is back; the operators' does.
+            // A single retrying task is enough to detect the end of the outage: the one for the
+            // operators' table.
             return pause_or(self.shared.returned.wait(), OUTAGE_BACKOFF).await;
         }
         let longest = if self.since.is_some() { MAX_BACKOFF } else { MAX_BACKOFF_NO_CONFIGURATION };
@@ -302,7 +311,7 @@
     }
 }
 
-/// Runs a call to the store; none if the store was away and came back meanwhile.
+/// Runs a call to the store. None if the store came back from an outage meanwhile.
 async fn unless_store_returned(
     shared: &Shared,
     call: impl Future<Output = Result<Batch, Error>>,
@@ -333,8 +342,8 @@
     result
 }
 
-/// The first answer to any of `calls`, or the failure of the newest. That an older one fails says
-/// nothing of the store as it is now.
+/// The first successful answer to any of `calls`, or the failure of the newest. The failure of an
+/// older call says nothing about the current state of the store.
 async fn first_answer(calls: &mut Vec<Boxed<Result<Batch, Error>>>) -> Result<Batch, Error> {
     future::poll_fn(|cx| {
         let mut index = 0;
@@ -346,7 +355,9 @@
             drop(calls.remove(index));
             let is_newest = index == calls.len();
             match result {
-                Err(e) if !is_newest => log::debug!("an older first read failed: {e}"),
+                Err(e) if !is_newest => {
+                    log::debug!("an earlier first read of the configuration failed: {e}")
+                }
                 decided => return Poll::Ready(decided),
             }
         }
@@ -355,7 +366,7 @@
     .await
 }
 
-/// Pauses for about `pause`, or until `event`.
+/// Pauses for about `pause`, or until `event` completes.
 async fn pause_or(event: impl Future<Output = ()>, pause: Duration) {
     future::or(event, async {
         Timer::after(jitter(pause)).await;
@@ -363,8 +374,8 @@
     .await;
 }
 
-/// A pause of about that length. Nodes that all paused alike would come back to the store at the
-/// same moment, be turned away as too many, and pause alike again.
+/// Randomizes a pause. Nodes that all paused for the same time would call the store at the same
+/// moment, be rejected for overload, and pause for the same time again.
 fn jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.6..1.4))
 }
