--- a/crates/curranthook_gateway/src/watch/parents.rs
+++ b/crates/curranthook_gateway/src/watch/parents.rs
@@ -1,4 +1,4 @@
-//! The node's role_and_parents in the tree of relays, and which of its parents may be asked.
+//! The node's role in the tree of relays, and which of its parents can be asked.
 
 use std::{
     collections::HashMap,
@@ -10,30 +10,31 @@
 
 use crate::{Gateway, event::Event, fleet, relays, signal::Signal, store::Error};
 
-/// How long a parent that failed isn't asked.
+/// How long a parent that failed is not asked.
 const PARENT_COOLDOWN: Duration = Duration::from_secs(4);
-/// The same for one that is out of date. It may have missed a single answer of the store.
+/// The same for a parent that is out of date. It may have missed a single answer of the store.
 const STALE_COOLDOWN: Duration = Duration::from_millis(600);
-/// How many parents are asked before the store itself.
+/// The maximum number of parents asked before the store itself.
 const MAX_PARENTS_ASKED: usize = 2;
 
-/// What the watches of a node's tables tell each other.
+/// State shared by the watches of a node's tables.
 #[derive(Debug, Default)]
 pub struct Shared {
-    /// Wakes calls that wait at a store that has been away, as their answers may never come.
+    /// Wakes calls that are waiting at a store after an outage, because their answers may never
+    /// arrive.
     pub(super) returned: Signal,
-    /// Until when parents that failed aren't asked.
+    /// Parents that failed, by name.
     failed_parents: Mutex<HashMap<String, Failure>>,
     /// Wakes calls that wait at parents when one has failed.
     pub(super) parent_failed: Signal,
 }
 
-/// A parent that failed.
+/// The failure of a parent.
 #[derive(Debug, Clone, Copy)]
 struct Failure {
-    /// Until when it isn't asked.
+    /// Until when it is not asked.
     until: Instant,
-    /// Whether it answered, that it's out of date.
+    /// Whether the parent did answer, but was out of date.
     is_stale: bool,
 }
 
@@ -42,12 +43,12 @@
         self.failed_parents.lock().get(parent).is_some_and(|it| now <= it.until)
     }
 
-    /// Whether a parent said lately that it's out of date itself.
+    /// Whether a parent recently answered that it is out of date.
     fn is_stale(&self, parent: &str, now: Instant) -> bool {
         self.failed_parents.lock().get(parent).is_some_and(|it| now <= it.until && it.is_stale)
     }
 
-    /// A parent failed, and isn't asked for a while.
+    /// Records the failure of a parent, which is then not asked for a while.
     pub(super) fn record_failure(&self, gateway: &Gateway, parent: String, error: &Error) {
         let why = error.to_string();
         let is_stale = matches!(error, Error::Stale(_));
@@ -66,18 +67,18 @@
     pub(super) max_age: Duration,
 }
 
-/// What a node does for the fleet.
+/// The role of a node in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
-    /// It watches the store for itself, as all do in a small fleet.
+    /// Watches the store for itself, as all nodes of a small fleet do.
     Single,
-    /// It watches the store for others.
+    /// Watches the store for other nodes.
     Root,
-    /// It waits at parents.
+    /// Waits at parents.
     Child,
 }
 
-/// The node's role_and_parents in the fleet, and the parents that may be asked now.
+/// The node's role, and the parents that can be asked now.
 pub(super) fn role_and_parents(gateway: &Gateway, shared: &Shared) -> (Role, Vec<Parent>) {
     let now = gateway.now();
     let peers = gateway.peers.lock();
@@ -96,8 +97,8 @@
     (role, available.collect())
 }
 
-/// Waits until the node's role is another than `role`. The root of a fleet that has grown would
-/// otherwise wait as in a small one, and be out of date for its children.
+/// Waits until the node's role is no longer `role`. Otherwise, the root of a fleet that has grown
+/// would keep waiting as in a small fleet, and be out of date for its children.
 pub(super) async fn role_changed(gateway: &Gateway, shared: &Shared, role: Role) {
     loop {
         let changed = gateway.rows_changed.wait();
@@ -108,8 +109,8 @@
     }
 }
 
-/// Whether all relays that a leaf asks answer, and none has heard from the store. They ask it themselves,
-/// so it's likely away, or slow, for all nodes alike.
+/// Whether all relays that a leaf asks do answer, but none has heard from the store recently. They
+/// call the store themselves, so it is probably unavailable or slow for all nodes.
 pub(super) fn are_relays_stale(gateway: &Gateway, shared: &Shared) -> bool {
     let now = gateway.now();
     let peers = gateway.peers.lock();
