--- a/crates/curranthook_gateway/tests/advertised.rs
+++ b/crates/curranthook_gateway/tests/advertised.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves, and entries that come and go.
+//! State that endpoints report about themselves while their entries are removed and added again.
 
 mod support;
 
@@ -8,34 +8,35 @@
 
 use self::support::entry;
 
+/// The remaining slow start time of a warm endpoint.
 const WARM: Duration = Duration::ZERO;
 
-fn is_ready(directory: &Directory) -> bool {
+fn has_ready_endpoint(directory: &Directory) -> bool {
     directory.ready("models").next().is_some()
 }
 
-/// Guards against an answer that is forgotten as it comes after its endpoint's entry went, which then comes
-/// back.
+/// Guards against losing a report that arrives after the endpoint's entry was removed, when the
+/// entry is then added again.
 #[test]
-fn a_word_that_comes_after_the_entry_went_holds() {
+fn a_report_received_after_its_entry_was_removed_still_applies() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry(1, WARM), now);
     directory.remove(&"e-1".into(), now);
     assert!(directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
     directory.upsert(entry(1, WARM), now);
-    assert!(!is_ready(&directory));
+    assert!(!has_ready_endpoint(&directory));
 }
 
-/// Guards against the word of one start of an endpoint that keeps requests from the next one, in whatever
-/// order they are heard of.
+/// Guards against a report of one incarnation of an endpoint that stops requests to the next one,
+/// in whatever order the two are observed.
 #[test]
-fn a_word_holds_for_one_start_of_an_endpoint() {
+fn a_report_applies_to_one_incarnation_only() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry(1, WARM), now);
     assert!(directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
-    assert!(!is_ready(&directory));
+    assert!(!has_ready_endpoint(&directory));
     directory.upsert(entry(2, WARM), now);
-    assert!(is_ready(&directory));
+    assert!(has_ready_endpoint(&directory));
     assert!(!directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
-    assert!(is_ready(&directory));
+    assert!(has_ready_endpoint(&directory));
 }
