--- a/crates/curranthook_gateway/tests/log.rs
+++ b/crates/curranthook_gateway/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log never holds a request back.
+//! The log never delays a request.
 
 use std::{
     io::{self, Write},
@@ -12,18 +12,18 @@
 use curranthook_gateway::event::{Event, Log};
 use curranthook_types::clock;
 
-/// A reader that stops reading until it's told to go on.
-struct Stalled {
-    go: Receiver<()>,
+/// A writer that blocks at its first write until it is resumed.
+struct StalledWriter {
+    resume: Receiver<()>,
     text: Arc<Mutex<Vec<u8>>>,
-    has_waited: bool,
+    has_resumed: bool,
 }
 
-impl Write for Stalled {
+impl Write for StalledWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if !self.has_waited {
-            let _told = self.go.recv();
-            self.has_waited = true;
+        if !self.has_resumed {
+            let _resumed = self.resume.recv();
+            self.has_resumed = true;
         }
         self.text.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -34,40 +34,40 @@
     }
 }
 
-/// Whoever gathers the logs stops reading. Requests go on as fast as before; the lines that don't
-/// fit are dropped, and the next line that does says how many.
+/// The reader of the log stalls. Requests go on as fast as before; lines that do not fit into the
+/// queue are dropped, and the next line that fits reports how many.
 #[test]
-fn a_reader_that_stalls_costs_lines_and_no_time() {
-    let (tx, go) = channel();
+fn a_stalled_reader_drops_lines_without_delaying_requests() {
+    let (tx, resume) = channel();
     let text: Arc<Mutex<Vec<u8>>> = Arc::default();
-    let out = Stalled { go, text: Arc::clone(&text), has_waited: false };
+    let out = StalledWriter { resume, text: Arc::clone(&text), has_resumed: false };
     let log = Log::start("n-1", Arc::new(clock::System), Box::new(out)).unwrap();
     let start = Instant::now();
     for _ in 0..20_000 {
         log.write(&Event::NotRepeated { request: "r-1", why: "budget" });
     }
-    let each = start.elapsed() / 20_000;
-    assert!(each < Duration::from_micros(200), "{each:?} a line");
+    let time_per_line = start.elapsed() / 20_000;
+    assert!(time_per_line < Duration::from_micros(200), "{time_per_line:?} per line");
     assert!(0 < log.dropped());
     tx.send(()).unwrap();
-    let has_said = || String::from_utf8_lossy(&text.lock().unwrap()).contains("lines_dropped");
+    let reports_drops = || String::from_utf8_lossy(&text.lock().unwrap()).contains("lines_dropped");
     let start = Instant::now();
-    while !has_said() && start.elapsed() < Duration::from_secs(5) {
+    while !reports_drops() && start.elapsed() < Duration::from_secs(5) {
         std::thread::sleep(Duration::from_millis(20));
         log.write(&Event::Reloaded { changed: "" });
     }
-    assert!(has_said(), "what was dropped is said");
+    assert!(reports_drops(), "the dropped lines are reported");
     let lines = text.lock().unwrap().iter().filter(|it| **it == b'\n').count();
     assert!(lines < 5_000, "the queue is bounded: {lines} lines of 20,000 were kept");
 }
 
-/// Each line is one JSON object with time, node and event, whatever stands in its fields.
+/// Each line is one JSON object with time, node and event, whatever its fields contain.
 #[test]
-fn a_line_is_one_json_object() {
+fn each_line_is_one_json_object() {
     let text: Arc<Mutex<Vec<u8>>> = Arc::default();
-    let (tx, go) = channel();
+    let (tx, resume) = channel();
     tx.send(()).unwrap();
-    let out = Stalled { go, text: Arc::clone(&text), has_waited: false };
+    let out = StalledWriter { resume, text: Arc::clone(&text), has_resumed: false };
     let log = Log::start("n-1", Arc::new(clock::System), Box::new(out)).unwrap();
     log.write(&Event::RowRejected { table: "operator", why: "a \"line\"\nin a line" });
     std::thread::sleep(Duration::from_millis(200));
