--- a/crates/curranthook_gateway/tests/rate_limits.rs
+++ b/crates/curranthook_gateway/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Endpoints that name a rate, before fleets of any size.
+//! Endpoints that report a rate limit, in simulated fleets of different sizes.
 
 mod support;
 
@@ -15,35 +15,40 @@
 
 use self::support::{entry, most_in_window};
 
+/// The remaining slow start time of a warm endpoint.
 const WARM: Duration = Duration::ZERO;
-const LENGTH: Duration = Duration::from_secs(32);
+/// The simulated time.
+const DURATION: Duration = Duration::from_secs(32);
+/// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
-/// The span in which requests are counted, and what may come besides in it.
+/// The span in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-const SLACK: f64 = 5.0;
-/// How long a request may be held up on its way to the endpoint.
-const MAX_HELD_UP: Duration = Duration::from_millis(60);
-/// How far the nodes' readings of the store's clock are apart.
+/// How many requests beyond 1.5 times the rate may arrive in a window.
+const EXTRA_REQUESTS: f64 = 5.0;
+/// The maximum delay of a request on its way to the endpoint.
+const MAX_DELAY: Duration = Duration::from_millis(60);
+/// The maximum difference between the nodes' readings of the store's clock.
 const MAX_SKEW: Duration = Duration::from_millis(30);
-/// The share of nodes that each node doesn't know of.
-const UNKNOWN: f64 = 0.05;
+/// The share of other nodes that each node does not know of.
+const UNKNOWN_SHARE: f64 = 0.05;
 
-/// What an endpoint got.
+/// The requests that arrived at an endpoint.
 struct Arrivals {
-    /// The most requests in any window.
+    /// The maximum number of requests in any window.
     most: usize,
-    /// Requests a second, on average.
+    /// The average requests per second.
     mean: f64,
 }
 
-/// A fleet of `n_nodes` that gets `demand` requests a second from `idle` on, which would all fit one endpoint.
-fn arrivals(rate: f64, n_nodes: usize, demand: f64, idle: Duration, seed: u64) -> Arrivals {
+/// Simulates a fleet of `n_nodes` that gets `demand` requests per second after `starts_at`, all
+/// suited to the same endpoint.
+fn arrivals(rate: f64, n_nodes: usize, demand: f64, starts_at: Duration, seed: u64) -> Arrivals {
     let (mut rng, start) = (Pcg64::seed_from_u64(seed), Instant::now());
     let seeds: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
     let known: Vec<Vec<u64>> = seeds
         .iter()
         .map(|own| {
-            let is_known = |it: &&u64| own == *it || UNKNOWN <= rng.random();
+            let is_known = |it: &&u64| own == *it || UNKNOWN_SHARE <= rng.random();
             seeds.iter().filter(is_known).copied().collect()
         })
         .collect();
@@ -52,8 +57,8 @@
     let mut arrived = Vec::new();
     let mut due = 0.0;
     let mut elapsed = Duration::ZERO;
-    while elapsed < LENGTH {
-        if idle <= elapsed {
+    while elapsed < DURATION {
+        if starts_at <= elapsed {
             due += demand * STEP.as_secs_f64();
         }
         while 1.0 <= due {
@@ -68,17 +73,17 @@
             }
             if limit.admits(now) {
                 limit.sent(now);
-                arrived.push(now + MAX_HELD_UP.mul_f64(rng.random()));
+                arrived.push(now + MAX_DELAY.mul_f64(rng.random()));
             }
         }
         elapsed += STEP;
     }
-    let mean = arrived.len() as f64 / LENGTH.as_secs_f64();
+    let mean = arrived.len() as f64 / DURATION.as_secs_f64();
     Arrivals { most: most_in_window(arrived, WINDOW), mean }
 }
 
-/// Guards against an endpoint in need that gets from each node what it takes from all of them, and against
-/// keeping it from work that it would take.
+/// Guards against each node sending an overloaded endpoint as much as it accepts from all of them,
+/// and against withholding requests that it would accept.
 #[parameterized(
     one_node = { 1.0, 1, 20.0 },
     small = { 1.0, 6, 60.0 },
@@ -88,65 +93,66 @@
     large_and_fast = { 12.0, 89, 500.0 },
     largest = { 1.3, 1_800, 6_000.0 },
 )]
-fn the_fleet_keeps_the_rate_that_is_named(rate: f64, n_nodes: usize, demand: f64) {
+fn the_fleet_stays_within_the_reported_rate(rate: f64, n_nodes: usize, demand: f64) {
     for seed in 0..3 {
         let it = arrivals(rate, n_nodes, demand, Duration::ZERO, seed);
-        let allowed = rate * 1.5 * WINDOW.as_secs_f64() + SLACK;
+        let allowed = rate * 1.5 * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
         assert!(it.most as f64 <= allowed, "{} in a window, {allowed} allowed", it.most);
-        assert!(rate * 0.4 < it.mean, "only {} of {rate} requests a second", it.mean);
-        assert!(it.mean <= rate, "{} of {rate} requests a second", it.mean);
+        assert!(rate * 0.4 < it.mean, "only {} of {rate} requests per second", it.mean);
+        assert!(it.mean <= rate, "{} of {rate} requests per second", it.mean);
     }
 }
 
-/// Guards against permits that go unused while requests are refused, as these come at random.
+/// Guards against permits that stay unused while requests are refused because they arrive at
+/// random.
 #[test]
-fn few_requests_for_each_node_use_most_of_the_rate() {
+fn few_requests_per_node_use_most_of_the_rate() {
     for seed in 0..5 {
         let it = arrivals(4.0, 6, 16.0, Duration::ZERO, seed);
-        assert!(4.0 * 0.65 < it.mean, "only {} of 4 requests a second", it.mean);
+        assert!(4.0 * 0.65 < it.mean, "only {} of 4 requests per second", it.mean);
     }
 }
 
-/// Guards against permits that nobody used for a while and all nodes use at once.
+/// Guards against permits that stay unused for a while and are then used by all nodes at once.
 #[parameterized(small = { 1.0, 6, 60.0 }, large = { 1.0, 89, 500.0 }, fast = { 12.0, 89, 500.0 })]
-fn a_burst_after_a_pause_keeps_the_rate(rate: f64, n_nodes: usize, demand: f64) {
+fn a_burst_after_a_pause_stays_within_the_rate(rate: f64, n_nodes: usize, demand: f64) {
     for seed in 0..3 {
-        let it = arrivals(rate, n_nodes, demand, LENGTH / 2, seed);
-        let allowed = rate * 1.5 * WINDOW.as_secs_f64() + SLACK;
+        let it = arrivals(rate, n_nodes, demand, DURATION / 2, seed);
+        let allowed = rate * 1.5 * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
         assert!(it.most as f64 <= allowed, "{} in a window, {allowed} allowed", it.most);
     }
 }
 
-/// Guards against nodes that never hear whether an endpoint still names a limit, and callers that never get
-/// a rotation.
+/// Guards against nodes that never learn whether an endpoint still reports a limit, and against
+/// callers of such a node, whose requests it would never be permitted to send.
 #[parameterized(small = { 1.0, 6 }, large = { 8.0, 89 })]
-fn each_node_gets_its_turns(rate: f64, n_nodes: usize) {
-    const N_TURNS: u64 = 600;
+fn each_node_holds_permits_about_equally_often(rate: f64, n_nodes: usize) {
+    const N_ROTATIONS: u64 = 600;
     let nodes: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
-    let turns = |node: u64| {
+    let n_permits = |node: u64| {
         let holds =
             |rotation: &u64| rate_limit::interval(rate, 7, *rotation, node, &nodes).is_some();
-        (0..N_TURNS).filter(holds).count()
+        (0..N_ROTATIONS).filter(holds).count()
     };
-    let all: Vec<usize> = nodes.iter().map(|it| turns(*it)).collect();
+    let all: Vec<usize> = nodes.iter().map(|it| n_permits(*it)).collect();
     let mean = all.iter().sum::<usize>() / n_nodes;
     assert!(all.iter().all(|it| mean / 2 <= *it && *it <= mean * 2), "{all:?}, {mean} on average");
 }
 
-/// Guards against an endpoint that takes nothing for now and is never asked again.
+/// Guards against an endpoint that accepts nothing for now and is never tried again.
 #[test]
-fn an_endpoint_that_takes_nothing_is_asked_now_and_then() {
+fn an_endpoint_that_accepts_nothing_is_still_probed() {
     for seed in 0..5 {
         let it = arrivals(0.0, 6, 60.0, Duration::ZERO, seed);
-        assert!(0.1 < it.mean && it.mean < 0.5, "{} requests a second", it.mean);
+        assert!(0.1 < it.mean && it.mean < 0.5, "{} requests per second", it.mean);
         assert!(it.most <= 3, "{} requests in a window", it.most);
     }
 }
 
-/// The permits of a node that holds all of them.
-struct AllPermits;
+/// Permits that allow requests at any time.
+struct UnlimitedPermits;
 
-impl Permits for AllPermits {
+impl Permits for UnlimitedPermits {
     fn slow_start(&self, _endpoint: u64) -> Option<Duration> {
         Some(Duration::ZERO)
     }
@@ -161,13 +167,14 @@
 }
 
 fn admits(directory: &mut Directory, now: Instant) -> bool {
-    directory.renew_permits("models", &AllPermits, now);
+    directory.renew_permits("models", &UnlimitedPermits, now);
     directory.get(&"e-1".into()).unwrap().admits(now)
 }
 
-/// Guards against a report that was held up and brings back a limit that is over, or ends one that holds.
+/// Guards against a delayed report that restores a limit that was withdrawn, or ends one that is in
+/// force.
 #[test]
-fn a_notice_that_comes_late_changes_nothing() {
+fn an_outdated_report_is_ignored() {
     let (mut directory, now, id) = (Directory::default(), Instant::now(), "e-1".into());
     directory.upsert(entry(1, WARM), now);
     let notice = |rate, at| Notice { rate, at: Duration::from_secs(at) };
@@ -180,9 +187,9 @@
     assert!(admits(&mut directory, now));
 }
 
-/// Guards against a limit that outlives its endpoint under the same id.
+/// Guards against a limit that still applies after the endpoint restarted under the same id.
 #[test]
-fn an_endpoint_that_starts_again_has_no_limit() {
+fn a_restarted_endpoint_has_no_limit() {
     let (mut directory, now, id) = (Directory::default(), Instant::now(), "e-1".into());
     directory.upsert(entry(1, WARM), now);
     directory.apply_reported_limit(&id, &Notice { rate: Some(1.0), at: Duration::ZERO });
@@ -191,9 +198,10 @@
     assert!(admits(&mut directory, now));
 }
 
-/// Guards against a limit that is forgotten as the endpoint's entry lapses with the store and comes back.
+/// Guards against losing a limit when the endpoint's entry lapses during a store outage and is
+/// added again.
 #[test]
-fn a_limit_outlives_the_entry_of_its_endpoint() {
+fn a_limit_survives_the_removal_of_the_entry() {
     let (mut directory, now, id) = (Directory::default(), Instant::now(), "e-1".into());
     directory.upsert(entry(1, WARM), now);
     directory.apply_reported_limit(&id, &Notice { rate: Some(1.0), at: Duration::ZERO });
