--- a/crates/curranthook_gateway/tests/relays.rs
+++ b/crates/curranthook_gateway/tests/relays.rs
@@ -1,4 +1,4 @@
-//! The tree by which changes reach the nodes of a large fleet.
+//! The tree through which changes reach the nodes of a large fleet.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use yare::parameterized;
 
-/// A fleet of equal or unequal nodes, spread over failure domains in turn.
+/// A fleet of nodes with different capacities, assigned to the failure domains in turn.
 struct Fleet {
     names: Vec<String>,
     domains: Vec<domain::Id>,
@@ -40,26 +40,27 @@
         (0..self.names.len()).map(node).collect()
     }
 
-    /// The parents of each node, by its place.
+    /// The parents of each node, by the node's index.
     fn parents(&self) -> Vec<Vec<(usize, Duration)>> {
         let nodes = self.nodes();
-        let place = |name: &str| self.names.iter().position(|it| it == name).unwrap();
+        let index = |name: &str| self.names.iter().position(|it| it == name).unwrap();
         let parents = |it: &String| relays::parents(it, &nodes);
-        let placed = |it: Vec<relays::Parent<'_>>| -> Vec<_> {
-            it.into_iter().map(|it| (place(it.name), it.max_age)).collect()
+        let indexed = |it: Vec<relays::Parent<'_>>| -> Vec<_> {
+            it.into_iter().map(|it| (index(it.name), it.max_age)).collect()
         };
-        self.names.iter().map(|it| placed(parents(it))).collect()
+        self.names.iter().map(|it| indexed(parents(it))).collect()
     }
 }
 
-/// A node that had to serve hundreds of others on a weak link would have no room for its callers.
+/// Guards against a node on a weak link that serves hundreds of others and has no capacity left for
+/// its callers.
 #[parameterized(
     flat = { 18, 5 },
     middle = { 62, 3 },
     large = { 295, 5 },
     target = { 1_803, 27 },
 )]
-fn one_node_watches_the_store_and_none_serves_too_many(n_nodes: usize, n_domains: usize) {
+fn one_node_watches_the_store_and_none_has_too_many_children(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
     let parents = fleet.parents();
     let roots = parents.iter().filter(|it| it.is_empty()).count();
@@ -68,17 +69,18 @@
     for parents in parents.iter().filter(|it| !it.is_empty()) {
         *children.entry(parents[0].0).or_default() += 1;
     }
-    let most = *children.values().max().unwrap();
+    let max_children = *children.values().max().unwrap();
     let bound = 24.max(2 * n_nodes.isqrt());
-    assert!(most <= bound, "one node has {most} children");
+    assert!(max_children <= bound, "one node has {max_children} children");
     let serving: Vec<_> = children.keys().map(|it| fleet.capacities[*it]).collect();
     let is_large = |it: &f64| 50.0 <= *it;
     assert!(serving.iter().all(is_large), "{serving:?}");
 }
 
-/// What crosses failure domains is charged for, and a node asks its parent more than once a second.
+/// Guards against traffic between failure domains, which is charged for: a node asks its parent
+/// more than once per second.
 #[test]
-fn leaves_wait_in_their_own_failure_domain() {
+fn leaves_have_parents_in_their_own_failure_domain() {
     let fleet = Fleet::new(295, 5);
     let parents = fleet.parents();
     let leaves = parents
@@ -93,41 +95,44 @@
     assert!(250 < n_leaves, "{n_leaves} leaves");
 }
 
-/// A failure domain is lost for good, and the rows of its nodes stay. Everybody else must find a parent
-/// or watch the store; were all roots in that domain, every relay would watch the store from then on.
+/// A failure domain is lost for good, and the rows of its nodes remain. All other nodes must find a
+/// parent or watch the store. If all roots were in that domain, every relay would watch the store
+/// from then on.
 #[parameterized(middle = { 62, 3 }, large = { 295, 5 })]
-fn the_loss_of_a_failure_domain_leaves_a_root(n_nodes: usize, n_domains: usize) {
+fn a_root_remains_after_the_loss_of_a_failure_domain(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
     let parents = fleet.parents();
     for lost in 0..n_domains {
         let is_lost = |it: usize| it % n_domains == lost;
-        let left: Vec<_> = (0..n_nodes).filter(|it| !is_lost(*it)).collect();
-        let alive = |it: usize| parents[it].iter().filter(|(it, _)| !is_lost(*it)).count();
-        let watching: HashSet<_> = left.iter().filter(|it| alive(**it) == 0).collect();
+        let remaining: Vec<_> = (0..n_nodes).filter(|it| !is_lost(*it)).collect();
+        let n_alive_parents =
+            |it: usize| parents[it].iter().filter(|(it, _)| !is_lost(*it)).count();
+        let watching: HashSet<_> =
+            remaining.iter().filter(|it| n_alive_parents(**it) == 0).collect();
         assert!(watching.len() <= 2, "without {lost}, {} nodes watch the store", watching.len());
     }
 }
 
-/// A node that is added isn't in the list until its own row comes back to it. If it took itself for the root
-/// meanwhile, each added node would read all tables in the store.
+/// An added node is not in the list until it has read its own row. If it took itself for the root
+/// until then, each added node would read all tables from the store.
 #[parameterized(flat = { 18, 5 }, large = { 295, 5 })]
 fn a_node_that_is_not_listed_yet_has_parents(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
     assert!(!relays::parents("node-new", &fleet.nodes()).is_empty());
 }
 
-/// A node of the model check: what it knows, and which of its ways are open.
-struct Model {
+/// A node of the simulation: its rows, and which of its connections work.
+struct ModelNode {
     mirror: Mirror,
     reaches_store: bool,
     reaches_parents: bool,
 }
 
-/// Nodes lose the store and each other in any order, for any time, and wait at parents who may be
-/// cut off themselves. A node that believed itself fresh while rows were missing would serve a configuration
-/// that is no longer in force, and tell others so.
+/// Nodes lose the store and each other in any order, for any time, and wait at parents that may be
+/// cut off themselves. A node that considered its rows fresh while changes were missing would serve
+/// an outdated configuration, and pass it on to others.
 #[test]
-fn no_node_believes_itself_fresh_when_it_isnt() {
+fn no_node_considers_outdated_rows_fresh() {
     const MAX_AGE: Duration = Duration::from_millis(2_200);
     const STEP: Duration = Duration::from_millis(50);
     for seed in 0..12 {
@@ -135,10 +140,10 @@
         let fleet = Fleet::new(rng.random_range(13..60), 3);
         let parents = fleet.parents();
         let new =
-            || Model { mirror: Mirror::default(), reaches_store: true, reaches_parents: true };
+            || ModelNode { mirror: Mirror::default(), reaches_store: true, reaches_parents: true };
         let mut nodes: Vec<_> = parents.iter().map(|_| new()).collect();
         let start = Instant::now();
-        // When each revision was written.
+        // The time at which each revision was written.
         let mut written = vec![start];
         for step in 0..400_u32 {
             let now = start + STEP * step;
@@ -150,7 +155,7 @@
                 match rng.random_range(0..12) {
                     0 => nodes[it].reaches_store ^= true,
                     1 => nodes[it].reaches_parents ^= true,
-                    _ => ask(&mut nodes, it, &parents[it], &written, now),
+                    _ => poll(&mut nodes, it, &parents[it], &written, now),
                 }
             }
             for (name, it) in fleet.names.iter().zip(&nodes) {
@@ -159,15 +164,19 @@
                 }
                 let known = usize::try_from(it.mirror.rev(Table::Operator).0).unwrap();
                 let missing = written.get(known).is_some_and(|at| MAX_AGE < now - *at);
-                assert!(!missing, "seed {seed}: {name} misses {known} at {:?}", now - start);
+                assert!(
+                    !missing,
+                    "seed {seed}: {name} misses revision {known} after {:?}",
+                    now - start
+                );
             }
         }
     }
 }
 
-/// A node asks its parents in order and then the store.
-fn ask(
-    nodes: &mut [Model],
+/// Lets a node ask its parents in order, and then the store.
+fn poll(
+    nodes: &mut [ModelNode],
     node: usize,
     parents: &[(usize, Duration)],
     written: &[Instant],
@@ -184,7 +193,7 @@
         own.merge(Table::Operator, batch);
         return;
     }
-    let Model { mirror, reaches_store, .. } = &mut nodes[node];
+    let ModelNode { mirror, reaches_store, .. } = &mut nodes[node];
     if *reaches_store {
         let rev = Rev(written.len() as u64);
         let row = Row { key: "config".to_owned(), rev, value: Some(Vec::new()) };
@@ -197,7 +206,7 @@
 
 /// Guards against relays on weak links, whose own callers wait while many rows change.
 #[test]
-fn weak_nodes_are_no_parents_if_the_strong_ones_can_carry_all() {
+fn weak_nodes_are_not_parents_if_strong_ones_suffice() {
     let names: Vec<_> = (0..81).map(|it| format!("node-{it}")).collect();
     let domains: Vec<domain::Id> = ["z-a", "z-b", "z-c"].map(Into::into).to_vec();
     let nodes: Vec<_> = names
