--- a/crates/curranthook_gateway/tests/slow_start.rs
+++ b/crates/curranthook_gateway/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Endpoints in slow start, before fleets of any size.
+//! Endpoints in slow start, in simulated fleets of different sizes.
 
 mod support;
 
@@ -16,22 +16,24 @@
 
 use self::support::{entry, most_in_window};
 
-const LENGTH: Duration = Duration::from_secs(20);
+/// The simulated time.
+const DURATION: Duration = Duration::from_secs(20);
+/// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
-/// How long a request may be held up on its way to the endpoint.
-const MAX_HELD_UP: Duration = Duration::from_millis(60);
-/// The share of nodes that each node doesn't know of.
-const UNKNOWN: f64 = 0.05;
+/// The maximum delay of a request on its way to the endpoint.
+const MAX_DELAY: Duration = Duration::from_millis(60);
+/// The share of other nodes that each node does not know of.
+const UNKNOWN_SHARE: f64 = 0.05;
 
-/// The most requests in any second, and the mean.
+/// The maximum number of requests in any second, and the average requests per second.
 fn arrivals(rate: f64, n_nodes: usize, seed: u64) -> (usize, f64) {
     let (mut rng, start) = (Pcg64::seed_from_u64(seed), Instant::now());
     let seeds: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
-    let end = start + LENGTH;
+    let end = start + DURATION;
     let mut nodes: Vec<SlowStart> = seeds
         .iter()
         .map(|own| {
-            let known = seeds.iter().filter(|it| own == *it || UNKNOWN <= rng.random());
+            let known = seeds.iter().filter(|it| own == *it || UNKNOWN_SHARE <= rng.random());
             let known: Vec<u64> = known.copied().collect();
             let mut it = SlowStart::new(end);
             it.share.set_interval(
@@ -46,16 +48,16 @@
     while now < end {
         for it in nodes.iter_mut().filter(|it| it.admits(now)) {
             it.share.sent(now);
-            arrived.push(now + MAX_HELD_UP.mul_f64(rng.random()));
+            arrived.push(now + MAX_DELAY.mul_f64(rng.random()));
         }
         now += STEP;
     }
-    let mean = arrived.len() as f64 / LENGTH.as_secs_f64();
+    let mean = arrived.len() as f64 / DURATION.as_secs_f64();
     (most_in_window(arrived, Duration::from_secs(1)), mean)
 }
 
-/// Guards against a crash of an endpoint that has just started, as all nodes send it what a warm one takes,
-/// and against keeping it from work that it would take.
+/// Guards against crashing an endpoint that has just started, when all nodes send it as much as a
+/// warm one accepts, and against withholding requests that it would accept.
 #[parameterized(
     one_node = { 8.4, 1 },
     small = { 8.4, 6 },
@@ -65,15 +67,15 @@
     fast = { 40.0, 81 },
     slow = { 1.5, 81 },
 )]
-fn the_fleet_keeps_the_rate_of_a_slow_start(rate: f64, n_nodes: usize) {
+fn the_fleet_stays_within_the_rate_of_a_slow_start(rate: f64, n_nodes: usize) {
     for seed in 0..5 {
         let (most, mean) = arrivals(rate, n_nodes, seed);
         assert!(most as f64 <= rate * 1.5 + 5.0, "{most} requests in a second of {rate}");
-        assert!(rate * 0.5 < mean, "only {mean} of {rate} requests a second");
+        assert!(rate * 0.5 < mean, "only {mean} of {rate} requests per second");
     }
 }
 
-/// The permits of a node that holds none.
+/// The permits of a node that may send nothing.
 struct NoPermits;
 
 impl Permits for NoPermits {
@@ -95,9 +97,9 @@
     directory.get(&"e-1".into()).is_some_and(|it: &Tracked| it.admits(now))
 }
 
-/// Guards against overlooking an endpoint that turns cold while it's in use, or starts again under its id.
-#[parameterized(in_use = { 1 }, started_again = { 2 })]
-fn an_endpoint_that_turns_cold_is_in_slow_start(born: u64) {
+/// Guards against missing that an endpoint turns cold while in use, or restarts under the same id.
+#[parameterized(in_use = { 1 }, restarted = { 2 })]
+fn an_endpoint_whose_entry_turns_cold_is_in_slow_start(born: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry(1, Duration::ZERO), now);
     assert!(admits(&mut directory, now));
@@ -107,9 +109,9 @@
     assert!(admits(&mut directory, now + warm_in));
 }
 
-/// Guards against keeping an endpoint in slow start that says it's warm.
+/// Guards against keeping an endpoint in slow start after its entry says that it is warm.
 #[test]
-fn an_endpoint_that_says_it_is_warm_takes_any_load() {
+fn a_warm_endpoint_leaves_slow_start() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry(1, Duration::from_secs(3)), now);
     directory.upsert(entry(1, Duration::ZERO), now);
