--- a/crates/curranthook_gateway/tests/steps.rs
+++ b/crates/curranthook_gateway/tests/steps.rs
@@ -1,4 +1,5 @@
-//! Roll-outs: how much a bad version meets, and what speaks against one.
+//! Rollouts: how many requests a bad version receives, and what counts as evidence against a
+//! version.
 
 use std::time::Duration;
 
@@ -22,129 +23,131 @@
     Counts { answers, bad, ..Counts::default() }
 }
 
-fn delays(ratios: impl IntoIterator<Item = f64>) -> Delay {
+fn delay_of(ratios: impl IntoIterator<Item = f64>) -> Delay {
     let mut delay = Delay::default();
     ratios.into_iter().for_each(|it| delay.add(it));
     delay
 }
 
-/// A version whose faults nobody can see before it's in full use is completed. Until the end of
-/// the order's time it has met no more requests than the bound allows, as otherwise a fault that
-/// shows late would reach many callers.
+/// A version whose faults do not show before it is in full use is completed. Until the end of the
+/// time limit it must receive no more requests than the bound allows, because a fault that shows
+/// late would otherwise affect many callers.
 #[parameterized(
     short = { 12, 0.15 },
-    usual = { 24, 0.15 },
+    typical = { 24, 0.15 },
     large_fleet = { 24, 0.0975 },
     long = { 600, 0.05 },
 )]
-fn a_version_that_seems_good_stays_within_the_bound(seconds: u64, bound: f64) {
+fn a_seemingly_good_version_stays_within_the_bound(seconds: u64, bound: f64) {
     let (schedule, order) = (Schedule::new(bound), order(Duration::from_secs(seconds)));
-    let seen = Evidence { new: counts(100, 0), old: counts(1_000, 0) };
-    let mut now = step(Phase::Waiting, Duration::ZERO);
-    let (mut met, mut early) = (0.0, 0.0);
+    let evidence = Evidence { new: counts(100, 0), old: counts(1_000, 0) };
+    let mut current = step(Phase::Waiting, Duration::ZERO);
+    let (mut share_received, mut early_share) = (0.0, 0.0);
     let slices = 10_000;
     for slice in 0..slices {
         let at = order.time_limit.mul_f64(f64::from(slice) / f64::from(slices));
-        if let Some(phase) = steps::due(&schedule, &order, &now, seen, at) {
-            now = step(phase, at);
+        if let Some(phase) = steps::due(&schedule, &order, &current, evidence, at) {
+            current = step(phase, at);
         }
-        met += schedule.share(now.phase) / f64::from(slices);
+        share_received += schedule.share(current.phase) / f64::from(slices);
         if slice < slices / 2 {
-            early += schedule.share(now.phase);
+            early_share += schedule.share(current.phase);
         }
     }
-    assert_eq!(now.phase, Phase::Completed, "it's done in time");
-    assert!(met <= bound, "{met} of all requests met it");
+    assert_eq!(current.phase, Phase::Completed, "completed in time");
+    assert!(share_received <= bound, "{share_received} of all requests went to it");
     assert!(schedule.exposure() < bound);
-    assert_eq!(early, 0.0, "sessions keep their version in the first half");
+    assert_eq!(early_share, 0.0, "sessions keep their version in the first half");
 }
 
-/// Half of a version's answers take eight times as long as usual. Single answers vary that much
-/// by themselves, so only all of them together tell.
+/// Half of a version's answers take eight times as long as the baseline. Single answers vary that
+/// much anyway, so only all of them together are evidence.
 #[test]
-fn a_slow_version_is_found() {
-    let usual = || (0..200).map(|it| [0.4, 0.7, 1.0, 1.5, 2.5][it % 5]);
+fn a_slow_version_is_detected() {
+    let baseline_ratios = || (0..200).map(|it| [0.4, 0.7, 1.0, 1.5, 2.5][it % 5]);
     let slow =
         (0..24).map(|it| [0.4, 0.7, 1.0, 1.5, 2.5][it % 5] * if it % 2 == 0 { 8.0 } else { 1.0 });
-    let old = Counts { rest: delays(usual()), ..counts(200, 0) };
-    let new = Counts { rest: delays(slow), ..counts(24, 0) };
+    let old = Counts { rest: delay_of(baseline_ratios()), ..counts(200, 0) };
+    let new = Counts { rest: delay_of(slow), ..counts(24, 0) };
     assert!(Evidence { new, old }.is_bad());
-    let same = Counts { rest: delays(usual().take(24)), ..counts(24, 0) };
+    let same = Counts { rest: delay_of(baseline_ratios().take(24)), ..counts(24, 0) };
     assert!(!Evidence { new: same, old }.is_bad());
 }
 
-/// A new version's engines begin without the prompts that the old ones keep, so its first events
-/// come later for a while. That's no fault of the version.
+/// A new version's engines start without the cached prompts of the old ones, so its first events
+/// are slower for a while. That is not a fault of the version.
 #[test]
-fn cold_engines_are_no_bad_version() {
+fn cold_engines_do_not_make_a_version_bad() {
     let old =
-        Counts { first: delays((0..200).map(|it| [0.5, 1.0, 2.0][it % 3])), ..counts(200, 0) };
-    let new = Counts { first: delays((0..40).map(|it| [1.0, 2.0, 4.0][it % 3])), ..counts(40, 0) };
+        Counts { first: delay_of((0..200).map(|it| [0.5, 1.0, 2.0][it % 3])), ..counts(200, 0) };
+    let new =
+        Counts { first: delay_of((0..40).map(|it| [1.0, 2.0, 4.0][it % 3])), ..counts(40, 0) };
     assert!(!Evidence { new, old }.is_bad());
 }
 
-/// Nodes are killed while a version is on trial, and the old one's answers come late too. What
-/// is slow at both must not hide that half of the new one's answers are failures.
+/// Nodes are killed during a rollout, and the old version's answers are late, too. The slowdown of
+/// both versions must not hide that half of the new version's answers are failures.
 #[test]
-fn failures_are_seen_beside_a_disturbance() {
-    let late = || delays((0..100).map(|_| 9.0));
+fn failures_are_detected_during_a_general_slowdown() {
+    let late = || delay_of((0..100).map(|_| 9.0));
     let old = Counts { first: late(), rest: late(), ..counts(280, 0) };
     let new = Counts { first: late(), rest: late(), ..counts(14, 6) };
     assert!(Evidence { new, old }.is_bad());
 }
 
-/// A plain service fails one lookup in seven, whichever version runs it. By chance a new version
-/// meets a few more of them at first.
+/// A service without models fails one lookup in seven, whichever version runs it. By chance, a new
+/// version gets a few more of them at first.
 #[test]
-fn what_fails_anyway_speaks_against_nobody() {
+fn failures_of_both_versions_are_not_evidence() {
     let old = counts(97, 10);
     assert!(!Evidence { new: counts(24, 5), old }.is_bad());
     assert!(!Evidence { new: counts(9, 4), old: counts(20, 4) }.is_bad());
     assert!(Evidence { new: counts(22, 14), old: counts(52, 7) }.is_bad());
 }
 
-/// A node that was frozen comes back with an old step. Nothing follows a final one.
+/// A node that was frozen comes back with an old step. No step follows a final phase.
 #[parameterized(completed = { Phase::Completed }, rolled_back = { Phase::RolledBack })]
-fn nothing_follows_the_end(phase: Phase) {
+fn no_step_follows_a_final_phase(phase: Phase) {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
     let bad = Evidence { new: counts(100, 90), old: counts(100, 0) };
     let late = Duration::from_secs(1_000);
     assert_eq!(steps::due(&schedule, &order, &step(phase, Duration::ZERO), bad, late), None);
 }
 
-/// Nodes are cut off while a version is on trial, so few answers are known, and half of them are
-/// failures: too few to condemn the version. Given to everybody on that, it would fail half of all
-/// requests for seconds.
+/// Nodes are cut off during a rollout, so few answers are known. The version fails half of its
+/// requests, but the known failures are too few to give it up. If it got all requests on that
+/// evidence, half of all requests would fail for seconds.
 #[test]
-fn a_doubtful_version_goes_no_further() {
+fn a_doubtful_version_does_not_advance() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
     let doubtful = Evidence { new: counts(6, 2), old: counts(96, 0) };
     let worse = Evidence { new: counts(6, 3), old: counts(96, 0) };
     for phase in [Phase::Canary, Phase::Partial] {
-        let (late, at) = (Duration::from_secs(23), step(phase, Duration::ZERO));
-        assert_eq!(steps::due(&schedule, &order, &at, doubtful, late), None);
-        assert_eq!(steps::due(&schedule, &order, &at, worse, late), Some(Phase::RolledBack));
+        let (late, current) = (Duration::from_secs(23), step(phase, Duration::ZERO));
+        assert_eq!(steps::due(&schedule, &order, &current, doubtful, late), None);
+        assert_eq!(steps::due(&schedule, &order, &current, worse, late), Some(Phase::RolledBack));
     }
     let few = Evidence { new: counts(7, 0), old: counts(96, 0) };
     let partial = step(Phase::Partial, Duration::ZERO);
     assert_eq!(steps::due(&schedule, &order, &partial, few, Duration::from_secs(23)), None);
 }
 
-/// A plain service has few requests, so that few answers are known when the first phase ends. Its
-/// version goes on in time all the same; operators would otherwise see a good one reported late.
+/// A service without models has few requests, so few answers are known when the first phase ends.
+/// Its version must advance in time anyway, or operators would see a good rollout reported late.
 #[test]
-fn a_version_of_a_quiet_service_goes_on_in_time() {
+fn a_version_of_a_service_with_few_requests_advances_in_time() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
-    let seen = Evidence { new: counts(3, 0), old: counts(90, 5) };
+    let evidence = Evidence { new: counts(3, 0), old: counts(90, 5) };
     let canary = step(Phase::Canary, Duration::ZERO);
     let at = order.time_limit.mul_f64(0.85);
-    assert_eq!(steps::due(&schedule, &order, &canary, seen, at), Some(Phase::Partial));
+    assert_eq!(steps::due(&schedule, &order, &canary, evidence, at), Some(Phase::Partial));
 }
 
-/// A node alone sees that the new version fails. It stops sending requests there at once, whatever
-/// step the fleet is at; the store may be away, and the others may not have seen it yet.
+/// Only one node sees that the new version fails. It stops sending requests to it at once, in
+/// whatever phase the fleet is; the store may be unavailable, and the other nodes may not have evidence
+/// the failures yet.
 #[test]
-fn a_node_that_sees_failures_stops_by_itself() {
+fn a_node_that_sees_failures_stops_without_waiting_for_a_step() {
     let mut rollouts = Rollouts::new(Schedule::new(0.15));
     rollouts.apply_order(order(Duration::from_secs(24)), Rev(1), None);
     assert!(rollouts.apply_step("models", step(Phase::Full, Duration::ZERO), Rev(2)));
@@ -161,10 +164,10 @@
     assert_eq!(rollouts.rule("models", 7), Rule::Not("v2".to_owned()));
 }
 
-/// A version fails at one kind of request only, so few of all its answers are failures; the old
-/// version has none at all. Taken for good, it would go on failing that kind for everybody.
+/// A version fails for one kind of request only, so few of its answers are failures, while the old
+/// version has none. If it were accepted as good, it would keep failing that kind for all callers.
 #[test]
-fn failures_of_one_kind_of_request_are_found_among_many_good_answers() {
+fn failures_of_one_kind_of_request_are_detected() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
     let late = Duration::from_secs(23);
     let one = Evidence { new: counts(33, 3), old: counts(333, 0) };
@@ -173,22 +176,26 @@
     let doubtful = Evidence { new: counts(11, 1), old: counts(120, 0) };
     assert!(!doubtful.is_bad());
     assert_eq!(steps::due(&schedule, &order, &canary, doubtful, late), None);
-    // One failure among very many is no reason to wait.
+    // One failure among very many answers is no reason to wait.
     let fine = Evidence { new: counts(90, 1), old: counts(900, 2) };
     assert_eq!(steps::due(&schedule, &order, &canary, fine, late), Some(Phase::Partial));
 }
 
-/// Half of a version's answers take a few times as long. Few have ended when all requests could go
-/// there, and the slow ones end last, so the rest of them look only somewhat late: not enough to
-/// condemn the version, and too much to give it to everybody.
+/// Half of a version's answers take a few times as long. Few of them have ended when the version
+/// could get all requests, and the slow ones end last, so the known ones seem only somewhat slow:
+/// not enough to give the version up, but too much to send it all requests.
 #[test]
-fn a_version_that_seems_slow_goes_no_further() {
+fn a_seemingly_slow_version_does_not_advance() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(17)));
-    let usual = |n: usize| (0..n).map(|it| [0.4, 0.7, 1.0, 1.5, 2.5][it % 5]);
-    let old = Counts { first: delays(usual(170)), rest: delays(usual(120)), ..counts(170, 0) };
+    let baseline_ratios = |n: usize| (0..n).map(|it| [0.4, 0.7, 1.0, 1.5, 2.5][it % 5]);
+    let old = Counts {
+        first: delay_of(baseline_ratios(170)),
+        rest: delay_of(baseline_ratios(120)),
+        ..counts(170, 0)
+    };
     let partial = step(Phase::Partial, Duration::ZERO);
     let due = |factor: f64| {
-        let times = || delays(usual(28).map(|it| it * factor));
+        let times = || delay_of(baseline_ratios(28).map(|it| it * factor));
         let new = Counts { first: times(), rest: times(), ..counts(28, 0) };
         steps::due(&schedule, &order, &partial, Evidence { new, old }, Duration::from_secs(16))
     };
