--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -1,5 +1,5 @@
-//! State that an endpoint reports about itself in response headers: its rate limit, pauses, and
-//! whether it is leaving.
+//! State that an endpoint reports about itself in its answers: its rate limit, pauses, and whether
+//! it is leaving.
 //!
 //! An endpoint may report it before its entry in the store is updated, or while the store is
 //! unavailable. It stays valid for the lifetime of the endpoint, even if the entry is removed and
