--- a/crates/curranthook_gateway/src/directory/tracked.rs
+++ b/crates/curranthook_gateway/src/directory/tracked.rs
@@ -37,7 +37,9 @@
     pub pending: Duration,
     /// The moving average of the share of requests that failed.
     pub failures: f64,
+    /// The load that it last reported, when, and how many requests this node had in flight then.
     pub(super) load: Option<(Load, Instant, u32)>,
+    /// The length of its last ejection; zero after an answer.
     pub(super) ejection_time: Duration,
     pub(super) ejected_until: Option<Instant>,
     /// When this node, or another that reported it, last failed to open a connection.
@@ -107,8 +109,8 @@
     /// Whether this node may send it a request now. Always true, except in slow start, under a rate
     /// limit, or during a pause.
     pub fn admits(&self, now: Instant) -> bool {
-        let is_slow_start = self.slow_start.is_some_and(|it| !it.admits(now));
-        !is_slow_start && self.advertised.admits(now)
+        let is_blocked_by_slow_start = self.slow_start.is_some_and(|it| !it.admits(now));
+        !is_blocked_by_slow_start && self.advertised.admits(now)
     }
 
     /// The requests per second that it accepts from all nodes, if that is bounded and this node may
