--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -25,7 +25,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// The delay between the nodes' attempts to write a step, so that the first one writes it and the
 /// others see that it is written.
-const STAGGER: Duration = Duration::from_millis(200);
+const STEP_STAGGER: Duration = Duration::from_millis(200);
 /// The highest rank with a delay of its own; nodes of a higher rank share this one.
 const MAX_RANK: usize = 8;
 /// The delay before a step whose write failed is tried again.
@@ -138,7 +138,7 @@
                 now
             }
         };
-        if now < due + STAGGER * self.rank(service) {
+        if now < due + STEP_STAGGER * self.rank(service) {
             return;
         }
         self.due_since.remove(service);
@@ -220,8 +220,8 @@
             return;
         }
         let mut entries = self.gateway.poison.lock().export(now);
-        let charged: usize = entries.iter().map(|it| it.endpoints.len()).sum();
-        if charged <= known {
+        let n_failures: usize = entries.iter().map(|it| it.endpoints.len()).sum();
+        if n_failures <= known {
             return;
         }
         // When many endpoints fail at once, each request in flight there is blamed. A request that
@@ -233,8 +233,8 @@
         let written = self.write(&key, None, &encode(&entries), None).await;
         // A failed write is not repeated at once: the store may be unavailable, or reject the row
         // permanently.
-        let charged = if written.is_ok() { charged } else { known };
-        self.written_poison = (charged, Some(now));
+        let n_failures = if written.is_ok() { n_failures } else { known };
+        self.written_poison = (n_failures, Some(now));
     }
 
     /// The interval at which this node may write rows that every node writes.
@@ -265,8 +265,8 @@
         let weight =
             |node: &str| hash::pair(hash::bytes(service.as_bytes()), hash::bytes(node.as_bytes()));
         let own = weight(&self.gateway.settings.node);
-        let before = self.gateway.peers.lock().keys().filter(|it| weight(it) < own).count();
-        u32::try_from(before.min(MAX_RANK)).unwrap_or(u32::MAX)
+        let n_before = self.gateway.peers.lock().keys().filter(|it| weight(it) < own).count();
+        u32::try_from(n_before.min(MAX_RANK)).unwrap_or(u32::MAX)
     }
 }
 
