--- a/crates/curranthook_gateway/src/load_owners.rs
+++ b/crates/curranthook_gateway/src/load_owners.rs
@@ -82,8 +82,8 @@
         self.owner_of_subject(hash::bytes(endpoint.as_str().as_bytes()), now)
     }
 
-    /// The address of the node that knows where the shared prompt parts of `subject` were
-    /// prefilled.
+    /// The address of the node that knows which endpoints have prefilled `subject`, the hash of a
+    /// model and the shared parts of a prompt.
     pub fn owner_of_subject(&self, subject: u64, now: Instant) -> Option<SocketAddr> {
         let answering = self.nodes.iter().filter(|it| !self.is_skipped(it.addr, now));
         answering.max_by_key(|it| hash::pair(subject, it.node_hash)).map(|it| it.addr)
