--- a/crates/curranthook_gateway/src/load_reports/queries.rs
+++ b/crates/curranthook_gateway/src/load_reports/queries.rs
@@ -14,8 +14,9 @@
 /// wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Queries the owners of `endpoints` and `subject` for the work that other nodes have pending there
-/// and for where `subject` was prefilled. The result contains what they answer in time.
+/// Queries the owners of `endpoints` for the work that other nodes have pending there, and the owner
+/// of `subject`, the hash of the model and the shared prompt parts, for where these were prefilled.
+/// The result contains what they answer in time.
 pub async fn query(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
