--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -104,9 +104,9 @@
                 continue;
             }
             let reply = self.reply(query)?;
-            let is_news =
+            let has_changes =
                 query.since.is_none_or(|since| reply.batch.rows.iter().any(|it| since < it.rev));
-            if is_news || end <= now {
+            if has_changes || end <= now {
                 return Ok(reply);
             }
             let age = reply.age.unwrap_or_default();
