--- a/crates/curranthook_gateway/src/relays.rs
+++ b/crates/curranthook_gateway/src/relays.rs
@@ -90,7 +90,7 @@
 }
 
 /// The nodes in order of preference as roots and relays: by decreasing capacity, but alternating
-/// between failure domains, so that the loss of one domain leaves some relays, and no relay serves
+/// between failure domains, so that the loss of one domain leaves some of them, and no relay serves
 /// many leaves of other domains.
 fn rank_nodes<'a>(nodes: &[Node<'a>]) -> Vec<Node<'a>> {
     let mut ranked = nodes.to_vec();
