--- a/crates/curranthook_gateway/src/rollouts.rs
+++ b/crates/curranthook_gateway/src/rollouts.rs
@@ -184,15 +184,15 @@
         }
     }
 
-    /// Records the end of a stream, with the average time between events.
+    /// Records the end of a stream, with the average gap between events.
     pub fn record_stream_end(
         &mut self,
         service: &str,
         version: &str,
         kind: Kind<'_>,
-        each: Duration,
+        gap: Duration,
     ) {
-        let ratio = self.ratio(service, version, kind, Part::EventGap, each);
+        let ratio = self.ratio(service, version, kind, Part::EventGap, gap);
         if let Some(counts) = self.counts(service, version) {
             counts.rest.add(ratio);
         }
