--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -216,7 +216,7 @@
             _ => WAIT_RELAYED,
         };
         let call = call_store(&self.gateway, self.table, Some((since, wait)));
-        let call = unless_store_returned(&self.shared, call);
+        let call = unless_store_recovered(&self.shared, call);
         future::or(call, async {
             role_changed(&self.gateway, &self.shared, role).await;
             None
@@ -228,7 +228,7 @@
         if self.table == Table::Operator {
             return Some(self.read_configuration().await);
         }
-        unless_store_returned(&self.shared, call_store(&self.gateway, self.table, None)).await
+        unless_store_recovered(&self.shared, call_store(&self.gateway, self.table, None)).await
     }
 
     /// Makes another call for the whole configuration, and waits for it and the earlier ones.
@@ -257,18 +257,18 @@
         }
         // Even after a single failure, because calls for other tables may have failed more often.
         if self.table == Table::Operator && 0 < self.failures {
-            self.shared.returned.wake();
+            self.shared.store_recovered.wake();
         }
         self.failures = 0;
         self.since = Some(batch.rev);
         let is_empty = batch.rows.is_empty();
         apply::batch(&self.gateway, self.table, batch, is_snapshot, "store");
         if self.table != Table::Operator && !is_empty {
-            Timer::after(self.pause(origin)).await;
+            Timer::after(self.pause_after_change(origin)).await;
         }
     }
 
-    fn pause(&self, origin: Origin) -> Duration {
+    fn pause_after_change(&self, origin: Origin) -> Duration {
         let n_nodes = self.gateway.n_nodes();
         match (origin, self.table) {
             (Origin::Parent, _) => PAUSE_CHILD,
@@ -303,22 +303,23 @@
         } else if self.is_store_lost {
             // A single retrying task is enough to detect the end of the outage: the one for the
             // operators' table.
-            return pause_or(self.shared.returned.wait(), OUTAGE_BACKOFF).await;
+            return pause_or(self.shared.store_recovered.wait(), OUTAGE_BACKOFF).await;
         }
-        let longest = if self.since.is_some() { MAX_BACKOFF } else { MAX_BACKOFF_NO_CONFIGURATION };
-        let pause = (FIRST_BACKOFF * 2_u32.saturating_pow(self.failures.min(6) - 1)).min(longest);
+        let max_pause =
+            if self.since.is_some() { MAX_BACKOFF } else { MAX_BACKOFF_NO_CONFIGURATION };
+        let pause = (FIRST_BACKOFF * 2_u32.saturating_pow(self.failures.min(6) - 1)).min(max_pause);
         Timer::after(jitter(pause)).await;
     }
 }
 
 /// Runs a call to the store. None if the store came back from an outage meanwhile.
-async fn unless_store_returned(
+async fn unless_store_recovered(
     shared: &Shared,
     call: impl Future<Output = Result<Batch, Error>>,
 ) -> Option<Result<Batch, Error>> {
-    let returned = shared.returned.wait();
+    let recovered = shared.store_recovered.wait();
     future::or(async { Some(call.await) }, async {
-        returned.await;
+        recovered.await;
         None
     })
     .await
@@ -356,7 +357,7 @@
             let is_newest = index == calls.len();
             match result {
                 Err(e) if !is_newest => {
-                    log::debug!("an earlier first read of the configuration failed: {e}")
+                    log::debug!("an earlier configuration read failed: {e}")
                 }
                 decided => return Poll::Ready(decided),
             }
