--- a/crates/curranthook_gateway/src/watch/parents.rs
+++ b/crates/curranthook_gateway/src/watch/parents.rs
@@ -22,7 +22,7 @@
 pub struct Shared {
     /// Wakes calls that are waiting at a store after an outage, because their answers may never
     /// arrive.
-    pub(super) returned: Signal,
+    pub(super) store_recovered: Signal,
     /// Parents that failed, by name.
     failed_parents: Mutex<HashMap<String, Failure>>,
     /// Wakes calls that wait at parents when one has failed.
@@ -82,7 +82,7 @@
 pub(super) fn role_and_parents(gateway: &Gateway, shared: &Shared) -> (Role, Vec<Parent>) {
     let now = gateway.now();
     let peers = gateway.peers.lock();
-    let nodes = nodes(&peers);
+    let nodes = relay_nodes(&peers);
     if !relays::are_used(nodes.len()) {
         return (Role::Single, Vec::new());
     }
@@ -114,13 +114,13 @@
 pub(super) fn are_relays_stale(gateway: &Gateway, shared: &Shared) -> bool {
     let now = gateway.now();
     let peers = gateway.peers.lock();
-    let nodes = nodes(&peers);
+    let nodes = relay_nodes(&peers);
     let parents = relays::parents(&gateway.settings.node, &nodes);
     let is_leaf = parents.iter().all(|it| it.max_age == relays::RELAY_MAX_AGE);
     is_leaf && parents.iter().take(MAX_PARENTS_ASKED).all(|it| shared.is_stale(it.name, now))
 }
 
-fn nodes(peers: &HashMap<String, fleet::Node>) -> Vec<relays::Node<'_>> {
+fn relay_nodes(peers: &HashMap<String, fleet::Node>) -> Vec<relays::Node<'_>> {
     peers
         .iter()
         .map(|(name, it)| relays::Node { name, capacity: it.capacity, domain: it.domain.as_ref() })
