--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -356,9 +356,7 @@
             drop(calls.remove(index));
             let is_newest = index == calls.len();
             match result {
-                Err(e) if !is_newest => {
-                    log::debug!("an earlier configuration read failed: {e}")
-                }
+                Err(e) if !is_newest => log::debug!("an earlier first read failed: {e}"),
                 decided => return Poll::Ready(decided),
             }
         }
