--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -105,7 +105,7 @@
 impl Incarnation {
     /// The incarnation that an entry describes.
     pub fn of(entry: &Entry) -> Self {
-        Self { id: entry.id.clone(), addr: entry.addr, born: entry.born }
+        Self { id: entry.id.clone(), addr: entry.addr, born: entry.started_ms }
     }
 }
 
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -93,7 +93,7 @@
         let versions = self.versions.entry(entry.service.clone()).or_default();
         let established_at = if versions.is_empty() { now } else { now + NEW_VERSION_DELAY };
         let established_at = *versions.entry(entry.version.clone()).or_insert(established_at);
-        let (id, warm_in) = (entry.id.clone(), entry.warm_in);
+        let (id, warm_in) = (entry.id.clone(), entry.slow_start);
         match self.endpoints.get_mut(&id) {
             // An endpoint that restarted under the same id is a different one; nothing observed of
             // the old one applies to it.
@@ -117,8 +117,8 @@
     fn remove_older_at_address(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
         let known = self.by_addr.insert(entry.addr, entry.id.clone());
         let other = known.filter(|it| *it != entry.id)?;
-        let other_born = self.endpoints.get(&other)?.entry.born;
-        let (born, other_born) = entry.born.zip(other_born)?;
+        let other_born = self.endpoints.get(&other)?.entry.started_ms;
+        let (born, other_born) = entry.started_ms.zip(other_born)?;
         let older = match born.cmp(&other_born) {
             Ordering::Greater => other,
             Ordering::Less => {
--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -17,24 +17,24 @@
 
 use crate::{
     affinity::Affinity,
-    budget::Budget,
     dialect::Dialect,
     directory::Directory,
     document::{Document, Service},
     event::Log,
     fleet,
+    latency::Estimator,
     load_owners::Owners,
     load_reports::Socket,
     load_table::LoadTable,
     metrics::Metrics,
     mirror::Mirror,
     outage::Outage,
-    pace::Paces,
-    returns::Returns,
+    retry_budget::Budget,
+    retry_schedule::Reservations,
     rollouts::Rollouts,
     settings::Settings,
     signal::Signal,
-    starting::Waiting,
+    startup::Waiters,
     steps::Schedule,
     store::{Decoder, Rev, Store, Table},
     unknown_headers::UnknownHeaders,
@@ -94,11 +94,11 @@
     /// The endpoints where shared prompt parts were prefilled.
     pub affinity: Mutex<Affinity>,
     /// The observed speed of models.
-    pub paces: Mutex<Paces>,
+    pub latency_estimator: Mutex<Estimator>,
     /// The budget for retries.
-    pub budget: Mutex<Budget>,
+    pub retry_budget: Mutex<Budget>,
     /// When refused callers are told to come back.
-    pub returns: Mutex<Returns>,
+    pub retry_schedule: Mutex<Reservations>,
     /// Requests that are blamed for endpoint failures.
     pub poison: Mutex<Register>,
     /// The rollouts.
@@ -122,7 +122,7 @@
     /// Headers from endpoints that are not recognized.
     pub unknown_headers: Mutex<UnknownHeaders>,
     /// Requests that wait for the first configuration.
-    pub starting: Waiting,
+    pub startup_waiters: Waiters,
     /// When the process started.
     pub started: Instant,
     stopping: AtomicBool,
@@ -158,7 +158,7 @@
         Arc::new(Self {
             pool,
             rollouts: Mutex::new(Rollouts::new(Schedule::new(settings.max_exposure))),
-            budget: Mutex::new(Budget::new(settings.retries)),
+            retry_budget: Mutex::new(Budget::new(settings.retries)),
             poison: Mutex::new(Register::new(POISON_CAPACITY)),
             ex,
             clock,
@@ -170,9 +170,9 @@
             metrics: Metrics::default(),
             configuration: ArcSwapOption::empty(),
             directory: Mutex::default(),
-            returns: Mutex::default(),
+            retry_schedule: Mutex::default(),
             affinity: Mutex::default(),
-            paces: Mutex::default(),
+            latency_estimator: Mutex::default(),
             mirror: Mutex::default(),
             outage: Mutex::default(),
             load_table: Mutex::default(),
@@ -182,7 +182,7 @@
             rows_changed: Signal::default(),
             peers: Mutex::default(),
             unknown_headers: Mutex::default(),
-            starting: Waiting::default(),
+            startup_waiters: Waiters::default(),
             started,
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
@@ -214,7 +214,7 @@
         let members_read = async {
             loop {
                 let changed = self.rows_changed.wait();
-                if self.mirror.lock().knows(Table::Fleet) {
+                if self.mirror.lock().has_read(Table::Fleet) {
                     return;
                 }
                 changed.await;
@@ -230,7 +230,7 @@
 
     /// Whether the node has a configuration and has read all tables, as serving requests requires.
     pub fn is_serving(&self) -> bool {
-        self.configuration.load().is_some() && self.mirror.lock().is_read()
+        self.configuration.load().is_some() && self.mirror.lock().has_read_all()
     }
 
     /// Whether the node is shutting down.
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-use crate::{Gateway, affinity::Read, load_owners, rate_limit};
+use crate::{Gateway, affinity::Record, load_owners, rate_limit};
 
 use self::limits::Limit;
 pub use self::queries::query;
@@ -63,7 +63,7 @@
         waiting: PendingWork,
         /// The prompts it sent for prefill since then.
         #[serde(default)]
-        reads: Vec<Read>,
+        reads: Vec<Record>,
         /// The endpoints to which it could not open a connection since then.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
@@ -119,7 +119,7 @@
     next_query_id: AtomicU64,
     open_queries: Mutex<HashMap<u64, Sender<(u64, PeerState)>>>,
     /// Prompts sent for prefill that have not been reported yet.
-    reads: Mutex<Vec<Read>>,
+    reads: Mutex<Vec<Record>>,
     /// Unreachable endpoints that have not been reported yet.
     unreachable: Mutex<Vec<endpoint::Id>>,
     /// Rate limits that have not been reported yet.
@@ -140,7 +140,7 @@
     }
 
     /// Queues the information that prompt parts were sent for prefill, for the next report.
-    pub fn queue_read(&self, read: Read) {
+    pub fn queue_read(&self, read: Record) {
         let mut reads = self.reads.lock();
         if reads.len() < MAX_REPORTED_READS {
             reads.push(read);
@@ -225,7 +225,7 @@
             unreachable.iter().for_each(|it| directory.report_unreachable(it, now));
             drop(directory);
             let mut affinity = gateway.affinity.lock();
-            reads.iter().for_each(|it| affinity.read(it.subject, &it.endpoint, now));
+            reads.iter().for_each(|it| affinity.record(it.prefix_hash, &it.endpoint, now));
         }
         Message::Limits { limits } => {
             limits.iter().for_each(|it| limits::receive(gateway, reports, it));
@@ -303,7 +303,7 @@
 #[derive(Debug, Clone, Default)]
 struct Report {
     waiting: PendingWork,
-    reads: Vec<Read>,
+    reads: Vec<Record>,
     unreachable: Vec<endpoint::Id>,
 }
 
@@ -331,7 +331,7 @@
         }
     }
     for read in all.reads {
-        let owner = owners.owner_of_subject(read.subject, now).filter(|it| Some(*it) != own);
+        let owner = owners.owner_of_subject(read.prefix_hash, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
             reports_by_node.entry(addr).or_default().reads.push(read);
         }
--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Gateway, apply,
-    mirror::Unknown,
+    mirror::ChangesError,
     store::{Batch, Error, Rev, Table},
 };
 
@@ -83,8 +83,8 @@
             };
             match self.answer(&query).await {
                 Ok(reply) => body::json(200, &reply),
-                Err(Unknown::Earlier) => body::json(410, &serde_json::json!({})),
-                Err(Unknown::Stale) => body::json(503, &serde_json::json!({})),
+                Err(ChangesError::HistoryMissing) => body::json(410, &serde_json::json!({})),
+                Err(ChangesError::Stale) => body::json(503, &serde_json::json!({})),
             }
         })
     }
@@ -94,7 +94,7 @@
     /// Waits until there are changes to return, the wait is over, or this node itself has not heard
     /// from the store for too long. The sender then asks elsewhere, so that a relay that is cut off
     /// does not keep changes from the others.
-    async fn answer(&self, query: &Query) -> Result<Reply, Unknown> {
+    async fn answer(&self, query: &Query) -> Result<Reply, ChangesError> {
         let end = self.gateway.now() + query.wait;
         loop {
             let changed = self.gateway.rows_changed.wait();
@@ -123,15 +123,15 @@
     /// This happens because the nodes of a fleet start together.
     fn awaits_first_read(&self, query: &Query) -> bool {
         let is_child = query.max_age.is_some();
-        is_child && query.since.is_none() && !self.gateway.mirror.lock().knows(query.table)
+        is_child && query.since.is_none() && !self.gateway.mirror.lock().has_read(query.table)
     }
 
-    fn reply(&self, query: &Query) -> Result<Reply, Unknown> {
+    fn reply(&self, query: &Query) -> Result<Reply, ChangesError> {
         let (table, now) = (query.table, self.gateway.now());
         let mirror = self.gateway.mirror.lock();
         let age = mirror.age(now);
         if query.max_age.is_some_and(|max| !mirror.is_fresh(table, max, now)) {
-            return Err(Unknown::Stale);
+            return Err(ChangesError::Stale);
         }
         let batch = match query.since {
             Some(since) => mirror.changes(table, since)?,
@@ -178,7 +178,7 @@
 ) -> Result<Batch, Error> {
     let reply = fetch(gateway, parent, query).await?;
     if let Some(at) = reply.age.and_then(|age| gateway.now().checked_sub(age)) {
-        gateway.mirror.lock().confirm(at);
+        gateway.mirror.lock().record_answer(at);
     }
     Ok(Batch { now: reply.now, ..reply.batch })
 }
--- a/crates/curranthook_gateway/src/settings.rs
+++ b/crates/curranthook_gateway/src/settings.rs
@@ -4,7 +4,7 @@
 
 use curranthook_types::domain;
 
-use crate::budget::Bound;
+use crate::retry_budget;
 
 /// A node's settings.
 #[derive(Debug, Clone, PartialEq)]
@@ -29,7 +29,7 @@
     /// Some other nodes, for starting while the store is unavailable. They may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// The bound on retries.
-    pub retries: Bound,
+    pub retries: retry_budget::Limit,
     /// The maximum share of a service's requests that a bad version may receive during its rollout.
     pub max_exposure: f64,
     /// Whether the whole fleet starts for the first time, so that no node has written its address
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -283,7 +283,7 @@
 
     async fn record_failure(&mut self, error: &Error) {
         self.failures += 1;
-        self.gateway.mirror.lock().interrupted(self.table);
+        self.gateway.mirror.lock().mark_interrupted(self.table);
         self.gateway.outage.lock().record_failure(self.gateway.now());
         // A single lost answer is not an outage; the next call shows whether there is one.
         if self.failures == 2 && !self.is_store_lost {
@@ -338,7 +338,7 @@
     gateway.metrics.record_store_call(table, &result);
     if result.is_ok() && table == Table::Operator {
         let now = gateway.now();
-        gateway.mirror.lock().confirm(now);
+        gateway.mirror.lock().record_answer(now);
     }
     result
 }
--- a/crates/curranthook_gateway/tests/beliefs.rs
+++ b/crates/curranthook_gateway/tests/beliefs.rs
@@ -5,7 +5,7 @@
 use curranthook_gateway::{
     directory::{Directory, Outcome},
     entry::{Entry, State},
-    mirror::{Mirror, Unknown},
+    mirror::{ChangesError, Mirror},
     store::{Batch, Rev, Row, Table},
 };
 use yare::parameterized;
@@ -27,8 +27,8 @@
         version: version.to_owned(),
         slots: 8,
         state: State::Ready,
-        warm_in: Duration::ZERO,
-        born: None,
+        slow_start: Duration::ZERO,
+        started_ms: None,
     }
 }
 
@@ -67,9 +67,9 @@
 #[test]
 fn a_parent_that_began_later_says_so() {
     let mut mirror = Mirror::default();
-    assert_eq!(mirror.changes(Table::Fleet, Rev(1)), Err(Unknown::Earlier));
+    assert_eq!(mirror.changes(Table::Fleet, Rev(1)), Err(ChangesError::HistoryMissing));
     mirror.replace(Table::Fleet, batch(9, vec![]));
-    assert_eq!(mirror.changes(Table::Fleet, Rev(4)), Err(Unknown::Earlier));
+    assert_eq!(mirror.changes(Table::Fleet, Rev(4)), Err(ChangesError::HistoryMissing));
     assert!(mirror.changes(Table::Fleet, Rev(9)).is_ok());
 }
 
@@ -114,7 +114,7 @@
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry("e-1", "v1"), now);
     directory.request_ended(&"e-1".into(), Outcome::ConnectionLost, Duration::ZERO, now);
-    directory.upsert(Entry { born: Some(7), ..entry("e-1", "v1") }, now);
+    directory.upsert(Entry { started_ms: Some(7), ..entry("e-1", "v1") }, now);
     assert!(!directory.get(&"e-1".into()).unwrap().is_ejected(now));
 }
 
@@ -123,9 +123,9 @@
 #[parameterized(in_order = { 1, 2 }, out_of_order = { 2, 1 })]
 fn the_newest_endpoint_has_the_address(first: u64, second: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
-    for born in [first, second] {
-        let id = format!("e-{born}");
-        directory.upsert(Entry { born: Some(born), ..entry(&id, "v1") }, now);
+    for started_ms in [first, second] {
+        let id = format!("e-{started_ms}");
+        directory.upsert(Entry { started_ms: Some(started_ms), ..entry(&id, "v1") }, now);
     }
     let ready: Vec<_> = directory.ready("models").map(|it| it.entry.id.as_str()).collect();
     assert_eq!(ready, ["e-2"]);
