--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -99,13 +99,13 @@
     /// The address it listens on.
     pub addr: SocketAddr,
     /// When it started, in milliseconds since the Unix epoch.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 impl Incarnation {
     /// The incarnation that an entry describes.
     pub fn of(entry: &Entry) -> Self {
-        Self { id: entry.id.clone(), addr: entry.addr, born: entry.started_ms }
+        Self { id: entry.id.clone(), addr: entry.addr, started_ms: entry.started_ms }
     }
 }
 
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -93,7 +93,7 @@
         let versions = self.versions.entry(entry.service.clone()).or_default();
         let established_at = if versions.is_empty() { now } else { now + NEW_VERSION_DELAY };
         let established_at = *versions.entry(entry.version.clone()).or_insert(established_at);
-        let (id, warm_in) = (entry.id.clone(), entry.slow_start);
+        let (id, slow_start) = (entry.id.clone(), entry.slow_start);
         match self.endpoints.get_mut(&id) {
             // An endpoint that restarted under the same id is a different one; nothing observed of
             // the old one applies to it.
@@ -107,7 +107,7 @@
             }
         }
         if let Some(it) = self.endpoints.get_mut(&id) {
-            it.set_warm_in(warm_in, now);
+            it.set_slow_start(slow_start, now);
         }
     }
 
@@ -117,9 +117,9 @@
     fn remove_older_at_address(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
         let known = self.by_addr.insert(entry.addr, entry.id.clone());
         let other = known.filter(|it| *it != entry.id)?;
-        let other_born = self.endpoints.get(&other)?.entry.started_ms;
-        let (born, other_born) = entry.started_ms.zip(other_born)?;
-        let older = match born.cmp(&other_born) {
+        let other_started_ms = self.endpoints.get(&other)?.entry.started_ms;
+        let (started_ms, other_started_ms) = entry.started_ms.zip(other_started_ms)?;
+        let older = match started_ms.cmp(&other_started_ms) {
             Ordering::Greater => other,
             Ordering::Less => {
                 self.by_addr.insert(entry.addr, other);
--- a/crates/curranthook_gateway/src/directory/tracked.rs
+++ b/crates/curranthook_gateway/src/directory/tracked.rs
@@ -131,10 +131,10 @@
     }
 
     /// Applies the remaining slow start time from its entry; zero ends the slow start.
-    pub(super) fn set_warm_in(&mut self, warm_in: Duration, now: Instant) {
-        let end = now + warm_in.min(MAX_SLOW_START);
+    pub(super) fn set_slow_start(&mut self, remaining: Duration, now: Instant) {
+        let end = now + remaining.min(MAX_SLOW_START);
         match &mut self.slow_start {
-            _ if warm_in.is_zero() => self.slow_start = None,
+            _ if remaining.is_zero() => self.slow_start = None,
             Some(it) => it.set_end(end),
             none => *none = Some(SlowStart::new(end)),
         }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -76,7 +76,7 @@
         if let Some(prefix_hash) = criteria.prefix_hash {
             gateway.affinity.lock().record(prefix_hash, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
-                reports.queue_read(Record { prefix_hash, endpoint: entry.id.clone() });
+                reports.queue_prefill(Record { prefix_hash, endpoint: entry.id.clone() });
             }
         }
         gateway.pending_work_changed.wake();
@@ -101,7 +101,7 @@
     /// Takes in what the endpoint says of itself in an answer.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
         let incarnation =
-            Incarnation { id: self.id.clone(), addr: self.addr, born: self.started_ms };
+            Incarnation { id: self.id.clone(), addr: self.addr, started_ms: self.started_ms };
         let (endpoint, now) = (self.id.as_str(), self.gateway.now());
         let at = self.gateway.store_time().unwrap_or_default();
         let notice = rate_limit::Notice { rate: reply.rate_limit, at };
--- a/crates/curranthook_gateway/src/load_owners.rs
+++ b/crates/curranthook_gateway/src/load_owners.rs
@@ -79,14 +79,15 @@
     /// assert_eq!(ours.owner_of(&endpoint, now), theirs.owner_of(&endpoint, now));
     /// ```
     pub fn owner_of(&self, endpoint: &endpoint::Id, now: Instant) -> Option<SocketAddr> {
-        self.owner_of_subject(hash::bytes(endpoint.as_str().as_bytes()), now)
+        self.owner_of_hash(hash::bytes(endpoint.as_str().as_bytes()), now)
     }
 
-    /// The address of the node that knows which endpoints have prefilled `subject`, the hash of a
-    /// model and the shared parts of a prompt.
-    pub fn owner_of_subject(&self, subject: u64, now: Instant) -> Option<SocketAddr> {
+    /// The address of the node that owns `hash`, the hash of an endpoint's id or of a prompt prefix
+    /// (the model and the shared prompt parts). The owner of a prefix knows which endpoints have
+    /// prefilled it.
+    pub fn owner_of_hash(&self, hash: u64, now: Instant) -> Option<SocketAddr> {
         let answering = self.nodes.iter().filter(|it| !self.is_skipped(it.addr, now));
-        answering.max_by_key(|it| hash::pair(subject, it.node_hash)).map(|it| it.addr)
+        answering.max_by_key(|it| hash::pair(hash, it.node_hash)).map(|it| it.addr)
     }
 
     /// Records that an owner answered a query.
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -42,7 +42,7 @@
 const MAX_REPORTED_ENDPOINTS: usize = 32;
 
 /// The maximum number of prompts sent for prefill in a report, beside the endpoints.
-const MAX_REPORTED_READS: usize = 8;
+const MAX_REPORTED_PREFILLS: usize = 8;
 
 /// The maximum number of unreachable endpoints in a report, beside the others.
 const MAX_REPORTED_UNREACHABLE: usize = 8;
@@ -62,8 +62,8 @@
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
         waiting: PendingWork,
         /// The prompts it sent for prefill since then.
-        #[serde(default)]
-        reads: Vec<Record>,
+        #[serde(default, rename = "reads")]
+        prefills: Vec<Record>,
         /// The endpoints to which it could not open a connection since then.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
@@ -75,16 +75,17 @@
         id: u64,
         node: String,
         endpoints: Vec<endpoint::Id>,
-        /// Also asks where the shared prompt parts of this subject were prefilled.
-        #[serde(default)]
-        subject: Option<u64>,
+        /// Also asks which endpoints have prefilled this prompt prefix: the hash of the model and the
+        /// shared prompt parts.
+        #[serde(default, rename = "subject")]
+        prefix_hash: Option<u64>,
     },
     /// The answer to a question.
     Answer {
         id: u64,
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
         waiting: PendingWork,
-        /// Where the shared prompt parts of the subject were prefilled, if that was asked.
+        /// The endpoints that have prefilled the prompt prefix, if that was asked.
         #[serde(default)]
         holders: Option<Vec<endpoint::Id>>,
         /// Those of the given endpoints that are unreachable.
@@ -119,7 +120,7 @@
     next_query_id: AtomicU64,
     open_queries: Mutex<HashMap<u64, Sender<(u64, PeerState)>>>,
     /// Prompts sent for prefill that have not been reported yet.
-    reads: Mutex<Vec<Record>>,
+    prefills: Mutex<Vec<Record>>,
     /// Unreachable endpoints that have not been reported yet.
     unreachable: Mutex<Vec<endpoint::Id>>,
     /// Rate limits that have not been reported yet.
@@ -133,17 +134,17 @@
             socket,
             next_query_id: AtomicU64::new(0),
             open_queries: Mutex::default(),
-            reads: Mutex::default(),
+            prefills: Mutex::default(),
             unreachable: Mutex::default(),
             limits: limits::Queue::default(),
         }
     }
 
     /// Queues the information that prompt parts were sent for prefill, for the next report.
-    pub fn queue_read(&self, read: Record) {
-        let mut reads = self.reads.lock();
-        if reads.len() < MAX_REPORTED_READS {
-            reads.push(read);
+    pub fn queue_prefill(&self, record: Record) {
+        let mut prefills = self.prefills.lock();
+        if prefills.len() < MAX_REPORTED_PREFILLS {
+            prefills.push(record);
         }
     }
 
@@ -219,20 +220,20 @@
 async fn handle(gateway: &Gateway, reports: &Socket, message: Message, from: SocketAddr) {
     let now = gateway.now();
     match message {
-        Message::Report { node, waiting, reads, unreachable } => {
+        Message::Report { node, waiting, prefills, unreachable } => {
             gateway.load_table.lock().update(node, waiting, now);
             let mut directory = gateway.directory.lock();
             unreachable.iter().for_each(|it| directory.report_unreachable(it, now));
             drop(directory);
             let mut affinity = gateway.affinity.lock();
-            reads.iter().for_each(|it| affinity.record(it.prefix_hash, &it.endpoint, now));
+            prefills.iter().for_each(|it| affinity.record(it.prefix_hash, &it.endpoint, now));
         }
         Message::Limits { limits } => {
             limits.iter().for_each(|it| limits::receive(gateway, reports, it));
         }
-        Message::Question { id, node, endpoints, subject } => {
+        Message::Question { id, node, endpoints, prefix_hash } => {
             let PeerState { waiting, holders, unreachable } =
-                local_state(gateway, endpoints, subject, &node);
+                local_state(gateway, endpoints, prefix_hash, &node);
             reports.send(&Message::Answer { id, waiting, holders, unreachable }, from).await;
         }
         Message::Answer { id, waiting, holders, unreachable } => {
@@ -244,15 +245,15 @@
     }
 }
 
-/// The work that all nodes except `requester` have pending at `endpoints`, and where `subject` was
-/// prefilled, as far as this node was told.
+/// The work that all nodes except `requester` have pending at `endpoints`, and the endpoints
+/// that have prefilled the prompt prefix, as far as this node was told.
 fn local_state(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
-    subject: Option<u64>,
+    prefix_hash: Option<u64>,
     requester: &str,
 ) -> PeerState {
-    let holders = subject.map(|it| gateway.affinity.lock().holders(it, gateway.now()));
+    let holders = prefix_hash.map(|it| gateway.affinity.lock().holders(it, gateway.now()));
     let (directory, load_table, now) =
         (gateway.directory.lock(), gateway.load_table.lock(), gateway.now());
     let own = &gateway.settings.node;
@@ -282,19 +283,19 @@
         let all = directory.all().filter(|it| MIN_REPORTED_WORK <= it.pending);
         all.map(|it| (it.entry.id.clone(), it.pending)).take(MAX_REPORTED_ENDPOINTS).collect()
     };
-    let reads = std::mem::take(&mut *reports.reads.lock());
+    let prefills = std::mem::take(&mut *reports.prefills.lock());
     let unreachable = std::mem::take(&mut *reports.unreachable.lock());
-    let mut reports_by_node = reports_by_node(gateway, Report { waiting, reads, unreachable });
+    let mut reports_by_node = reports_by_node(gateway, Report { waiting, prefills, unreachable });
     for addr in previous {
         reports_by_node.entry(addr).or_default();
     }
     let mut reported_to = HashSet::new();
-    for (addr, Report { waiting, reads, unreachable }) in reports_by_node {
+    for (addr, Report { waiting, prefills, unreachable }) in reports_by_node {
         if !waiting.is_empty() {
             reported_to.insert(addr);
         }
         let node = gateway.settings.node.clone();
-        reports.send(&Message::Report { node, waiting, reads, unreachable }, addr).await;
+        reports.send(&Message::Report { node, waiting, prefills, unreachable }, addr).await;
     }
     reported_to
 }
@@ -303,7 +304,7 @@
 #[derive(Debug, Clone, Default)]
 struct Report {
     waiting: PendingWork,
-    reads: Vec<Record>,
+    prefills: Vec<Record>,
     unreachable: Vec<endpoint::Id>,
 }
 
@@ -330,10 +331,10 @@
             reports_by_node.entry(addr).or_default().unreachable.push(id);
         }
     }
-    for read in all.reads {
-        let owner = owners.owner_of_subject(read.prefix_hash, now).filter(|it| Some(*it) != own);
+    for record in all.prefills {
+        let owner = owners.owner_of_hash(record.prefix_hash, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
-            reports_by_node.entry(addr).or_default().reads.push(read);
+            reports_by_node.entry(addr).or_default().prefills.push(record);
         }
     }
     reports_by_node
--- a/crates/curranthook_gateway/src/load_reports/queries.rs
+++ b/crates/curranthook_gateway/src/load_reports/queries.rs
@@ -15,18 +15,18 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Queries the owners of `endpoints` for the work that other nodes have pending there, and the owner
-/// of `subject`, the hash of the model and the shared prompt parts, for where these were prefilled.
-/// The result contains what they answer in time.
+/// of `prefix_hash`, the hash of the model and the shared prompt parts, for where these were
+/// prefilled. The result contains what they answer in time.
 pub async fn query(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
-    subject: Option<u64>,
+    prefix_hash: Option<u64>,
 ) -> PeerState {
     let Some(reports) = gateway.load_reports.get() else { return PeerState::default() };
     let settings = &gateway.settings;
-    let mut by_owner = by_owner(gateway, endpoints, subject);
+    let mut by_owner = by_owner(gateway, endpoints, prefix_hash);
     let own = settings.reports.and_then(|own| by_owner.remove(&own)).unwrap_or_default();
-    let mut state = local_state(gateway, own.endpoints, own.subject, &settings.node);
+    let mut state = local_state(gateway, own.endpoints, own.prefix_hash, &settings.node);
     let queries = Queries::send(gateway, reports, by_owner).await;
     state.extend(queries.answers().await);
     state
@@ -36,13 +36,13 @@
 #[derive(Debug, Default)]
 struct Query {
     endpoints: Vec<endpoint::Id>,
-    subject: Option<u64>,
+    prefix_hash: Option<u64>,
 }
 
 fn by_owner(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
-    subject: Option<u64>,
+    prefix_hash: Option<u64>,
 ) -> HashMap<SocketAddr, Query> {
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
     let mut all: HashMap<SocketAddr, Query> = HashMap::new();
@@ -51,8 +51,8 @@
             all.entry(addr).or_default().endpoints.push(id);
         }
     }
-    if let Some(addr) = subject.and_then(|it| owners.owner_of_subject(it, now)) {
-        all.entry(addr).or_default().subject = subject;
+    if let Some(addr) = prefix_hash.and_then(|it| owners.owner_of_hash(it, now)) {
+        all.entry(addr).or_default().prefix_hash = prefix_hash;
     }
     all
 }
@@ -75,12 +75,12 @@
     ) -> Self {
         let (tx, answers) = async_channel::bounded(by_owner.len().max(1));
         let mut open = HashMap::new();
-        for (addr, Query { endpoints, subject }) in by_owner {
+        for (addr, Query { endpoints, prefix_hash }) in by_owner {
             let id = reports.next_query_id.fetch_add(1, Ordering::Relaxed);
             reports.open_queries.lock().insert(id, tx.clone());
             open.insert(id, addr);
             let node = gateway.settings.node.clone();
-            reports.send(&Message::Question { id, node, endpoints, subject }, addr).await;
+            reports.send(&Message::Question { id, node, endpoints, prefix_hash }, addr).await;
         }
         Self { gateway, reports, open, answers }
     }
--- a/crates/curranthook_gateway/tests/slow_start.rs
+++ b/crates/curranthook_gateway/tests/slow_start.rs
@@ -99,14 +99,14 @@
 
 /// Guards against missing that an endpoint turns cold while in use, or restarts under the same id.
 #[parameterized(in_use = { 1 }, restarted = { 2 })]
-fn an_endpoint_whose_entry_turns_cold_is_in_slow_start(born: u64) {
+fn an_endpoint_whose_entry_turns_cold_is_in_slow_start(started_ms: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry(1, Duration::ZERO), now);
     assert!(admits(&mut directory, now));
-    let warm_in = Duration::from_secs(3);
-    directory.upsert(entry(born, warm_in), now);
+    let remaining = Duration::from_secs(3);
+    directory.upsert(entry(started_ms, remaining), now);
     assert!(!admits(&mut directory, now));
-    assert!(admits(&mut directory, now + warm_in));
+    assert!(admits(&mut directory, now + remaining));
 }
 
 /// Guards against keeping an endpoint in slow start after its entry says that it is warm.
