--- a/crates/curranthook_gateway/tests/relays.rs
+++ b/crates/curranthook_gateway/tests/relays.rs
@@ -56,9 +56,9 @@
 /// its callers.
 #[parameterized(
     flat = { 18, 5 },
-    middle = { 62, 3 },
+    medium = { 62, 3 },
     large = { 295, 5 },
-    target = { 1_803, 27 },
+    largest = { 1_803, 27 },
 )]
 fn one_node_watches_the_store_and_none_has_too_many_children(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
@@ -98,7 +98,7 @@
 /// A failure domain is lost for good, and the rows of its nodes remain. All other nodes must find a
 /// parent or watch the store. If all roots were in that domain, every relay would watch the store
 /// from then on.
-#[parameterized(middle = { 62, 3 }, large = { 295, 5 })]
+#[parameterized(medium = { 62, 3 }, large = { 295, 5 })]
 fn a_root_remains_after_the_loss_of_a_failure_domain(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
     let parents = fleet.parents();
