--- a/crates/curranthook_gateway/src/store.rs
+++ b/crates/curranthook_gateway/src/store.rs
@@ -23,7 +23,7 @@
     #[error("malformed answer from the store: {0}")]
     Garbled(String),
     /// A peer that was queried instead of the store is itself out of date.
-    #[error("the rows of {0} are out of date")]
+    #[error("peer {0} has no recent answer from the store")]
     Stale(SocketAddr),
     /// The requested changes are no longer available; all rows have to be read again.
     #[error("the store no longer keeps the requested changes")]
