--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -1,5 +1,5 @@
-//! What a node writes for the others: its address, steps of roll-outs that are due, what it saw
-//! of a new version, and the requests that it charges.
+//! Writes this node's rows for the other nodes: its address, rollout steps that are due, its
+//! evidence about a new version, and the requests it blames for endpoint failures.
 
 use std::{
     cmp::Reverse,
@@ -14,61 +14,71 @@
 use crate::{
     Gateway,
     event::Event,
-    fleet::{Key, Node, Seen, log_step},
+    fleet::{Key, Node, Observation, log_rollout},
     rollouts::Rollout,
     settings::Settings,
     steps::{self, Evidence, Phase, Step},
     store::{Commit, Committed, Error, Progress, Report, Rev, Table},
 };
 
-/// How often it's looked at what is to be written.
-const PERIOD: Duration = Duration::from_millis(250);
-/// By how much the nodes stagger a step, so that one takes it and the others see it taken.
-const STAGGER: Duration = Duration::from_millis(200);
-/// How many nodes stagger apart; later ones share the last place.
+/// How often the node checks what has to be written.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The delay between the nodes' attempts to write a step, so that the first one writes it and the
+/// others see that it is written.
+const STEP_STAGGER: Duration = Duration::from_millis(200);
+/// The highest rank with a delay of its own; nodes of a higher rank share this one.
 const MAX_RANK: usize = 8;
-/// After how long a step is tried again that couldn't be written.
-const STEP_RETRY: Duration = Duration::from_secs(1);
-/// How often what was seen of a new version is written, at least.
-const EVIDENCE_PERIOD: Duration = Duration::from_millis(1_000);
-/// How much longer that is for each node there is, so that all nodes together write 40 rows a
-/// second at most.
-const PERIOD_PER_NODE: Duration = Duration::from_millis(25);
-/// How often charges are written, at least. A request that ended three endpoints must be known to
-/// all nodes within the three seconds in which a node counts as in touch.
-const POISON_PERIOD: Duration = Duration::from_millis(500);
-/// How many requests a row of charges holds: at 150 bytes each a sixth of the largest row.
-const MAX_CHARGES: usize = 64;
-/// How many nodes tell of good answers. A few see enough of them; bad ones are told by all.
-const WITNESSES: u32 = 6;
-/// How long a node that starts waits to see whether its address is known from before.
-const MEMBERS_LIMIT: Duration = Duration::from_millis(500);
-/// Over how long the nodes of a fleet that starts for the first time spread these writes. The store
-/// turns away more than some hundred a second.
+/// The delay before a step whose write failed is tried again.
+const STEP_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The minimum interval between two writes of evidence about a new version.
+const EVIDENCE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How much the intervals grow with each node, so that all nodes together write at most 40 rows per
+/// second.
+const INTERVAL_PER_NODE: Duration = Duration::from_millis(25);
+/// The minimum interval between two writes of blamed requests. A request that brought down three
+/// endpoints must be known to all nodes within the three seconds for which a node counts as in
+/// touch.
+const POISON_INTERVAL: Duration = Duration::from_millis(500);
+/// The maximum number of blamed requests in a row. At 150 bytes each, they take a sixth of the
+/// maximum row size.
+const MAX_POISON_ENTRIES: usize = 64;
+/// How many nodes write evidence that contains only good answers. A few nodes see enough of these;
+/// bad answers are written by all.
+const MAX_GOOD_EVIDENCE_WRITERS: u32 = 6;
+/// How long a starting node waits for the fleet rows, to see whether its address is already in
+/// them.
+const MEMBERS_TIMEOUT: Duration = Duration::from_millis(500);
+/// The span over which the nodes of a fleet that starts for the first time spread these writes. The
+/// store rejects more than a few hundred per second.
 const ANNOUNCE_SPREAD: Duration = Duration::from_millis(900);
-/// How often a failed write of the own address is repeated.
-const NODE_PERIOD: Duration = Duration::from_secs(1);
+/// The delay before a failed write of the node's own address is tried again.
+const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Writes what is due for as long as the process lives.
+/// Writes what is due, for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut writer =
-        Writer { gateway, due: HashMap::new(), written: HashMap::new(), poison: (0, None) };
+    let mut writer = Writer {
+        gateway,
+        due_since: HashMap::new(),
+        written_evidence: HashMap::new(),
+        written_poison: (0, None),
+    };
     writer.announce().await;
     loop {
-        Timer::after(PERIOD).await;
-        writer.roll_outs().await;
-        writer.poison().await;
+        Timer::after(POLL_INTERVAL).await;
+        writer.update_rollouts().await;
+        writer.write_poison().await;
     }
 }
 
 struct Writer {
     gateway: Arc<Gateway>,
-    /// Since when a step of a service is due, by the store's clock.
-    due: HashMap<String, (Phase, Duration)>,
-    /// What was written of each service, and when.
-    written: HashMap<String, (Evidence, Duration)>,
-    /// What was charged when that was last written, and when.
-    poison: (usize, Option<Instant>),
+    /// The due phase of each service's rollout and when it became due, by the store's clock.
+    due_since: HashMap<String, (Phase, Duration)>,
+    /// The evidence last written for each service, and when.
+    written_evidence: HashMap<String, (Evidence, Duration)>,
+    /// The number of endpoint failures in the last written row of blamed requests, and when it was
+    /// written.
+    written_poison: (usize, Option<Instant>),
 }
 
 impl Writer {
@@ -83,10 +93,10 @@
         if self.gateway.settings.is_first_start {
             Timer::after(ANNOUNCE_SPREAD.mul_f64(rand::random())).await;
         } else {
-            self.gateway.wait_for_members(MEMBERS_LIMIT).await;
+            self.gateway.wait_for_members(MEMBERS_TIMEOUT).await;
         }
         loop {
-            // Nothing to do if an earlier process of this node wrote the same.
+            // Nothing to do if an earlier process of this node wrote the same row.
             let known = self.gateway.mirror.lock().row(Table::Fleet, &key).cloned();
             if known.is_some_and(|it| it.value.as_deref() == Some(&value[..])) {
                 return;
@@ -94,21 +104,21 @@
             if self.write(&key, None, &value, None).await.is_ok() {
                 return;
             }
-            Timer::after(NODE_PERIOD).await;
+            Timer::after(ANNOUNCE_RETRY_DELAY).await;
         }
     }
 
-    async fn roll_outs(&mut self) {
+    async fn update_rollouts(&mut self) {
         let now = self.gateway.store_time();
         let Some(now) = now else { return };
         let running: Vec<Rollout> = self.gateway.rollouts.lock().running().cloned().collect();
         for it in running {
-            self.tell(&it, now).await;
-            self.step(&it, now).await;
+            self.write_evidence(&it, now).await;
+            self.advance(&it, now).await;
         }
     }
 
-    async fn step(&mut self, it: &Rollout, now: Duration) {
+    async fn advance(&mut self, it: &Rollout, now: Duration) {
         let service = &it.order.service;
         let next = match &it.step {
             None => Some(Phase::Waiting),
@@ -118,31 +128,32 @@
             }
         };
         let Some(phase) = next else {
-            self.due.remove(service);
+            self.due_since.remove(service);
             return;
         };
-        let due = match self.due.get(service) {
+        let due = match self.due_since.get(service) {
             Some((known, at)) if *known == phase => *at,
             _ => {
-                self.due.insert(service.clone(), (phase, now));
+                self.due_since.insert(service.clone(), (phase, now));
                 now
             }
         };
-        if now < due + STAGGER * self.rank(service) {
+        if now < due + STEP_STAGGER * self.rank(service) {
             return;
         }
-        self.due.remove(service);
-        if self.take_step(it, phase, now).await.is_err() {
-            self.due.insert(service.clone(), (phase, now + STEP_RETRY));
+        self.due_since.remove(service);
+        if self.write_step(it, phase, now).await.is_err() {
+            self.due_since.insert(service.clone(), (phase, now + STEP_RETRY_DELAY));
         }
     }
 
-    async fn take_step(&self, it: &Rollout, phase: Phase, now: Duration) -> Result<(), Error> {
+    async fn write_step(&self, it: &Rollout, phase: Phase, now: Duration) -> Result<(), Error> {
         let service = &it.order.service;
         let (began, expected) = match &it.step {
             Some((step, rev)) => (step.began, *rev),
-            // Nodes whose place is later take this step later; the time they had the order counts.
-            None => (it.heard.unwrap_or(now), self.row_rev(service)),
+            // Nodes of a higher rank write this step later, so the step begins when the order was
+            // received.
+            None => (it.received_at.unwrap_or(now), self.step_row_rev(service)),
         };
         let target = it.order.target.clone();
         let step = Step { order: it.order_rev, target, phase, began, since: now };
@@ -151,83 +162,85 @@
             Phase::RolledBack => Progress::RolledBack,
             _ => Progress::Running,
         };
-        let is_told = phase == Phase::Waiting || phase.is_final();
+        let is_reported = phase == Phase::Waiting || phase.is_final();
         let report = Report { service: service.clone(), target: step.target.clone(), state };
         let key = Key::Step(service).to_string();
         let value = encode(&step);
-        let report = is_told.then_some(&report);
+        let report = is_reported.then_some(&report);
         match self.write(&key, Some(expected), &value, report).await? {
             Committed::Done(rev) => {
                 let mut rollouts = self.gateway.rollouts.lock();
                 rollouts.apply_step(service, step, rev);
                 if let Some(it) = rollouts.get(service) {
-                    log_step(&self.gateway, it, "taken");
+                    log_rollout(&self.gateway, it, "taken");
                 }
             }
-            Committed::Conflict => log_step(&self.gateway, it, "conflict"),
+            Committed::Conflict => log_rollout(&self.gateway, it, "conflict"),
         }
         Ok(())
     }
 
-    /// The revision that the row of a service's steps has from an earlier order.
-    fn row_rev(&self, service: &str) -> Rev {
+    /// The revision of the service's step row, which an earlier order may have written.
+    fn step_row_rev(&self, service: &str) -> Rev {
         let key = Key::Step(service).to_string();
         self.gateway.mirror.lock().row(Table::Fleet, &key).map_or(Rev(0), |it| it.rev)
     }
 
-    /// Writes what this node saw of a roll-out, if that is news.
-    async fn tell(&mut self, it: &Rollout, now: Duration) {
+    /// Writes this node's evidence about a rollout, if it has changed.
+    async fn write_evidence(&mut self, it: &Rollout, now: Duration) {
         let service = &it.order.service;
         if matches!(it.phase(), Phase::Waiting | Phase::Completed | Phase::RolledBack) {
             return;
         }
-        let (known, at) = self.written.get(service).copied().unwrap_or_default();
+        let (known, at) = self.written_evidence.get(service).copied().unwrap_or_default();
         let is_same = known.new.bad == it.own.new.bad && !it.own.is_suspicious();
-        let is_news = match is_same {
-            true => known.new != it.own.new && self.rank(service) < WITNESSES,
+        let is_due = match is_same {
+            true => known.new != it.own.new && self.rank(service) < MAX_GOOD_EVIDENCE_WRITERS,
             false => true,
         };
-        let period = self.period(EVIDENCE_PERIOD);
-        if !is_news || now < at + period {
+        let interval = self.write_interval(EVIDENCE_INTERVAL);
+        if !is_due || now < at + interval {
             return;
         }
         let key = Key::Evidence(service, &self.gateway.settings.node).to_string();
-        let value = encode(&Seen { order: it.order_rev, evidence: it.own });
+        let value = encode(&Observation { order: it.order_rev, evidence: it.own });
         let is_written = self.write(&key, None, &value, None).await.is_ok();
-        // A failed write waits like a done one; otherwise each node would call a store that is
-        // away four times a second.
-        let told = if is_written { it.own } else { known };
-        self.written.insert(service.clone(), (told, now));
+        // A failed write delays the next one as a successful write does; otherwise each node would
+        // call an unavailable store four times a second.
+        let written = if is_written { it.own } else { known };
+        self.written_evidence.insert(service.clone(), (written, now));
     }
 
-    /// Writes the requests that this node charges, if there are new ones.
-    async fn poison(&mut self) {
+    /// Writes the requests that this node blames for endpoint failures, if there are new ones.
+    async fn write_poison(&mut self) {
         let now = self.gateway.now();
-        let period = self.period(POISON_PERIOD);
-        let (known, at) = self.poison;
-        if at.is_some_and(|at| now.saturating_duration_since(at) < period) {
+        let interval = self.write_interval(POISON_INTERVAL);
+        let (known, at) = self.written_poison;
+        if at.is_some_and(|at| now.saturating_duration_since(at) < interval) {
             return;
         }
         let mut entries = self.gateway.poison.lock().export(now);
-        let charged: usize = entries.iter().map(|it| it.endpoints.len()).sum();
-        if charged <= known {
+        let n_failures: usize = entries.iter().map(|it| it.endpoints.len()).sum();
+        if n_failures <= known {
             return;
         }
-        // When many endpoints end at once, each request under way there is charged. The one that
-        // ends endpoints comes again, so it's among those with most charges or the newest.
+        // When many endpoints fail at once, each request in flight there is blamed. A request that
+        // really brings down endpoints is sent again, so it is among those with the most failures
+        // or the newest.
         entries.sort_by_key(|it| (Reverse(it.endpoints.len()), it.age));
-        entries.truncate(MAX_CHARGES);
+        entries.truncate(MAX_POISON_ENTRIES);
         let key = Key::Poison(&self.gateway.settings.node).to_string();
         let written = self.write(&key, None, &encode(&entries), None).await;
-        // A failed write isn't repeated at once: the store may be away, or refuse it for good.
-        let charged = if written.is_ok() { charged } else { known };
-        self.poison = (charged, Some(now));
+        // A failed write is not repeated at once: the store may be unavailable, or reject the row
+        // permanently.
+        let n_failures = if written.is_ok() { n_failures } else { known };
+        self.written_poison = (n_failures, Some(now));
     }
 
-    /// How often this node may write what all nodes write.
-    fn period(&self, least: Duration) -> Duration {
+    /// The interval at which this node may write rows that every node writes.
+    fn write_interval(&self, min: Duration) -> Duration {
         let n_nodes = u32::try_from(self.gateway.n_nodes()).unwrap_or(u32::MAX);
-        least.max(PERIOD_PER_NODE.saturating_mul(n_nodes))
+        min.max(INTERVAL_PER_NODE.saturating_mul(n_nodes))
     }
 
     async fn write(
@@ -247,13 +260,13 @@
         result
     }
 
-    /// This node's place among those that may take a step of `service`.
+    /// This node's rank among the nodes that may write a step of `service`; rank 0 writes first.
     fn rank(&self, service: &str) -> u32 {
         let weight =
             |node: &str| hash::pair(hash::bytes(service.as_bytes()), hash::bytes(node.as_bytes()));
         let own = weight(&self.gateway.settings.node);
-        let before = self.gateway.peers.lock().keys().filter(|it| weight(it) < own).count();
-        u32::try_from(before.min(MAX_RANK)).unwrap_or(u32::MAX)
+        let n_before = self.gateway.peers.lock().keys().filter(|it| weight(it) < own).count();
+        u32::try_from(n_before.min(MAX_RANK)).unwrap_or(u32::MAX)
     }
 }
 
