--- a/crates/curranthook_gateway/src/fleet.rs
+++ b/crates/curranthook_gateway/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The rows that the nodes write for each other: addresses, steps of roll-outs, what each saw of
-//! a new version, and requests that ended endpoints.
+//! The rows that nodes write for each other: addresses, steps of rollouts, evidence about new
+//! versions, and requests blamed for endpoint failures.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,21 +14,21 @@
     store::{Rev, Row, Table},
 };
 
-/// The key of a row.
+/// The key of a row in the fleet table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Key<'a> {
-    /// Where a node is reached.
+    /// The addresses of a node.
     Node(&'a str),
-    /// How far the roll-out of a service is.
+    /// The current step of a service's rollout.
     Step(&'a str),
-    /// What a node saw of a roll-out: service and node.
+    /// A node's evidence about a rollout, by service and node.
     Evidence(&'a str, &'a str),
-    /// The requests that a node charges.
+    /// The requests that a node blames for endpoint failures.
     Poison(&'a str),
 }
 
 impl<'a> Key<'a> {
-    /// Reads a key; none if it's no key of ours.
+    /// Parses a key; none if it has no known form.
     ///
     /// ```
     /// # use curranthook_gateway::fleet::Key;
@@ -61,48 +61,48 @@
     }
 }
 
-/// Where a node is reached.
+/// The addresses and properties of a node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Node {
-    /// Its address for peers.
+    /// The address for requests from peers.
     pub peers: SocketAddr,
-    /// Its address for load reports, under the name that it has always had on the wire.
+    /// The address for load reports. Its name in the row is `notices`, for compatibility.
     #[serde(default, rename = "notices")]
     pub reports: Option<SocketAddr>,
-    /// Its failure domain.
+    /// The failure domain.
     #[serde(default)]
     pub domain: Option<domain::Id>,
-    /// How much it can carry for others.
+    /// The capacity for relaying rows to other nodes, in Mbit/s.
     #[serde(default)]
     pub capacity: f64,
 }
 
-/// What a node saw of a roll-out.
+/// A node's evidence about a rollout.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Seen {
-    /// The order.
+pub struct Observation {
+    /// The revision of the order.
     pub order: Rev,
-    /// What was seen.
+    /// The evidence.
     pub evidence: Evidence,
 }
 
-/// Takes in a row.
-pub fn row(gateway: &Arc<Gateway>, row: &Row) {
+/// Applies a row of the fleet table.
+pub fn apply_row(gateway: &Arc<Gateway>, row: &Row) {
     let Some(key) = Key::parse(&row.key) else { return };
     let Some(value) = &row.value else {
         if let Key::Node(name) = key {
             gateway.peers.lock().remove(name);
-            gateway.load_owners.lock().set(name, None);
+            gateway.load_owners.lock().set_node(name, None);
         }
         return;
     };
-    if let Err(e) = take(gateway, &key, value, row.rev) {
+    if let Err(e) = decode_and_apply(gateway, &key, value, row.rev) {
         let why = format!("{}: {e}", row.key);
         gateway.log.write(&Event::RowRejected { table: "fleet", why: &why });
     }
 }
 
-fn take(
+fn decode_and_apply(
     gateway: &Arc<Gateway>,
     key: &Key<'_>,
     value: &[u8],
@@ -111,7 +111,7 @@
     match key {
         Key::Node(name) => {
             let node: Node = serde_json::from_slice(value)?;
-            gateway.load_owners.lock().set(name, node.reports);
+            gateway.load_owners.lock().set_node(name, node.reports);
             gateway.peers.lock().insert((*name).to_owned(), node);
         }
         Key::Step(service) => {
@@ -120,13 +120,18 @@
             if rollouts.apply_step(service, step, rev)
                 && let Some(it) = rollouts.get(service)
             {
-                log_step(gateway, it, "seen");
+                log_rollout(gateway, it, "seen");
             }
         }
         Key::Evidence(_, node) if *node == gateway.settings.node => {}
         Key::Evidence(service, node) => {
-            let seen: Seen = serde_json::from_slice(value)?;
-            gateway.rollouts.lock().apply_evidence(service, seen.order, node, seen.evidence);
+            let observation: Observation = serde_json::from_slice(value)?;
+            gateway.rollouts.lock().apply_evidence(
+                service,
+                observation.order,
+                node,
+                observation.evidence,
+            );
         }
         Key::Poison(node) if *node == gateway.settings.node => {}
         Key::Poison(_) => {
@@ -137,8 +142,8 @@
     Ok(())
 }
 
-/// Takes in once more what is known of the roll-out of `service`.
-pub fn reread(gateway: &Arc<Gateway>, service: &str) {
+/// Applies the known rows of a service's rollout again.
+pub fn reapply_rows(gateway: &Arc<Gateway>, service: &str) {
     let rows = gateway.mirror.lock().batch(Table::Fleet).rows;
     for it in rows {
         let is_of_service = match Key::parse(&it.key) {
@@ -146,13 +151,13 @@
             _ => false,
         };
         if is_of_service {
-            row(gateway, &it);
+            apply_row(gateway, &it);
         }
     }
 }
 
-/// Logs how far a roll-out is.
-pub fn log_step(gateway: &Gateway, it: &crate::rollouts::Rollout, outcome: &str) {
+/// Logs the state of a rollout.
+pub fn log_rollout(gateway: &Gateway, it: &crate::rollouts::Rollout, outcome: &str) {
     let evidence = it.evidence();
     gateway.log.write(&Event::RollOut {
         service: &it.order.service,
@@ -162,8 +167,8 @@
         new_bad: evidence.new.bad,
         old_answers: evidence.old.answers,
         old_bad: evidence.old.bad,
-        slower_first: evidence.slower_first(),
-        slower_rest: evidence.slower_rest(),
+        slower_first: evidence.first_event_slowdown(),
+        slower_rest: evidence.event_gap_slowdown(),
         outcome,
     });
 }
--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a node and ends it without cutting a request.
+//! Starts a node, and stops it without cutting off requests.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -32,41 +32,41 @@
     watch,
 };
 
-/// How long a node goes on taking requests after the signal to stop: the balancer asks once a
-/// second and sends new callers until it missed two answers.
-const LINGER: Duration = Duration::from_millis(2_600);
-/// What is kept of the time until the process is killed, to end by itself.
-const RESERVE: Duration = Duration::from_millis(400);
-/// How often the settings are looked at, as they may change without a signal.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(5);
-/// How often the end of the last requests is looked for.
-const DRAIN_PERIOD: Duration = Duration::from_millis(50);
-/// How long a caller's connection may be idle. Callers keep theirs for less.
-const CALLER_IDLE: Duration = Duration::from_secs(30);
-
-/// Why a node can't start.
+/// How long a node keeps accepting requests after the signal to stop. The load balancer checks
+/// readiness once per second and sends new callers until two checks have failed.
+const STOP_DELAY: Duration = Duration::from_millis(2_600);
+/// The part of the grace period that is reserved for exiting before the process is killed.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
+/// How often the settings are reloaded, as they may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// How often a draining node checks whether its last requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a caller's connection may be idle. Callers keep theirs open for less.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Why a node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address can't be bound.
-    #[error("can't listen on {addr}: {source}")]
+    /// An address cannot be bound.
+    #[error("cannot listen on {addr}: {source}")]
     Bind {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Signals can't be received.
-    #[error("can't receive signals: {0}")]
+    /// Signals cannot be received.
+    #[error("cannot receive signals: {0}")]
     Signals(#[from] std::io::Error),
 }
 
-/// What happens to the settings while the node runs.
+/// Reloads the settings while the node runs.
 pub trait Reload: Send {
-    /// Reads the settings again and says what changed.
+    /// Reads the settings again and returns a description of what changed.
     fn reload(&mut self) -> Result<String, String>;
 }
 
-/// The addresses of a node, bound.
+/// The bound sockets of a node.
 #[derive(Debug)]
 pub struct Listeners {
     callers: Server,
@@ -77,9 +77,9 @@
 }
 
 impl Listeners {
-    /// Binds the addresses of `settings` and writes the real ports there.
+    /// Binds the addresses in `settings` and replaces them by the actual ones, with the real ports.
     pub fn bind(settings: &mut Settings) -> Result<Self, Error> {
-        let limits = Limits { head_timeout: CALLER_IDLE, ..Limits::default() };
+        let limits = Limits { head_timeout: CALLER_IDLE_TIMEOUT, ..Limits::default() };
         let it = Self {
             callers: bind(settings.callers)?.with_limits(limits),
             readiness: bind(settings.readiness)?,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Runs a node until it's told to stop.
+/// Runs a node until it is told to stop.
 pub async fn run(
     gateway: Arc<Gateway>,
     listeners: Listeners,
@@ -111,15 +111,15 @@
         let (ex, frontend) = (Arc::clone(&gateway.ex), Arc::clone(&frontend));
         gateway.ex.spawn(async move { callers.serve(&ex, frontend, stop).await })
     };
-    detach(&gateway, listeners.readiness, Arc::new(Readiness(Arc::clone(&gateway))));
+    serve_detached(&gateway, listeners.readiness, Arc::new(ReadinessHandler(Arc::clone(&gateway))));
     if let Some(server) = listeners.peers {
         let handler = Arc::new(peers::Server { gateway: Arc::clone(&gateway) });
-        detach(&gateway, server, handler);
+        serve_detached(&gateway, server, handler);
     }
     if let Some(server) = listeners.metrics {
-        detach(&gateway, server, Arc::new(Counters(Arc::clone(&gateway))));
+        serve_detached(&gateway, server, Arc::new(MetricsHandler(Arc::clone(&gateway))));
     }
-    tasks(&gateway);
+    spawn_tasks(&gateway);
     if let Some(socket) = listeners.reports {
         let reports = Arc::new(Socket::new(socket));
         let reports = Arc::clone(gateway.load_reports.get_or_init(|| reports));
@@ -128,44 +128,44 @@
     wait_for_stop(&gateway, &mut signals, reload).await;
     gateway.stop();
     gateway.log.write(&Event::Stopping { in_flight: gateway.in_flight() });
-    let limit = gateway.settings.grace.saturating_sub(RESERVE);
-    Timer::after(LINGER.min(limit)).await;
+    let limit = gateway.settings.grace.saturating_sub(EXIT_RESERVE);
+    Timer::after(STOP_DELAY.min(limit)).await;
     frontend.closed.store(true, Ordering::Relaxed);
     trigger.set();
-    drain(&gateway, limit.saturating_sub(LINGER)).await;
+    drain(&gateway, limit.saturating_sub(STOP_DELAY)).await;
     gateway.log.write(&Event::Stopped { in_flight: gateway.in_flight() });
-    // The log's thread gathers lines for a moment before it writes them.
-    Timer::after(DRAIN_PERIOD * 2).await;
+    // The log's thread collects lines for a moment before it writes them.
+    Timer::after(DRAIN_POLL_INTERVAL * 2).await;
     drop(served);
     Ok(())
 }
 
 async fn wait_for_stop(gateway: &Gateway, signals: &mut Signals, reload: &mut dyn Reload) {
     loop {
-        let look = async {
-            Timer::after(SETTINGS_PERIOD).await;
+        let poll = async {
+            Timer::after(SETTINGS_POLL_INTERVAL).await;
             Some(Ok(Signal::Hup))
         };
-        match future::or(signals.next(), look).await {
-            Some(Ok(Signal::Hup)) => read_again(gateway, reload),
+        match future::or(signals.next(), poll).await {
+            Some(Ok(Signal::Hup)) => reload_settings(gateway, reload),
             Some(Ok(_)) | None => return,
-            Some(Err(e)) => log::error!("a signal can't be received: {e}"),
+            Some(Err(e)) => log::error!("cannot receive a signal: {e}"),
         }
     }
 }
 
-fn read_again(gateway: &Gateway, reload: &mut dyn Reload) {
+fn reload_settings(gateway: &Gateway, reload: &mut dyn Reload) {
     match reload.reload() {
         Ok(changed) if changed.is_empty() => {}
         Ok(changed) => gateway.log.write(&Event::Reloaded { changed: &changed }),
-        Err(e) => log::error!("the settings can't be read again: {e}"),
+        Err(e) => log::error!("cannot reload the settings: {e}"),
     }
 }
 
 async fn drain(gateway: &Gateway, limit: Duration) {
     let start = gateway.now();
     while 0 < gateway.in_flight() && gateway.now().saturating_duration_since(start) < limit {
-        Timer::after(DRAIN_PERIOD).await;
+        Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 }
 
@@ -180,7 +180,7 @@
     });
 }
 
-fn tasks(gateway: &Arc<Gateway>) {
+fn spawn_tasks(gateway: &Arc<Gateway>) {
     let shared = Arc::new(watch::Shared::default());
     for table in Table::ALL {
         let task = watch::run(Arc::clone(gateway), table, Arc::clone(&shared));
@@ -198,7 +198,7 @@
 }
 
 /// Serves until the process ends.
-fn detach<H: Handler>(gateway: &Arc<Gateway>, server: Server, handler: Arc<H>) {
+fn serve_detached<H: Handler>(gateway: &Arc<Gateway>, server: Server, handler: Arc<H>) {
     let ex = Arc::clone(&gateway.ex);
     let serve = async move {
         let (_never, stop) = stop::new();
@@ -207,11 +207,11 @@
     gateway.ex.spawn(serve).detach();
 }
 
-/// Tells the balancer whether the node takes new callers.
+/// Answers the load balancer's readiness checks.
 #[derive(Debug)]
-struct Readiness(Arc<Gateway>);
+struct ReadinessHandler(Arc<Gateway>);
 
-impl Handler for Readiness {
+impl Handler for ReadinessHandler {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> Boxed<Response<Body>> {
         Box::pin(async move {
             let status = if self.0.is_ready() { 200 } else { 503 };
@@ -220,11 +220,11 @@
     }
 }
 
-/// Serves the counters.
+/// Serves the metrics.
 #[derive(Debug)]
-struct Counters(Arc<Gateway>);
+struct MetricsHandler(Arc<Gateway>);
 
-impl Handler for Counters {
+impl Handler for MetricsHandler {
     fn handle(self: Arc<Self>, _req: Request<Incoming>) -> Boxed<Response<Body>> {
         Box::pin(async move {
             let metrics = &self.0.metrics;
