--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -11,23 +11,23 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::choice::{
-    cascade::Sure,
+    cascade::Certainty,
     estimate::Estimate,
-    mix::{Drawn, Point},
-    option::Scored,
-    second::Record,
-    served::Served,
+    history::History,
+    mix::{Draw, Point},
+    scored::Scored,
+    second_stage::Estimates,
     speed::Speed,
 };
 
 mod cascade;
 mod estimate;
+mod history;
 mod mix;
-mod option;
 mod plan;
 mod request;
-mod second;
-mod served;
+mod scored;
+mod second_stage;
 mod speed;
 
 pub use crate::choice::{
@@ -68,14 +68,14 @@
     policy: Policy,
     rng: Pcg64Mcg,
     estimates: HashMap<kind::Id, HashMap<version::Id, Estimate>>,
-    seconds: Record,
-    served: HashMap<kind::Id, Served>,
+    second_stages: Estimates,
+    history: HashMap<kind::Id, History>,
     speeds: HashMap<version::Id, Speed>,
     /// The latest time seen; evidence ages against it.
     now: Option<Instant>,
     /// Explorations that may still be made. It grows by the allowed share with each plan, so
     /// the share holds over any run and not only on average.
-    credit: f64,
+    exploration_budget: f64,
     scored: Vec<Scored>,
     points: Vec<Point>,
 }
@@ -87,11 +87,11 @@
             policy,
             rng: Pcg64Mcg::seed_from_u64(seed),
             estimates: HashMap::new(),
-            seconds: Record::default(),
-            served: HashMap::new(),
+            second_stages: Estimates::default(),
+            history: HashMap::new(),
             speeds: HashMap::new(),
             now: None,
-            credit: 0.0,
+            exploration_budget: 0.0,
             scored: Vec::new(),
             points: Vec::new(),
         }
@@ -115,19 +115,19 @@
         if request.time_left.is_zero() {
             return Err(refusal::Reason::Deadline);
         }
-        self.score(request);
-        self.credit = (self.credit + self.policy.exploration).min(1.0);
+        self.score_candidates(request);
+        self.exploration_budget = (self.exploration_budget + self.policy.exploration).min(1.0);
 
-        let Drawn { plain, safe, wanted } = match self.mixed(request) {
+        let Draw { planned, fallback, required } = match self.draw_from_mix(request) {
             Some(drawn) => drawn,
             None => {
-                let plain = self.exploit(request);
-                Drawn { plain, safe: plain, wanted: self.wanted(request) }
+                let planned = self.exploit(request);
+                Draw { planned, fallback: planned, required: self.required_quality(request) }
             }
         };
-        let draft = self.explore(request, &safe).unwrap_or(plain);
-        self.note(request, &draft, wanted);
-        Ok(self.finish(request, &draft))
+        let draft = self.explore(request, &fallback).unwrap_or(planned);
+        self.record_decision(request, &draft, required);
+        Ok(self.build_plan(request, &draft))
     }
 
     /// Takes in the rating of an answer, from 0 to 1.
@@ -157,14 +157,14 @@
         now: Instant,
     ) {
         self.now = self.now.max(Some(now));
-        self.seconds.add(kind, first, second, rating, now);
+        self.second_stages.add(kind, first, second, rating, now);
     }
 
     /// Takes in how long a whole answer took.
     pub fn record_duration(&mut self, version: &version::Id, took: Duration, tokens: u64) {
         match self.speeds.get_mut(version) {
             Some(it) => it.add(took, tokens),
-            None => _ = self.speeds.insert(version.clone(), Speed::first(took, tokens)),
+            None => _ = self.speeds.insert(version.clone(), Speed::new(took, tokens)),
         }
     }
 
@@ -192,13 +192,13 @@
     /// The expected quality of a version, if anything was learned about it.
     pub fn quality(&self, kind: &kind::Id, version: &version::Id) -> Option<f64> {
         let it = self.estimates.get(kind)?.get(version)?;
-        Some(it.belief(None, self.now).mean())
+        Some(it.posterior(None, self.now).mean())
     }
 
     /// Whether enough is known of a version that only samples of its answers need be rated.
     pub fn is_converged(&self, kind: &kind::Id, version: &version::Id) -> bool {
         let known = self.estimates.get(kind).and_then(|it| it.get(version));
-        known.is_some_and(|it| it.belief(None, self.now).is_converged())
+        known.is_some_and(|it| it.posterior(None, self.now).is_converged())
     }
 
     fn estimate_mut(&mut self, kind: &kind::Id, version: &version::Id) -> &mut Estimate {
@@ -211,54 +211,59 @@
 
     /// Fills `scored` with the allowed versions, cheapest first. Versions too slow for the
     /// time left are dropped, unless all of them are.
-    fn score(&mut self, request: &Request<'_>) {
+    fn score_candidates(&mut self, request: &Request<'_>) {
         let known = self.estimates.get(request.kind);
         self.scored.clear();
-        for (place, candidate) in request.candidates.iter().enumerate() {
+        for (index, candidate) in request.candidates.iter().enumerate() {
             let estimate = known.and_then(|it| it.get(candidate.id)).unwrap_or(&Estimate::EMPTY);
-            let speed = self.speeds.get(candidate.id).unwrap_or(&Speed::UNKNOWN);
+            let speed = self.speeds.get(candidate.id).unwrap_or(&Speed::DEFAULT);
             self.scored.push(Scored {
-                place,
+                index,
                 cost: candidate.rate.cost(request.prompt_tokens, request.expected_tokens).0 as f64,
-                belief: estimate.belief(candidate.prior, self.now),
-                time: speed.expected(request.expected_tokens),
+                posterior: estimate.posterior(candidate.prior, self.now),
+                duration: speed.expected_duration(request.expected_tokens),
             });
         }
-        if self.scored.iter().any(|it| it.time <= request.time_left) {
-            self.scored.retain(|it| it.time <= request.time_left);
+        if self.scored.iter().any(|it| it.duration <= request.time_left) {
+            self.scored.retain(|it| it.duration <= request.time_left);
         }
         self.scored.sort_by(|a, b| a.cost.total_cmp(&b.cost));
     }
 
     fn exploit(&self, request: &Request<'_>) -> Draft {
-        let z = self.confidence();
-        let found =
-            self.scored.iter().find(|it| request.target_quality <= it.belief.lower(z)).copied();
-        let sure = if found.is_some() { Sure::Yes } else { Sure::No };
-        let direct = found.unwrap_or_else(|| self.best());
+        let z = self.confidence_z();
+        let confident = self
+            .scored
+            .iter()
+            .find(|it| request.target_quality <= it.posterior.lower_bound(z))
+            .copied();
+        let certainty =
+            if confident.is_some() { Certainty::Confident } else { Certainty::Uncertain };
+        let direct = confident.unwrap_or_else(|| self.most_promising());
         if request.candidates.len() == 1 {
-            return Draft { first: direct, second: None, reason: Reason::Only, sure };
+            return Draft { first: direct, second: None, reason: Reason::Only, certainty };
         }
-        if let Some((first, second)) = self.cascade(request, &direct, sure) {
-            return Draft { first, second: Some(second), reason: Reason::Cascade, sure };
+        if let Some((first, second)) = self.cascade(request, &direct, certainty) {
+            return Draft { first, second: Some(second), reason: Reason::Cascade, certainty };
         }
-        let reason = if sure == Sure::Yes { Reason::Confident } else { Reason::BestEffort };
-        Draft { first: direct, second: None, reason, sure }
+        let reason =
+            if certainty == Certainty::Confident { Reason::Confident } else { Reason::BestEffort };
+        Draft { first: direct, second: None, reason, certainty }
     }
 
     /// Tries something that might do as well for less.
-    fn explore(&mut self, request: &Request<'_>, plain: &Draft) -> Option<Draft> {
-        if request.rater == Rater::Down || self.credit < 1.0 {
+    fn explore(&mut self, request: &Request<'_>, planned: &Draft) -> Option<Draft> {
+        if request.rater == Rater::Down || self.exploration_budget < 1.0 {
             return None;
         }
-        let draft = match plain.second {
+        let draft = match planned.second {
             Some(second) if self.rng.random::<bool>() => {
-                self.explore_second(request, plain, &second)
+                self.explore_second(request, planned, &second)
             }
-            _ => self.explore_first(request, plain),
+            _ => self.explore_first(request, planned),
         };
         if draft.is_some() {
-            self.credit = 0.0;
+            self.exploration_budget = 0.0;
         }
         draft
     }
@@ -268,48 +273,54 @@
     fn explore_second(
         &self,
         request: &Request<'_>,
-        plain: &Draft,
+        planned: &Draft,
         second: &Scored,
     ) -> Option<Draft> {
         if self.policy.weigh == Weigh::Exposure {
             return None;
         }
-        let between = |it: &&Scored| plain.first.cost < it.cost && it.cost < second.cost;
-        let spread = |it: &Scored| {
-            let seen = self.seen(request, &plain.first, it).unwrap_or(&Estimate::EMPTY);
-            seen.belief(None, self.now).spread()
+        let between = |it: &&Scored| planned.first.cost < it.cost && it.cost < second.cost;
+        let uncertainty = |it: &Scored| {
+            let estimate =
+                self.second_stage_estimate(request, &planned.first, it).unwrap_or(&Estimate::EMPTY);
+            estimate.posterior(None, self.now).uncertainty()
         };
         let others = self.scored.iter().filter(between);
-        let tried = *others.max_by(|a, b| spread(a).total_cmp(&spread(b)))?;
-        let fits = self.fits(request, &plain.first, &tried);
-        fits.then_some(Draft { second: Some(tried), reason: Reason::Explore, ..*plain })
+        let explored = *others.max_by(|a, b| uncertainty(a).total_cmp(&uncertainty(b)))?;
+        let is_feasible = self.is_feasible(request, &planned.first, &explored);
+        is_feasible.then_some(Draft { second: Some(explored), reason: Reason::Explore, ..*planned })
     }
 
     /// The least known of the versions that cost no more, tried with the plan's version behind
     /// it wherever time allows.
-    fn explore_first(&self, request: &Request<'_>, plain: &Draft) -> Option<Draft> {
-        let safe = plain.second.unwrap_or(plain.first);
-        let is_worth_it = |it: &&Scored| {
-            it.place != plain.first.place && (it.cost <= safe.cost || plain.sure == Sure::No)
+    fn explore_first(&self, request: &Request<'_>, planned: &Draft) -> Option<Draft> {
+        let fallback = planned.second.unwrap_or(planned.first);
+        let is_eligible = |it: &&Scored| {
+            it.index != planned.first.index
+                && (it.cost <= fallback.cost || planned.certainty == Certainty::Uncertain)
         };
-        let by_spread = |a: &&Scored, b: &&Scored| a.belief.spread().total_cmp(&b.belief.spread());
-        let tried = *self.scored.iter().filter(is_worth_it).max_by(by_spread)?;
+        let by_uncertainty = |a: &&Scored, b: &&Scored| {
+            a.posterior.uncertainty().total_cmp(&b.posterior.uncertainty())
+        };
+        let explored = *self.scored.iter().filter(is_eligible).max_by(by_uncertainty)?;
         // The second stage of a cascade sees only what the first fails at. Now and then it gets
         // a request of its own, or nothing unbiased would be known of it.
-        let is_safe = tried.place == safe.place;
-        let second = (!is_safe && self.fits(request, &tried, &safe)).then_some(safe);
+        let is_fallback = explored.index == fallback.index;
+        let second =
+            (!is_fallback && self.is_feasible(request, &explored, &fallback)).then_some(fallback);
         // An answer that can't be taken back exposes the caller, so where exposure is weighed
         // most nothing is tried without a second stage.
-        if !is_safe && second.is_none() && self.policy.weigh == Weigh::Exposure {
+        if !is_fallback && second.is_none() && self.policy.weigh == Weigh::Exposure {
             return None;
         }
-        Some(Draft { first: tried, second, reason: Reason::Explore, ..*plain })
+        Some(Draft { first: explored, second, reason: Reason::Explore, ..*planned })
     }
 
-    fn finish(&mut self, request: &Request<'_>, draft: &Draft) -> Plan {
-        let id = |it: &Scored| request.candidates[it.place].id.clone();
-        let is_thin = !draft.first.belief.is_converged() || self.is_second_thin(request, draft);
-        let rate = if is_thin || draft.reason == Reason::Explore {
+    fn build_plan(&mut self, request: &Request<'_>, draft: &Draft) -> Plan {
+        let id = |it: &Scored| request.candidates[it.index].id.clone();
+        let needs_ratings =
+            !draft.first.posterior.is_converged() || self.is_second_sparse(request, draft);
+        let rate = if needs_ratings || draft.reason == Reason::Explore {
             1.0
         } else {
             self.policy.rating_sample
@@ -323,23 +334,30 @@
         }
     }
 
-    fn is_second_thin(&self, request: &Request<'_>, draft: &Draft) -> bool {
+    fn is_second_sparse(&self, request: &Request<'_>, draft: &Draft) -> bool {
         let Some(second) = &draft.second else { return false };
-        let seen = self.seen(request, &draft.first, second);
-        seen.is_none_or(|it| it.belief(None, self.now).is_thin())
+        let estimate = self.second_stage_estimate(request, &draft.first, second);
+        estimate.is_none_or(|it| it.posterior(None, self.now).is_sparse())
     }
 
     /// The version that may be best. Of two that look alike, the less known one is asked, which
     /// settles the matter.
-    fn best(&self) -> Scored {
-        let z = self.confidence();
-        let by_upper = |a: &&Scored, b: &&Scored| a.belief.upper(z).total_cmp(&b.belief.upper(z));
+    fn most_promising(&self) -> Scored {
+        let z = self.confidence_z();
+        let by_upper_bound = |a: &&Scored, b: &&Scored| {
+            a.posterior.upper_bound(z).total_cmp(&b.posterior.upper_bound(z))
+        };
         // `max_by` gives the last of equals and the list rises in cost, so go from the back.
-        *self.scored.iter().rev().max_by(by_upper).expect("a request has at least one candidate")
+        *self
+            .scored
+            .iter()
+            .rev()
+            .max_by(by_upper_bound)
+            .expect("a request has at least one candidate")
     }
 
     /// How many standard deviations of doubt a version must clear to be called sure.
-    fn confidence(&self) -> f64 {
+    fn confidence_z(&self) -> f64 {
         match self.policy.weigh {
             Weigh::Latency => 1.64,
             Weigh::Exposure => 2.33,
@@ -353,5 +371,5 @@
     first: Scored,
     second: Option<Scored>,
     reason: Reason,
-    sure: Sure,
+    certainty: Certainty,
 }
--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -5,18 +5,18 @@
 
 use curranthook_settings::config::Weigh;
 
-use crate::choice::{Chooser, Delivery, Rater, Request, Scope, estimate::Estimate, option::Scored};
+use crate::choice::{Chooser, Delivery, Rater, Request, Scope, estimate::Estimate, scored::Scored};
 
 /// The longest time that a stream's first byte may be held back for a cascade where latency is
 /// weighed most.
-const SMALL_DELAY: Duration = Duration::from_millis(250);
+const MAX_STREAM_HOLD: Duration = Duration::from_millis(250);
 /// What is allowed for the rater's answer between the two stages of a cascade.
-const RATING_TIME: Duration = Duration::from_millis(50);
+const RATING_ALLOWANCE: Duration = Duration::from_millis(50);
 /// Whether some version surely meets the target by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Sure {
-    Yes,
-    No,
+pub(super) enum Certainty {
+    Confident,
+    Uncertain,
 }
 
 /// Whether two versions together meet the target.
@@ -24,7 +24,7 @@
 enum Evidence {
     Meets,
     Fails,
-    Open,
+    Inconclusive,
 }
 
 impl Chooser {
@@ -38,30 +38,32 @@
         &self,
         request: &Request<'_>,
         direct: &Scored,
-        sure: Sure,
+        certainty: Certainty,
     ) -> Option<(Scored, Scored)> {
         if request.rater == Rater::Down {
             return None;
         }
-        let promised = request.target_quality.min(direct.belief.mean());
+        let required = request.target_quality.min(direct.posterior.mean());
         let pairs = self.scored.iter().flat_map(|first| {
-            let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
-            dearer.map(|second| (*first, *second))
+            let costlier = self.scored.iter().filter(|it| first.cost < it.cost);
+            costlier.map(|second| (*first, *second))
         });
-        let good = pairs.filter_map(|(first, second)| {
-            let is_cheaper = first.cost_with(&second) < direct.cost;
-            let evidence = self.evidence(request, &first, &second, promised);
-            let is_proven = evidence == Evidence::Meets && (is_cheaper || sure == Sure::No);
-            let is_backed =
-                is_cheaper && second.place == direct.place && evidence != Evidence::Fails;
-            let is_good = (is_proven || is_backed) && self.fits(request, &first, &second);
-            is_good.then_some((is_proven || sure == Sure::Yes, first, second))
+        let eligible = pairs.filter_map(|(first, second)| {
+            let is_cheaper = first.cascade_cost(&second) < direct.cost;
+            let evidence = self.evidence(request, &first, &second, required);
+            let is_proven =
+                evidence == Evidence::Meets && (is_cheaper || certainty == Certainty::Uncertain);
+            let is_backed_by_direct =
+                is_cheaper && second.index == direct.index && evidence != Evidence::Fails;
+            let is_eligible =
+                (is_proven || is_backed_by_direct) && self.is_feasible(request, &first, &second);
+            is_eligible.then_some((is_proven || certainty == Certainty::Confident, first, second))
         });
         // Meeting the target goes before cost.
-        let order = |a: &(bool, Scored, Scored), b: &(bool, Scored, Scored)| {
-            b.0.cmp(&a.0).then(a.1.cost_with(&a.2).total_cmp(&b.1.cost_with(&b.2)))
+        let by_rank = |a: &(bool, Scored, Scored), b: &(bool, Scored, Scored)| {
+            b.0.cmp(&a.0).then(a.1.cascade_cost(&a.2).total_cmp(&b.1.cascade_cost(&b.2)))
         };
-        good.min_by(order).map(|(_, first, second)| (first, second))
+        eligible.min_by(by_rank).map(|(_, first, second)| (first, second))
     }
 
     /// What ratings of second answers say of two versions together, once there are enough:
@@ -71,44 +73,52 @@
         request: &Request<'_>,
         first: &Scored,
         second: &Scored,
-        promised: f64,
+        required: f64,
     ) -> Evidence {
-        let Some(seen) = self.seen(request, first, second) else {
-            return Evidence::Open;
+        let Some(estimate) = self.second_stage_estimate(request, first, second) else {
+            return Evidence::Inconclusive;
         };
-        let z = self.confidence();
-        let belief = seen.belief(Some(first.nested(second)), self.now);
-        let together = |one: f64, other: f64| one + (1.0 - one) * other;
-        if belief.is_thin() {
-            Evidence::Open
-        } else if request.target_quality <= together(first.belief.lower(z), belief.lower(z)) {
+        let z = self.confidence_z();
+        let posterior = estimate.posterior(Some(first.conditional_quality(second)), self.now);
+        let combined = |one: f64, other: f64| one + (1.0 - one) * other;
+        if posterior.is_sparse() {
+            Evidence::Inconclusive
+        } else if request.target_quality
+            <= combined(first.posterior.lower_bound(z), posterior.lower_bound(z))
+        {
             Evidence::Meets
-        } else if together(first.belief.upper(z), belief.upper(z)) < promised {
+        } else if combined(first.posterior.upper_bound(z), posterior.upper_bound(z)) < required {
             Evidence::Fails
         } else {
-            Evidence::Open
+            Evidence::Inconclusive
         }
     }
 
-    pub(super) fn seen(
+    pub(super) fn second_stage_estimate(
         &self,
         request: &Request<'_>,
         first: &Scored,
         second: &Scored,
     ) -> Option<&Estimate> {
-        let after = self.seconds.of(request.kind)?.get(request.candidates[first.place].id)?;
-        after.get(request.candidates[second.place].id)
+        let by_second =
+            self.second_stages.for_kind(request.kind)?.get(request.candidates[first.index].id)?;
+        by_second.get(request.candidates[second.index].id)
     }
 
     /// Whether a cascade may be used: not in a session, and only with time for both stages and
     /// for holding the first one back.
-    pub(super) fn fits(&self, request: &Request<'_>, first: &Scored, second: &Scored) -> bool {
-        let held = first.time + RATING_TIME;
-        if request.scope == Scope::Session || request.time_left < held + second.time {
+    pub(super) fn is_feasible(
+        &self,
+        request: &Request<'_>,
+        first: &Scored,
+        second: &Scored,
+    ) -> bool {
+        let hold_time = first.duration + RATING_ALLOWANCE;
+        if request.scope == Scope::Session || request.time_left < hold_time + second.duration {
             return false;
         }
-        let is_hurried =
+        let is_latency_sensitive =
             request.delivery == Delivery::Stream && self.policy.weigh == Weigh::Latency;
-        !is_hurried || held <= SMALL_DELAY
+        !is_latency_sensitive || hold_time <= MAX_STREAM_HOLD
     }
 }
--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -8,22 +8,22 @@
 use rand::RngExt as _;
 
 use crate::choice::{
-    Chooser, Draft, Rater, Reason, Request, Scope, cascade::Sure, estimate::Estimate,
-    option::Scored,
+    Chooser, Draft, Rater, Reason, Request, Scope, cascade::Certainty, estimate::Estimate,
+    scored::Scored,
 };
 
 /// The number of answers over which a share must hold in spite of chance.
-const HORIZON: f64 = 1_000.0;
+const HORIZON_ANSWERS: f64 = 1_000.0;
 /// Answers within which what was missed, or done beyond the target, is made up for.
-const CATCH_UP: f64 = 100.0;
+const CORRECTION_ANSWERS: f64 = 100.0;
 /// How far below the target answers may be for a while, after better ones than need be.
-const LOWEST: f64 = 0.03;
+const MAX_SHORTFALL: f64 = 0.03;
 /// How far below the best quality the aim stays: the last hundredth can double the cost, and
 /// whether it is there at all is less certain than that.
-const NEARLY: f64 = 0.01;
+const BEST_MARGIN: f64 = 0.01;
 
 /// How many standard deviations of an estimate aren't counted on.
-const DOUBT: f64 = 0.7;
+const DISCOUNT_STD_DEVS: f64 = 0.7;
 
 /// A way to serve a request.
 #[derive(Debug, Clone, Copy)]
@@ -32,14 +32,14 @@
     second: Option<Scored>,
     quality: f64,
     /// The quality that is counted on: less, the fewer ratings are known.
-    counted: f64,
+    discounted_quality: f64,
     cost: f64,
 }
 
 impl Point {
     fn draft(&self) -> Draft {
         let reason = if self.second.is_some() { Reason::Cascade } else { Reason::Mix };
-        Draft { first: self.first, second: self.second, reason, sure: Sure::Yes }
+        Draft { first: self.first, second: self.second, reason, certainty: Certainty::Confident }
     }
 }
 
@@ -53,8 +53,8 @@
 
 impl Mix {
     /// What of the mean quality of the two isn't counted on.
-    fn uncounted(&self) -> f64 {
-        let part = |it: &Point| it.quality - it.counted;
+    fn quality_discount(&self) -> f64 {
+        let part = |it: &Point| it.quality - it.discounted_quality;
         part(&self.low) + self.share * (part(&self.high) - part(&self.low))
     }
 }
@@ -63,70 +63,81 @@
     /// One of the two ways whose mix meets the target for the least cost, and the better of the
     /// two. Where no way is good enough, that's the best. Nothing if ratings can't correct a
     /// wrong estimate, or if a surer choice is open where exposure is weighed most.
-    pub(super) fn mixed(&mut self, request: &Request<'_>) -> Option<Drawn> {
+    pub(super) fn draw_from_mix(&mut self, request: &Request<'_>) -> Option<Draw> {
         // A cascade shows nothing that wasn't rated, but a session can't have one.
-        let has_surer = self.policy.weigh == Weigh::Exposure && request.scope == Scope::Request;
-        if request.rater == Rater::Down || has_surer || request.candidates.len() == 1 {
+        let prefers_cascades =
+            self.policy.weigh == Weigh::Exposure && request.scope == Scope::Request;
+        if request.rater == Rater::Down || prefers_cascades || request.candidates.len() == 1 {
             return None;
         }
-        self.fill_points(request);
-        let best = self.points.iter().map(|it| it.counted).fold(0.0, f64::max);
-        let chance = self.wanted(request);
-        let highest = if chance <= best - NEARLY { best - NEARLY } else { best };
-        let repay = self.excess(request) / CATCH_UP;
-        let aim = (chance - repay).max(request.target_quality - LOWEST).min(highest);
+        self.collect_points(request);
+        let best = self.points.iter().map(|it| it.discounted_quality).fold(0.0, f64::max);
+        let base_required = self.required_quality(request);
+        let max_aim = if base_required <= best - BEST_MARGIN { best - BEST_MARGIN } else { best };
+        let correction = self.excess(request) / CORRECTION_ANSWERS;
+        let aim =
+            (base_required - correction).max(request.target_quality - MAX_SHORTFALL).min(max_aim);
         let mix = cheapest(&self.points, aim)?;
-        let wanted = chance + mix.uncounted();
-        let taken = if self.rng.random::<f64>() < mix.share { mix.high } else { mix.low };
-        let sure = if request.target_quality <= best { Sure::Yes } else { Sure::No };
-        let draft = |it: &Point| Draft { sure, ..it.draft() };
-        let drawn = Drawn { plain: draft(&taken), safe: draft(&mix.high), wanted };
-        Some(if sure == Sure::Yes { drawn } else { drawn.with_reason(Reason::BestEffort) })
+        let required = base_required + mix.quality_discount();
+        let chosen = if self.rng.random::<f64>() < mix.share { mix.high } else { mix.low };
+        let certainty = if request.target_quality <= best {
+            Certainty::Confident
+        } else {
+            Certainty::Uncertain
+        };
+        let draft = |it: &Point| Draft { certainty, ..it.draft() };
+        let drawn = Draw { planned: draft(&chosen), fallback: draft(&mix.high), required };
+        Some(if certainty == Certainty::Confident {
+            drawn
+        } else {
+            drawn.with_reason(Reason::BestEffort)
+        })
     }
 
     /// Notes how a request is served, so that later ones make up for it.
-    pub(super) fn note(&mut self, request: &Request<'_>, drawn: &Draft, wanted: f64) {
-        let first = request.candidates[drawn.first.place].id;
-        let second = drawn.second.map(|it| request.candidates[it.place].id);
+    pub(super) fn record_decision(&mut self, request: &Request<'_>, drawn: &Draft, required: f64) {
+        let first = request.candidates[drawn.first.index].id;
+        let second = drawn.second.map(|it| request.candidates[it.index].id);
         let (quality, _) = self.quality_of(request, &drawn.first, drawn.second.as_ref());
-        if !self.served.contains_key(request.kind) {
-            self.served.insert(request.kind.clone(), Default::default());
+        if !self.history.contains_key(request.kind) {
+            self.history.insert(request.kind.clone(), Default::default());
         }
-        let served = self.served.get_mut(request.kind).expect("inserted above");
-        served.add(first, second, quality, wanted);
+        let history = self.history.get_mut(request.kind).expect("inserted above");
+        history.add(first, second, quality, required);
     }
 
     /// How many more answers of late were good than wanted. What was given before is valued by
     /// what ratings, of all nodes, say of it now: a version that turns out worse than it looked
     /// leaves a debt, and better answers pay it back.
     fn excess(&mut self, request: &Request<'_>) -> f64 {
-        let Some(served) = self.served.get_mut(request.kind) else { return 0.0 };
-        let id = |it: &Scored| request.candidates[it.place].id;
-        served.revalue(|first, second| {
-            let is_it =
+        let Some(history) = self.history.get_mut(request.kind) else { return 0.0 };
+        let id = |it: &Scored| request.candidates[it.index].id;
+        history.reestimate(|first, second| {
+            let is_same =
                 |it: &&Point| id(&it.first) == first && it.second.as_ref().map(id) == second;
-            self.points.iter().find(is_it).map(|it| it.quality)
+            self.points.iter().find(is_same).map(|it| it.quality)
         });
-        served.excess()
+        history.excess()
     }
 
     /// The target, and what chance may take from it.
-    pub(super) fn wanted(&self, request: &Request<'_>) -> f64 {
-        let deviation = (request.target_quality * (1.0 - request.target_quality) / HORIZON).sqrt();
-        request.target_quality + self.confidence() * deviation
+    pub(super) fn required_quality(&self, request: &Request<'_>) -> f64 {
+        let deviation =
+            (request.target_quality * (1.0 - request.target_quality) / HORIZON_ANSWERS).sqrt();
+        request.target_quality + self.confidence_z() * deviation
     }
 
-    fn fill_points(&mut self, request: &Request<'_>) {
+    fn collect_points(&mut self, request: &Request<'_>) {
         let mut points = std::mem::take(&mut self.points);
         points.clear();
         for first in &self.scored {
-            let dearer = self.scored.iter().filter(|it| first.cost < it.cost);
-            let fitting = dearer.filter(|it| self.fits(request, first, it));
+            let costlier = self.scored.iter().filter(|it| first.cost < it.cost);
+            let feasible = costlier.filter(|it| self.is_feasible(request, first, it));
             let n_before = points.len();
-            points.extend(fitting.map(|second| self.point(request, first, Some(second))));
+            points.extend(feasible.map(|second| self.point(request, first, Some(second))));
             // An answer of a version that little is known of is rated before it's shown, where
             // that can be done.
-            if points.len() == n_before || !first.belief.is_thin() {
+            if points.len() == n_before || !first.posterior.is_sparse() {
                 points.push(self.point(request, first, None));
             }
         }
@@ -135,9 +146,9 @@
 
     fn point(&self, request: &Request<'_>, first: &Scored, second: Option<&Scored>) -> Point {
         let (quality, variance) = self.quality_of(request, first, second);
-        let cost = second.map_or(first.cost, |it| first.cost_with(it));
-        let counted = quality - DOUBT * variance.sqrt();
-        Point { first: *first, second: second.copied(), quality, counted, cost }
+        let cost = second.map_or(first.cost, |it| first.cascade_cost(it));
+        let discounted_quality = quality - DISCOUNT_STD_DEVS * variance.sqrt();
+        Point { first: *first, second: second.copied(), quality, discounted_quality, cost }
     }
 
     /// The expected quality, and the variance of that estimate.
@@ -147,32 +158,33 @@
         first: &Scored,
         second: Option<&Scored>,
     ) -> (f64, f64) {
-        let alone = first.belief.mean();
-        let Some(second) = second else { return (alone, first.belief.variance()) };
+        let first_quality = first.posterior.mean();
+        let Some(second) = second else { return (first_quality, first.posterior.variance()) };
         // Until it was seen, the second is taken to fail where the first does.
-        let nested = first.nested(second);
-        let seen = self.seen(request, first, second).unwrap_or(&Estimate::EMPTY);
-        let second = seen.belief(Some(nested), self.now);
-        let quality = alone + (1.0 - alone) * second.mean();
-        let by_first = (1.0 - second.mean()).powi(2) * first.belief.variance();
-        let by_second = (1.0 - alone).powi(2) * second.variance();
-        (quality, by_first + by_second)
+        let conditional = first.conditional_quality(second);
+        let estimate =
+            self.second_stage_estimate(request, first, second).unwrap_or(&Estimate::EMPTY);
+        let posterior = estimate.posterior(Some(conditional), self.now);
+        let quality = first_quality + (1.0 - first_quality) * posterior.mean();
+        let variance_from_first = (1.0 - posterior.mean()).powi(2) * first.posterior.variance();
+        let variance_from_second = (1.0 - first_quality).powi(2) * posterior.variance();
+        (quality, variance_from_first + variance_from_second)
     }
 }
 
 /// What was drawn of a mix.
 #[derive(Debug)]
-pub(super) struct Drawn {
-    pub(super) plain: Draft,
+pub(super) struct Draw {
+    pub(super) planned: Draft,
     /// The better one of the mix.
-    pub(super) safe: Draft,
+    pub(super) fallback: Draft,
     /// The mean quality wanted.
-    pub(super) wanted: f64,
+    pub(super) required: f64,
 }
 
-impl Drawn {
+impl Draw {
     fn with_reason(mut self, reason: Reason) -> Self {
-        self.plain.reason = reason;
+        self.planned.reason = reason;
         self
     }
 }
@@ -180,16 +192,17 @@
 /// The cheapest mix whose mean quality is `aim`. There are few points, so looking at all pairs is
 /// as quick as a convex hull.
 fn cheapest(points: &[Point], aim: f64) -> Option<Mix> {
-    let (mut least, mut best) = (f64::INFINITY, None);
-    for high in points.iter().filter(|it| aim <= it.counted) {
-        if high.cost < least {
-            (least, best) = (high.cost, Some((high, high, 1.0)));
+    let (mut min_cost, mut best) = (f64::INFINITY, None);
+    for high in points.iter().filter(|it| aim <= it.discounted_quality) {
+        if high.cost < min_cost {
+            (min_cost, best) = (high.cost, Some((high, high, 1.0)));
         }
-        for low in points.iter().filter(|it| it.counted < aim && it.cost < high.cost) {
-            let share = (aim - low.counted) / (high.counted - low.counted);
+        for low in points.iter().filter(|it| it.discounted_quality < aim && it.cost < high.cost) {
+            let share =
+                (aim - low.discounted_quality) / (high.discounted_quality - low.discounted_quality);
             let cost = low.cost + share * (high.cost - low.cost);
-            if cost < least {
-                (least, best) = (cost, Some((low, high, share)));
+            if cost < min_cost {
+                (min_cost, best) = (cost, Some((low, high, share)));
             }
         }
     }
--- a/crates/curranthook_policy/src/choice/second.rs
+++ b/crates/curranthook_policy/src/choice/second_stage.rs
@@ -7,15 +7,15 @@
 use crate::choice::estimate::Estimate;
 
 /// How a version does on what another one failed at, by that other version.
-pub(crate) type Seconds = HashMap<version::Id, HashMap<version::Id, Estimate>>;
+pub(crate) type Pairs = HashMap<version::Id, HashMap<version::Id, Estimate>>;
 
 /// How versions do on the requests that another one failed at.
 #[derive(Debug, Default)]
-pub(crate) struct Record {
-    kinds: HashMap<kind::Id, Seconds>,
+pub(crate) struct Estimates {
+    kinds: HashMap<kind::Id, Pairs>,
 }
 
-impl Record {
+impl Estimates {
     pub(crate) fn add(
         &mut self,
         kind: &kind::Id,
@@ -24,12 +24,12 @@
         rating: f64,
         now: Instant,
     ) {
-        let seconds = self.kinds.entry(kind.clone()).or_default();
-        let after = seconds.entry(first.clone()).or_default();
-        after.entry(second.clone()).or_default().add(rating, now);
+        let pairs = self.kinds.entry(kind.clone()).or_default();
+        let by_second = pairs.entry(first.clone()).or_default();
+        by_second.entry(second.clone()).or_default().add(rating, now);
     }
 
-    pub(crate) fn of(&self, kind: &kind::Id) -> Option<&Seconds> {
+    pub(crate) fn for_kind(&self, kind: &kind::Id) -> Option<&Pairs> {
         self.kinds.get(kind)
     }
 }
--- a/crates/curranthook_policy/src/choice/speed.rs
+++ b/crates/curranthook_policy/src/choice/speed.rs
@@ -10,20 +10,21 @@
 
 impl Speed {
     /// Assumed before the first answer.
-    pub(crate) const UNKNOWN: Self = Self { seconds_per_token: 0.005 };
+    pub(crate) const DEFAULT: Self = Self { seconds_per_token: 0.005 };
 
-    pub(crate) fn first(took: Duration, tokens: u64) -> Self {
+    pub(crate) fn new(took: Duration, tokens: u64) -> Self {
         Self { seconds_per_token: per_token(took, tokens) }
     }
 
     pub(crate) fn add(&mut self, took: Duration, tokens: u64) {
-        const WEIGHT: f64 = 0.05;
-        self.seconds_per_token += WEIGHT * (per_token(took, tokens) - self.seconds_per_token);
+        const SAMPLE_WEIGHT: f64 = 0.05;
+        self.seconds_per_token +=
+            SAMPLE_WEIGHT * (per_token(took, tokens) - self.seconds_per_token);
     }
 
-    pub(crate) fn expected(&self, tokens: u64) -> Duration {
-        const LONGEST: f64 = 86_400.0;
-        Duration::from_secs_f64((self.seconds_per_token * tokens as f64).min(LONGEST))
+    pub(crate) fn expected_duration(&self, tokens: u64) -> Duration {
+        const MAX_SECONDS: f64 = 86_400.0;
+        Duration::from_secs_f64((self.seconds_per_token * tokens as f64).min(MAX_SECONDS))
     }
 }
 
