--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -1,4 +1,5 @@
-//! Which version answers a request, and whether a dearer one stands behind it.
+//! Version selection: which version answers a request, and whether a more expensive one backs it up
+//! in a cascade.
 
 use std::{
     collections::HashMap,
@@ -36,11 +37,12 @@
     request::{Candidate, Delivery, Rater, Request, Scope},
 };
 
-/// The rating from which an answer counts as good enough. The first answer of a cascade is
-/// given out from here on and escalated below.
+/// The lowest rating of an answer that counts as good. In a cascade, a first answer rated at least
+/// this high is returned to the caller; a lower one is escalated to the second version.
 pub const MIN_GOOD_RATING: f64 = 0.5;
 
-/// Chooses versions and learns from ratings.
+/// Selects versions and learns their quality from ratings.
+///
 ///
 /// ```
 /// # use std::time::Duration;
@@ -71,17 +73,17 @@
     second_stages: Estimates,
     history: HashMap<kind::Id, History>,
     speeds: HashMap<version::Id, Speed>,
-    /// The latest time seen; evidence ages against it.
+    /// The latest time seen, against which the age of evidence is measured.
     now: Option<Instant>,
-    /// Explorations that may still be made. It grows by the allowed share with each plan, so
-    /// the share holds over any run and not only on average.
+    /// The number of explorations allowed now. Each plan adds the configured exploration share, so
+    /// the share holds over any sequence of requests, not only on average.
     exploration_budget: f64,
     scored: Vec<Scored>,
     points: Vec<Point>,
 }
 
 impl Chooser {
-    /// A chooser that knows nothing yet but what the settings claim.
+    /// Creates a chooser that knows only the quality claimed in the settings.
     pub fn new(policy: Policy, seed: u64) -> Self {
         Self {
             policy,
@@ -107,7 +109,7 @@
         self.policy = policy;
     }
 
-    /// Chooses the versions for one request.
+    /// Selects the versions for one request.
     pub fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
         if request.candidates.is_empty() {
             return Err(refusal::Reason::NotAllowed);
@@ -130,11 +132,11 @@
         Ok(self.build_plan(request, &draft))
     }
 
-    /// Takes in the rating of an answer, from 0 to 1.
+    /// Records the rating of an answer, from 0 to 1.
     ///
-    /// Ratings of a cascade's second answers go to [`Self::record_second_rating`]: they are of the
-    /// requests that the first version failed at, harder than the rest, and would make the
-    /// second look worse.
+    /// Ratings of a cascade's second answers go to [`Self::record_second_rating`]: the second
+    /// version only sees requests that the first one failed, which are harder than average, so
+    /// these ratings would make it look worse than it is.
     pub fn record_rating(
         &mut self,
         kind: &kind::Id,
@@ -146,8 +148,8 @@
         self.estimate_mut(kind, version).add(rating, now);
     }
 
-    /// Takes in the rating of a cascade's second answer. A cheaper second stage is used once
-    /// such ratings show that the two versions together meet the target.
+    /// Records the rating of a cascade's second answer. A cheaper second version is used once such
+    /// ratings show that both versions together meet the target.
     pub fn record_second_rating(
         &mut self,
         kind: &kind::Id,
@@ -160,7 +162,7 @@
         self.second_stages.add(kind, first, second, rating, now);
     }
 
-    /// Takes in how long a whole answer took.
+    /// Records how long a complete answer took.
     pub fn record_duration(&mut self, version: &version::Id, took: Duration, tokens: u64) {
         match self.speeds.get_mut(version) {
             Some(it) => it.add(took, tokens),
@@ -168,7 +170,7 @@
         }
     }
 
-    /// The ratings that this node gathered itself, to be sent to other nodes.
+    /// The ratings gathered by this node, for sending to other nodes.
     pub fn counts(&self) -> Vec<Tally> {
         let mut tallies = Vec::new();
         for (kind, versions) in &self.estimates {
@@ -182,8 +184,8 @@
         tallies
     }
 
-    /// Takes in what all other nodes together have gathered since they started. A repeat or an
-    /// older sum changes nothing.
+    /// Merges the totals gathered by all other nodes since they started. Repeated or older totals
+    /// have no effect.
     pub fn merge(&mut self, kind: &kind::Id, version: &version::Id, ratings: Counts) {
         let now = self.now;
         self.estimate_mut(kind, version).merge(ratings, now);
@@ -195,7 +197,7 @@
         Some(it.posterior(None, self.now).mean())
     }
 
-    /// Whether enough is known of a version that only samples of its answers need be rated.
+    /// Whether a version has enough ratings that rating only a sample of its answers suffices.
     pub fn is_converged(&self, kind: &kind::Id, version: &version::Id) -> bool {
         let known = self.estimates.get(kind).and_then(|it| it.get(version));
         known.is_some_and(|it| it.posterior(None, self.now).is_converged())
@@ -209,8 +211,8 @@
         versions.entry(version.clone()).or_default()
     }
 
-    /// Fills `scored` with the allowed versions, cheapest first. Versions too slow for the
-    /// time left are dropped, unless all of them are.
+    /// Fills `scored` with the candidates, cheapest first. Drops versions too slow for the time
+    /// left, unless all of them are.
     fn score_candidates(&mut self, request: &Request<'_>) {
         let known = self.estimates.get(request.kind);
         self.scored.clear();
@@ -251,7 +253,7 @@
         Draft { first: direct, second: None, reason, certainty }
     }
 
-    /// Tries something that might do as well for less.
+    /// Selects a less known version that may reach the same quality at a lower cost.
     fn explore(&mut self, request: &Request<'_>, planned: &Draft) -> Option<Draft> {
         if request.rater == Rater::Down || self.exploration_budget < 1.0 {
             return None;
@@ -268,8 +270,8 @@
         draft
     }
 
-    /// A cheaper second stage. Its answer can't be taken back, so this isn't done where
-    /// exposure is weighed most.
+    /// Explores a cheaper second version. Its answer cannot be withdrawn once returned, so this is
+    /// skipped where the policy weighs exposure most.
     fn explore_second(
         &self,
         request: &Request<'_>,
@@ -291,8 +293,9 @@
         is_feasible.then_some(Draft { second: Some(explored), reason: Reason::Explore, ..*planned })
     }
 
-    /// The least known of the versions that cost no more, tried with the plan's version behind
-    /// it wherever time allows.
+    /// Explores the least known of the versions that cost no more than the planned one, or of all
+    /// versions if none meets the target with confidence. The planned version backs it up as second
+    /// stage wherever time allows.
     fn explore_first(&self, request: &Request<'_>, planned: &Draft) -> Option<Draft> {
         let fallback = planned.second.unwrap_or(planned.first);
         let is_eligible = |it: &&Scored| {
@@ -303,13 +306,14 @@
             a.posterior.uncertainty().total_cmp(&b.posterior.uncertainty())
         };
         let explored = *self.scored.iter().filter(is_eligible).max_by(by_uncertainty)?;
-        // The second stage of a cascade sees only what the first fails at. Now and then it gets
-        // a request of its own, or nothing unbiased would be known of it.
+        // As the second stage of a cascade, a version only sees requests that the first one fails,
+        // which gives a biased estimate of its quality. So it is occasionally explored as the first
+        // version, on requests of its own.
         let is_fallback = explored.index == fallback.index;
         let second =
             (!is_fallback && self.is_feasible(request, &explored, &fallback)).then_some(fallback);
-        // An answer that can't be taken back exposes the caller, so where exposure is weighed
-        // most nothing is tried without a second stage.
+        // An answer that cannot be withdrawn exposes the caller to bad quality, so where the policy
+        // weighs exposure most, nothing is explored without a second stage.
         if !is_fallback && second.is_none() && self.policy.weigh == Weigh::Exposure {
             return None;
         }
@@ -340,14 +344,15 @@
         estimate.is_none_or(|it| it.posterior(None, self.now).is_sparse())
     }
 
-    /// The version that may be best. Of two that look alike, the less known one is asked, which
-    /// settles the matter.
+    /// The version with the highest upper confidence bound. Of two with similar means this selects
+    /// the less known one, and its ratings then show which is better.
     fn most_promising(&self) -> Scored {
         let z = self.confidence_z();
         let by_upper_bound = |a: &&Scored, b: &&Scored| {
             a.posterior.upper_bound(z).total_cmp(&b.posterior.upper_bound(z))
         };
-        // `max_by` gives the last of equals and the list rises in cost, so go from the back.
+        // `max_by` returns the last of equal elements and the list is sorted by ascending cost, so
+        // iterate in reverse to get the cheapest.
         *self
             .scored
             .iter()
@@ -356,7 +361,8 @@
             .expect("a request has at least one candidate")
     }
 
-    /// How many standard deviations of doubt a version must clear to be called sure.
+    /// The z-score of the confidence bounds: how many standard deviations above the target a
+    /// version must lie to count as meeting it.
     fn confidence_z(&self) -> f64 {
         match self.policy.weigh {
             Weigh::Latency => 1.64,
@@ -365,7 +371,7 @@
     }
 }
 
-/// A plan before its ids are copied.
+/// A plan before the version ids are cloned.
 #[derive(Debug, Clone, Copy)]
 struct Draft {
     first: Scored,
