--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -1,5 +1,5 @@
-//! Which two versions make a cascade: a cheap one whose answer is rated before it is given out,
-//! and a dearer one behind it.
+//! Selection of cascades: a cheap first version whose answer is rated before it is returned, and a
+//! more expensive second version for answers rated too low.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use crate::choice::{Chooser, Delivery, Rater, Request, Scope, estimate::Estimate, scored::Scored};
 
-/// The longest time that a stream's first byte may be held back for a cascade where latency is
-/// weighed most.
+/// The longest time that a stream's first byte may be held back for a cascade where the policy
+/// weighs latency most.
 const MAX_STREAM_HOLD: Duration = Duration::from_millis(250);
-/// What is allowed for the rater's answer between the two stages of a cascade.
+/// The time allowed for the rating between the two stages of a cascade.
 const RATING_ALLOWANCE: Duration = Duration::from_millis(50);
-/// Whether some version surely meets the target by itself.
+/// Whether a single version meets the target with confidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Certainty {
     Confident,
@@ -30,10 +30,10 @@
 impl Chooser {
     /// The cheapest cascade that does at least as well as `direct`.
     ///
-    /// One with `direct` as second stage always does, unless ratings show that `direct` is worse
-    /// than it looks. Two doubtful versions do only when it was seen: what one fails at, the
-    /// other is likely to fail at too, so their qualities can't be combined as if they were
-    /// independent.
+    /// A cascade with `direct` as second stage always does, unless ratings show that `direct` is
+    /// worse than estimated. A cascade of two uncertain versions only qualifies if ratings of its
+    /// second answers prove it: requests that one version fails are likely to fail on the other
+    /// too, so their qualities cannot be combined as if independent.
     pub(super) fn cascade(
         &self,
         request: &Request<'_>,
@@ -59,15 +59,16 @@
                 (is_proven || is_backed_by_direct) && self.is_feasible(request, &first, &second);
             is_eligible.then_some((is_proven || certainty == Certainty::Confident, first, second))
         });
-        // Meeting the target goes before cost.
+        // Meeting the target takes precedence over cost.
         let by_rank = |a: &(bool, Scored, Scored), b: &(bool, Scored, Scored)| {
             b.0.cmp(&a.0).then(a.1.cascade_cost(&a.2).total_cmp(&b.1.cascade_cost(&b.2)))
         };
         eligible.min_by(by_rank).map(|(_, first, second)| (first, second))
     }
 
-    /// What ratings of second answers say of two versions together, once there are enough:
-    /// whether they meet the target, or fail even what the second was thought to do alone.
+    /// Evaluates the ratings of second answers, once there are enough: whether the two versions
+    /// together meet the target, or stay below even the quality that the second was estimated to
+    /// reach alone.
     fn evidence(
         &self,
         request: &Request<'_>,
@@ -105,8 +106,8 @@
         by_second.get(request.candidates[second.index].id)
     }
 
-    /// Whether a cascade may be used: not in a session, and only with time for both stages and
-    /// for holding the first one back.
+    /// Whether a cascade can be used: not in a session, and only if there is time for both stages
+    /// and for holding back the first answer.
     pub(super) fn is_feasible(
         &self,
         request: &Request<'_>,
