--- a/crates/curranthook_policy/src/choice/estimate.rs
+++ b/crates/curranthook_policy/src/choice/estimate.rs
@@ -1,46 +1,48 @@
-//! What is known of a version's quality for one kind of work.
+//! Estimates of a version's quality for one kind of work.
 
 use std::time::{Duration, Instant};
 
 use curranthook_types::{kind, version};
 use serde::{Deserialize, Serialize};
 
-/// How many ratings the evidence is worth at most; older ones fade, so a change is noticed.
+/// The maximum weight of the evidence, in ratings. Older ratings decay, so that a change in quality
+/// is noticed.
 const MAX_WEIGHT_RATINGS: f64 = 500.0;
-/// Evidence loses half of its weight in this time, so a version left alone is tried again.
+/// The time in which evidence loses half of its weight, so that a version that was not used for
+/// long is tried again.
 const EVIDENCE_HALF_LIFE: Duration = Duration::from_secs(6 * 3_600);
-/// How many ratings the makers' claim is worth.
+/// The weight of the quality claimed by the version's provider, in ratings.
 const CLAIM_WEIGHT_RATINGS: f64 = 8.0;
-/// How many ratings a version without a claim starts with, at [`DEFAULT_QUALITY`].
+/// The initial weight of [`DEFAULT_QUALITY`] for a version without a claimed quality, in ratings.
 const DEFAULT_WEIGHT_RATINGS: f64 = 2.0;
-/// The quality assumed of a version without a claim.
+/// The quality assumed of a version without a claimed quality.
 const DEFAULT_QUALITY: f64 = 0.5;
-/// Below this many ratings, little is concluded.
+/// With fewer ratings than this, the evidence is too sparse for most conclusions.
 const SPARSE_RATINGS: f64 = 30.0;
-/// Below this many ratings, every answer is rated.
+/// With fewer ratings than this, every answer is rated.
 const CONVERGED_RATINGS: f64 = 200.0;
 
-/// Ratings, summed up since a node started.
+/// Totals of ratings since a node started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// How many ratings.
+    /// The number of ratings.
     pub n: u64,
-    /// Their sum.
+    /// The sum of the ratings.
     pub sum: f64,
 }
 
-/// The ratings that a node has gathered itself for one kind and version.
+/// The ratings gathered by one node for one kind of work and version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tally {
     /// The kind of work.
     pub kind: kind::Id,
     /// The version.
     pub version: version::Id,
-    /// Its ratings since the node started.
+    /// The ratings since the node started.
     pub counts: Counts,
 }
 
-/// Faded evidence on one version and kind of work.
+/// Decaying evidence on the quality of one version for one kind of work.
 #[derive(Debug, Default)]
 pub(crate) struct Estimate {
     n: f64,
@@ -51,7 +53,7 @@
 }
 
 impl Estimate {
-    /// Nothing known.
+    /// An estimate without evidence.
     pub(crate) const EMPTY: Self = Self {
         n: 0.0,
         sum: 0.0,
@@ -67,8 +69,8 @@
         self.add_weighted(1.0, rating, Some(now));
     }
 
-    /// Adds what `others` has grown by. They are sums since a start, so one that has not grown
-    /// was seen before.
+    /// Adds the growth of `others` since the last merge. Both values are totals since a start, so a
+    /// total that did not grow was merged before.
     pub(crate) fn merge(&mut self, others: Counts, now: Option<Instant>) {
         if others.n <= self.others.n {
             return;
@@ -95,7 +97,7 @@
     }
 
     fn add_weighted(&mut self, n: f64, sum: f64, now: Option<Instant>) {
-        // Many ratings at once count for no more than the memory holds.
+        // A batch of many ratings counts for at most `MAX_WEIGHT_RATINGS`.
         let scale = (MAX_WEIGHT_RATINGS / n).min(1.0);
         let retained = self.decay(now) * (1.0 - n * scale / MAX_WEIGHT_RATINGS);
         self.n = self.n * retained + n * scale;
@@ -112,7 +114,7 @@
     }
 }
 
-/// What is believed of a version's quality now.
+/// The estimated distribution of a version's quality at a given time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Posterior {
     rated: f64,
@@ -125,13 +127,13 @@
         self.mean
     }
 
-    /// The lower end of the Wilson score interval, which stays inside [0, 1] and is careful
-    /// with few ratings.
+    /// The lower end of the Wilson score interval, which stays within [0, 1] and is conservative
+    /// for few ratings.
     pub(crate) fn lower_bound(&self, z: f64) -> f64 {
         self.wilson_bound(z, -1.0)
     }
 
-    /// The upper end of the same interval.
+    /// The upper end of the Wilson score interval.
     pub(crate) fn upper_bound(&self, z: f64) -> f64 {
         self.wilson_bound(z, 1.0)
     }
@@ -144,7 +146,7 @@
         (centre + sign * spread) / (1.0 + z_squared / self.n)
     }
 
-    /// How uncertain the mean is.
+    /// The uncertainty of the mean: one over the square root of the weight of the evidence.
     pub(crate) fn uncertainty(&self) -> f64 {
         1.0 / self.n.sqrt()
     }
