--- a/crates/curranthook_policy/src/choice/history.rs
+++ b/crates/curranthook_policy/src/choice/history.rs
@@ -1,18 +1,18 @@
-//! How requests of a kind of work were served of late.
+//! The recent answers to one kind of work and their expected quality.
 
 use curranthook_types::version;
 
-/// Answers after which an old one no longer counts.
+/// The time constant of the decay, in answers: older answers hardly count any more.
 const MEMORY_ANSWERS: f64 = 1_000.0;
 
-/// How requests of a kind of work were served of late, and what quality was wanted of them.
+/// The recent answers to one kind of work by version or cascade, and the quality required of them.
 #[derive(Debug, Default)]
 pub(crate) struct History {
     entries: Vec<Entry>,
     required: f64,
 }
 
-/// A version or cascade, and how many answers it gave.
+/// A version or cascade, with its decayed number of answers and its estimated quality.
 #[derive(Debug)]
 struct Entry {
     first: version::Id,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Values what each way gave by what is known of it now; a way of which nothing is known
-    /// now, say because it isn't allowed here, keeps its value.
+    /// Updates the quality of each entry to the current estimate. An entry without a current
+    /// estimate, for example because the version is not allowed for this request, keeps its value.
     pub(crate) fn reestimate(
         &mut self,
         quality: impl Fn(&version::Id, Option<&version::Id>) -> Option<f64>,
@@ -63,7 +63,8 @@
         }
     }
 
-    /// How many more answers were good than wanted, as far as is known.
+    /// The estimated number of good answers minus the required number; negative if too few were
+    /// good.
     pub(crate) fn excess(&self) -> f64 {
         let n_good: f64 = self.entries.iter().map(|it| it.n * it.quality).sum();
         n_good - self.required
