--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -1,8 +1,9 @@
 //! Mixes of versions and cascades whose answers meet the target on average.
 //!
-//! A target is a share: of all answers to a kind of work, so many must be good enough. A single
-//! version seldom hits it; one is too poor and the next one dearer than need be. Two of them,
-//! drawn at random in the right proportion, hit it for less than either that meets it alone.
+//! A target is a share: of all answers to a kind of work, this share must be good. A single version
+//! rarely meets it exactly; one falls short and the next one costs more than necessary. Choosing
+//! between two of them at random, in the right proportion, meets the target at a lower cost than
+//! either version that meets it alone.
 
 use curranthook_settings::config::Weigh;
 use rand::RngExt as _;
@@ -12,26 +13,27 @@
     scored::Scored,
 };
 
-/// The number of answers over which a share must hold in spite of chance.
+/// The number of answers over which the required share must hold despite random variation.
 const HORIZON_ANSWERS: f64 = 1_000.0;
-/// Answers within which what was missed, or done beyond the target, is made up for.
+/// The number of answers over which a past shortfall or excess is compensated.
 const CORRECTION_ANSWERS: f64 = 100.0;
-/// How far below the target answers may be for a while, after better ones than need be.
+/// How far the aim may fall below the target for a while, after answers that were better than
+/// required.
 const MAX_SHORTFALL: f64 = 0.03;
-/// How far below the best quality the aim stays: the last hundredth can double the cost, and
-/// whether it is there at all is less certain than that.
+/// How far the aim stays below the best available quality. The last hundredth can double the cost,
+/// and the estimates are less precise than that.
 const BEST_MARGIN: f64 = 0.01;
 
-/// How many standard deviations of an estimate aren't counted on.
+/// How many standard deviations are subtracted from the mean of an estimate.
 const DISCOUNT_STD_DEVS: f64 = 0.7;
 
-/// A way to serve a request.
+/// A version or cascade that can serve a request, with its estimated quality and cost.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Point {
     first: Scored,
     second: Option<Scored>,
     quality: f64,
-    /// The quality that is counted on: less, the fewer ratings are known.
+    /// The estimated quality minus a discount for its uncertainty, which is larger for few ratings.
     discounted_quality: f64,
     cost: f64,
 }
@@ -43,7 +45,7 @@
     }
 }
 
-/// Two ways to serve requests, and the share of the better one.
+/// Two points, and the share of requests that the better one serves.
 #[derive(Debug, Clone, Copy)]
 struct Mix {
     low: Point,
@@ -52,7 +54,7 @@
 }
 
 impl Mix {
-    /// What of the mean quality of the two isn't counted on.
+    /// The mean uncertainty discount of the mix.
     fn quality_discount(&self) -> f64 {
         let part = |it: &Point| it.quality - it.discounted_quality;
         part(&self.low) + self.share * (part(&self.high) - part(&self.low))
@@ -60,11 +62,12 @@
 }
 
 impl Chooser {
-    /// One of the two ways whose mix meets the target for the least cost, and the better of the
-    /// two. Where no way is good enough, that's the best. Nothing if ratings can't correct a
-    /// wrong estimate, or if a surer choice is open where exposure is weighed most.
+    /// Draws one of the two points whose mix meets the target at the lowest cost, and also returns
+    /// the better of the two. If no point is good enough, both are the best one. Returns `None` if
+    /// ratings are unavailable and cannot correct a wrong estimate, or if the policy weighs
+    /// exposure most and the request allows cascades, which are safer.
     pub(super) fn draw_from_mix(&mut self, request: &Request<'_>) -> Option<Draw> {
-        // A cascade shows nothing that wasn't rated, but a session can't have one.
+        // A cascade returns no unrated first answer, but is not available in a session.
         let prefers_cascades =
             self.policy.weigh == Weigh::Exposure && request.scope == Scope::Request;
         if request.rater == Rater::Down || prefers_cascades || request.candidates.len() == 1 {
@@ -94,7 +97,7 @@
         })
     }
 
-    /// Notes how a request is served, so that later ones make up for it.
+    /// Records how a request is served, so that later requests compensate for it.
     pub(super) fn record_decision(&mut self, request: &Request<'_>, drawn: &Draft, required: f64) {
         let first = request.candidates[drawn.first.index].id;
         let second = drawn.second.map(|it| request.candidates[it.index].id);
@@ -106,9 +109,9 @@
         history.add(first, second, quality, required);
     }
 
-    /// How many more answers of late were good than wanted. What was given before is valued by
-    /// what ratings, of all nodes, say of it now: a version that turns out worse than it looked
-    /// leaves a debt, and better answers pay it back.
+    /// How many more recent answers were good than required. Past answers are valued by the current
+    /// estimates, which include ratings from all nodes: if a version turns out worse than
+    /// estimated, the shortfall is compensated by better answers.
     fn excess(&mut self, request: &Request<'_>) -> f64 {
         let Some(history) = self.history.get_mut(request.kind) else { return 0.0 };
         let id = |it: &Scored| request.candidates[it.index].id;
@@ -120,7 +123,7 @@
         history.excess()
     }
 
-    /// The target, and what chance may take from it.
+    /// The target plus a margin for random variation.
     pub(super) fn required_quality(&self, request: &Request<'_>) -> f64 {
         let deviation =
             (request.target_quality * (1.0 - request.target_quality) / HORIZON_ANSWERS).sqrt();
@@ -135,8 +138,8 @@
             let feasible = costlier.filter(|it| self.is_feasible(request, first, it));
             let n_before = points.len();
             points.extend(feasible.map(|second| self.point(request, first, Some(second))));
-            // An answer of a version that little is known of is rated before it's shown, where
-            // that can be done.
+            // Answers of a version with few ratings are rated before they are returned, wherever a
+            // cascade is possible.
             if points.len() == n_before || !first.posterior.is_sparse() {
                 points.push(self.point(request, first, None));
             }
@@ -160,7 +163,8 @@
     ) -> (f64, f64) {
         let first_quality = first.posterior.mean();
         let Some(second) = second else { return (first_quality, first.posterior.variance()) };
-        // Until it was seen, the second is taken to fail where the first does.
+        // Without ratings of this pair, assume that the second version fails the same requests as
+        // the first.
         let conditional = first.conditional_quality(second);
         let estimate =
             self.second_stage_estimate(request, first, second).unwrap_or(&Estimate::EMPTY);
@@ -172,13 +176,13 @@
     }
 }
 
-/// What was drawn of a mix.
+/// A point drawn from a mix.
 #[derive(Debug)]
 pub(super) struct Draw {
     pub(super) planned: Draft,
-    /// The better one of the mix.
+    /// The better point of the mix.
     pub(super) fallback: Draft,
-    /// The mean quality wanted.
+    /// The mean quality required.
     pub(super) required: f64,
 }
 
@@ -189,8 +193,8 @@
     }
 }
 
-/// The cheapest mix whose mean quality is `aim`. There are few points, so looking at all pairs is
-/// as quick as a convex hull.
+/// The cheapest mix whose mean discounted quality is `aim`. There are few points, so checking all
+/// pairs is as fast as a convex hull.
 fn cheapest(points: &[Point], aim: f64) -> Option<Mix> {
     let (mut min_cost, mut best) = (f64::INFINITY, None);
     for high in points.iter().filter(|it| aim <= it.discounted_quality) {
