--- a/crates/curranthook_policy/src/choice/plan.rs
+++ b/crates/curranthook_policy/src/choice/plan.rs
@@ -1,52 +1,53 @@
-//! Which versions are asked.
+//! The result of version selection.
 
 use curranthook_types::version;
 
-/// Which versions to ask.
+/// The versions selected for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// The version to ask first.
+    /// The version called first.
     pub first: version::Id,
-    /// The version to ask when the first one's answer is rated too low. The first answer is
-    /// held back until it is rated.
+    /// The version called if the first answer is rated too low. The first answer is held back until
+    /// it is rated.
     pub second: Option<version::Id>,
-    /// Whether to have the answer rated after it was given out.
+    /// Whether to rate the answer after it was returned.
     pub sample: Sample,
-    /// Why.
+    /// Why this plan was selected.
     pub reason: Reason,
 }
 
-/// Whether an answer is sent to the rater after it was given out.
+/// Whether an answer is sent to the rating service after it was returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sample {
-    /// It is.
+    /// The answer is rated.
     Rate,
-    /// It isn't.
+    /// The answer is not rated.
     Skip,
 }
 
-/// Why a plan was chosen. Each has its counter, `choice.<name>`.
+/// Why a plan was selected. Each reason has a counter, `choice.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The cheapest version that surely meets the target.
+    /// The cheapest version that meets the target with confidence.
     Confident,
-    /// A cheap version, with a dearer one behind it.
+    /// A cheap version, with a more expensive one as second stage.
     Cascade,
-    /// One of two ways that together meet the target on average.
+    /// One of two versions or cascades that together meet the target on average.
     Mix,
-    /// A version about which more must be known.
+    /// A version that needs more ratings.
     Explore,
-    /// No other version may be used.
+    /// The only version that may be used.
     Only,
-    /// Nothing surely meets the target; this is the best known.
+    /// The version with the best estimate, as none meets the target with confidence.
     BestEffort,
-    /// A baseline's fixed rule.
+    /// The fixed rule of a baseline.
     Fixed,
 }
 
 impl Reason {
     /// The last part of the counter's name.
     ///
+    ///
     /// ```
     /// # use curranthook_policy::choice::Reason;
     /// assert_eq!(Reason::BestEffort.name(), "best_effort");
