--- a/crates/curranthook_policy/src/choice/request.rs
+++ b/crates/curranthook_policy/src/choice/request.rs
@@ -1,29 +1,29 @@
-//! What a version is chosen for.
+//! The input of version selection.
 
 use std::time::Duration;
 
 use curranthook_types::{kind, price, version};
 
-/// What is asked for, and which versions may be used.
+/// A request and the versions that may answer it.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
     /// The kind of work.
     pub kind: &'a kind::Id,
-    /// The share of answers that must be good enough.
+    /// The share of answers that must be good.
     pub target_quality: f64,
-    /// The versions that may be used: allowed to the account, not withdrawn, not suspect.
+    /// The versions that may be used: allowed for the account, not withdrawn and not suspect.
     pub candidates: &'a [Candidate<'a>],
-    /// How long the caller will still wait.
+    /// The time until the caller's deadline.
     pub time_left: Duration,
-    /// Tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens that the answer is expected to have.
+    /// The expected length of the answer in tokens.
     pub expected_tokens: u64,
-    /// How the answer is given out.
+    /// How the answer is returned.
     pub delivery: Delivery,
     /// Whether answers can be rated now.
     pub rater: Rater,
-    /// What the choice holds for.
+    /// How many requests the selection applies to.
     pub scope: Scope,
 }
 
@@ -32,36 +32,36 @@
 pub struct Candidate<'a> {
     /// The version.
     pub id: &'a version::Id,
-    /// What it costs.
+    /// Its price.
     pub rate: &'a price::Rate,
-    /// The quality that its makers claim for this kind of work.
+    /// The quality that its provider claims for this kind of work.
     pub prior: Option<f64>,
 }
 
-/// How an answer is given out.
+/// How an answer is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// At once when it is complete.
+    /// In one piece, once it is complete.
     Whole,
     /// Token by token.
     Stream,
 }
 
-/// Whether the service that rates answers can be used.
+/// Whether the rating service is available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rater {
-    /// It answers.
+    /// The service responds.
     Up,
-    /// It is down, slow or not configured: no cascade and no exploration, since neither is
-    /// worth anything without ratings.
+    /// The service is down, slow or not configured. Disables cascades and exploration, which are
+    /// useless without ratings.
     Down,
 }
 
-/// What a choice holds for.
+/// The requests that a selection applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// One request.
     Request,
-    /// All requests of a session. It has one version, so no cascade.
+    /// All requests of a session. A session uses a single version, so no cascade.
     Session,
 }
