--- a/crates/curranthook_policy/src/choice/second_stage.rs
+++ b/crates/curranthook_policy/src/choice/second_stage.rs
@@ -1,4 +1,4 @@
-//! What is known of versions as second stages of a cascade.
+//! Quality estimates of versions as second stage of a cascade.
 
 use std::{collections::HashMap, time::Instant};
 
@@ -6,10 +6,10 @@
 
 use crate::choice::estimate::Estimate;
 
-/// How a version does on what another one failed at, by that other version.
+/// Estimates by first version, then by second version.
 pub(crate) type Pairs = HashMap<version::Id, HashMap<version::Id, Estimate>>;
 
-/// How versions do on the requests that another one failed at.
+/// The quality of versions on requests that another version failed, by kind of work.
 #[derive(Debug, Default)]
 pub(crate) struct Estimates {
     kinds: HashMap<kind::Id, Pairs>,
