--- a/crates/curranthook_policy/src/choice/speed.rs
+++ b/crates/curranthook_policy/src/choice/speed.rs
@@ -1,15 +1,15 @@
-//! How fast a version writes.
+//! Output speed of a version.
 
 use std::time::Duration;
 
-/// How long a version takes for a token, over whole answers.
+/// The running mean of the time per token, measured over complete answers.
 #[derive(Debug)]
 pub(crate) struct Speed {
     seconds_per_token: f64,
 }
 
 impl Speed {
-    /// Assumed before the first answer.
+    /// Assumed until the first answer was measured.
     pub(crate) const DEFAULT: Self = Self { seconds_per_token: 0.005 };
 
     pub(crate) fn new(took: Duration, tokens: u64) -> Self {
