--- a/crates/curranthook_policy/src/hash.rs
+++ b/crates/curranthook_policy/src/hash.rs
@@ -1,11 +1,12 @@
 //! Hashes that are the same on every node and in every release, for rendezvous hashing and for
-//! keys of sessions and prompts. They don't resist an attacker who picks the input.
+//! session and prompt keys. They are not resistant to chosen input.
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// Hashes bytes (FNV-1a with a final mix).
 ///
+///
 /// ```
 /// # use curranthook_policy::hash;
 /// assert_eq!(hash::bytes(b"session-1"), hash::bytes(b"session-1"));
@@ -19,6 +20,7 @@
 
 /// Combines two hashes; the order matters.
 ///
+///
 /// ```
 /// # use curranthook_policy::hash;
 /// assert_ne!(hash::pair(1, 2), hash::pair(2, 1));
@@ -29,6 +31,7 @@
 
 /// Maps a hash to a number from 0 up to, but not including, 1.
 ///
+///
 /// ```
 /// # use curranthook_policy::hash;
 /// assert!(hash::unit(u64::MAX) < 1.0);
