--- a/crates/curranthook_policy/src/lib.rs
+++ b/crates/curranthook_policy/src/lib.rs
@@ -1,13 +1,13 @@
-//! Decisions: versions, cascades, endpoints, verdicts, limits and retries.
+//! Decisions: version selection, load balancing, quality tests, rate limits, queueing and retries.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. Time comes in as `now`, random
-//! numbers from a seed, so a decision can be run again. Each decision returns its reason, and
-//! the reason's `name()` is the last part of its counter.
+//! Nothing here does I/O, reads a clock or starts a thread. Time is passed in as `now` and random
+//! numbers come from a seed, so every decision is reproducible. Each decision returns its reason,
+//! and the reason's `name()` is the last part of the name of its counter.
 //!
-//! A request passes [`limit`] (is the account within its rate?), [`rollout`] and [`choice`]
-//! (which version?), [`queue`] (when?), [`endpoint`] (where?), and, when that fails, [`retry`]
-//! and [`poison`]. [`verdict`] watches the answers of each version. [`baseline`] holds the
-//! plain strategies that ours are measured against.
+//! A request passes [`limit`] (is the account within its rate limit?), [`rollout`] and [`choice`]
+//! (which version?), [`queue`] (when?), [`endpoint`] (where?) and, on failure, [`retry`] and
+//! [`poison`]. [`verdict`] tests the answers of each version for a drop in quality. [`baseline`]
+//! holds simple strategies to compare with.
 
 pub mod baseline;
 pub mod choice;
