--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -121,13 +121,13 @@
 
 impl Strategy for Cheapest {
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(cheapest(request)?))
+        Ok(single_version(cheapest(request)?))
     }
 }
 
 impl Strategy for Best {
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(best(request)?))
+        Ok(single_version(best(request)?))
     }
 }
 
@@ -135,9 +135,9 @@
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
         let (first, second) = (cheapest(request)?, best(request)?);
         if first.id == second.id || request.rater == Rater::Down {
-            return Ok(direct(second));
+            return Ok(single_version(second));
         }
-        Ok(Plan { second: Some(second.id.clone()), reason: Reason::Fixed, ..direct(first) })
+        Ok(Plan { second: Some(second.id.clone()), reason: Reason::Fixed, ..single_version(first) })
     }
 }
 
@@ -185,8 +185,8 @@
 
     /// How long to wait for an endpoint's first byte.
     fn first_byte_timeout(&self, _id: &endpoint::Id) -> Duration {
-        const FIXED: Duration = Duration::from_secs(2);
-        FIXED
+        const FIXED_TIMEOUT: Duration = Duration::from_secs(2);
+        FIXED_TIMEOUT
     }
 }
 
@@ -239,9 +239,9 @@
 /// # use curranthook_policy::baseline;
 /// assert!(baseline::balancer("round-robin", "zone-a".into(), 1).is_some());
 /// ```
-pub fn balancer(name: &str, local: domain::Id, seed: u64) -> Option<Box<dyn Balancer>> {
+pub fn balancer(name: &str, local_domain: domain::Id, seed: u64) -> Option<Box<dyn Balancer>> {
     match name {
-        "curranthook" => Some(Box::new(Pool::new(local, seed))),
+        "curranthook" => Some(Box::new(Pool::new(local_domain, seed))),
         "round-robin" => Some(Box::new(RoundRobin::default())),
         "least-outstanding" => Some(Box::new(LeastOutstanding::default())),
         _ => None,
@@ -259,6 +259,6 @@
     request.candidates.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
 }
 
-fn direct(candidate: &Candidate<'_>) -> Plan {
+fn single_version(candidate: &Candidate<'_>) -> Plan {
     Plan { first: candidate.id.clone(), second: None, sample: Sample::Skip, reason: Reason::Fixed }
 }
--- a/crates/curranthook_policy/src/baseline/least_outstanding.rs
+++ b/crates/curranthook_policy/src/baseline/least_outstanding.rs
@@ -32,10 +32,10 @@
         if self.members.is_empty() {
             return Err(Unavailable::Empty);
         }
-        let open = self.members.iter().map(|it| &it.id);
-        let open = open.filter(|id| !exclude.contains(id) && !self.leaving.contains(*id));
-        let least = open.min_by_key(|id| self.in_flight.get(*id).copied().unwrap_or(0));
-        let id = least.ok_or(Unavailable::AllExcluded)?;
+        let eligible = self.members.iter().map(|it| &it.id);
+        let eligible = eligible.filter(|id| !exclude.contains(id) && !self.leaving.contains(*id));
+        let selected = eligible.min_by_key(|id| self.in_flight.get(*id).copied().unwrap_or(0));
+        let id = selected.ok_or(Unavailable::AllExcluded)?;
         Ok(Selection { id: id.clone(), reason: Reason::Fixed })
     }
 
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -10,11 +10,11 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::{endpoint::track::Track, hash};
+use crate::{endpoint::state::State, hash};
 
 mod ejection;
 mod first_byte;
-mod track;
+mod state;
 mod window;
 
 pub use curranthook_types::endpoint::Id;
@@ -25,7 +25,7 @@
 pub const MAX_SUBSET: usize = 64;
 
 /// An endpoint keeps its prompts until its load is above the mean by this factor.
-const AFFINITY_FACTOR: f64 = 1.25;
+const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
 /// An endpoint that may be picked.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -148,51 +148,51 @@
 /// ```
 #[derive(Debug)]
 pub struct Pool {
-    local: domain::Id,
+    local_domain: domain::Id,
     seed: u64,
     rng: Pcg64Mcg,
-    tracks: Vec<Track>,
-    places: HashMap<Id, usize>,
+    endpoints: Vec<State>,
+    indices: HashMap<Id, usize>,
     /// Places that may be picked now; kept to save allocating on each pick.
-    open: Vec<usize>,
+    eligible: Vec<usize>,
 }
 
 impl Pool {
-    /// An empty pool of a node in the failure domain `local`. The seed should differ from node
+    /// An empty pool of a node in the failure domain `local_domain`. The seed should differ from node
     /// to node: it also draws the node's subset.
-    pub fn new(local: domain::Id, seed: u64) -> Self {
+    pub fn new(local_domain: domain::Id, seed: u64) -> Self {
         Self {
-            local,
+            local_domain,
             seed,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            tracks: Vec::new(),
-            places: HashMap::new(),
-            open: Vec::new(),
+            endpoints: Vec::new(),
+            indices: HashMap::new(),
+            eligible: Vec::new(),
         }
     }
 
     /// Sets the endpoints. What is known of those that stay is kept.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>) {
-        let mut known: HashMap<Id, Track> =
-            self.tracks.drain(..).map(|it| (it.member.id.clone(), it)).collect();
+        let mut known: HashMap<Id, State> =
+            self.endpoints.drain(..).map(|it| (it.member.id.clone(), it)).collect();
         let chosen = subset(members, self.seed);
-        self.tracks.extend(chosen.into_iter().map(|member| match known.remove(&member.id) {
-            Some(track) => track.with_member(member),
-            None => Track::new(member),
+        self.endpoints.extend(chosen.into_iter().map(|member| match known.remove(&member.id) {
+            Some(endpoint) => endpoint.with_member(member),
+            None => State::new(member),
         }));
-        ejection::keep_floor(&mut self.tracks);
-        let places = self.tracks.iter().enumerate();
-        self.places = places.map(|(place, it)| (it.member.id.clone(), place)).collect();
+        ejection::enforce_floor(&mut self.endpoints);
+        let indices = self.endpoints.iter().enumerate();
+        self.indices = indices.map(|(index, it)| (it.member.id.clone(), index)).collect();
     }
 
     /// How many endpoints this node knows.
     pub fn len(&self) -> usize {
-        self.tracks.len()
+        self.endpoints.len()
     }
 
     /// Whether this node knows no endpoint.
     pub fn is_empty(&self) -> bool {
-        self.tracks.is_empty()
+        self.endpoints.is_empty()
     }
 
     /// Picks an endpoint. `affinity` is a hash of what its cache should hold, `exclude` those
@@ -203,41 +203,43 @@
         exclude: &[Id],
         now: Instant,
     ) -> Result<Selection, Unavailable> {
-        if self.tracks.is_empty() {
+        if self.endpoints.is_empty() {
             return Err(Unavailable::Empty);
         }
-        let is_candidate = |it: &Track| !it.is_leaving && !exclude.contains(&it.member.id);
-        let n_candidates = self.tracks.iter().filter(|it| is_candidate(it)).count();
+        let is_candidate = |it: &State| !it.is_leaving && !exclude.contains(&it.member.id);
+        let n_candidates = self.endpoints.iter().filter(|it| is_candidate(it)).count();
         if n_candidates == 0 {
             return Err(Unavailable::AllExcluded);
         }
-        if let Some(place) = self.tracks.iter().position(|it| is_candidate(it) && it.is_due(now)) {
-            return Ok(self.selection_of(place, Reason::Probe));
+        if let Some(index) =
+            self.endpoints.iter().position(|it| is_candidate(it) && it.is_probe_due(now))
+        {
+            return Ok(self.selection_of(index, Reason::Probe));
         }
 
-        self.open.clear();
-        for (place, it) in self.tracks.iter().enumerate() {
-            if is_candidate(it) && !it.is_ejected() && it.has_room() {
-                self.open.push(place);
+        self.eligible.clear();
+        for (index, it) in self.endpoints.iter().enumerate() {
+            if is_candidate(it) && !it.is_ejected() && it.has_capacity() {
+                self.eligible.push(index);
             }
         }
-        let Some(first) = self.open.first().copied() else {
+        let Some(first) = self.eligible.first().copied() else {
             return self.select_ejected(exclude);
         };
-        if self.open.len() == 1 {
+        if self.eligible.len() == 1 {
             let reason = if n_candidates == 1 { Reason::OnlyOne } else { Reason::PowerOfTwo };
             return Ok(self.selection_of(first, reason));
         }
-        if let Some(place) = affinity.and_then(|key| self.keeper(key, now)) {
-            return Ok(self.selection_of(place, Reason::Affinity));
+        if let Some(index) = affinity.and_then(|key| self.affinity_endpoint(key, now)) {
+            return Ok(self.selection_of(index, Reason::Affinity));
         }
-        let place = self.better_of_two(now);
-        Ok(self.selection_of(place, Reason::PowerOfTwo))
+        let index = self.better_of_two(now);
+        Ok(self.selection_of(index, Reason::PowerOfTwo))
     }
 
     /// A request was sent to an endpoint.
     pub fn started(&mut self, id: &Id, now: Instant) {
-        if let Some(it) = self.track_mut(id) {
+        if let Some(it) = self.endpoint_mut(id) {
             it.start(now);
         }
     }
@@ -245,44 +247,44 @@
     /// An answer began. Told now and not with its end, a slow endpoint is noticed before the
     /// first of its slow answers is whole.
     pub fn answer_started(&mut self, id: &Id, first_byte: Duration, now: Instant) {
-        let Some(place) = self.places.get(id).copied() else {
+        let Some(index) = self.indices.get(id).copied() else {
             return;
         };
-        self.tracks[place].begin(first_byte);
-        ejection::review(&mut self.tracks, place, now);
+        self.endpoints[index].record_first_byte(first_byte);
+        ejection::update_ejection(&mut self.endpoints, index, now);
     }
 
     /// A request at an endpoint ended. Each `started` is followed by exactly one `finished`.
     pub fn finished(&mut self, id: &Id, outcome: Outcome, now: Instant) {
-        let Some(place) = self.places.get(id).copied() else {
+        let Some(index) = self.indices.get(id).copied() else {
             return;
         };
-        self.tracks[place].finish(outcome, now);
+        self.endpoints[index].finish(outcome, now);
         if outcome == Outcome::Completed {
             // It was reviewed as it began.
             return;
         }
-        ejection::review(&mut self.tracks, place, now);
+        ejection::update_ejection(&mut self.endpoints, index, now);
     }
 
     /// An endpoint reported its load: all requests that it holds, from whatever node.
     pub fn report_load(&mut self, id: &Id, load: u64, now: Instant) {
-        if let Some(it) = self.track_mut(id) {
+        if let Some(it) = self.endpoint_mut(id) {
             it.report_load(load, now);
         }
     }
 
     /// An endpoint is leaving: it gets no new work.
     pub fn set_leaving(&mut self, id: &Id) {
-        if let Some(it) = self.track_mut(id) {
+        if let Some(it) = self.endpoint_mut(id) {
             it.is_leaving = true;
-            ejection::keep_floor(&mut self.tracks);
+            ejection::enforce_floor(&mut self.endpoints);
         }
     }
 
     /// An endpoint is no longer leaving, by its own word.
     pub fn clear_leaving(&mut self, id: &Id) {
-        if let Some(it) = self.track_mut(id) {
+        if let Some(it) = self.endpoint_mut(id) {
             it.is_leaving = false;
         }
     }
@@ -290,36 +292,34 @@
     /// How long to wait for an endpoint's first byte before another connection or endpoint is
     /// tried: well above what it took of late.
     pub fn first_byte_timeout(&self, id: &Id) -> Duration {
-        let own = self
-            .places
-            .get(id)
-            .and_then(|place| self.tracks[*place].first_byte.first_byte_timeout());
-        own.unwrap_or(first_byte::UNKNOWN)
+        let measured =
+            self.indices.get(id).and_then(|index| self.endpoints[*index].first_byte.timeout());
+        measured.unwrap_or(first_byte::DEFAULT_TIMEOUT)
     }
 
     /// How many endpoints are left out for being slow or failing.
     pub fn n_ejected(&self) -> usize {
-        self.tracks.iter().filter(|it| it.is_ejected()).count()
+        self.endpoints.iter().filter(|it| it.is_ejected()).count()
     }
 
     /// This node's own requests at an endpoint.
     pub fn in_flight(&self, id: &Id) -> usize {
-        self.places.get(id).map_or(0, |place| self.tracks[*place].in_flight)
+        self.indices.get(id).map_or(0, |index| self.endpoints[*index].in_flight)
     }
 
-    fn track_mut(&mut self, id: &Id) -> Option<&mut Track> {
-        let place = *self.places.get(id)?;
-        Some(&mut self.tracks[place])
+    fn endpoint_mut(&mut self, id: &Id) -> Option<&mut State> {
+        let index = *self.indices.get(id)?;
+        Some(&mut self.endpoints[index])
     }
 
-    fn selection_of(&self, place: usize, reason: Reason) -> Selection {
-        Selection { id: self.tracks[place].member.id.clone(), reason }
+    fn selection_of(&self, index: usize, reason: Reason) -> Selection {
+        Selection { id: self.endpoints[index].member.id.clone(), reason }
     }
 
     /// With every healthy endpoint excluded, one that was left out is better than none.
     fn select_ejected(&self, exclude: &[Id]) -> Result<Selection, Unavailable> {
         let mut candidates =
-            self.tracks.iter().filter(|it| !it.is_leaving && !exclude.contains(&it.member.id));
+            self.endpoints.iter().filter(|it| !it.is_leaving && !exclude.contains(&it.member.id));
         if candidates.clone().any(|it| !it.is_ejected()) {
             return Err(Unavailable::AllBusy);
         }
@@ -331,26 +331,26 @@
     /// The endpoint that the key belongs to, by rendezvous hashing, unless it is loaded above
     /// its share. Then the key goes where the load says: a prompt computed anew costs less
     /// than a wait behind a hot endpoint.
-    fn keeper(&self, key: u64, now: Instant) -> Option<usize> {
-        let weight = |place: &usize| hash::pair(self.tracks[*place].hash, key);
-        let place = *self.open.iter().max_by_key(|it| weight(it))?;
-        let utilisation = |place: usize| {
-            let it = &self.tracks[place];
+    fn affinity_endpoint(&self, key: u64, now: Instant) -> Option<usize> {
+        let weight = |index: &usize| hash::pair(self.endpoints[*index].hash, key);
+        let index = *self.eligible.iter().max_by_key(|it| weight(it))?;
+        let utilisation = |index: usize| {
+            let it = &self.endpoints[index];
             (it.load(now) + 1.0) / it.slots()
         };
-        let total: f64 = self.open.iter().map(|it| utilisation(*it)).sum();
-        let mean = total / self.open.len() as f64;
+        let total: f64 = self.eligible.iter().map(|it| utilisation(*it)).sum();
+        let mean = total / self.eligible.len() as f64;
         // One request more than the mean is always allowed, or idle pools would spread prompts.
-        let bound = (mean * AFFINITY_FACTOR).max(mean + 1.0 / self.tracks[place].slots());
-        (utilisation(place) <= bound).then_some(place)
+        let bound = (mean * AFFINITY_LOAD_FACTOR).max(mean + 1.0 / self.endpoints[index].slots());
+        (utilisation(index) <= bound).then_some(index)
     }
 
     fn better_of_two(&mut self, now: Instant) -> usize {
-        let n = self.open.len();
+        let n = self.eligible.len();
         let left = self.rng.random_range(0..n);
         let right = (left + self.rng.random_range(1..n)) % n;
-        let (left, right) = (self.open[left], self.open[right]);
-        let score = |place: usize| self.tracks[place].score(&self.local, now);
+        let (left, right) = (self.eligible[left], self.eligible[right]);
+        let score = |index: usize| self.endpoints[index].score(&self.local_domain, now);
         if score(right) < score(left) { right } else { left }
     }
 }
--- a/crates/curranthook_policy/src/endpoint/ejection.rs
+++ b/crates/curranthook_policy/src/endpoint/ejection.rs
@@ -2,73 +2,77 @@
 
 use std::time::{Duration, Instant};
 
-use crate::endpoint::track::{Ejected, Track};
+use crate::endpoint::state::{Ejected, State};
 
 /// Failures in a row after which an endpoint is left out.
-const FAILURES: u32 = 3;
+const CONSECUTIVE_FAILURES: u32 = 3;
 /// How many times slower than the median an endpoint must be to be left out.
 const SLOW_FACTOR: f64 = 3.0;
 /// Differences below this time are not worth leaving an endpoint out, in seconds.
-const SLOW_MARGIN: f64 = 0.05;
+const SLOW_MARGIN_SECONDS: f64 = 0.05;
 /// Requests in a row that got their answers from elsewhere, after which it counts how long they
 /// were waited for. One may have met a connection that went silent.
-const OVERTAKEN: u32 = 2;
+const CONSECUTIVE_HEDGE_LOSSES: u32 = 2;
 /// How many times the median that wait must be. The answer would have come later still.
-const OVERTAKEN_FACTOR: f64 = 2.0;
+const HEDGE_LOSS_FACTOR: f64 = 2.0;
 /// How long a failing endpoint is left out at first; the time doubles with each failed probe.
-const SHORTEST: Duration = Duration::from_secs(1);
+const MIN_EJECTION_FAILING: Duration = Duration::from_secs(1);
 /// The same for a slow one. Each probe makes a caller wait, and a slow endpoint isn't missed as
 /// much as one that is thought dead while it's back already.
-const SHORTEST_SLOW: Duration = Duration::from_secs(5);
-const LONGEST: Duration = Duration::from_secs(30);
+const MIN_EJECTION_SLOW: Duration = Duration::from_secs(5);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// Leaves out or takes back the endpoint at `place` after an answer or a failure.
-pub(crate) fn review(tracks: &mut [Track], place: usize, now: Instant) {
-    let is_bad = is_failing(&tracks[place]) || is_slow(tracks, place);
-    match (tracks[place].is_ejected(), is_bad) {
-        (false, true) => eject(tracks, place, now),
-        (true, true) => extend(&mut tracks[place], now),
-        (true, false) => restore(&mut tracks[place]),
-        (false, false) => settle(&mut tracks[place]),
+/// Leaves out or takes back the endpoint at `index` after an answer or a failure.
+pub(crate) fn update_ejection(endpoints: &mut [State], index: usize, now: Instant) {
+    let is_unhealthy = is_failing(&endpoints[index]) || is_slow(endpoints, index);
+    match (endpoints[index].is_ejected(), is_unhealthy) {
+        (false, true) => eject(endpoints, index, now),
+        (true, true) => extend_ejection(&mut endpoints[index], now),
+        (true, false) => readmit(&mut endpoints[index]),
+        (false, false) => reset_backoff(&mut endpoints[index]),
     }
 }
 
-fn is_failing(track: &Track) -> bool {
+fn is_failing(endpoint: &State) -> bool {
     // One failure is enough for an endpoint on probation.
-    let allowed = if track.is_ejected() { 1 } else { FAILURES };
-    allowed <= track.n_failures
+    let threshold = if endpoint.is_ejected() { 1 } else { CONSECUTIVE_FAILURES };
+    threshold <= endpoint.n_failures
 }
 
-fn is_slow(tracks: &[Track], place: usize) -> bool {
-    let Some(median) = median_of_others(tracks, place) else {
+fn is_slow(endpoints: &[State], index: usize) -> bool {
+    let Some(median) = median_of_others(endpoints, index) else {
         return false;
     };
-    let is_above = |own: f64, factor: f64| median * factor < own && median + SLOW_MARGIN < own;
-    let track = &tracks[place];
-    let allowed = if track.is_ejected() { 1 } else { OVERTAKEN };
-    if allowed <= track.overtaken.n {
-        return is_above(track.overtaken.waited.as_secs_f64(), OVERTAKEN_FACTOR);
+    let exceeds_median = |measured: f64, factor: f64| {
+        median * factor < measured && median + SLOW_MARGIN_SECONDS < measured
+    };
+    let endpoint = &endpoints[index];
+    let threshold = if endpoint.is_ejected() { 1 } else { CONSECUTIVE_HEDGE_LOSSES };
+    if threshold <= endpoint.hedge_losses.n {
+        return exceeds_median(endpoint.hedge_losses.last_wait.as_secs_f64(), HEDGE_LOSS_FACTOR);
     }
-    let own = if track.is_ejected() {
+    let measured = if endpoint.is_ejected() {
         // The mean still holds the time that it was left out for; only the probe counts.
-        track.first_byte.last().map(|it| it.as_secs_f64())
-    } else if track.first_byte.is_known() {
-        track.first_byte.mean()
+        endpoint.first_byte.last().map(|it| it.as_secs_f64())
+    } else if endpoint.first_byte.has_enough_samples() {
+        endpoint.first_byte.mean()
     } else {
         None
     };
-    own.is_some_and(|it| is_above(it, SLOW_FACTOR))
+    measured.is_some_and(|it| exceeds_median(it, SLOW_FACTOR))
 }
 
-fn median_of_others(tracks: &[Track], place: usize) -> Option<f64> {
-    const ENOUGH: usize = 2;
-    let others =
-        tracks.iter().enumerate().filter(|(it, track)| *it != place && !track.is_ejected());
+fn median_of_others(endpoints: &[State], index: usize) -> Option<f64> {
+    const MIN_OTHERS: usize = 2;
+    let others = endpoints
+        .iter()
+        .enumerate()
+        .filter(|(it, endpoint)| *it != index && !endpoint.is_ejected());
     let mut means: Vec<f64> = others
-        .filter(|(_, it)| it.first_byte.is_known())
+        .filter(|(_, it)| it.first_byte.has_enough_samples())
         .filter_map(|(_, it)| it.first_byte.mean())
         .collect();
-    if means.len() < ENOUGH {
+    if means.len() < MIN_OTHERS {
         return None;
     }
     let middle = means.len() / 2;
@@ -78,54 +82,54 @@
 
 /// Never more than half are left out. Where most endpoints look bad the cause lies elsewhere,
 /// say in the network or in a request, and the few that are left would break down too.
-fn eject(tracks: &mut [Track], place: usize, now: Instant) {
-    let (n_staying, n_ejected) = count(tracks);
-    if n_staying < 2 * (n_ejected + 1) {
+fn eject(endpoints: &mut [State], index: usize, now: Instant) {
+    let (n_active, n_ejected) = count_members(endpoints);
+    if n_active < 2 * (n_ejected + 1) {
         return;
     }
-    let track = &mut tracks[place];
-    track.ejected = Some(Ejected { until: now });
-    extend(track, now);
+    let endpoint = &mut endpoints[index];
+    endpoint.ejected = Some(Ejected { until: now });
+    extend_ejection(endpoint, now);
 }
 
 /// Takes endpoints back after others went, so that half of those that stay are still in.
-pub(crate) fn keep_floor(tracks: &mut [Track]) {
+pub(crate) fn enforce_floor(endpoints: &mut [State]) {
     loop {
-        let (n_staying, n_ejected) = count(tracks);
-        if 2 * n_ejected <= n_staying {
+        let (n_active, n_ejected) = count_members(endpoints);
+        if 2 * n_ejected <= n_active {
             return;
         }
-        let ejected = tracks.iter_mut().filter(|it| !it.is_leaving && it.is_ejected());
-        let Some(next) = ejected.min_by_key(|it| it.ejected.as_ref().map(|it| it.until)) else {
+        let ejected = endpoints.iter_mut().filter(|it| !it.is_leaving && it.is_ejected());
+        let Some(earliest) = ejected.min_by_key(|it| it.ejected.as_ref().map(|it| it.until)) else {
             return;
         };
-        restore(next);
+        readmit(earliest);
     }
 }
 
 /// How many endpoints stay, and how many of these are left out.
-fn count(tracks: &[Track]) -> (usize, usize) {
-    let staying = tracks.iter().filter(|it| !it.is_leaving);
-    (staying.clone().count(), staying.filter(|it| it.is_ejected()).count())
+fn count_members(endpoints: &[State]) -> (usize, usize) {
+    let active = endpoints.iter().filter(|it| !it.is_leaving);
+    (active.clone().count(), active.filter(|it| it.is_ejected()).count())
 }
 
-fn extend(track: &mut Track, now: Instant) {
-    let shortest = if is_failing(track) { SHORTEST } else { SHORTEST_SLOW };
-    let time = shortest.saturating_mul(1 << track.n_ejections.min(10)).min(LONGEST);
-    track.n_ejections += 1;
-    track.ejected = Some(Ejected { until: now + time });
+fn extend_ejection(endpoint: &mut State, now: Instant) {
+    let min_duration = if is_failing(endpoint) { MIN_EJECTION_FAILING } else { MIN_EJECTION_SLOW };
+    let duration = min_duration.saturating_mul(1 << endpoint.n_ejections.min(10)).min(MAX_EJECTION);
+    endpoint.n_ejections += 1;
+    endpoint.ejected = Some(Ejected { until: now + duration });
 }
 
-fn restore(track: &mut Track) {
-    track.ejected = None;
-    track.n_failures = 0;
-    track.overtaken = Default::default();
-    track.first_byte.restart();
+fn readmit(endpoint: &mut State) {
+    endpoint.ejected = None;
+    endpoint.n_failures = 0;
+    endpoint.hedge_losses = Default::default();
+    endpoint.first_byte.reset();
 }
 
 /// An endpoint that has done well for a while is forgiven its past.
-fn settle(track: &mut Track) {
-    if track.n_failures == 0 && track.first_byte.is_known() {
-        track.n_ejections = 0;
+fn reset_backoff(endpoint: &mut State) {
+    if endpoint.n_failures == 0 && endpoint.first_byte.has_enough_samples() {
+        endpoint.n_ejections = 0;
     }
 }
--- a/crates/curranthook_policy/src/endpoint/first_byte.rs
+++ b/crates/curranthook_policy/src/endpoint/first_byte.rs
@@ -3,34 +3,35 @@
 use std::time::Duration;
 
 /// How many recent times are kept.
-const KEPT: usize = 32;
+const MAX_SAMPLES: usize = 32;
 /// From this many times on, they are believed.
-pub(crate) const ENOUGH: usize = 8;
+pub(crate) const MIN_SAMPLES: usize = 8;
 /// The limit before enough is known.
-pub(crate) const UNKNOWN: Duration = Duration::from_secs(2);
+pub(crate) const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Recent times to the first byte, and their running mean.
 #[derive(Debug, Default)]
 pub(crate) struct FirstByte {
-    recent: [f32; KEPT],
+    recent: [f32; MAX_SAMPLES],
     n: usize,
     mean: f64,
     /// Worked out as a time is added, which is rarer than it is read.
-    first_byte_timeout: Duration,
+    timeout: Duration,
 }
 
 impl FirstByte {
     pub(crate) fn add(&mut self, took: Duration) {
-        const WEIGHT: f64 = 0.2;
+        const EWMA_WEIGHT: f64 = 0.2;
         let seconds = took.as_secs_f64();
-        self.mean = if self.n == 0 { seconds } else { self.mean + WEIGHT * (seconds - self.mean) };
-        self.recent[self.n % KEPT] = seconds as f32;
+        self.mean =
+            if self.n == 0 { seconds } else { self.mean + EWMA_WEIGHT * (seconds - self.mean) };
+        self.recent[self.n % MAX_SAMPLES] = seconds as f32;
         self.n += 1;
-        self.first_byte_timeout = self.limit();
+        self.timeout = self.compute_timeout();
     }
 
     /// Begins anew with one time, for an endpoint that was slow and is no longer.
-    pub(crate) fn restart(&mut self) {
+    pub(crate) fn reset(&mut self) {
         let last = self.last();
         *self = Self::default();
         if let Some(last) = last {
@@ -44,28 +45,28 @@
 
     pub(crate) fn last(&self) -> Option<Duration> {
         let last = self.n.checked_sub(1)?;
-        Some(Duration::from_secs_f32(self.recent[last % KEPT]))
+        Some(Duration::from_secs_f32(self.recent[last % MAX_SAMPLES]))
     }
 
-    pub(crate) fn is_known(&self) -> bool {
-        ENOUGH <= self.n
+    pub(crate) fn has_enough_samples(&self) -> bool {
+        MIN_SAMPLES <= self.n
     }
 
-    pub(crate) fn first_byte_timeout(&self) -> Option<Duration> {
-        self.is_known().then_some(self.first_byte_timeout)
+    pub(crate) fn timeout(&self) -> Option<Duration> {
+        self.has_enough_samples().then_some(self.timeout)
     }
 
-    fn limit(&self) -> Duration {
+    fn compute_timeout(&self) -> Duration {
         const QUANTILE: f64 = 0.95;
-        const FACTOR: f32 = 3.0;
-        const SHORTEST: Duration = Duration::from_millis(50);
-        const LONGEST: Duration = Duration::from_secs(10);
+        const TIMEOUT_FACTOR: f32 = 3.0;
+        const MIN_TIMEOUT: Duration = Duration::from_millis(50);
+        const MAX_TIMEOUT: Duration = Duration::from_secs(10);
 
-        let n = self.n.min(KEPT);
+        let n = self.n.min(MAX_SAMPLES);
         let mut sorted = self.recent;
-        let place = ((n - 1) as f64 * QUANTILE).round() as usize;
-        let (_, quantile, _) = sorted[..n].select_nth_unstable_by(place, f32::total_cmp);
-        let limit = (*quantile * FACTOR).min(LONGEST.as_secs_f32());
-        Duration::from_secs_f32(limit).clamp(SHORTEST, LONGEST)
+        let index = ((n - 1) as f64 * QUANTILE).round() as usize;
+        let (_, quantile, _) = sorted[..n].select_nth_unstable_by(index, f32::total_cmp);
+        let timeout = (*quantile * TIMEOUT_FACTOR).min(MAX_TIMEOUT.as_secs_f32());
+        Duration::from_secs_f32(timeout).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 }
--- a/crates/curranthook_policy/src/endpoint/track.rs
+++ b/crates/curranthook_policy/src/endpoint/state.rs
@@ -10,18 +10,18 @@
 };
 
 /// A load report loses half of its weight in this time: the requests it counted finish.
-const HINT_HALF_LIFE: Duration = Duration::from_millis(500);
+const LOAD_REPORT_HALF_LIFE: Duration = Duration::from_millis(500);
 /// Fewer requests than this are taken for none.
-const NEGLIGIBLE: f64 = 0.1;
+const NEGLIGIBLE_REQUESTS: f64 = 0.1;
 /// An endpoint in another failure domain must be better by this factor.
-const REMOTE_PENALTY: f64 = 1.15;
+const REMOTE_DOMAIN_PENALTY: f64 = 1.15;
 /// Latency assumed of an endpoint that has not answered yet, in seconds. It is low, so that
 /// a new endpoint is tried.
-const UNKNOWN_LATENCY: f64 = 0.02;
+const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
 
 /// What a node knows of one endpoint.
 #[derive(Debug)]
-pub(crate) struct Track {
+pub(crate) struct State {
     pub(crate) member: Member,
     pub(crate) hash: u64,
     pub(crate) in_flight: usize,
@@ -29,12 +29,12 @@
     pub(crate) first_byte: FirstByte,
     /// Failures since the last answer.
     pub(crate) n_failures: u32,
-    pub(crate) overtaken: Overtaken,
+    pub(crate) hedge_losses: HedgeLosses,
     pub(crate) ejected: Option<Ejected>,
     /// How often it was left out, one time after another.
     pub(crate) n_ejections: u32,
     /// Requests of other nodes, and when that was known.
-    others: Option<(f64, Instant)>,
+    others_load: Option<(f64, Instant)>,
     window: Window,
 }
 
@@ -47,20 +47,20 @@
 
 /// Requests since the last answer that got theirs from elsewhere.
 #[derive(Debug, Default)]
-pub(crate) struct Overtaken {
+pub(crate) struct HedgeLosses {
     pub(crate) n: u32,
     /// How long the last one was waited for: its first byte would have come later still.
-    pub(crate) waited: Duration,
+    pub(crate) last_wait: Duration,
 }
 
-impl Overtaken {
+impl HedgeLosses {
     fn add(&mut self, waited: Duration) {
         self.n += 1;
-        self.waited = waited;
+        self.last_wait = waited;
     }
 }
 
-impl Track {
+impl State {
     pub(crate) fn new(member: Member) -> Self {
         Self {
             hash: hash::bytes(member.id.as_str().as_bytes()),
@@ -70,10 +70,10 @@
             is_leaving: false,
             first_byte: FirstByte::default(),
             n_failures: 0,
-            overtaken: Overtaken::default(),
+            hedge_losses: HedgeLosses::default(),
             ejected: None,
             n_ejections: 0,
-            others: None,
+            others_load: None,
         }
     }
 
@@ -88,46 +88,46 @@
     }
 
     pub(crate) fn start(&mut self, now: Instant) {
-        const PROBE_TIME: Duration = Duration::from_secs(10);
+        const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
         self.in_flight += 1;
         // One probe at a time. Should its end never be told, another follows later.
         if let Some(ejected) = &mut self.ejected {
-            ejected.until = ejected.until.max(now + PROBE_TIME);
+            ejected.until = ejected.until.max(now + PROBE_TIMEOUT);
         }
     }
 
-    pub(crate) fn begin(&mut self, first_byte: Duration) {
+    pub(crate) fn record_first_byte(&mut self, first_byte: Duration) {
         self.n_failures = 0;
-        self.overtaken = Overtaken::default();
+        self.hedge_losses = HedgeLosses::default();
         self.first_byte.add(first_byte);
     }
 
     pub(crate) fn finish(&mut self, outcome: Outcome, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Answered { first_byte } => self.begin(first_byte),
-            Outcome::HedgeLost { waited } => self.overtaken.add(waited),
+            Outcome::Answered { first_byte } => self.record_first_byte(first_byte),
+            Outcome::HedgeLost { waited } => self.hedge_losses.add(waited),
             Outcome::Completed => {}
             Outcome::Failed | Outcome::Unreachable => self.n_failures += 1,
             // It holds as many as it can; others sent what we did not.
             Outcome::Refused => {
                 self.report_load(self.member.slots as u64, now);
-                self.window.refused(now);
+                self.window.record_refusal(now);
             }
             Outcome::Cancelled => {}
         }
     }
 
     pub(crate) fn report_load(&mut self, load: u64, now: Instant) {
-        let others = (load as f64 - self.in_flight as f64).max(0.0);
-        self.others = Some((others, now));
+        let others_load = (load as f64 - self.in_flight as f64).max(0.0);
+        self.others_load = Some((others_load, now));
         let slots = self.slots();
-        self.window.report(load as f64, slots, now);
+        self.window.record_load(load as f64, slots, now);
     }
 
     /// Whether this node may send another request now.
-    pub(crate) fn has_room(&self) -> bool {
-        self.window.has_room(self.in_flight)
+    pub(crate) fn has_capacity(&self) -> bool {
+        self.window.has_capacity(self.in_flight)
     }
 
     pub(crate) fn slots(&self) -> f64 {
@@ -136,20 +136,22 @@
 
     /// Own requests and what the aged report says of others'.
     pub(crate) fn load(&self, now: Instant) -> f64 {
-        let others = self.others.map_or(0.0, |(others, at)| {
-            let age = now.saturating_duration_since(at);
-            let left = others * (-age.as_secs_f64() / HINT_HALF_LIFE.as_secs_f64()).exp2();
+        let others_load = self.others_load.map_or(0.0, |(others_load, reported)| {
+            let age = now.saturating_duration_since(reported);
+            let remaining =
+                others_load * (-age.as_secs_f64() / LOAD_REPORT_HALF_LIFE.as_secs_f64()).exp2();
             // The trace of an old report would decide between endpoints that are equal.
-            if left < NEGLIGIBLE { 0.0 } else { left }
+            if remaining < NEGLIGIBLE_REQUESTS { 0.0 } else { remaining }
         });
-        self.in_flight as f64 + others
+        self.in_flight as f64 + others_load
     }
 
     /// The lower, the better: utilisation times latency.
-    pub(crate) fn score(&self, local: &domain::Id, now: Instant) -> f64 {
-        let latency = self.first_byte.mean().unwrap_or(UNKNOWN_LATENCY);
-        let distance = if self.member.domain == *local { 1.0 } else { REMOTE_PENALTY };
-        (self.load(now) + 1.0) / self.slots() * latency * distance
+    pub(crate) fn score(&self, local_domain: &domain::Id, now: Instant) -> f64 {
+        let latency = self.first_byte.mean().unwrap_or(DEFAULT_LATENCY_SECONDS);
+        let domain_factor =
+            if self.member.domain == *local_domain { 1.0 } else { REMOTE_DOMAIN_PENALTY };
+        (self.load(now) + 1.0) / self.slots() * latency * domain_factor
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
@@ -157,7 +159,7 @@
     }
 
     /// Whether it was left out and is to be tried again.
-    pub(crate) fn is_due(&self, now: Instant) -> bool {
+    pub(crate) fn is_probe_due(&self, now: Instant) -> bool {
         self.ejected.as_ref().is_some_and(|it| it.until <= now)
     }
 }
