--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Plain strategies that ours are measured against.
+//! Simple strategies, as baselines for comparison.
 
 use std::time::{Duration, Instant};
 
@@ -15,17 +15,17 @@
 
 pub use crate::baseline::{least_outstanding::LeastOutstanding, round_robin::RoundRobin};
 
-/// The names that [`strategy`] knows.
+/// The names accepted by [`strategy`].
 pub const STRATEGIES: [&str; 4] = ["curranthook", "cheapest", "best", "static-cascade"];
-/// The names that [`balance`] knows.
+/// The names accepted by [`balancer`].
 pub const BALANCERS: [&str; 3] = ["curranthook", "round-robin", "least-outstanding"];
 
-/// A way to choose versions.
+/// A strategy for selecting versions.
 pub trait Strategy: std::fmt::Debug + Send {
-    /// Chooses the versions for one request.
+    /// Selects the versions for one request.
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason>;
 
-    /// Takes in the rating of an answer.
+    /// Records the rating of an answer.
     fn record_rating(
         &mut self,
         _kind: &kind::Id,
@@ -35,7 +35,7 @@
     ) {
     }
 
-    /// Takes in the rating of a cascade's second answer.
+    /// Records the rating of a cascade's second answer.
     fn record_second_rating(
         &mut self,
         _kind: &kind::Id,
@@ -46,18 +46,18 @@
     ) {
     }
 
-    /// Takes in how long a whole answer took.
+    /// Records how long a complete answer took.
     fn record_duration(&mut self, _version: &version::Id, _took: Duration, _tokens: u64) {}
 
-    /// Takes in what all other nodes together have gathered.
+    /// Merges the totals gathered by all other nodes.
     fn merge(&mut self, _kind: &kind::Id, _version: &version::Id, _ratings: Counts) {}
 
-    /// Whether enough is known of a version that only samples of its answers need be rated.
+    /// Whether a version has enough ratings that rating only a sample of its answers suffices.
     fn is_converged(&self, _kind: &kind::Id, _version: &version::Id) -> bool {
         true
     }
 
-    /// The ratings that this node gathered itself.
+    /// The ratings gathered by this node.
     fn counts(&self) -> Vec<crate::choice::Tally> {
         Vec::new()
     }
@@ -107,15 +107,15 @@
     }
 }
 
-/// Always the cheapest allowed version.
+/// Always selects the cheapest allowed version.
 #[derive(Debug, Default)]
 pub struct Cheapest;
 
-/// Always the allowed version with the highest claimed quality.
+/// Always selects the allowed version with the highest claimed quality.
 #[derive(Debug, Default)]
 pub struct Best;
 
-/// Always the cheapest, with the best behind it.
+/// Always selects the cheapest version, with the best one as second stage.
 #[derive(Debug, Default)]
 pub struct StaticCascade;
 
@@ -141,7 +141,8 @@
     }
 }
 
-/// The strategy of a name, one of [`STRATEGIES`].
+/// Returns the strategy with the given name, one of [`STRATEGIES`].
+///
 ///
 /// ```
 /// # use curranthook_policy::baseline;
@@ -158,29 +159,29 @@
     }
 }
 
-/// A way to pick endpoints.
+/// A load balancer: a strategy for selecting endpoints.
 pub trait Balancer: std::fmt::Debug + Send {
     /// Sets the endpoints.
     fn set_members(&mut self, members: Vec<Member>);
-    /// Picks an endpoint.
+    /// Selects an endpoint.
     fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
     ) -> Result<Selection, Unavailable>;
-    /// A request was sent to an endpoint.
+    /// Records that a request was sent to an endpoint.
     fn started(&mut self, id: &endpoint::Id, now: Instant);
-    /// An answer began.
+    /// Records the first byte of an answer.
     fn answer_started(&mut self, _id: &endpoint::Id, _first_byte: Duration, _now: Instant) {}
-    /// A request at an endpoint ended.
+    /// Records that a request at an endpoint ended.
     fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, now: Instant);
-    /// An endpoint is leaving.
+    /// Marks an endpoint as leaving.
     fn set_leaving(&mut self, id: &endpoint::Id);
-    /// An endpoint is no longer leaving.
+    /// Clears the leaving mark of an endpoint.
     fn clear_leaving(&mut self, id: &endpoint::Id);
 
-    /// An endpoint reported its load.
+    /// Records the load reported by an endpoint.
     fn report_load(&mut self, _id: &endpoint::Id, _load: u64, _now: Instant) {}
 
     /// How long to wait for an endpoint's first byte.
@@ -233,7 +234,8 @@
     }
 }
 
-/// The balance of a name, one of [`BALANCERS`].
+/// Returns the load balancer with the given name, one of [`BALANCERS`].
+///
 ///
 /// ```
 /// # use curranthook_policy::baseline;
