--- a/crates/curranthook_policy/src/baseline/least_outstanding.rs
+++ b/crates/curranthook_policy/src/baseline/least_outstanding.rs
@@ -1,4 +1,4 @@
-//! The endpoint with the fewest requests of this node.
+//! Least-outstanding-requests load balancing.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +10,7 @@
     endpoint::{Id, Member, Outcome, Reason, Selection, Unavailable},
 };
 
-/// Picks the endpoint with the fewest requests in flight from this node.
+/// Selects the endpoint with the fewest requests in flight from this node.
 #[derive(Debug, Default)]
 pub struct LeastOutstanding {
     members: Vec<Member>,
