--- a/crates/curranthook_policy/src/baseline/round_robin.rs
+++ b/crates/curranthook_policy/src/baseline/round_robin.rs
@@ -1,4 +1,4 @@
-//! One endpoint after the other.
+//! Round-robin load balancing.
 
 use std::{collections::BTreeSet, time::Instant};
 
@@ -7,7 +7,7 @@
     endpoint::{Id, Member, Outcome, Reason, Selection, Unavailable},
 };
 
-/// Picks endpoints in turn, whatever their load.
+/// Selects endpoints in turn, regardless of their load.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     members: Vec<Member>,
