--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Which endpoint runs a request.
+//! Load balancing: which endpoint runs a request.
 
 use std::{
     cmp::Reverse,
@@ -19,51 +19,53 @@
 
 pub use curranthook_types::endpoint::Id;
 
-/// How many endpoints a node knows of a version at most. With ten thousand endpoints and many
-/// nodes, each node keeps its own part: load is learned from one's own answers, which would be
-/// too few for each of ten thousand.
+/// The maximum number of endpoints of a version that a node uses. With ten thousand endpoints and
+/// many nodes, each node uses its own subset: a node learns load and latency from its own answers,
+/// which would be too few for each of ten thousand endpoints.
 pub const MAX_SUBSET: usize = 64;
 
-/// An endpoint keeps its prompts until its load is above the mean by this factor.
+/// Bounded-load factor of prefix affinity: an endpoint serves the prompts assigned to it until its
+/// load exceeds the mean by this factor.
 const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
-/// An endpoint that may be picked.
+/// An endpoint that may be selected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// The endpoint.
     pub id: Id,
-    /// Where it stands.
+    /// Its failure domain.
     pub domain: domain::Id,
-    /// How many requests it runs at once.
+    /// How many requests it runs concurrently.
     pub slots: usize,
 }
 
-/// The endpoint picked.
+/// The selected endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Selection {
     /// The endpoint.
     pub id: Id,
-    /// Why.
+    /// Why it was selected.
     pub reason: Reason,
 }
 
-/// Why an endpoint was picked. Each has its counter, `selection.<name>`.
+/// Why an endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// It has the start of the prompt in its cache.
+    /// Its cache holds the start of the prompt.
     Affinity,
-    /// It is the less loaded of two drawn at random.
+    /// It is the less loaded of two endpoints drawn at random.
     PowerOfTwo,
-    /// It was left out and is tried again.
+    /// It was ejected and is probed.
     Probe,
-    /// No other may be picked.
+    /// No other endpoint is eligible.
     OnlyOne,
-    /// A baseline picked it by its fixed rule.
+    /// The fixed rule of a baseline selected it.
     Fixed,
 }
 
 impl Reason {
-    /// The last part of the counter's name.
+    /// A stable name, for use in counter names.
+    ///
     ///
     /// ```
     /// # use curranthook_policy::endpoint::Reason;
@@ -80,19 +82,20 @@
     }
 }
 
-/// Why no endpoint was picked. Each has its counter, `selection.miss.<name>`.
+/// Why no endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Unavailable {
-    /// There is none.
+    /// There is no endpoint.
     Empty,
-    /// All are leaving or were tried before.
+    /// All endpoints are leaving or were tried before.
     AllExcluded,
-    /// All are at work on as many requests as they can run.
+    /// All endpoints run as many requests as they can.
     AllBusy,
 }
 
 impl Unavailable {
-    /// The last part of the counter's name.
+    /// A stable name, for use in counter names.
+    ///
     ///
     /// ```
     /// # use curranthook_policy::endpoint::Unavailable;
@@ -110,30 +113,33 @@
 /// How a request at an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer.
+    /// The endpoint answered.
     Answered {
-        /// The time to its first byte.
+        /// The time to the first byte.
         first_byte: Duration,
     },
-    /// With an answer whose first byte was told before, by [`Pool::answer_started`].
+    /// The endpoint answered, and the time to the first byte was reported before by
+    /// [`Pool::answer_started`].
     Completed,
-    /// It was given up before its first byte, which another attempt beside it gave sooner.
+    /// The attempt was abandoned before its first byte, because a hedged attempt beside it answered
+    /// sooner.
     HedgeLost {
-        /// For how long it was waited for.
+        /// How long the attempt waited.
         waited: Duration,
     },
-    /// With a server error, a broken connection or a time-out.
+    /// A server error, a broken connection or a timeout.
     Failed,
-    /// The endpoint said that it is full and has not begun.
+    /// The endpoint refused the request as it was full, and did not start it.
     Refused,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// The caller or the router gave up; this says nothing of the endpoint.
+    /// The caller or the router gave up; this says nothing about the endpoint.
     Cancelled,
 }
 
 /// The endpoints of one version or plain service.
 ///
+///
 /// ```
 /// # use std::time::{Duration, Instant};
 /// # use curranthook_policy::endpoint::{Member, Outcome, Pool, Reason};
@@ -153,13 +159,14 @@
     rng: Pcg64Mcg,
     endpoints: Vec<State>,
     indices: HashMap<Id, usize>,
-    /// Places that may be picked now; kept to save allocating on each pick.
+    /// Indices of the endpoints that may be selected now; kept to avoid an allocation per
+    /// selection.
     eligible: Vec<usize>,
 }
 
 impl Pool {
-    /// An empty pool of a node in the failure domain `local_domain`. The seed should differ from node
-    /// to node: it also draws the node's subset.
+    /// Creates an empty pool for a node in the failure domain `local_domain`. The seed should
+    /// differ between nodes: it also determines the node's subset.
     pub fn new(local_domain: domain::Id, seed: u64) -> Self {
         Self {
             local_domain,
@@ -171,7 +178,7 @@
         }
     }
 
-    /// Sets the endpoints. What is known of those that stay is kept.
+    /// Sets the endpoints. Keeps the state of those that remain.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>) {
         let mut known: HashMap<Id, State> =
             self.endpoints.drain(..).map(|it| (it.member.id.clone(), it)).collect();
@@ -185,18 +192,18 @@
         self.indices = indices.map(|(index, it)| (it.member.id.clone(), index)).collect();
     }
 
-    /// How many endpoints this node knows.
+    /// The number of endpoints that this node uses.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether this node knows no endpoint.
+    /// Whether this node uses no endpoint.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Picks an endpoint. `affinity` is a hash of what its cache should hold, `exclude` those
-    /// that this request has tried.
+    /// Selects an endpoint. `affinity` is a hash of the cached content the request needs, `exclude`
+    /// lists the endpoints that the request has tried.
     pub fn select(
         &mut self,
         affinity: Option<u64>,
@@ -237,15 +244,15 @@
         Ok(self.selection_of(index, Reason::PowerOfTwo))
     }
 
-    /// A request was sent to an endpoint.
+    /// Records that a request was sent to an endpoint.
     pub fn started(&mut self, id: &Id, now: Instant) {
         if let Some(it) = self.endpoint_mut(id) {
             it.start(now);
         }
     }
 
-    /// An answer began. Told now and not with its end, a slow endpoint is noticed before the
-    /// first of its slow answers is whole.
+    /// Records the first byte of an answer. Reporting it before the answer ends detects a slow
+    /// endpoint before the first of its slow answers is complete.
     pub fn answer_started(&mut self, id: &Id, first_byte: Duration, now: Instant) {
         let Some(index) = self.indices.get(id).copied() else {
             return;
@@ -254,27 +261,28 @@
         ejection::update_ejection(&mut self.endpoints, index, now);
     }
 
-    /// A request at an endpoint ended. Each `started` is followed by exactly one `finished`.
+    /// Records that a request at an endpoint ended. Each `started` is followed by exactly one
+    /// `finished`.
     pub fn finished(&mut self, id: &Id, outcome: Outcome, now: Instant) {
         let Some(index) = self.indices.get(id).copied() else {
             return;
         };
         self.endpoints[index].finish(outcome, now);
         if outcome == Outcome::Completed {
-            // It was reviewed as it began.
+            // The ejection was updated when the answer started.
             return;
         }
         ejection::update_ejection(&mut self.endpoints, index, now);
     }
 
-    /// An endpoint reported its load: all requests that it holds, from whatever node.
+    /// Records the load reported by an endpoint: all requests it holds, from any node.
     pub fn report_load(&mut self, id: &Id, load: u64, now: Instant) {
         if let Some(it) = self.endpoint_mut(id) {
             it.report_load(load, now);
         }
     }
 
-    /// An endpoint is leaving: it gets no new work.
+    /// Marks an endpoint as leaving: it gets no new requests.
     pub fn set_leaving(&mut self, id: &Id) {
         if let Some(it) = self.endpoint_mut(id) {
             it.is_leaving = true;
@@ -282,27 +290,27 @@
         }
     }
 
-    /// An endpoint is no longer leaving, by its own word.
+    /// Clears the leaving mark, after the endpoint itself reported that it stays.
     pub fn clear_leaving(&mut self, id: &Id) {
         if let Some(it) = self.endpoint_mut(id) {
             it.is_leaving = false;
         }
     }
 
-    /// How long to wait for an endpoint's first byte before another connection or endpoint is
-    /// tried: well above what it took of late.
+    /// How long to wait for an endpoint's first byte before trying another connection or endpoint:
+    /// well above its recent times.
     pub fn first_byte_timeout(&self, id: &Id) -> Duration {
         let measured =
             self.indices.get(id).and_then(|index| self.endpoints[*index].first_byte.timeout());
         measured.unwrap_or(first_byte::DEFAULT_TIMEOUT)
     }
 
-    /// How many endpoints are left out for being slow or failing.
+    /// The number of endpoints ejected for being slow or failing.
     pub fn n_ejected(&self) -> usize {
         self.endpoints.iter().filter(|it| it.is_ejected()).count()
     }
 
-    /// This node's own requests at an endpoint.
+    /// The number of this node's own requests in flight at an endpoint.
     pub fn in_flight(&self, id: &Id) -> usize {
         self.indices.get(id).map_or(0, |index| self.endpoints[*index].in_flight)
     }
@@ -316,7 +324,7 @@
         Selection { id: self.endpoints[index].member.id.clone(), reason }
     }
 
-    /// With every healthy endpoint excluded, one that was left out is better than none.
+    /// Selects an ejected endpoint if every healthy one is excluded, which is better than none.
     fn select_ejected(&self, exclude: &[Id]) -> Result<Selection, Unavailable> {
         let mut candidates =
             self.endpoints.iter().filter(|it| !it.is_leaving && !exclude.contains(&it.member.id));
@@ -328,9 +336,9 @@
             .ok_or(Unavailable::AllBusy)
     }
 
-    /// The endpoint that the key belongs to, by rendezvous hashing, unless it is loaded above
-    /// its share. Then the key goes where the load says: a prompt computed anew costs less
-    /// than a wait behind a hot endpoint.
+    /// The endpoint that the key maps to by rendezvous hashing, unless its load exceeds the bound.
+    /// Then the request is balanced by load: recomputing a prompt costs less than waiting behind an
+    /// overloaded endpoint.
     fn affinity_endpoint(&self, key: u64, now: Instant) -> Option<usize> {
         let weight = |index: &usize| hash::pair(self.endpoints[*index].hash, key);
         let index = *self.eligible.iter().max_by_key(|it| weight(it))?;
@@ -340,7 +348,8 @@
         };
         let total: f64 = self.eligible.iter().map(|it| utilisation(*it)).sum();
         let mean = total / self.eligible.len() as f64;
-        // One request more than the mean is always allowed, or idle pools would spread prompts.
+        // The bound always allows one request more than the mean, or idle pools would spread
+        // prompts.
         let bound = (mean * AFFINITY_LOAD_FACTOR).max(mean + 1.0 / self.endpoints[index].slots());
         (utilisation(index) <= bound).then_some(index)
     }
@@ -355,8 +364,8 @@
     }
 }
 
-/// The endpoints that this node keeps: those with the highest hash with its seed. A change of
-/// the list moves only what has to move.
+/// The subset of endpoints used by this node: those whose hash with the node's seed is highest. A
+/// change to the list only moves the endpoints it has to.
 fn subset(members: impl IntoIterator<Item = Member>, seed: u64) -> Vec<Member> {
     let mut members: Vec<Member> = members.into_iter().collect();
     if MAX_SUBSET < members.len() {
