--- a/crates/curranthook_policy/src/endpoint/ejection.rs
+++ b/crates/curranthook_policy/src/endpoint/ejection.rs
@@ -1,28 +1,30 @@
-//! Slow and failing endpoints are left out for a while.
+//! Temporary ejection of slow and failing endpoints.
 
 use std::time::{Duration, Instant};
 
 use crate::endpoint::state::{Ejected, State};
 
-/// Failures in a row after which an endpoint is left out.
+/// Consecutive failures after which an endpoint is ejected.
 const CONSECUTIVE_FAILURES: u32 = 3;
-/// How many times slower than the median an endpoint must be to be left out.
+/// How many times slower than the median an endpoint must be to be ejected.
 const SLOW_FACTOR: f64 = 3.0;
-/// Differences below this time are not worth leaving an endpoint out, in seconds.
+/// The smallest difference to the median, in seconds, that justifies an ejection.
 const SLOW_MARGIN_SECONDS: f64 = 0.05;
-/// Requests in a row that got their answers from elsewhere, after which it counts how long they
-/// were waited for. One may have met a connection that went silent.
+/// Consecutive lost hedges after which their waiting time is evaluated. A single one may be due to
+/// a connection that went silent.
 const CONSECUTIVE_HEDGE_LOSSES: u32 = 2;
-/// How many times the median that wait must be. The answer would have come later still.
+/// How many times the median the waiting time of a lost hedge must be for an ejection. The factor
+/// is lower than for measured times, since the answer would have come later still.
 const HEDGE_LOSS_FACTOR: f64 = 2.0;
-/// How long a failing endpoint is left out at first; the time doubles with each failed probe.
+/// The first ejection time of a failing endpoint; it doubles with each failed probe.
 const MIN_EJECTION_FAILING: Duration = Duration::from_secs(1);
-/// The same for a slow one. Each probe makes a caller wait, and a slow endpoint isn't missed as
-/// much as one that is thought dead while it's back already.
+/// The first ejection time of a slow endpoint. It is longer, since each probe makes a caller wait,
+/// and leaving out a slow endpoint for too long costs less than leaving out one that is presumed
+/// dead but has recovered.
 const MIN_EJECTION_SLOW: Duration = Duration::from_secs(5);
 const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// Leaves out or takes back the endpoint at `index` after an answer or a failure.
+/// Ejects or readmits the endpoint at `index` after an answer or a failure.
 pub(crate) fn update_ejection(endpoints: &mut [State], index: usize, now: Instant) {
     let is_unhealthy = is_failing(&endpoints[index]) || is_slow(endpoints, index);
     match (endpoints[index].is_ejected(), is_unhealthy) {
@@ -34,7 +36,7 @@
 }
 
 fn is_failing(endpoint: &State) -> bool {
-    // One failure is enough for an endpoint on probation.
+    // One failed probe extends the ejection of an ejected endpoint.
     let threshold = if endpoint.is_ejected() { 1 } else { CONSECUTIVE_FAILURES };
     threshold <= endpoint.n_failures
 }
@@ -52,7 +54,7 @@
         return exceeds_median(endpoint.hedge_losses.last_wait.as_secs_f64(), HEDGE_LOSS_FACTOR);
     }
     let measured = if endpoint.is_ejected() {
-        // The mean still holds the time that it was left out for; only the probe counts.
+        // The mean still includes the times that led to the ejection; only the probe counts.
         endpoint.first_byte.last().map(|it| it.as_secs_f64())
     } else if endpoint.first_byte.has_enough_samples() {
         endpoint.first_byte.mean()
@@ -80,8 +82,9 @@
     Some(*median)
 }
 
-/// Never more than half are left out. Where most endpoints look bad the cause lies elsewhere,
-/// say in the network or in a request, and the few that are left would break down too.
+/// Never ejects more than half of the endpoints. If most endpoints look unhealthy, the cause lies
+/// elsewhere, such as in the network or in a request, and the few remaining ones would be
+/// overloaded.
 fn eject(endpoints: &mut [State], index: usize, now: Instant) {
     let (n_active, n_ejected) = count_members(endpoints);
     if n_active < 2 * (n_ejected + 1) {
@@ -92,7 +95,8 @@
     extend_ejection(endpoint, now);
 }
 
-/// Takes endpoints back after others went, so that half of those that stay are still in.
+/// Readmits endpoints after others left, so that at least half of the remaining ones are not
+/// ejected.
 pub(crate) fn enforce_floor(endpoints: &mut [State]) {
     loop {
         let (n_active, n_ejected) = count_members(endpoints);
@@ -107,7 +111,7 @@
     }
 }
 
-/// How many endpoints stay, and how many of these are left out.
+/// The number of endpoints that are not leaving, and how many of these are ejected.
 fn count_members(endpoints: &[State]) -> (usize, usize) {
     let active = endpoints.iter().filter(|it| !it.is_leaving);
     (active.clone().count(), active.filter(|it| it.is_ejected()).count())
@@ -127,7 +131,7 @@
     endpoint.first_byte.reset();
 }
 
-/// An endpoint that has done well for a while is forgiven its past.
+/// Resets the ejection backoff of an endpoint that has been healthy for a while.
 fn reset_backoff(endpoint: &mut State) {
     if endpoint.n_failures == 0 && endpoint.first_byte.has_enough_samples() {
         endpoint.n_ejections = 0;
