--- a/crates/curranthook_policy/src/endpoint/first_byte.rs
+++ b/crates/curranthook_policy/src/endpoint/first_byte.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// How many recent times are kept.
+/// The number of recent times kept.
 const MAX_SAMPLES: usize = 32;
-/// From this many times on, they are believed.
+/// The number of times from which on statistics are used.
 pub(crate) const MIN_SAMPLES: usize = 8;
-/// The limit before enough is known.
+/// The timeout used until enough times were measured.
 pub(crate) const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Recent times to the first byte, and their running mean.
@@ -15,7 +15,7 @@
     recent: [f32; MAX_SAMPLES],
     n: usize,
     mean: f64,
-    /// Worked out as a time is added, which is rarer than it is read.
+    /// Computed when a time is added, which happens less often than it is read.
     timeout: Duration,
 }
 
@@ -30,7 +30,7 @@
         self.timeout = self.compute_timeout();
     }
 
-    /// Begins anew with one time, for an endpoint that was slow and is no longer.
+    /// Discards all times but the last, for an endpoint that was slow and has recovered.
     pub(crate) fn reset(&mut self) {
         let last = self.last();
         *self = Self::default();
