--- a/crates/curranthook_policy/src/endpoint/state.rs
+++ b/crates/curranthook_policy/src/endpoint/state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one endpoint.
+//! A node's view of one endpoint.
 
 use std::time::{Duration, Instant};
 
@@ -9,17 +9,17 @@
     hash,
 };
 
-/// A load report loses half of its weight in this time: the requests it counted finish.
+/// The time in which a load report loses half of its weight, as the requests it counted finish.
 const LOAD_REPORT_HALF_LIFE: Duration = Duration::from_millis(500);
-/// Fewer requests than this are taken for none.
+/// Fewer remaining requests than this count as none.
 const NEGLIGIBLE_REQUESTS: f64 = 0.1;
-/// An endpoint in another failure domain must be better by this factor.
+/// The factor by which an endpoint in another failure domain must score better to be preferred.
 const REMOTE_DOMAIN_PENALTY: f64 = 1.15;
-/// Latency assumed of an endpoint that has not answered yet, in seconds. It is low, so that
-/// a new endpoint is tried.
+/// The latency assumed of an endpoint that has not answered yet, in seconds. It is low, so that new
+/// endpoints are tried.
 const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
 
-/// What a node knows of one endpoint.
+/// A node's view of one endpoint.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) member: Member,
@@ -31,25 +31,25 @@
     pub(crate) n_failures: u32,
     pub(crate) hedge_losses: HedgeLosses,
     pub(crate) ejected: Option<Ejected>,
-    /// How often it was left out, one time after another.
+    /// Consecutive ejections, for the backoff.
     pub(crate) n_ejections: u32,
-    /// Requests of other nodes, and when that was known.
+    /// Requests of other nodes, and when their number was reported.
     others_load: Option<(f64, Instant)>,
     window: Window,
 }
 
-/// An endpoint that is left out.
+/// The state of an ejected endpoint.
 #[derive(Debug)]
 pub(crate) struct Ejected {
-    /// When it is tried again.
+    /// When it is probed next.
     pub(crate) until: Instant,
 }
 
-/// Requests since the last answer that got theirs from elsewhere.
+/// Hedges lost since the last answer: requests answered sooner by another attempt.
 #[derive(Debug, Default)]
 pub(crate) struct HedgeLosses {
     pub(crate) n: u32,
-    /// How long the last one was waited for: its first byte would have come later still.
+    /// How long the last such request waited; its first byte would have come later still.
     pub(crate) last_wait: Duration,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The same endpoint after its settings changed.
+    /// The same endpoint with changed settings.
     pub(crate) fn with_member(self, member: Member) -> Self {
         let window = if member.slots == self.member.slots {
             self.window
@@ -90,7 +90,8 @@
     pub(crate) fn start(&mut self, now: Instant) {
         const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
         self.in_flight += 1;
-        // One probe at a time. Should its end never be told, another follows later.
+        // Only one probe at a time. If its end is never reported, another one follows after the
+        // timeout.
         if let Some(ejected) = &mut self.ejected {
             ejected.until = ejected.until.max(now + PROBE_TIMEOUT);
         }
@@ -109,7 +110,7 @@
             Outcome::HedgeLost { waited } => self.hedge_losses.add(waited),
             Outcome::Completed => {}
             Outcome::Failed | Outcome::Unreachable => self.n_failures += 1,
-            // It holds as many as it can; others sent what we did not.
+            // The endpoint is full: the slots that this node does not use hold requests of others.
             Outcome::Refused => {
                 self.report_load(self.member.slots as u64, now);
                 self.window.record_refusal(now);
@@ -134,19 +135,19 @@
         self.member.slots.max(1) as f64
     }
 
-    /// Own requests and what the aged report says of others'.
+    /// This node's own requests plus the decayed number of requests of other nodes.
     pub(crate) fn load(&self, now: Instant) -> f64 {
         let others_load = self.others_load.map_or(0.0, |(others_load, reported)| {
             let age = now.saturating_duration_since(reported);
             let remaining =
                 others_load * (-age.as_secs_f64() / LOAD_REPORT_HALF_LIFE.as_secs_f64()).exp2();
-            // The trace of an old report would decide between endpoints that are equal.
+            // Otherwise the remainder of an old report would decide between equal endpoints.
             if remaining < NEGLIGIBLE_REQUESTS { 0.0 } else { remaining }
         });
         self.in_flight as f64 + others_load
     }
 
-    /// The lower, the better: utilisation times latency.
+    /// The balancing score, lower is better: utilisation times latency.
     pub(crate) fn score(&self, local_domain: &domain::Id, now: Instant) -> f64 {
         let latency = self.first_byte.mean().unwrap_or(DEFAULT_LATENCY_SECONDS);
         let domain_factor =
@@ -158,7 +159,7 @@
         self.ejected.is_some()
     }
 
-    /// Whether it was left out and is to be tried again.
+    /// Whether the endpoint was ejected and its next probe is due.
     pub(crate) fn is_probe_due(&self, now: Instant) -> bool {
         self.ejected.as_ref().is_some_and(|it| it.until <= now)
     }
