--- a/crates/curranthook_policy/src/endpoint/window.rs
+++ b/crates/curranthook_policy/src/endpoint/window.rs
@@ -1,24 +1,25 @@
-//! How many of this node's requests an endpoint takes at once.
+//! A limit on this node's concurrent requests at an endpoint.
 //!
-//! An endpoint's places are shared by nodes that don't know of each other. If each fills them
-//! all, requests wait in the endpoint's own queue, where they can't be refused, reordered or
-//! sent elsewhere. So each node lowers its own part while the endpoint reports more than it can
-//! run, and raises it while there is room: additive increase, multiplicative decrease, which
-//! makes parts equal.
+//! The slots of an endpoint are shared by nodes that don't know of each other. If each node filled
+//! all of them, requests would wait in the endpoint's own queue, where they can't be refused,
+//! reordered or sent elsewhere. So each node lowers its limit while the endpoint reports more
+//! requests than it can run, and raises it while there are free slots. Additive increase and
+//! multiplicative decrease make the limits of the nodes converge to equal shares.
 
 use std::time::{Duration, Instant};
 
-/// An endpoint may hold this much more than it can run, so that a place that gets free is filled
-/// at once.
+/// The load, relative to the slots, above which the limit is decreased. It is above 1 so that a
+/// slot that becomes free is filled at once.
 const OVERLOAD_FACTOR: f64 = 1.5;
-/// What a report of free places adds.
+/// The increase of the limit for each report of free slots.
 const INCREASE_STEP: f64 = 0.2;
-/// The least that one decrease leaves.
+/// The smallest factor by which one decrease multiplies the limit.
 const MIN_DECREASE_FACTOR: f64 = 0.5;
-/// Reports lag, so the effect of a decrease takes this long to show.
+/// The shortest time between two decreases: load reports lag, so the effect of a decrease takes
+/// this long to show.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// This node's part of an endpoint's places.
+/// This node's limit of concurrent requests at an endpoint.
 #[derive(Debug)]
 pub(crate) struct Window {
     limit: f64,
@@ -26,7 +27,7 @@
 }
 
 impl Window {
-    /// All places, as long as nothing speaks against it.
+    /// Starts with all slots, until a report lowers the limit.
     pub(crate) fn new(slots: f64) -> Self {
         Self { limit: slots, last_decrease: None }
     }
@@ -35,7 +36,7 @@
         in_flight as f64 + 1.0 <= self.limit.max(1.0)
     }
 
-    /// Takes in how many requests the endpoint holds, of all nodes.
+    /// Records how many requests the endpoint holds, from all nodes.
     pub(crate) fn record_load(&mut self, load: f64, slots: f64, now: Instant) {
         if load < slots {
             self.limit = (self.limit + INCREASE_STEP).min(slots);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The endpoint refused a request because it is full.
+    /// Records that the endpoint refused a request because it is full.
     pub(crate) fn record_refusal(&mut self, now: Instant) {
         self.decrease(MIN_DECREASE_FACTOR, now);
     }
