--- a/crates/curranthook_policy/src/limit.rs
+++ b/crates/curranthook_policy/src/limit.rs
@@ -6,9 +6,9 @@
 
 /// The part of a fleet's limit that is spread evenly; the rest follows demand. A node that an
 /// account turns to suddenly has this much until its demand is known.
-const EVEN_PART: f64 = 0.25;
+const EVEN_FRACTION: f64 = 0.25;
 /// The time over which demand is averaged.
-const DEMAND_SPAN: Duration = Duration::from_secs(5);
+const DEMAND_WINDOW: Duration = Duration::from_secs(5);
 
 /// A token bucket with this node's share of an account's limit.
 ///
@@ -30,7 +30,7 @@
     burst: f64,
     share: f64,
     tokens: f64,
-    at: Instant,
+    updated: Instant,
     demand: f64,
 }
 
@@ -38,7 +38,7 @@
     /// A full bucket with an even share among `nodes`.
     pub fn new(limit: &Limit, nodes: usize, now: Instant) -> Self {
         let mut bucket =
-            Self { rate: 0.0, burst: 0.0, share: 0.0, tokens: 0.0, at: now, demand: 0.0 };
+            Self { rate: 0.0, burst: 0.0, share: 0.0, tokens: 0.0, updated: now, demand: 0.0 };
         bucket.set_limit(limit, nodes);
         bucket.tokens = bucket.capacity();
         bucket
@@ -52,7 +52,7 @@
         self.tokens = self.tokens.min(self.capacity());
     }
 
-    /// Moves the share to where demand is: `fleet` is the demand on all nodes, this one
+    /// Moves the share to where demand is: `fleet_demand` is the demand on all nodes, this one
     /// included. Shares worked out from the same figures add up to the limit.
     ///
     /// ```
@@ -63,10 +63,14 @@
     /// bucket.set_share(30.0, 30.0, 4);
     /// assert!(0.8 < bucket.share());
     /// ```
-    pub fn set_share(&mut self, own: f64, fleet: f64, nodes: usize) {
-        let even = 1.0 / nodes.max(1) as f64;
-        let wanted = if 0.0 < fleet { (own / fleet).clamp(0.0, 1.0) } else { even };
-        self.share = EVEN_PART * even + (1.0 - EVEN_PART) * wanted;
+    pub fn set_share(&mut self, own_demand: f64, fleet_demand: f64, nodes: usize) {
+        let even_share = 1.0 / nodes.max(1) as f64;
+        let demand_share = if 0.0 < fleet_demand {
+            (own_demand / fleet_demand).clamp(0.0, 1.0)
+        } else {
+            even_share
+        };
+        self.share = EVEN_FRACTION * even_share + (1.0 - EVEN_FRACTION) * demand_share;
         self.tokens = self.tokens.min(self.capacity());
     }
 
@@ -82,13 +86,13 @@
 
     /// Takes one request, or says when the next one will be granted.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let since = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + since * self.rate * self.share).min(self.capacity());
-        self.count(since);
+        let elapsed_seconds = now.saturating_duration_since(self.updated).as_secs_f64();
+        self.updated = self.updated.max(now);
+        self.tokens = (self.tokens + elapsed_seconds * self.rate * self.share).min(self.capacity());
+        self.count_demand(elapsed_seconds);
 
         if self.tokens < 1.0 {
-            return Err(self.wait());
+            return Err(self.retry_after());
         }
         self.tokens -= 1.0;
         Ok(())
@@ -99,17 +103,18 @@
         (self.burst * self.share).max(1.0)
     }
 
-    fn count(&mut self, since: f64) {
-        let span = DEMAND_SPAN.as_secs_f64();
-        self.demand = self.demand * (-since / span).exp() + 1.0 / span;
+    fn count_demand(&mut self, elapsed_seconds: f64) {
+        let window_seconds = DEMAND_WINDOW.as_secs_f64();
+        self.demand =
+            self.demand * (-elapsed_seconds / window_seconds).exp() + 1.0 / window_seconds;
     }
 
-    fn wait(&self) -> Duration {
-        const LONGEST: f64 = 3_600.0;
+    fn retry_after(&self) -> Duration {
+        const MAX_RETRY_AFTER_SECONDS: f64 = 3_600.0;
         let rate = self.rate * self.share;
         if rate <= 0.0 {
-            return Duration::from_secs_f64(LONGEST);
+            return Duration::from_secs_f64(MAX_RETRY_AFTER_SECONDS);
         }
-        Duration::from_secs_f64(((1.0 - self.tokens) / rate).min(LONGEST))
+        Duration::from_secs_f64(((1.0 - self.tokens) / rate).min(MAX_RETRY_AFTER_SECONDS))
     }
 }
--- a/crates/curranthook_policy/src/queue.rs
+++ b/crates/curranthook_policy/src/queue.rs
@@ -8,11 +8,11 @@
 use curranthook_types::account;
 
 /// What one request of an account of weight 1 adds to the account's virtual time.
-const UNIT: f64 = 1_000_000.0;
-const LEAST_WEIGHT: f64 = 0.001;
+const COST_PER_REQUEST: f64 = 1_000_000.0;
+const MIN_WEIGHT: f64 = 0.001;
 /// The part of the time left that the expected wait may take; the rest is for its error and for
 /// the answer itself. A request that waits until just before its deadline is lost all the same.
-const USABLE: f64 = 0.3;
+const MAX_WAIT_SHARE: f64 = 0.3;
 
 /// The queue can't serve a request in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,12 +49,12 @@
 #[derive(Debug)]
 pub struct Fair<T> {
     capacity: usize,
-    waiting: BTreeMap<(u64, u64), Entry<T>>,
-    lanes: HashMap<account::Id, Lane>,
+    entries: BTreeMap<(u64, u64), Entry<T>>,
+    flows: HashMap<account::Id, Flow>,
     virtual_time: u64,
     sequence: u64,
-    taken: u64,
-    service: Service,
+    n_served: u64,
+    throughput: Throughput,
 }
 
 #[derive(Debug)]
@@ -64,19 +64,19 @@
     deadline: Instant,
     /// Requests ahead of it when it came, and how many had been taken by then.
     ahead: u32,
-    taken_before: u64,
+    served_before: u64,
 }
 
 /// One account's place in virtual time.
 #[derive(Debug)]
-struct Lane {
+struct Flow {
     finish: u64,
-    waiting: usize,
+    n_waiting: usize,
     weight: f64,
     /// How many requests were served before one of this account, for each that was ahead of
     /// it when it came. Accounts that ask for less than their share overtake those that ask
     /// for more; without this factor, the latter would be let in to wait in vain.
-    overtaken: f64,
+    delay_factor: f64,
 }
 
 impl<T> Fair<T> {
@@ -84,23 +84,23 @@
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
-            waiting: BTreeMap::new(),
-            lanes: HashMap::new(),
+            entries: BTreeMap::new(),
+            flows: HashMap::new(),
             virtual_time: 0,
             sequence: 0,
-            taken: 0,
-            service: Service::default(),
+            n_served: 0,
+            throughput: Throughput::default(),
         }
     }
 
     /// How many requests wait.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.entries.len()
     }
 
     /// Whether none waits.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.entries.is_empty()
     }
 
     /// Changes how many requests may wait; those that wait stay.
@@ -117,140 +117,142 @@
         deadline: Instant,
         now: Instant,
     ) -> Result<(), Full> {
-        let weight = weight.max(LEAST_WEIGHT);
-        let lane = self.lanes.get(account);
-        let start = lane.map_or(self.virtual_time, |it| it.finish.max(self.virtual_time));
-        let finish = start.saturating_add((UNIT / weight) as u64);
+        let weight = weight.max(MIN_WEIGHT);
+        let flow = self.flows.get(account);
+        let start = flow.map_or(self.virtual_time, |it| it.finish.max(self.virtual_time));
+        let finish = start.saturating_add((COST_PER_REQUEST / weight) as u64);
 
-        let ahead = self.ahead(finish);
-        let overtaken = lane.map_or(1.0, |it| it.overtaken);
-        let wait = self.service.interval(now).mul_f64(f64::from(ahead) * overtaken);
+        let ahead = self.count_ahead(finish);
+        let delay_factor = flow.map_or(1.0, |it| it.delay_factor);
+        let wait = self.throughput.expected_interval(now).mul_f64(f64::from(ahead) * delay_factor);
         let time_left = deadline.saturating_duration_since(now);
-        let is_late = time_left.is_zero() || time_left.mul_f64(USABLE) < wait;
-        if is_late || self.room(account, weight) == 0 {
-            return Err(Full { retry_after: wait.max(Full::SHORTEST) });
+        let is_too_late = time_left.is_zero() || time_left.mul_f64(MAX_WAIT_SHARE) < wait;
+        if is_too_late || self.remaining_capacity(account, weight) == 0 {
+            return Err(Full { retry_after: wait.max(Full::MIN_RETRY_AFTER) });
         }
 
-        if self.waiting.is_empty() {
-            self.service.begin(now);
+        if self.entries.is_empty() {
+            self.throughput.start(now);
         }
         self.sequence += 1;
-        let taken_before = self.taken;
-        let entry = Entry { item, account: account.clone(), deadline, ahead, taken_before };
-        self.waiting.insert((finish, self.sequence), entry);
-        let lane = self.lanes.entry(account.clone()).or_insert(Lane::new(finish, weight));
-        lane.finish = finish;
-        lane.weight = weight;
-        lane.waiting += 1;
+        let served_before = self.n_served;
+        let entry = Entry { item, account: account.clone(), deadline, ahead, served_before };
+        self.entries.insert((finish, self.sequence), entry);
+        let flow = self.flows.entry(account.clone()).or_insert(Flow::new(finish, weight));
+        flow.finish = finish;
+        flow.weight = weight;
+        flow.n_waiting += 1;
         Ok(())
     }
 
     /// Takes the next request.
     pub fn pop(&mut self, now: Instant) -> Option<Next<T>> {
-        let ((finish, _), entry) = self.waiting.pop_first()?;
-        self.leave(&entry);
+        let ((finish, _), entry) = self.entries.pop_first()?;
+        self.record_departure(&entry);
         if entry.deadline <= now {
             return Some(Next::Expired(entry.item));
         }
         self.virtual_time = self.virtual_time.max(finish);
-        self.taken += 1;
+        self.n_served += 1;
         Some(Next::Run(entry.item))
     }
 
     /// An endpoint became free. The times between these calls, while requests wait, give the
     /// rate of service.
     pub fn record_service(&mut self, now: Instant) {
-        self.service.add(now);
-        if self.waiting.is_empty() {
-            self.service.pause();
+        self.throughput.record(now);
+        if self.entries.is_empty() {
+            self.throughput.stop();
         }
     }
 
     /// How long a request of a new account would wait.
     pub fn expected_wait(&self, now: Instant) -> Duration {
-        let ahead = self.ahead(self.virtual_time.saturating_add(UNIT as u64));
-        self.service.interval(now).saturating_mul(ahead)
+        let ahead = self.count_ahead(self.virtual_time.saturating_add(COST_PER_REQUEST as u64));
+        self.throughput.expected_interval(now).saturating_mul(ahead)
     }
 
-    fn ahead(&self, finish: u64) -> u32 {
-        let ahead = self.waiting.range(..=(finish, u64::MAX)).count();
+    fn count_ahead(&self, finish: u64) -> u32 {
+        let ahead = self.entries.range(..=(finish, u64::MAX)).count();
         u32::try_from(ahead).unwrap_or(u32::MAX)
     }
 
     /// How many more requests of an account may wait. The share is worked out as if one more
     /// account of its weight were there: an account that comes alone must not fill the queue
     /// and shut out the next.
-    fn room(&self, account: &account::Id, weight: f64) -> usize {
-        let others = self.lanes.iter().filter(|(id, _)| *id != account);
+    fn remaining_capacity(&self, account: &account::Id, weight: f64) -> usize {
+        let others = self.flows.iter().filter(|(id, _)| *id != account);
         let others: f64 = others.map(|(_, it)| it.weight).sum();
         let share = (self.capacity as f64 * weight / (others + 2.0 * weight)).ceil() as usize;
-        let waiting = self.lanes.get(account).map_or(0, |it| it.waiting);
-        share.saturating_sub(waiting).min(self.capacity.saturating_sub(self.waiting.len()))
+        let waiting = self.flows.get(account).map_or(0, |it| it.n_waiting);
+        share.saturating_sub(waiting).min(self.capacity.saturating_sub(self.entries.len()))
     }
 
-    fn leave(&mut self, entry: &Entry<T>) {
-        let Some(lane) = self.lanes.get_mut(&entry.account) else {
+    fn record_departure(&mut self, entry: &Entry<T>) {
+        let Some(flow) = self.flows.get_mut(&entry.account) else {
             return;
         };
-        lane.waiting -= 1;
-        lane.learn(entry.ahead, self.taken - entry.taken_before);
+        flow.n_waiting -= 1;
+        flow.update_delay_factor(entry.ahead, self.n_served - entry.served_before);
         // A lane that is behind virtual time holds nothing worth keeping.
-        if lane.waiting == 0 {
-            self.lanes.remove(&entry.account);
+        if flow.n_waiting == 0 {
+            self.flows.remove(&entry.account);
         }
     }
 }
 
-impl Lane {
+impl Flow {
     fn new(finish: u64, weight: f64) -> Self {
-        Self { finish, waiting: 0, weight, overtaken: 1.0 }
+        Self { finish, n_waiting: 0, weight, delay_factor: 1.0 }
     }
 
-    fn learn(&mut self, ahead: u32, served: u64) {
-        const WEIGHT: f64 = 0.1;
+    fn update_delay_factor(&mut self, ahead: u32, served: u64) {
+        const EWMA_WEIGHT: f64 = 0.1;
         let sample = (served as f64 + 1.0) / (f64::from(ahead) + 1.0);
-        self.overtaken = (self.overtaken + WEIGHT * (sample - self.overtaken)).max(1.0);
+        self.delay_factor =
+            (self.delay_factor + EWMA_WEIGHT * (sample - self.delay_factor)).max(1.0);
     }
 }
 
 impl Full {
-    const SHORTEST: Duration = Duration::from_millis(100);
+    const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 }
 
 /// The rate at which requests are taken while others wait.
 #[derive(Debug, Default)]
-struct Service {
-    seconds: Option<f64>,
-    last: Option<Instant>,
+struct Throughput {
+    mean_interval_seconds: Option<f64>,
+    last_served: Option<Instant>,
 }
 
-impl Service {
+impl Throughput {
     /// Times without waiting requests tell nothing of how fast they would be served, so the
     /// clock starts with the first that waits.
-    fn begin(&mut self, now: Instant) {
-        self.last = Some(now);
+    fn start(&mut self, now: Instant) {
+        self.last_served = Some(now);
     }
 
-    fn pause(&mut self) {
-        self.last = None;
+    fn stop(&mut self) {
+        self.last_served = None;
     }
 
-    fn add(&mut self, now: Instant) {
-        const WEIGHT: f64 = 0.1;
-        if let Some(last) = self.last {
-            let sample = now.saturating_duration_since(last).as_secs_f64();
-            let seconds = self.seconds.get_or_insert(sample);
-            *seconds += WEIGHT * (sample - *seconds);
+    fn record(&mut self, now: Instant) {
+        const EWMA_WEIGHT: f64 = 0.1;
+        if let Some(last_served) = self.last_served {
+            let sample = now.saturating_duration_since(last_served).as_secs_f64();
+            let mean_interval_seconds = self.mean_interval_seconds.get_or_insert(sample);
+            *mean_interval_seconds += EWMA_WEIGHT * (sample - *mean_interval_seconds);
         }
-        self.last = Some(now);
+        self.last_served = Some(now);
     }
 
     /// The expected time between two requests. A stall counts as it goes on: endpoints that
     /// stop altogether never report another interval.
-    fn interval(&self, now: Instant) -> Duration {
-        const STALL: f64 = 0.25;
-        let seconds = self.seconds.unwrap_or(0.0);
-        let since = self.last.map_or(Duration::ZERO, |it| now.saturating_duration_since(it));
-        Duration::from_secs_f64(seconds.max(since.as_secs_f64() * STALL))
+    fn expected_interval(&self, now: Instant) -> Duration {
+        const STALL_WEIGHT: f64 = 0.25;
+        let mean_interval_seconds = self.mean_interval_seconds.unwrap_or(0.0);
+        let elapsed =
+            self.last_served.map_or(Duration::ZERO, |it| now.saturating_duration_since(it));
+        Duration::from_secs_f64(mean_interval_seconds.max(elapsed.as_secs_f64() * STALL_WEIGHT))
     }
 }
--- a/crates/curranthook_policy/src/retry.rs
+++ b/crates/curranthook_policy/src/retry.rs
@@ -23,7 +23,7 @@
 pub struct Budget {
     fraction: f64,
     tokens: f64,
-    at: Instant,
+    updated: Instant,
 }
 
 /// The budget is spent; the reason is the one that was asked for.
@@ -34,11 +34,11 @@
     /// The most that can be saved up.
     const CAPACITY: f64 = 20.0;
     /// Retries a second that are earned without successes, so that a quiet node can retry.
-    const FLOOR_PER_SECOND: f64 = 0.5;
+    const MIN_RETRIES_PER_SECOND: f64 = 0.5;
 
     /// A budget that earns `fraction` of a retry with each success.
     pub fn new(fraction: f64, now: Instant) -> Self {
-        Self { fraction, tokens: Self::CAPACITY / 2.0, at: now }
+        Self { fraction, tokens: Self::CAPACITY / 2.0, updated: now }
     }
 
     /// Changes the fraction earned with each success.
@@ -54,9 +54,9 @@
     /// Takes one retry. Some cost nothing: an escalation is part of its plan, and an endpoint that
     /// is gone or going has done no work that would be done again.
     pub fn spend(&mut self, reason: Reason, now: Instant) -> Result<(), Exhausted> {
-        let since = now.saturating_duration_since(self.at);
-        self.at = self.at.max(now);
-        self.earn(since.as_secs_f64() * Self::FLOOR_PER_SECOND);
+        let elapsed = now.saturating_duration_since(self.updated);
+        self.updated = self.updated.max(now);
+        self.earn(elapsed.as_secs_f64() * Self::MIN_RETRIES_PER_SECOND);
         if is_free(reason) {
             return Ok(());
         }
@@ -176,7 +176,7 @@
 /// assert_eq!(decide(&Attempt { sent: Sent::Unsent, ..attempt }), Decision::Retry);
 /// ```
 pub fn decide(attempt: &Attempt) -> Decision {
-    const LEAST_TIME: Duration = Duration::from_millis(10);
+    const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
     if attempt.sent == Sent::MayHaveRun && attempt.repeat == Repeat::AtMostOnce {
         return Decision::Stop(Stop::MayHaveRun);
@@ -184,7 +184,7 @@
     if MAX_ATTEMPTS <= attempt.attempts {
         return Decision::Stop(Stop::Attempts);
     }
-    if attempt.time_left < LEAST_TIME {
+    if attempt.time_left < MIN_TIME_LEFT {
         return Decision::Stop(Stop::Deadline);
     }
     match attempt.delivered {
--- a/crates/curranthook_policy/src/rollout.rs
+++ b/crates/curranthook_policy/src/rollout.rs
@@ -31,8 +31,8 @@
 /// ```
 pub fn route(rollout: &Rollout, key: u64) -> &version::Id {
     // The version is part of the hash, so it isn't always the same sessions that go first.
-    let place = hash::unit(hash::pair(hash::bytes(rollout.to.as_str().as_bytes()), key));
-    if place < rollout.share() { &rollout.to } else { &rollout.from }
+    let position = hash::unit(hash::pair(hash::bytes(rollout.to.as_str().as_bytes()), key));
+    if position < rollout.share() { &rollout.to } else { &rollout.from }
 }
 
 /// When a stage of a roll-out is passed.
@@ -125,10 +125,10 @@
         if let verdict::State::Suspect(reason) = verdict {
             return Decision::Abort(reason);
         }
-        self.hold(from, to, stage_age).map_or(Decision::Advance, Decision::Hold)
+        self.hold_reason(from, to, stage_age).map_or(Decision::Advance, Decision::Hold)
     }
 
-    fn hold(&self, from: &Counts, to: &Counts, stage_age: Duration) -> Option<Hold> {
+    fn hold_reason(&self, from: &Counts, to: &Counts, stage_age: Duration) -> Option<Hold> {
         if stage_age < self.min_duration {
             return Some(Hold::Time);
         }
--- a/crates/curranthook_policy/src/verdict.rs
+++ b/crates/curranthook_policy/src/verdict.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::verdict::detector::{Detector, Side};
+use crate::verdict::detector::{Detector, Direction};
 
 mod counts;
 mod detector;
@@ -126,7 +126,7 @@
     origins: BTreeMap<Origin, Counts>,
     total: Counts,
     /// The past that this version is compared with where it is its own reference.
-    past: Counts,
+    baseline: Counts,
     rating: Detector,
     errors: Detector,
     short: Detector,
@@ -144,11 +144,11 @@
             own: Counts::default(),
             origins: BTreeMap::new(),
             total: Counts::default(),
-            past: Counts::default(),
-            rating: detector(Side::Fall),
-            errors: detector(Side::Rise),
-            short: detector(Side::Fall),
-            long: detector(Side::Rise),
+            baseline: Counts::default(),
+            rating: detector(Direction::Fall),
+            errors: detector(Direction::Rise),
+            short: detector(Direction::Fall),
+            long: detector(Direction::Rise),
             state: State::Clear,
         }
     }
@@ -160,20 +160,20 @@
 
     /// Takes in an answer that this node saw.
     pub fn add(&mut self, sample: Sample) {
-        let step = Counts::from(sample);
-        self.own = self.own.plus(&step);
-        self.absorb(&step);
+        let delta = Counts::from(sample);
+        self.own = self.own.plus(&delta);
+        self.add_counts(&delta);
     }
 
     /// Takes in the counts of another node since its start. An older or equal count of the
     /// same origin changes nothing, so order and repeats don't matter.
     pub fn merge_counts(&mut self, origin: &Origin, counts: Counts) {
-        let known = self.origins.get(origin).copied().unwrap_or_default();
-        if !known.is_older_than(&counts) {
+        let previous = self.origins.get(origin).copied().unwrap_or_default();
+        if !previous.is_older_than(&counts) {
             return;
         }
         self.origins.insert(origin.clone(), counts);
-        self.absorb(&counts.minus(&known));
+        self.add_counts(&counts.minus(&previous));
     }
 
     /// Drops the entry of a node that is gone for good; what it counted stays in the total.
@@ -209,11 +209,11 @@
     /// them for a version that is new or has just been rated low. With a tenth of answers
     /// rated, a bad version would give out ten for each bit of evidence.
     pub fn sampling_rate(&self, base: f64) -> f64 {
-        let is_known = match self.reference {
-            Reference::Own => Self::WARM_UP <= self.total.n,
+        let has_reference = match self.reference {
+            Reference::Own => Self::MIN_REFERENCE_SAMPLES <= self.total.n,
             Reference::Other(_) => true,
         };
-        let urgency = if is_known { self.rating.urgency() } else { 1.0 };
+        let urgency = if has_reference { self.rating.urgency() } else { 1.0 };
         base + (1.0 - base).max(0.0) * urgency
     }
 
@@ -223,40 +223,44 @@
         self.rating.urgency()
     }
 
-    fn absorb(&mut self, step: &Counts) {
-        let past = match &self.reference {
-            Reference::Own => self.past,
+    fn add_counts(&mut self, delta: &Counts) {
+        let baseline = match &self.reference {
+            Reference::Own => self.baseline,
             Reference::Other(counts) => *counts,
         };
-        self.look(step, &past);
-        self.total = self.total.plus(step);
-        self.age();
+        self.update_detectors(delta, &baseline);
+        self.total = self.total.plus(delta);
+        self.advance_reference();
     }
 
-    fn look(&mut self, step: &Counts, past: &Counts) {
+    fn update_detectors(&mut self, delta: &Counts, baseline: &Counts) {
         let margin = self.config.min_effect;
-        if let Some(mean) = past.mean().filter(|_| Self::WARM_UP <= past.n) {
+        if let Some(mean) = baseline.mean().filter(|_| Self::MIN_REFERENCE_SAMPLES <= baseline.n) {
             // A mean of few ratings may be too high by chance, and every later answer would
             // then look bad against it.
-            let doubt = Self::DOUBT * past.standard_error();
-            self.rating.add(step.n, step.sum, mean - doubt - margin);
+            let uncertainty = Self::REFERENCE_STD_ERRORS * baseline.standard_error();
+            self.rating.add(delta.n, delta.sum, mean - uncertainty - margin);
         }
-        if let Some(rate) = past.error_rate().filter(|_| Self::WARM_UP <= past.calls) {
-            self.errors.add(step.calls, step.errors as f64, rate + Self::ERROR_MARGIN);
+        if let Some(rate) =
+            baseline.error_rate().filter(|_| Self::MIN_REFERENCE_SAMPLES <= baseline.calls)
+        {
+            self.errors.add(delta.calls, delta.errors as f64, rate + Self::ERROR_MARGIN);
         }
-        if let Some(length) = past.mean_length().filter(|_| Self::WARM_UP <= past.calls) {
-            let n = step.answers();
-            self.short.add(n, step.lengths, length - Self::LENGTH_MARGIN);
-            self.long.add(n, step.lengths, length + Self::LENGTH_MARGIN);
+        if let Some(length) =
+            baseline.mean_length().filter(|_| Self::MIN_REFERENCE_SAMPLES <= baseline.calls)
+        {
+            let n = delta.answers();
+            self.short.add(n, delta.lengths, length - Self::LENGTH_MARGIN);
+            self.long.add(n, delta.lengths, length + Self::LENGTH_MARGIN);
         }
-        self.conclude();
+        self.update_state();
     }
 
-    fn conclude(&mut self) {
+    fn update_state(&mut self) {
         if self.state != State::Clear {
             return;
         }
-        let found = [
+        let detectors = [
             (&self.rating, Reason::Rating),
             (&self.errors, Reason::Errors),
             (&self.short, Reason::Short),
@@ -264,32 +268,37 @@
         ];
         // Each of the four may be wrong, so each gets a part of the rate. Most of it goes to
         // ratings, which say the most and are the fewest.
-        let part = |reason| if reason == Reason::Rating { 0.7 } else { 0.1 };
-        let is_over = |(it, reason): &&(&Detector, Reason)| {
-            it.evidence() * self.config.alpha * part(*reason) >= 1.0
+        let alpha_share = |reason| if reason == Reason::Rating { 0.7 } else { 0.1 };
+        let is_alarm = |(it, reason): &&(&Detector, Reason)| {
+            it.evidence() * self.config.alpha * alpha_share(*reason) >= 1.0
         };
-        if let Some((_, reason)) = found.iter().find(is_over) {
+        if let Some((_, reason)) = detectors.iter().find(is_alarm) {
             self.state = State::Suspect(*reason);
         }
     }
 
     /// Moves the own reference on, as long as nothing is amiss.
-    fn age(&mut self) {
-        let is_full = self.past.n + Self::BLOCK <= self.total.n || self.past.calls == 0;
-        let is_calm = self.rating.urgency() < Self::CALM && self.errors.urgency() < Self::CALM;
-        let is_first = self.past.n < Self::WARM_UP;
-        if is_full && (is_calm || is_first) && Self::WARM_UP <= self.total.n {
-            self.past = self.total;
+    fn advance_reference(&mut self) {
+        let is_step_complete = self.baseline.n + Self::REFERENCE_STEP_RATINGS <= self.total.n
+            || self.baseline.calls == 0;
+        let is_quiet = self.rating.urgency() < Self::MAX_ADVANCE_URGENCY
+            && self.errors.urgency() < Self::MAX_ADVANCE_URGENCY;
+        let is_initial = self.baseline.n < Self::MIN_REFERENCE_SAMPLES;
+        if is_step_complete
+            && (is_quiet || is_initial)
+            && Self::MIN_REFERENCE_SAMPLES <= self.total.n
+        {
+            self.baseline = self.total;
         }
     }
 
     /// How many standard errors of the reference are allowed for.
-    const DOUBT: f64 = 2.0;
+    const REFERENCE_STD_ERRORS: f64 = 2.0;
     /// Samples that a reference must have.
-    const WARM_UP: u64 = 50;
+    const MIN_REFERENCE_SAMPLES: u64 = 50;
     /// Ratings after which the own reference moves on.
-    const BLOCK: u64 = 50;
-    const CALM: f64 = 0.3;
+    const REFERENCE_STEP_RATINGS: u64 = 50;
+    const MAX_ADVANCE_URGENCY: f64 = 0.3;
     /// The error rate may rise by this much.
     const ERROR_MARGIN: f64 = 0.05;
     /// The mean length, on the scale of [`Counts::lengths`], may move by this much: about a
--- a/crates/curranthook_policy/src/verdict/counts.rs
+++ b/crates/curranthook_policy/src/verdict/counts.rs
@@ -126,12 +126,12 @@
             calls,
             errors,
             tokens: if is_answer { sample.tokens } else { 0 },
-            lengths: if is_answer { scaled(sample.tokens) } else { 0.0 },
+            lengths: if is_answer { log_scale(sample.tokens) } else { 0.0 },
         }
     }
 }
 
-fn scaled(tokens: u64) -> f64 {
-    const DOUBLINGS: f64 = 16.0;
-    ((tokens as f64 + 1.0).log2() / DOUBLINGS).min(1.0)
+fn log_scale(tokens: u64) -> f64 {
+    const MAX_LOG2_TOKENS: f64 = 16.0;
+    ((tokens as f64 + 1.0).log2() / MAX_LOG2_TOKENS).min(1.0)
 }
