--- a/crates/curranthook_policy/src/limit.rs
+++ b/crates/curranthook_policy/src/limit.rs
@@ -1,17 +1,19 @@
-//! How much an account may ask for.
+//! Rate limits of accounts.
 
 use std::time::{Duration, Instant};
 
 use curranthook_settings::config::Limit;
 
-/// The part of a fleet's limit that is spread evenly; the rest follows demand. A node that an
-/// account turns to suddenly has this much until its demand is known.
+/// The fraction of the fleet-wide limit that is split evenly between nodes; the rest follows
+/// demand. If an account suddenly turns to a node, this is what the node grants until the demand
+/// there is known.
 const EVEN_FRACTION: f64 = 0.25;
-/// The time over which demand is averaged.
+/// The time constant of the moving average of demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(5);
 
 /// A token bucket with this node's share of an account's limit.
 ///
+///
 /// ```
 /// # use std::time::Instant;
 /// # use curranthook_policy::limit::Bucket;
@@ -35,7 +37,7 @@
 }
 
 impl Bucket {
-    /// A full bucket with an even share among `nodes`.
+    /// Creates a full bucket with an even share among `nodes`.
     pub fn new(limit: &Limit, nodes: usize, now: Instant) -> Self {
         let mut bucket =
             Self { rate: 0.0, burst: 0.0, share: 0.0, tokens: 0.0, updated: now, demand: 0.0 };
@@ -44,7 +46,7 @@
         bucket
     }
 
-    /// Takes over a limit or a number of nodes that changed; the share is even again.
+    /// Applies a changed limit or number of nodes; the share is even again.
     pub fn set_limit(&mut self, limit: &Limit, nodes: usize) {
         self.rate = limit.requests.max(0.0);
         self.burst = limit.burst.max(0.0);
@@ -52,8 +54,9 @@
         self.tokens = self.tokens.min(self.capacity());
     }
 
-    /// Moves the share to where demand is: `fleet_demand` is the demand on all nodes, this one
-    /// included. Shares worked out from the same figures add up to the limit.
+    /// Shifts the share towards demand. `fleet_demand` is the demand on all nodes, including this
+    /// one. Shares computed from the same figures add up to the limit.
+    ///
     ///
     /// ```
     /// # use std::time::Instant;
@@ -74,17 +77,17 @@
         self.tokens = self.tokens.min(self.capacity());
     }
 
-    /// This node's part of the limit, from 0 to 1.
+    /// This node's share of the limit, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// Requests a second that were asked for here of late, granted or not.
+    /// The recent demand on this node in requests per second, granted or not.
     pub fn demand(&self) -> f64 {
         self.demand
     }
 
-    /// Takes one request, or says when the next one will be granted.
+    /// Takes one token, or returns the time until the next one is available.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
         let elapsed_seconds = now.saturating_duration_since(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
@@ -98,7 +101,7 @@
         Ok(())
     }
 
-    /// A bucket that held less than one request could never grant any.
+    /// At least one request, since a smaller bucket could never grant any.
     fn capacity(&self) -> f64 {
         (self.burst * self.share).max(1.0)
     }
