--- a/crates/curranthook_policy/src/poison.rs
+++ b/crates/curranthook_policy/src/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that take down the endpoints that run them.
+//! Detection of requests that crash the endpoints that run them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,37 +11,38 @@
 /// A hash of a request's body, the same on every node.
 pub type Fingerprint = [u8; 16];
 
-/// How many different endpoints must have died under a request.
+/// How many different endpoints must have crashed while running a request before it is refused.
 const MIN_CRASHED_ENDPOINTS: usize = 2;
-/// How long a charge stands.
+/// How long a record stays valid.
 const RECORD_TTL: Duration = Duration::from_secs(600);
 
-/// What a node knows of one request, for other nodes.
+/// A node's record of one request, as sent to other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The endpoints that died under it; two are enough.
+    /// The endpoints that crashed while running it; at most two are listed, which is enough.
     pub endpoints: BTreeSet<endpoint::Id>,
-    /// Whether an endpoint answered it since.
+    /// Whether an endpoint answered the request since.
     pub state: State,
-    /// How long ago it was first charged.
+    /// The time since the first crash.
     pub age: Duration,
 }
 
-/// Whether a charge still stands.
+/// Whether a record still counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It does.
+    /// The record counts.
     #[serde(rename = "charged")]
     Active,
-    /// An endpoint answered the request, so the deaths had another cause.
+    /// An endpoint answered the request, so the crashes had another cause.
     #[serde(rename = "released")]
     Cleared,
 }
 
-/// Charges against requests, by fingerprint. The oldest are dropped when there are too many.
+/// Records of crashes by request fingerprint. The oldest are dropped if there are too many.
+///
 ///
 /// ```
 /// # use std::time::Instant;
@@ -69,12 +70,12 @@
 }
 
 impl Register {
-    /// A register of at most `capacity` requests.
+    /// Creates a register of at most `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, records: BTreeMap::new(), by_age: BTreeSet::new() }
     }
 
-    /// An endpoint died under this request.
+    /// Records that an endpoint crashed while running this request.
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -86,7 +87,7 @@
         self.merge_record(fingerprint, Record { endpoints, state: State::Active, since: now });
     }
 
-    /// Whether this request must not be run any more.
+    /// Whether this request must be refused.
     pub fn is_poison(&self, fingerprint: Fingerprint, now: Instant) -> bool {
         self.records.get(&fingerprint).is_some_and(|it| {
             it.state == State::Active
@@ -95,14 +96,14 @@
         })
     }
 
-    /// An endpoint answered this request.
+    /// Records that an endpoint answered this request.
     pub fn clear(&mut self, fingerprint: Fingerprint) {
         if let Some(it) = self.records.get_mut(&fingerprint) {
             it.state = State::Cleared;
         }
     }
 
-    /// Everything known, for other nodes.
+    /// All valid records, for sending to other nodes.
     pub fn export(&self, now: Instant) -> Vec<Entry> {
         let entries = self.records.iter().map(|(fingerprint, it)| Entry {
             fingerprint: *fingerprint,
@@ -113,7 +114,7 @@
         entries.filter(|it| it.age < RECORD_TTL).collect()
     }
 
-    /// Takes in what another node knows. Order and repeats don't matter.
+    /// Merges the records of another node. Order and repetition have no effect.
     pub fn merge(&mut self, entries: impl IntoIterator<Item = Entry>, now: Instant) {
         self.expire(now);
         for it in entries.into_iter().filter(|it| it.age < RECORD_TTL) {
@@ -133,8 +134,8 @@
             Some(existing) => Record {
                 endpoints: existing.endpoints.into_iter().chain(record.endpoints).collect(),
                 state: existing.state.max(record.state),
-                // The earlier time: with the later one, nodes that send an entry to and fro
-                // would keep it young for ever by the time it spends on the way.
+                // The earlier time: with the later one, an entry that nodes exchange back and forth
+                // would be refreshed by its transit time on each exchange and never expire.
                 since: existing.since.min(record.since),
             },
         };
