--- a/crates/curranthook_policy/src/queue.rs
+++ b/crates/curranthook_policy/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an endpoint.
+//! The queue of requests waiting for an endpoint.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,34 +7,36 @@
 
 use curranthook_types::account;
 
-/// What one request of an account of weight 1 adds to the account's virtual time.
+/// How far one request of an account of weight 1 advances the account's virtual time.
 const COST_PER_REQUEST: f64 = 1_000_000.0;
 const MIN_WEIGHT: f64 = 0.001;
-/// The part of the time left that the expected wait may take; the rest is for its error and for
-/// the answer itself. A request that waits until just before its deadline is lost all the same.
+/// The largest share of the time left that the expected wait may take. The rest covers errors of
+/// the estimate and the time to answer: a request that waits until just before its deadline fails
+/// anyway.
 const MAX_WAIT_SHARE: f64 = 0.3;
 
-/// The queue can't serve a request in time.
+/// The queue cannot serve a request in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full {
-    /// When to come back.
+    /// When the caller may try again.
     pub retry_after: Duration,
 }
 
 /// The next request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next<T> {
-    /// To be run.
+    /// A request to run.
     Run(T),
-    /// To be refused: its deadline passed while it waited.
+    /// A request to refuse: its deadline passed while it waited.
     Expired(T),
 }
 
-/// A weighted fair queue over accounts (self-clocked fair queueing) that knows deadlines.
+/// A weighted fair queue over accounts (self-clocked fair queueing) that respects deadlines.
+///
+/// A request is refused on arrival if its expected wait exceeds the time it has. It would fail at
+/// its deadline anyway; refused at once, its caller can go elsewhere, and the requests behind it
+/// don't wait for one that is lost.
 ///
-/// A request whose expected wait is longer than the time it has is refused as it arrives. It
-/// would fail at its deadline anyway; told at once, its caller can go elsewhere, and requests
-/// behind it don't wait for one that is lost.
 ///
 /// ```
 /// # use std::time::{Duration, Instant};
@@ -62,25 +64,25 @@
     item: T,
     account: account::Id,
     deadline: Instant,
-    /// Requests ahead of it when it came, and how many had been taken by then.
+    /// The number of requests ahead of it on arrival, and the number served before its arrival.
     ahead: u32,
     served_before: u64,
 }
 
-/// One account's place in virtual time.
+/// The queueing state of one account.
 #[derive(Debug)]
 struct Flow {
     finish: u64,
     n_waiting: usize,
     weight: f64,
-    /// How many requests were served before one of this account, for each that was ahead of
-    /// it when it came. Accounts that ask for less than their share overtake those that ask
-    /// for more; without this factor, the latter would be let in to wait in vain.
+    /// The number of requests served before one of this account, relative to the number that was
+    /// ahead of it on arrival. Accounts that send less than their share overtake accounts that send
+    /// more; without this factor, requests of the latter would be admitted and expire in the queue.
     delay_factor: f64,
 }
 
 impl<T> Fair<T> {
-    /// A queue for at most `capacity` requests.
+    /// Creates a queue for at most `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -93,22 +95,22 @@
         }
     }
 
-    /// How many requests wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Changes how many requests may wait; those that wait stay.
+    /// Changes the capacity; requests that are waiting stay.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Puts a request in its account's place, unless it would come too late.
+    /// Adds a request at its account's position, unless it would be served too late.
     pub fn push(
         &mut self,
         item: T,
@@ -145,7 +147,7 @@
         Ok(())
     }
 
-    /// Takes the next request.
+    /// Removes the next request.
     pub fn pop(&mut self, now: Instant) -> Option<Next<T>> {
         let ((finish, _), entry) = self.entries.pop_first()?;
         self.record_departure(&entry);
@@ -157,8 +159,8 @@
         Some(Next::Run(entry.item))
     }
 
-    /// An endpoint became free. The times between these calls, while requests wait, give the
-    /// rate of service.
+    /// Records that an endpoint became free. While requests wait, the time between these calls
+    /// measures the service rate.
     pub fn record_service(&mut self, now: Instant) {
         self.throughput.record(now);
         if self.entries.is_empty() {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// How long a request of a new account would wait.
+    /// The expected wait of a request of a new account.
     pub fn expected_wait(&self, now: Instant) -> Duration {
         let ahead = self.count_ahead(self.virtual_time.saturating_add(COST_PER_REQUEST as u64));
         self.throughput.expected_interval(now).saturating_mul(ahead)
@@ -177,9 +179,9 @@
         u32::try_from(ahead).unwrap_or(u32::MAX)
     }
 
-    /// How many more requests of an account may wait. The share is worked out as if one more
-    /// account of its weight were there: an account that comes alone must not fill the queue
-    /// and shut out the next.
+    /// How many more requests of an account may wait. The share is computed as if there were one
+    /// more account of the same weight, so that a single account cannot fill the queue and lock out
+    /// the next one.
     fn remaining_capacity(&self, account: &account::Id, weight: f64) -> usize {
         let others = self.flows.iter().filter(|(id, _)| *id != account);
         let others: f64 = others.map(|(_, it)| it.weight).sum();
@@ -194,7 +196,7 @@
         };
         flow.n_waiting -= 1;
         flow.update_delay_factor(entry.ahead, self.n_served - entry.served_before);
-        // A lane that is behind virtual time holds nothing worth keeping.
+        // A flow whose finish time is behind virtual time carries no state worth keeping.
         if flow.n_waiting == 0 {
             self.flows.remove(&entry.account);
         }
@@ -218,7 +220,7 @@
     const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 }
 
-/// The rate at which requests are taken while others wait.
+/// The rate at which requests are served while others wait.
 #[derive(Debug, Default)]
 struct Throughput {
     mean_interval_seconds: Option<f64>,
@@ -226,8 +228,8 @@
 }
 
 impl Throughput {
-    /// Times without waiting requests tell nothing of how fast they would be served, so the
-    /// clock starts with the first that waits.
+    /// Starts timing with the first waiting request: intervals without waiting requests say nothing
+    /// about the service rate.
     fn start(&mut self, now: Instant) {
         self.last_served = Some(now);
     }
@@ -246,8 +248,8 @@
         self.last_served = Some(now);
     }
 
-    /// The expected time between two requests. A stall counts as it goes on: endpoints that
-    /// stop altogether never report another interval.
+    /// The expected time between two served requests. An ongoing stall counts too, since endpoints
+    /// that stop altogether never produce another interval.
     fn expected_interval(&self, now: Instant) -> Duration {
         const STALL_WEIGHT: f64 = 0.25;
         let mean_interval_seconds = self.mean_interval_seconds.unwrap_or(0.0);
