--- a/crates/curranthook_policy/src/retry.rs
+++ b/crates/curranthook_policy/src/retry.rs
@@ -1,15 +1,16 @@
-//! Whether an attempt that failed is followed by another.
+//! Whether a failed attempt is retried.
 
 use std::time::{Duration, Instant};
 
 use curranthook_types::retry::Reason;
 
-/// No request is tried more often than this.
+/// The maximum number of attempts per request.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// Retries that a node may make. Each success earns a fraction of one. When endpoints fail for
-/// everyone, successes stop and so do retries; without that, retries would multiply the load
-/// just when there is least room for it.
+/// The retry budget of a node. Each success earns a fraction of a retry. If endpoints fail for
+/// everyone, successes stop and so do retries; without the budget, retries would multiply the load
+/// just when there is the least capacity for it.
+///
 ///
 /// ```
 /// # use std::time::Instant;
@@ -26,33 +27,33 @@
     updated: Instant,
 }
 
-/// The budget is spent; the reason is the one that was asked for.
+/// The budget is exhausted; holds the reason of the retry that was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exhausted(pub Reason);
 
 impl Budget {
-    /// The most that can be saved up.
+    /// The maximum number of retries saved up.
     const CAPACITY: f64 = 20.0;
-    /// Retries a second that are earned without successes, so that a quiet node can retry.
+    /// Retries per second earned without successes, so that a node with few requests can retry.
     const MIN_RETRIES_PER_SECOND: f64 = 0.5;
 
-    /// A budget that earns `fraction` of a retry with each success.
+    /// Creates a budget that earns `fraction` of a retry per success.
     pub fn new(fraction: f64, now: Instant) -> Self {
         Self { fraction, tokens: Self::CAPACITY / 2.0, updated: now }
     }
 
-    /// Changes the fraction earned with each success.
+    /// Changes the fraction of a retry earned per success.
     pub fn set_fraction(&mut self, fraction: f64) {
         self.fraction = fraction;
     }
 
-    /// A request succeeded.
+    /// Records that a request succeeded.
     pub fn succeeded(&mut self) {
         self.earn(self.fraction);
     }
 
-    /// Takes one retry. Some cost nothing: an escalation is part of its plan, and an endpoint that
-    /// is gone or going has done no work that would be done again.
+    /// Takes one retry from the budget. Some retries are free: an escalation is part of its plan,
+    /// and an endpoint that is unreachable or leaving did no work that would be repeated.
     pub fn spend(&mut self, reason: Reason, now: Instant) -> Result<(), Exhausted> {
         let elapsed = now.saturating_duration_since(self.updated);
         self.updated = self.updated.max(now);
@@ -75,24 +76,24 @@
 /// Whether a call may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// Running it twice is the same as running it once.
+    /// Running it twice has the same effect as running it once.
     Idempotent,
     /// It must run at most once.
     AtMostOnce,
 }
 
-/// What the endpoint can have seen of an attempt.
+/// What the endpoint may have received of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sent {
-    /// No byte was handed to a socket.
+    /// No byte was written to a socket.
     Unsent,
-    /// The endpoint said that it had not begun.
+    /// The endpoint reported that it did not start the request.
     NotStarted,
-    /// Bytes went out and nothing tells that it didn't run.
+    /// Bytes were sent, and nothing proves that the request did not run.
     MayHaveRun,
 }
 
-/// What the caller has seen of the answer.
+/// What the caller has received of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivered {
     /// Nothing.
@@ -106,46 +107,47 @@
 pub struct Attempt {
     /// Whether the call may be repeated.
     pub repeat: Repeat,
-    /// What the endpoint can have seen.
+    /// What the endpoint may have received.
     pub sent: Sent,
-    /// What the caller has seen.
+    /// What the caller has received.
     pub delivered: Delivered,
-    /// How often it was tried, this time included.
+    /// The number of attempts so far, including this one.
     pub attempts: u32,
-    /// How long the caller will still wait.
+    /// The time until the caller's deadline.
     pub time_left: Duration,
 }
 
 /// What follows a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Try anew, on another endpoint where there is one.
+    /// Retry from the start, on another endpoint if there is one.
     Retry,
-    /// Take the stream up where it stopped, on the same version.
+    /// Resume the stream where it stopped, on the same version.
     Resume,
     /// Give up.
     Stop(Stop),
 }
 
-/// Whether a retry adds no work. Were those counted, a failure domain that goes away would use up
-/// the budget, and requests would be refused that other endpoints have room for.
+/// Whether a retry adds no work. If these counted, the loss of a failure domain would exhaust the
+/// budget, and requests would be refused although other endpoints have capacity for them.
 fn is_free(reason: Reason) -> bool {
     matches!(reason, Reason::Escalated | Reason::Connect | Reason::EndpointLeaving)
 }
 
-/// Why there is no further attempt. Each has its counter, `retry.stop.<name>`.
+/// Why there is no further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Stop {
-    /// It may have run and may not run twice.
+    /// The request may have run and must not run twice.
     MayHaveRun,
-    /// It was tried often enough.
+    /// The maximum number of attempts was reached.
     Attempts,
-    /// The deadline is too near.
+    /// Too little time is left until the deadline.
     Deadline,
 }
 
 impl Stop {
-    /// The last part of the counter's name.
+    /// A stable name, for use in counter names.
+    ///
     ///
     /// ```
     /// # use curranthook_policy::retry::Stop;
@@ -160,7 +162,8 @@
     }
 }
 
-/// Whether a failed attempt may be followed by another. The budget is asked separately.
+/// Whether and how a failed attempt is retried. The retry budget is checked separately.
+///
 ///
 /// ```
 /// # use std::time::Duration;
@@ -189,7 +192,7 @@
     }
     match attempt.delivered {
         Delivered::Nothing => Decision::Retry,
-        // The caller holds a part of this answer. A new one would differ from it.
+        // The caller has a part of this answer, and a new answer would differ from it.
         Delivered::Partial => Decision::Resume,
     }
 }
