--- a/crates/curranthook_policy/src/rollout.rs
+++ b/crates/curranthook_policy/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Which sessions a roll-out moves, and when it goes on.
+//! Which sessions a rollout moves to the new version, and when it advances.
 
 use std::time::Duration;
 
@@ -10,8 +10,9 @@
     verdict::{self, Counts},
 };
 
-/// The version for a session. The same key gives the same version, and one that got the new
-/// version stays on it as the share grows.
+/// The version for a session. The same key always gets the same version, and a key that got the new
+/// version keeps it as the share grows.
+///
 ///
 /// ```
 /// # use curranthook_policy::rollout;
@@ -30,12 +31,13 @@
 /// assert_eq!(rollout::route(&it, 7), &it.from);
 /// ```
 pub fn route(rollout: &Rollout, key: u64) -> &version::Id {
-    // The version is part of the hash, so it isn't always the same sessions that go first.
+    // The hash includes the version, so that different rollouts move different sessions first.
     let position = hash::unit(hash::pair(hash::bytes(rollout.to.as_str().as_bytes()), key));
     if position < rollout.share() { &rollout.to } else { &rollout.from }
 }
 
-/// When a stage of a roll-out is passed.
+/// The conditions for advancing a stage of a rollout.
+///
 ///
 /// ```
 /// # use std::time::Duration;
@@ -47,13 +49,13 @@
 /// ```
 #[derive(Debug, Clone, PartialEq)]
 pub struct Gate {
-    /// Answers by the new version that a stage must have seen.
+    /// The minimum number of answers by the new version in a stage.
     pub min_answers: u64,
-    /// Ratings of the new version that a stage must have seen.
+    /// The minimum number of ratings of the new version in a stage.
     pub min_ratings: u64,
-    /// How long a stage lasts at least.
+    /// The minimum duration of a stage.
     pub min_duration: Duration,
-    /// How much lower the new version's mean rating may be.
+    /// How much lower the mean rating, or higher the error rate, of the new version may be.
     pub tolerance: f64,
 }
 
@@ -68,34 +70,35 @@
     }
 }
 
-/// What happens to a roll-out.
+/// What happens to a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes to its next stage.
+    /// It advances to the next stage.
     Advance,
-    /// It stays where it is.
+    /// It stays at its stage.
     Hold(Hold),
-    /// It is given up.
+    /// It is aborted.
     Abort(verdict::Reason),
 }
 
-/// Why a roll-out stays at its stage. Each has its counter, `rollout.hold.<name>`.
+/// Why a rollout stays at its stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Hold {
-    /// The stage is too young.
+    /// The stage has not lasted long enough.
     Time,
     /// Too few answers.
     Answers,
     /// Too few ratings.
     Ratings,
-    /// The new version is rated lower, though not surely worse.
+    /// The new version is rated lower, though not yet with confidence.
     Rating,
-    /// The new version has more errors, though not surely.
+    /// The new version has more errors, though not yet with confidence.
     Errors,
 }
 
 impl Hold {
-    /// The last part of the counter's name.
+    /// A stable name, for use in counter names.
+    ///
     ///
     /// ```
     /// # use curranthook_policy::rollout::Hold;
@@ -113,8 +116,8 @@
 }
 
 impl Gate {
-    /// Decides on a stage, from the counts of both versions since it began, the verdict on the
-    /// new version and the age of the stage.
+    /// Decides on a stage, given the counts of both versions since it began, the verdict on the new
+    /// version and the age of the stage.
     pub fn decide(
         &self,
         from: &Counts,
