--- a/crates/curranthook_policy/src/verdict.rs
+++ b/crates/curranthook_policy/src/verdict.rs
@@ -1,8 +1,8 @@
-//! Whether a version has turned bad.
+//! Sequential test for a drop in a version's quality.
 //!
-//! Answers are compared with a reference: the version that this one replaces, or its own past.
-//! The test may be looked at after each answer without spoiling its false alarm rate
-//! ("anytime-valid"), and a fall is noticed however long the version did well before.
+//! Answers are compared with a reference: the version that this one replaces, or its own past. The
+//! test may be evaluated after each answer without raising its false alarm rate ("anytime-valid"),
+//! and a drop is detected however long the version did well before.
 
 use std::collections::BTreeMap;
 
@@ -22,33 +22,34 @@
 pub struct Sample {
     /// Its rating from 0 to 1, if it was rated.
     pub rating: Option<f64>,
-    /// Whether it was an answer at all.
+    /// Whether the call was answered.
     pub outcome: Outcome,
-    /// Its tokens.
+    /// The length of the answer in tokens.
     pub tokens: u64,
 }
 
-/// Whether a call ended in an answer.
+/// Whether a call was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It did.
+    /// It was answered.
     Answered,
-    /// The version failed, for a reason that isn't the endpoint's or the network's.
+    /// The version failed, for a reason not caused by the endpoint or the network.
     Error,
-    /// The call was counted before; only its rating is new. Ratings come later than answers.
+    /// The call was counted before and only its rating is new, as ratings arrive later than
+    /// answers.
     RatedLater,
 }
 
-/// What the test finds.
+/// The result of the test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Nothing.
+    /// No drop was found.
     Clear,
-    /// The version has turned bad. This stays until the test is replaced.
+    /// The version got worse. This result is final until the test is replaced.
     Suspect(Reason),
 }
 
-/// What has turned bad. Each has its counter, `verdict.<name>`.
+/// What got worse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
@@ -63,7 +64,8 @@
 }
 
 impl Reason {
-    /// The last part of the counter's name.
+    /// A stable name, for use in counter names.
+    ///
     ///
     /// ```
     /// # use curranthook_policy::verdict::Reason;
@@ -79,14 +81,15 @@
     }
 }
 
-/// How sure the test must be.
+/// The error bounds of the test.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// The bound on the probability of a false alarm in a run of `horizon` samples of a kind.
+    /// The upper bound on the probability of a false alarm in a run of `horizon` samples of one
+    /// kind.
     pub alpha: f64,
-    /// The length of a run, in ratings, or in answers where errors and lengths are concerned.
+    /// The length of a run: in ratings, or in answers for errors and lengths.
     pub horizon: u64,
-    /// How far below the reference a mean may lie without being called bad.
+    /// How far a mean may lie below the reference without an alarm.
     pub min_effect: f64,
 }
 
@@ -99,7 +102,7 @@
 /// What a version is compared with.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Reference {
-    /// Its own past. Nothing is found before there is enough of it.
+    /// Its own past. No drop is found before there is enough of it.
     Own,
     /// Counts of another version, such as the one it replaces.
     Other(Counts),
@@ -107,6 +110,7 @@
 
 /// A sequential test of one version.
 ///
+///
 /// ```
 /// # use curranthook_policy::verdict::{Config, Counts, Outcome, Reason, Reference};
 /// # use curranthook_policy::verdict::{Sample, State, Test};
@@ -125,7 +129,7 @@
     own: Counts,
     origins: BTreeMap<Origin, Counts>,
     total: Counts,
-    /// The past that this version is compared with where it is its own reference.
+    /// The past counts that serve as reference where the version is compared with itself.
     baseline: Counts,
     rating: Detector,
     errors: Detector,
@@ -135,7 +139,7 @@
 }
 
 impl Test {
-    /// A test that has seen nothing.
+    /// Creates a test without samples.
     pub fn new(config: Config, reference: Reference) -> Self {
         let detector = |side| Detector::new(side, config.horizon);
         Self {
@@ -153,20 +157,20 @@
         }
     }
 
-    /// Replaces the reference, say as the old version's counts grow.
+    /// Replaces the reference, for example as the old version's counts grow.
     pub fn set_reference(&mut self, reference: Reference) {
         self.reference = reference;
     }
 
-    /// Takes in an answer that this node saw.
+    /// Adds an answer seen by this node.
     pub fn add(&mut self, sample: Sample) {
         let delta = Counts::from(sample);
         self.own = self.own.plus(&delta);
         self.add_counts(&delta);
     }
 
-    /// Takes in the counts of another node since its start. An older or equal count of the
-    /// same origin changes nothing, so order and repeats don't matter.
+    /// Merges the counts of another node since its start. An older or equal count of the same
+    /// origin has no effect, so order and repetition don't matter.
     pub fn merge_counts(&mut self, origin: &Origin, counts: Counts) {
         let previous = self.origins.get(origin).copied().unwrap_or_default();
         if !previous.is_older_than(&counts) {
@@ -176,38 +180,38 @@
         self.add_counts(&counts.minus(&previous));
     }
 
-    /// Drops the entry of a node that is gone for good; what it counted stays in the total.
-    /// Counts of it that arrive later would be counted twice.
+    /// Drops the entry of a node that is gone for good; its counts stay in the total. Counts of it
+    /// that arrive later would be counted twice.
     pub fn remove_origin(&mut self, origin: &Origin) {
         self.origins.remove(origin);
     }
 
-    /// Another node found the version bad. Nodes see the same answers at different times, so
-    /// the first to be sure speaks for all.
+    /// Records that another node found the version suspect. Nodes see the same answers at different
+    /// times, so the first node to raise an alarm decides for all.
     pub fn set_suspect(&mut self, reason: Reason) {
         if self.state == State::Clear {
             self.state = State::Suspect(reason);
         }
     }
 
-    /// What this node saw itself, to be sent to others.
+    /// The counts of this node, for sending to others.
     pub fn counts(&self) -> &Counts {
         &self.own
     }
 
-    /// What all nodes together saw, as far as known here.
+    /// The counts of all nodes, as far as known here.
     pub fn total(&self) -> &Counts {
         &self.total
     }
 
-    /// What the test finds.
+    /// The result of the test.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The share of answers to have rated: `base` as long as nothing is amiss, up to all of
-    /// them for a version that is new or has just been rated low. With a tenth of answers
-    /// rated, a bad version would give out ten for each bit of evidence.
+    /// The share of answers to be rated: `base` while nothing is suspicious, up to all of them for
+    /// a version that is new or was just rated low. If only a tenth of answers were rated, a bad
+    /// version would return ten answers per piece of evidence.
     pub fn sampling_rate(&self, base: f64) -> f64 {
         let has_reference = match self.reference {
             Reference::Own => Self::MIN_REFERENCE_SAMPLES <= self.total.n,
@@ -217,8 +221,9 @@
         base + (1.0 - base).max(0.0) * urgency
     }
 
-    /// From 0 (calm) to 1: how much ratings speak against the version. When it rises, an
-    /// exchange of counts with other nodes is worth more than the next regular one.
+    /// How strongly ratings speak against the version, from 0 (calm) to 1. When it rises,
+    /// exchanging counts with other nodes at once is worth more than waiting for the next regular
+    /// exchange.
     pub fn urgency(&self) -> f64 {
         self.rating.urgency()
     }
@@ -236,8 +241,8 @@
     fn update_detectors(&mut self, delta: &Counts, baseline: &Counts) {
         let margin = self.config.min_effect;
         if let Some(mean) = baseline.mean().filter(|_| Self::MIN_REFERENCE_SAMPLES <= baseline.n) {
-            // A mean of few ratings may be too high by chance, and every later answer would
-            // then look bad against it.
+            // The mean of few ratings may be too high by chance, and then every later answer would
+            // look bad in comparison.
             let uncertainty = Self::REFERENCE_STD_ERRORS * baseline.standard_error();
             self.rating.add(delta.n, delta.sum, mean - uncertainty - margin);
         }
@@ -266,8 +271,8 @@
             (&self.short, Reason::Short),
             (&self.long, Reason::Long),
         ];
-        // Each of the four may be wrong, so each gets a part of the rate. Most of it goes to
-        // ratings, which say the most and are the fewest.
+        // Each of the four detectors may raise a false alarm, so each gets a part of the allowed
+        // rate. Most of it goes to ratings, which are the most informative and the fewest.
         let alpha_share = |reason| if reason == Reason::Rating { 0.7 } else { 0.1 };
         let is_alarm = |(it, reason): &&(&Detector, Reason)| {
             it.evidence() * self.config.alpha * alpha_share(*reason) >= 1.0
@@ -277,7 +282,7 @@
         }
     }
 
-    /// Moves the own reference on, as long as nothing is amiss.
+    /// Advances the version's own reference, as long as nothing is suspicious.
     fn advance_reference(&mut self) {
         let is_step_complete = self.baseline.n + Self::REFERENCE_STEP_RATINGS <= self.total.n
             || self.baseline.calls == 0;
@@ -292,16 +297,16 @@
         }
     }
 
-    /// How many standard errors of the reference are allowed for.
+    /// How many standard errors are subtracted from the mean of the reference.
     const REFERENCE_STD_ERRORS: f64 = 2.0;
-    /// Samples that a reference must have.
+    /// The minimum number of samples in a reference.
     const MIN_REFERENCE_SAMPLES: u64 = 50;
-    /// Ratings after which the own reference moves on.
+    /// The number of ratings after which the version's own reference is advanced.
     const REFERENCE_STEP_RATINGS: u64 = 50;
     const MAX_ADVANCE_URGENCY: f64 = 0.3;
-    /// The error rate may rise by this much.
+    /// The tolerated increase of the error rate.
     const ERROR_MARGIN: f64 = 0.05;
-    /// The mean length, on the scale of [`Counts::lengths`], may move by this much: about a
-    /// factor of two.
+    /// The tolerated change of the mean length on the scale of [`Counts::lengths`], about a factor
+    /// of two.
     const LENGTH_MARGIN: f64 = 0.0625;
 }
