--- a/crates/curranthook_policy/src/verdict/counts.rs
+++ b/crates/curranthook_policy/src/verdict/counts.rs
@@ -1,32 +1,33 @@
-//! Sums over the answers of a version.
+//! Totals over the answers of a version.
 
 use serde::{Deserialize, Serialize};
 
 use crate::verdict::{Outcome, Sample};
 
-/// Sums over the answers of a version since a node started.
+/// Totals over the answers of a version since a node started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Ratings.
+    /// The number of ratings.
     pub n: u64,
     /// The sum of ratings.
     pub sum: f64,
     /// The sum of squared ratings.
     pub squares: f64,
-    /// Calls, rated or not.
+    /// The number of calls, rated or not.
     pub calls: u64,
-    /// Calls that ended in an error.
+    /// The number of calls that ended in an error.
     pub errors: u64,
-    /// Tokens of all answers.
+    /// The number of tokens of all answers.
     pub tokens: u64,
-    /// The sum of answer lengths on a scale from 0 to 1: the logarithm of the tokens to the
-    /// base 2, by sixteenths.
+    /// The sum of answer lengths on a scale from 0 to 1: the base-2 logarithm of the number of
+    /// tokens, divided by 16.
     pub lengths: f64,
 }
 
 impl Counts {
     /// The mean rating.
     ///
+    ///
     /// ```
     /// # use curranthook_policy::verdict::Counts;
     /// assert_eq!(Counts { n: 2, sum: 1.0, ..Counts::default() }.mean(), Some(0.5));
@@ -36,7 +37,8 @@
         (0 < self.n).then(|| self.sum / self.n as f64)
     }
 
-    /// The standard error of the mean rating; 1 before there are two ratings.
+    /// The standard error of the mean rating; 1 with fewer than two ratings.
+    ///
     ///
     /// ```
     /// # use curranthook_policy::verdict::Counts;
@@ -63,13 +65,14 @@
         (0 < n).then(|| self.lengths / n as f64)
     }
 
-    /// Calls that ended in an answer.
+    /// The number of calls that were answered.
     pub fn answers(&self) -> u64 {
         self.calls.saturating_sub(self.errors)
     }
 
     /// Adds two counts.
     ///
+    ///
     /// ```
     /// # use curranthook_policy::verdict::Counts;
     /// let one = Counts { n: 1, sum: 0.5, calls: 1, ..Counts::default() };
@@ -87,7 +90,7 @@
         }
     }
 
-    /// What was added since `earlier`, an older count of the same origin.
+    /// The difference to `earlier`, an older count of the same origin.
     pub fn minus(&self, earlier: &Self) -> Self {
         let n = self.n.saturating_sub(earlier.n);
         let calls = self.calls.saturating_sub(earlier.calls);
@@ -102,8 +105,7 @@
         }
     }
 
-    /// Whether this is an older count than `other`, of the same origin. Both numbers only
-    /// grow.
+    /// Whether this count is older than `other`, of the same origin. Both numbers only grow.
     pub fn is_older_than(&self, other: &Self) -> bool {
         (self.calls, self.n) < (other.calls, other.n)
     }
