--- a/crates/curranthook_policy/src/verdict/detector.rs
+++ b/crates/curranthook_policy/src/verdict/detector.rs
@@ -1,35 +1,35 @@
-//! Finds a mean that falls below, or rises above, a bound.
+//! Detects a mean that falls below, or rises above, a bound.
 //!
-//! For samples in [0, 1] with mean `m` at or above the bound `b`, the likelihood ratio
-//! `(p/b)^s * ((1-p)/(1-b))^(n-s)` with `p < b`, over `n` samples of sum `s`, is a
-//! supermartingale: by convexity a bounded sample is no worse than a coin of the same mean. So
-//! it is evidence against the bound that may be looked at after each sample. It needs only
-//! sums, so counts of other nodes can be taken in as they come.
+//! For samples in [0, 1] with mean `m` at or above the bound `b`, the likelihood ratio `(p/b)^s *
+//! ((1-p)/(1-b))^(n-s)` with `p < b`, over `n` samples of sum `s`, is a supermartingale: by
+//! convexity a bounded sample gives no larger expected ratio than a coin flip of the same mean. So
+//! the ratio is evidence against the bound that may be evaluated after each sample. It only needs
+//! sums, so counts of other nodes can be added as they arrive.
 //!
-//! As the fall may begin at any sample, evidence is summed over all starts (Shiryaev and
-//! Roberts): `R <- (R + w) * log_ratio`. `R` minus `w` a sample is a supermartingale, so within
-//! `1/w` samples `R` exceeds `c` with a probability of at most `1/c`.
+//! As the fall may begin at any sample, evidence is summed over all starts (Shiryaev-Roberts): `R
+//! <- (R + w) * ratio`. `R` minus `w` per sample is a supermartingale, so within `1/w` samples `R`
+//! exceeds `c` with a probability of at most `1/c`.
 
-/// Which way is bad.
+/// The direction of a change for the worse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Direction {
     Fall,
     Rise,
 }
 
-/// Alternatives that are tried, as parts of the bound.
+/// The means tested as alternative hypotheses, as fractions of the bound.
 const ALTERNATIVE_FRACTIONS: [f64; 4] = [0.15, 0.35, 0.55, 0.75];
-/// The part of the evidence that starts with the first sample: a version that is bad from the
-/// beginning is found sooner.
+/// The part of the evidence that starts with the first sample, so that a version that is bad from
+/// the beginning is detected sooner.
 const INITIAL_SHARE: f64 = 0.3;
-/// Bounds are kept this far inside 0 and 1.
+/// The minimum distance of bounds from 0 and 1.
 const BOUND_MARGIN: f64 = 0.005;
 
 /// Evidence that a mean lies on the bad side of a bound.
 #[derive(Debug)]
 pub(crate) struct Detector {
     direction: Direction,
-    /// The weight of a start at any one sample, for each alternative.
+    /// The weight of a change starting at any one sample, for each alternative.
     start_weight: f64,
     evidence: [f64; ALTERNATIVE_FRACTIONS.len()],
 }
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Takes in `n` samples that add up to `sum`. The bound may differ from call to call, as
-    /// long as it doesn't depend on these samples.
+    /// Adds `n` samples with the sum `sum`. The bound may differ between calls, as long as it
+    /// doesn't depend on these samples.
     pub(crate) fn add(&mut self, n: u64, sum: f64, bound: f64) {
         if n == 0 {
             return;
@@ -68,7 +68,7 @@
         self.evidence.iter().sum()
     }
 
-    /// From 0 (calm) to 1: how far the evidence is above what it is at rest.
+    /// How far the evidence exceeds its resting level, from 0 (calm) to 1.
     pub(crate) fn urgency(&self) -> f64 {
         const CALM_FACTOR: f64 = 3.0;
         const URGENT_FACTOR: f64 = 6.0;
