--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -46,8 +46,8 @@
         rater: Rater::Up,
         scope: Scope::Request,
     };
-    let mut chooser = learned(&kind, &ids, now);
-    let mut pool = busy(64, now);
+    let mut chooser = trained_chooser(&kind, &ids, now);
+    let mut pool = busy_pool(64, now);
 
     criterion
         .bench_function("plan, 7 versions", |it| it.iter(|| chooser.plan(black_box(&request))));
@@ -69,7 +69,7 @@
     });
 }
 
-fn learned(kind: &kind::Id, ids: &[version::Id], now: Instant) -> Chooser {
+fn trained_chooser(kind: &kind::Id, ids: &[version::Id], now: Instant) -> Chooser {
     let mut chooser = Chooser::new(Policy::default(), 1);
     for (id, version) in ids.iter().zip(VERSIONS) {
         (0..200).for_each(|it| {
@@ -81,7 +81,7 @@
     chooser
 }
 
-fn busy(n: usize, now: Instant) -> Pool {
+fn busy_pool(n: usize, now: Instant) -> Pool {
     let mut pool = Pool::new("zone-a".into(), 1);
     let member = |it: usize| Member {
         id: format!("engine-{it}").as_str().into(),
--- a/crates/curranthook_policy/examples/choice_study.rs
+++ b/crates/curranthook_policy/examples/choice_study.rs
@@ -9,17 +9,17 @@
 use curranthook_policy::{baseline::STRATEGIES, choice::Rater};
 use curranthook_settings::config::{Policy, Weigh};
 
-use crate::market::{Difficulty, Setup, TARGET, serve};
+use crate::market::{Difficulty, Setup, TARGET_QUALITY, simulate};
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|it| it.parse().ok()).unwrap_or(20);
-    println!("{seeds} seeds, target {TARGET}; mean (least to most)");
+    println!("{seeds} seeds, target {TARGET_QUALITY}; mean (least to most)");
     println!("| difficulty | rater | weigh | strategy | cost | quality |");
     println!("|---|---|---|---|---|---|");
     for difficulty in [Difficulty::Independent, Difficulty::Shared] {
         for rater in [Rater::Up, Rater::Down] {
             for weigh in [Weigh::Latency, Weigh::Exposure] {
-                let setup = Setup { rater, difficulty, n: 20_000 };
+                let setup = Setup { rater, difficulty, n_requests: 20_000 };
                 for name in STRATEGIES {
                     print_row(name, weigh, setup, seeds);
                 }
@@ -30,7 +30,7 @@
 
 fn print_row(name: &str, weigh: Weigh, setup: Setup, seeds: u64) {
     let policy = Policy { weigh, ..Policy::default() };
-    let runs: Vec<_> = (0..seeds).map(|seed| serve(name, &policy, setup, seed)).collect();
+    let runs: Vec<_> = (0..seeds).map(|seed| simulate(name, &policy, setup, seed)).collect();
     let costs = summary(runs.iter().map(market::Tally::mean_cost).collect());
     let qualities = summary(runs.iter().map(market::Tally::quality).collect());
     let Setup { difficulty, rater, .. } = setup;
--- a/crates/curranthook_policy/examples/verdict_study.rs
+++ b/crates/curranthook_policy/examples/verdict_study.rs
@@ -8,28 +8,30 @@
 
 use curranthook_policy::verdict::{Config, Reference};
 
-use crate::fleet::{Fleet, Sampling, Setup, long_past};
+use crate::fleet::{Fleet, Sampling, Setup, established_reference};
 
 /// Good answers in a quiet run, and before a fall.
-const QUIET_RUN: u64 = 10_000;
-const BEFORE_FALL: u64 = 2_000;
+const GOOD_RUN_ANSWERS: u64 = 10_000;
+const ANSWERS_BEFORE_DROP: u64 = 2_000;
 /// Bad answers after which a run is given up.
-const LIMIT: u64 = 5_000;
+const MAX_BAD_ANSWERS: u64 = 5_000;
 const THREADS: usize = 6;
 /// The most bad answers that may be shown.
-const AIM: u64 = 60;
+const TARGET_BAD_ANSWERS: u64 = 60;
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|it| it.parse().ok()).unwrap_or(200);
     println!("{seeds} seeds, {} routers, quality 0.9 falls to 0.5", fleet::ROUTERS);
     println!(
-        "| reference | sampling | base | exchange | false alarms | rated when quiet | new: mean p95 under {AIM} | fallen: mean p95 under {AIM} |"
+        "| reference | sampling | base | exchange | false alarms | rated when good | bad from start: mean p95 under {TARGET_BAD_ANSWERS} | bad after drop: mean p95 under {TARGET_BAD_ANSWERS} |"
     );
     println!("|---|---|---|---|---|---|---|---|");
-    for (name, reference) in [("replaced", long_past(0.9)), ("own past", Reference::Own)] {
+    for (name, reference) in
+        [("replaced", established_reference(0.9)), ("own past", Reference::Own)]
+    {
         for sampling in [Sampling::Fixed, Sampling::Adaptive] {
-            for base in [0.1, 0.3, 1.0] {
-                if sampling == Sampling::Adaptive && base == 1.0 {
+            for base_sampling in [0.1, 0.3, 1.0] {
+                if sampling == Sampling::Adaptive && base_sampling == 1.0 {
                     continue;
                 }
                 for exchange_every in [4, 16] {
@@ -37,11 +39,11 @@
                     let setup = Setup {
                         config,
                         reference,
-                        base,
+                        base_sampling,
                         sampling,
                         exchange_every,
-                        quiet: 0.9,
-                        bad: 0.5,
+                        good_quality: 0.9,
+                        bad_quality: 0.5,
                     };
                     print_row(name, setup, seeds);
                 }
@@ -53,59 +55,60 @@
 /// What one seed gave.
 #[derive(Debug)]
 struct Run {
-    is_alarmed: bool,
-    n_quiet: u64,
+    has_false_alarm: bool,
+    n_good: u64,
     n_ratings: u64,
-    fresh: u64,
-    fallen: Option<u64>,
+    n_bad_from_start: u64,
+    n_bad_after_drop: Option<u64>,
 }
 
 fn run(setup: Setup, seed: u64) -> Run {
-    let mut quiet = Fleet::new(setup, seed);
-    let alarm = quiet.run_quiet(QUIET_RUN);
-    let mut falling = Fleet::new(setup, !seed);
-    let is_calm = falling.run_quiet(BEFORE_FALL).is_none();
+    let mut healthy = Fleet::new(setup, seed);
+    let false_alarm = healthy.run_good(GOOD_RUN_ANSWERS);
+    let mut degrading = Fleet::new(setup, !seed);
+    let is_undisturbed = degrading.run_good(ANSWERS_BEFORE_DROP).is_none();
     Run {
-        is_alarmed: alarm.is_some(),
-        n_quiet: alarm.unwrap_or(QUIET_RUN),
-        n_ratings: quiet.n_ratings,
-        fresh: Fleet::new(setup, seed).run_bad(LIMIT),
-        fallen: is_calm.then(|| falling.run_bad(LIMIT)),
+        has_false_alarm: false_alarm.is_some(),
+        n_good: false_alarm.unwrap_or(GOOD_RUN_ANSWERS),
+        n_ratings: healthy.n_ratings,
+        n_bad_from_start: Fleet::new(setup, seed).run_bad(MAX_BAD_ANSWERS),
+        n_bad_after_drop: is_undisturbed.then(|| degrading.run_bad(MAX_BAD_ANSWERS)),
     }
 }
 
 fn print_row(name: &str, setup: Setup, seeds: u64) {
     let runs: Vec<Run> = std::thread::scope(|scope| {
-        let part = |part| scope.spawn(move || part_of(setup, seeds, part));
+        let part = |part| scope.spawn(move || run_part(setup, seeds, part));
         let parts: Vec<_> = (0..THREADS).map(part).collect();
         parts.into_iter().flat_map(|it| it.join().expect("a run doesn't panic")).collect()
     });
-    let n_alarms = runs.iter().filter(|it| it.is_alarmed).count();
-    let n_quiet: u64 = runs.iter().map(|it| it.n_quiet).sum();
+    let n_alarms = runs.iter().filter(|it| it.has_false_alarm).count();
+    let n_good: u64 = runs.iter().map(|it| it.n_good).sum();
     let n_ratings: u64 = runs.iter().map(|it| it.n_ratings).sum();
-    let fresh = match setup.reference {
+    let n_bad_from_start = match setup.reference {
         Reference::Own => "-".to_owned(),
-        Reference::Other(_) => summary(runs.iter().map(|it| it.fresh).collect()),
+        Reference::Other(_) => summary(runs.iter().map(|it| it.n_bad_from_start).collect()),
     };
     println!(
-        "| {name} | {:?} | {} | {} | {:.4} | {:.3} | {fresh} | {} |",
+        "| {name} | {:?} | {} | {} | {:.4} | {:.3} | {n_bad_from_start} | {} |",
         setup.sampling,
-        setup.base,
+        setup.base_sampling,
         setup.exchange_every,
         n_alarms as f64 / seeds as f64,
-        n_ratings as f64 / n_quiet as f64,
-        summary(runs.iter().filter_map(|it| it.fallen).collect()),
+        n_ratings as f64 / n_good as f64,
+        summary(runs.iter().filter_map(|it| it.n_bad_after_drop).collect()),
     );
 }
 
-fn part_of(setup: Setup, seeds: u64, part: usize) -> Vec<Run> {
+fn run_part(setup: Setup, seeds: u64, part: usize) -> Vec<Run> {
     (part as u64..seeds).step_by(THREADS).map(|seed| run(setup, seed)).collect()
 }
 
-fn summary(mut answers: Vec<u64>) -> String {
-    answers.sort_unstable();
-    let n = answers.len();
-    let mean = answers.iter().sum::<u64>() as f64 / n as f64;
-    let under = answers.iter().filter(|it| **it < AIM).count() as f64 / n as f64;
-    format!("{mean:.1} {} {under:.3}", answers[n * 95 / 100])
+fn summary(mut bad_answers: Vec<u64>) -> String {
+    bad_answers.sort_unstable();
+    let n = bad_answers.len();
+    let mean = bad_answers.iter().sum::<u64>() as f64 / n as f64;
+    let share_below_target =
+        bad_answers.iter().filter(|it| **it < TARGET_BAD_ANSWERS).count() as f64 / n as f64;
+    format!("{mean:.1} {} {share_below_target:.3}", bad_answers[n * 95 / 100])
 }
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::market::{Difficulty, Setup, TARGET, request, serve};
+use crate::market::{Difficulty, Setup, TARGET_QUALITY, request, simulate};
 
 #[yare::parameterized(
     latency = { Weigh::Latency, Difficulty::Independent },
@@ -25,14 +25,18 @@
     latency_shared = { Weigh::Latency, Difficulty::Shared },
     exposure_shared = { Weigh::Exposure, Difficulty::Shared },
 )]
-fn cost_falls_and_quality_holds(weigh: Weigh, difficulty: Difficulty) {
+fn costs_less_than_the_best_version_at_the_target_quality(weigh: Weigh, difficulty: Difficulty) {
     let policy = Policy { weigh, ..Policy::default() };
-    let setup = Setup { rater: Rater::Up, difficulty, n: 4_000 };
+    let setup = Setup { rater: Rater::Up, difficulty, n_requests: 4_000 };
     for seed in 0..5 {
-        let ours = serve("curranthook", &policy, setup, seed);
-        let best = serve("best", &policy, setup, seed);
-        assert!(TARGET <= ours.quality(), "quality {} with seed {seed}", ours.quality());
-        let ratio = ours.mean_cost() / best.mean_cost();
+        let curranthook = simulate("curranthook", &policy, setup, seed);
+        let best = simulate("best", &policy, setup, seed);
+        assert!(
+            TARGET_QUALITY <= curranthook.quality(),
+            "quality {} with seed {seed}",
+            curranthook.quality()
+        );
+        let ratio = curranthook.mean_cost() / best.mean_cost();
         assert!(ratio <= 0.7, "{ratio} of the cost of the best with seed {seed}");
     }
 }
@@ -40,25 +44,25 @@
 /// By bad luck the best version is rated low at first, or a middling one high. Were that
 /// believed for good, all later callers would get the middling one's answers.
 #[test]
-fn an_unlucky_start_is_corrected() {
-    let setup = Setup { rater: Rater::Up, difficulty: Difficulty::Shared, n: 20_000 };
+fn early_misleading_ratings_are_corrected() {
+    let setup = Setup { rater: Rater::Up, difficulty: Difficulty::Shared, n_requests: 20_000 };
     let policy = Policy { weigh: Weigh::Exposure, ..Policy::default() };
     for seed in 0..20 {
-        let quality = serve("curranthook", &policy, setup, seed).quality();
-        assert!(TARGET <= quality, "quality {quality} with seed {seed}");
+        let quality = simulate("curranthook", &policy, setup, seed).quality();
+        assert!(TARGET_QUALITY <= quality, "quality {quality} with seed {seed}");
     }
 }
 
 /// Where versions fail at different requests, two cheap ones together may do as well as a dear
 /// one. That is used once ratings show it, and only then.
 #[test]
-fn cheap_pairs_are_used_when_proven() {
+fn cheap_cascades_are_used_once_ratings_prove_them() {
     let run = |difficulty| {
-        let setup = Setup { rater: Rater::Up, difficulty, n: 40_000 };
-        serve("curranthook", &Policy::default(), setup, 1)
+        let setup = Setup { rater: Rater::Up, difficulty, n_requests: 40_000 };
+        simulate("curranthook", &Policy::default(), setup, 1)
     };
     let (independent, shared) = (run(Difficulty::Independent), run(Difficulty::Shared));
-    assert!(TARGET <= independent.quality() && TARGET <= shared.quality());
+    assert!(TARGET_QUALITY <= independent.quality() && TARGET_QUALITY <= shared.quality());
     let ratio = independent.mean_cost() / shared.mean_cost();
     assert!(ratio < 0.8, "{ratio} of the cost with shared difficulty");
 }
@@ -66,27 +70,27 @@
 /// The rating service is down. Without ratings a cheap answer that is wrong isn't noticed, so
 /// nothing is gambled on one.
 #[test]
-fn rater_down_means_the_sure_version() {
-    let setup = Setup { rater: Rater::Down, difficulty: Difficulty::Shared, n: 4_000 };
-    let tally = serve("curranthook", &Policy::default(), setup, 1);
-    assert!(TARGET <= tally.quality(), "quality {}", tally.quality());
+fn target_is_met_while_the_rating_service_is_down() {
+    let setup = Setup { rater: Rater::Down, difficulty: Difficulty::Shared, n_requests: 4_000 };
+    let tally = simulate("curranthook", &Policy::default(), setup, 1);
+    assert!(TARGET_QUALITY <= tally.quality(), "quality {}", tally.quality());
 }
 
 /// A version gets worse for one kind of work while it serves, so callers get answers below the
 /// quality they want until the estimate follows.
 #[test]
-fn a_change_is_noticed() {
+fn estimate_follows_a_drop_in_quality() {
     let (kind, now) = (kind::Id::new("summary"), Instant::now());
     let id = version::Id::new("m@1");
     let mut chooser = Chooser::new(Policy::default(), 1);
     (0..2_000).for_each(|_| chooser.record_rating(&kind, &id, 1.0, now));
     (0..500).for_each(|_| chooser.record_rating(&kind, &id, 0.0, now));
-    let quality = chooser.quality(&kind, &id).expect("it was rated");
+    let quality = chooser.quality(&kind, &id).expect("the version was rated");
     assert!(quality < 0.5, "{quality}");
 }
 
 #[test]
-fn hurried_streams_are_not_held_back() {
+fn latency_sensitive_streams_get_no_cascade() {
     let (kind, ids) = (kind::Id::new("summary"), ["m@1", "m@2"].map(version::Id::new));
     let rates = [10, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
     let candidates = [
@@ -101,22 +105,25 @@
         let plans = (0..100).map(|_| chooser.plan(request).expect("there are versions"));
         plans.filter(|it| it.second.is_some()).count()
     };
-    assert!(0 < n_cascades(&whole), "time is left for both stages");
+    assert!(0 < n_cascades(&whole), "there is time for both stages");
     assert_eq!(n_cascades(&stream), 0);
-    let mut careful = Chooser::new(Policy { weigh: Weigh::Exposure, ..policy }, 1);
-    (0..50).for_each(|_| careful.record_rating(&kind, &ids[1], 1.0, Instant::now()));
-    assert_eq!(careful.plan(&stream).map(|it| it.reason), Ok(Reason::Cascade));
+    let mut exposure_chooser = Chooser::new(Policy { weigh: Weigh::Exposure, ..policy }, 1);
+    (0..50).for_each(|_| exposure_chooser.record_rating(&kind, &ids[1], 1.0, Instant::now()));
+    assert_eq!(exposure_chooser.plan(&stream).map(|it| it.reason), Ok(Reason::Cascade));
 }
 
 /// A maker claims more than a version does, for little money. Each answer until that shows may
 /// be a poor one, so it must show within tens of answers, and be made up for. An honest version
 /// of nearly the same price leaves no use for it once it is known.
 #[test]
-fn an_overclaimed_version_costs_tens_of_answers() {
+fn overclaimed_version_is_detected_within_60_answers() {
     for seed in 0..20 {
         let (n_overclaimed, quality) = serve_with_overclaimed(seed);
-        assert!(n_overclaimed < 60, "{n_overclaimed} answers with seed {seed}");
-        assert!(TARGET <= quality, "quality {quality} with seed {seed}");
+        assert!(
+            n_overclaimed < 60,
+            "{n_overclaimed} answers by the overclaimed version with seed {seed}"
+        );
+        assert!(TARGET_QUALITY <= quality, "quality {quality} with seed {seed}");
     }
 }
 
@@ -126,18 +133,21 @@
     let (kind, now) = (kind::Id::new("summary"), Instant::now());
     let ids = ["m@over", "m@middle", "m@large"].map(version::Id::new);
     let rates = [100, 120, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
-    let claims = [0.95, 0.86, 0.97];
-    let truth = [0.5, 0.86, 0.97];
-    let candidates =
-        [0, 1, 2].map(|it| Candidate { id: &ids[it], rate: &rates[it], prior: Some(claims[it]) });
-    let request = Request { scope: Scope::Session, ..request(&kind, TARGET, &candidates) };
+    let claimed_quality = [0.95, 0.86, 0.97];
+    let true_quality = [0.5, 0.86, 0.97];
+    let candidates = [0, 1, 2].map(|it| Candidate {
+        id: &ids[it],
+        rate: &rates[it],
+        prior: Some(claimed_quality[it]),
+    });
+    let request = Request { scope: Scope::Session, ..request(&kind, TARGET_QUALITY, &candidates) };
     let mut chooser = Chooser::new(Policy { exploration: 0.0, ..Policy::default() }, seed);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (mut n_overclaimed, mut n_good) = (0, 0);
     for _ in 0..2_000 {
         let plan = chooser.plan(&request).expect("there are versions");
-        let place = ids.iter().position(|it| *it == plan.first).expect("an allowed version");
-        let is_good = rng.random::<f64>() < truth[place];
+        let index = ids.iter().position(|it| *it == plan.first).expect("an allowed version");
+        let is_good = rng.random::<f64>() < true_quality[index];
         if plan.sample == Sample::Rate {
             chooser.record_rating(&kind, &plan.first, f64::from(u8::from(is_good)), now);
         }
@@ -182,48 +192,48 @@
     /// Whatever was learned of other versions, a plan names allowed ones only, keeps to the
     /// time left, and explores no more than its share.
     #[test]
-    fn plans_stay_within_bounds(
+    fn plans_respect_candidates_deadline_and_exploration_share(
         seed in any::<u64>(),
-        allowed_mask in 1_usize..32,
-        rated in proptest::collection::vec((0_usize..6, 0.0_f64..=1.0), 0..200),
+        candidate_mask in 1_usize..32,
+        ratings in proptest::collection::vec((0_usize..6, 0.0_f64..=1.0), 0..200),
         target in 0.0_f64..1.0,
         time_left in 1_u64..20_000,
         exploration in 0.0_f64..0.3,
-        is_hurried in any::<bool>(),
+        is_latency_sensitive in any::<bool>(),
     ) {
         let kind = kind::Id::new("k");
         let ids = [1, 2, 3, 4, 5, 6].map(|it| version::Id::new(format!("m@{it}")));
         let rates = [60, 50, 40, 300, 20, 10].map(|it| Rate { prompt: Micros(it), completion: Micros(it) });
-        let open: Vec<Candidate<'_>> = (0..5)
-            .filter(|it| allowed_mask >> it & 1 == 1)
+        let candidates: Vec<Candidate<'_>> = (0..5)
+            .filter(|it| candidate_mask >> it & 1 == 1)
             .map(|it| Candidate { id: &ids[it], rate: &rates[it], prior: Some(0.5) })
             .collect();
-        let weigh = if is_hurried { Weigh::Latency } else { Weigh::Exposure };
+        let weigh = if is_latency_sensitive { Weigh::Latency } else { Weigh::Exposure };
         let mut chooser = Chooser::new(Policy { exploration, weigh, ..Policy::default() }, seed);
         let now = Instant::now();
         // Seconds for the answer: what was observed, or what is assumed of an unknown version.
-        let mut seconds = [5; 6];
-        for (version, rating) in rated {
-            seconds[version] = version as u64;
+        let mut answer_seconds = [5; 6];
+        for (version, rating) in ratings {
+            answer_seconds[version] = version as u64;
             chooser.record_rating(&kind, &ids[version], rating, now);
             chooser.record_duration(&ids[version], Duration::from_millis(version as u64 * 1_000), 1_000);
         }
         let request = Request {
             time_left: Duration::from_millis(time_left),
-            delivery: if is_hurried { Delivery::Stream } else { Delivery::Whole },
-            ..request(&kind, target, &open)
+            delivery: if is_latency_sensitive { Delivery::Stream } else { Delivery::Whole },
+            ..request(&kind, target, &candidates)
         };
         let mut n_explored = 0.0;
         for _ in 0..100 {
             let plan = chooser.plan(&request).expect("there are versions");
-            let is_allowed = |id: &version::Id| open.iter().any(|it| it.id == id);
+            let is_allowed = |id: &version::Id| candidates.iter().any(|it| it.id == id);
             prop_assert!(is_allowed(&plan.first));
             prop_assert!(plan.second.as_ref().is_none_or(is_allowed));
             prop_assert_ne!(Some(&plan.first), plan.second.as_ref());
             if let Some(second) = &plan.second {
-                let time = |id| seconds[ids.iter().position(|it| it == id).expect("known")];
-                let both = Duration::from_secs(time(&plan.first) + time(second));
-                prop_assert!(both <= request.time_left, "{plan:?} needs {both:?}");
+                let time = |id| answer_seconds[ids.iter().position(|it| it == id).expect("known")];
+                let total_time = Duration::from_secs(time(&plan.first) + time(second));
+                prop_assert!(total_time <= request.time_left, "{plan:?} needs {total_time:?}");
             }
             n_explored += f64::from(u8::from(plan.reason == Reason::Explore));
         }
@@ -232,15 +242,15 @@
 
     /// Other nodes' sums are repeated by the digest and may come late.
     #[test]
-    fn merging_ignores_repeats_and_old_sums(sums in proptest::collection::vec(1_u64..100, 1..20)) {
+    fn merging_ignores_repeated_and_older_totals(totals in proptest::collection::vec(1_u64..100, 1..20)) {
         let (kind, id) = (kind::Id::new("k"), version::Id::new("m@1"));
         let counts = |n: u64| Counts { n, sum: n as f64 * 0.25 };
-        let newest = *sums.iter().max().expect("there is one");
-        let (mut once, mut often) =
+        let newest = *totals.iter().max().expect("there is one");
+        let (mut merged_once, mut merged_repeatedly) =
             (Chooser::new(Policy::default(), 1), Chooser::new(Policy::default(), 1));
-        once.merge(&kind, &id, counts(newest));
-        sums.iter().chain(&sums).for_each(|it| often.merge(&kind, &id, counts(*it)));
-        let quality = |it: &Chooser| it.quality(&kind, &id).expect("it was rated");
-        prop_assert!((quality(&once) - quality(&often)).abs() < 0.02);
+        merged_once.merge(&kind, &id, counts(newest));
+        totals.iter().chain(&totals).for_each(|it| merged_repeatedly.merge(&kind, &id, counts(*it)));
+        let quality = |it: &Chooser| it.quality(&kind, &id).expect("the version was rated");
+        prop_assert!((quality(&merged_once) - quality(&merged_repeatedly)).abs() < 0.02);
     }
 }
--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -14,8 +14,8 @@
     (0..n).map(member).collect()
 }
 
-fn id(place: usize) -> Id {
-    Id::new(format!("engine-{place:04}"))
+fn id(index: usize) -> Id {
+    Id::new(format!("engine-{index:04}"))
 }
 
 fn pool(n: usize) -> Pool {
@@ -31,7 +31,7 @@
 /// One endpoint becomes ten times slower, say because its machine is short of memory. Callers
 /// whose requests land there wait ten times as long.
 #[test]
-fn a_slow_endpoint_gets_little() {
+fn slow_endpoint_gets_few_requests() {
     let (mut pool, mut now) = (pool(10), Instant::now());
     let mut n_slow = 0;
     for _ in 0..2_000 {
@@ -43,13 +43,13 @@
         pool.finished(&selection.id, answered(if is_slow { 800 } else { 80 }), now);
     }
     assert!(n_slow < 40, "{n_slow} of 2,000 requests went to the slow endpoint");
-    assert!(0 < n_slow, "it is tried now and then");
+    assert!(0 < n_slow, "the slow endpoint is still probed occasionally");
 }
 
 /// The same for prompts that are cached there: an endpoint keeps its prompts whatever its
 /// latency, so a slow one must be left out.
 #[test]
-fn a_slow_endpoint_loses_its_prompts() {
+fn slow_endpoint_loses_prefix_affinity() {
     let (mut pool, mut now) = (pool(10), Instant::now());
     let mut n_slow = 0;
     for key in 0..2_000 {
@@ -67,7 +67,7 @@
 
 /// An endpoint dies and comes back. Only an answer of its own shows that it is back.
 #[test]
-fn a_failed_endpoint_comes_back_by_its_own_answer() {
+fn failed_endpoint_is_readmitted_by_a_successful_probe() {
     let (mut pool, start) = (pool(4), Instant::now());
     for _ in 0..3 {
         pool.started(&id(0), start);
@@ -75,7 +75,7 @@
     }
     assert_eq!(pool.n_ejected(), 1);
     pool.report_load(&id(0), 0, start);
-    assert_eq!(pool.n_ejected(), 1, "a report of its load is no direct contact");
+    assert_eq!(pool.n_ejected(), 1, "a load report does not readmit an endpoint");
 
     let later = start + Duration::from_secs(2);
     let selection = pool.select(None, &[], later).expect("there are endpoints");
@@ -91,12 +91,12 @@
 /// answer of it is ever seen, yet it must stop getting requests: each rescue costs its caller the
 /// wait before it, and another endpoint the work.
 #[test]
-fn an_endpoint_that_is_always_overtaken_is_left_out() {
+fn endpoint_that_always_loses_hedges_is_ejected() {
     let (mut pool, now) = (pool(4), Instant::now());
-    for place in (0..4).cycle().take(80) {
-        pool.started(&id(place), now);
-        pool.answer_started(&id(place), Duration::from_millis(40), now);
-        pool.finished(&id(place), Outcome::Completed, now);
+    for index in (0..4).cycle().take(80) {
+        pool.started(&id(index), now);
+        pool.answer_started(&id(index), Duration::from_millis(40), now);
+        pool.finished(&id(index), Outcome::Completed, now);
     }
     let waited = pool.first_byte_timeout(&id(0));
     for _ in 0..2 {
@@ -109,24 +109,24 @@
 
 /// An answer's end comes long after its first byte where the endpoint is slow.
 #[test]
-fn a_slow_endpoint_is_noticed_as_its_answers_begin() {
+fn slow_first_bytes_eject_before_answers_end() {
     let (mut pool, now) = (pool(4), Instant::now());
-    for place in (0..4).cycle().take(80) {
-        pool.started(&id(place), now);
-        pool.finished(&id(place), answered(40), now);
+    for index in (0..4).cycle().take(80) {
+        pool.started(&id(index), now);
+        pool.finished(&id(index), answered(40), now);
     }
     for _ in 0..3 {
         pool.started(&id(0), now);
         pool.answer_started(&id(0), Duration::from_millis(400), now);
     }
     assert_eq!(pool.n_ejected(), 1);
-    assert_eq!(pool.in_flight(&id(0)), 3, "they still run");
+    assert_eq!(pool.in_flight(&id(0)), 3, "the slow answers are still in flight");
 }
 
 /// Several nodes share an endpoint, and each may fill it by itself. What is too much waits where
 /// nobody can refuse it in time.
 #[test]
-fn a_node_takes_its_part_of_a_full_endpoint() {
+fn node_limits_its_requests_at_an_overloaded_endpoint() {
     let (mut pool, mut now) = (pool(1), Instant::now());
     let fill = |pool: &mut Pool, now| {
         while let Ok(selection) = pool.select(None, &[], now) {
@@ -140,84 +140,93 @@
         pool.report_load(&id(0), 32, now);
         pool.finished(&id(0), answered(80), now);
     }
-    assert_eq!(fill(&mut pool, now), 1, "the endpoint holds four times what it can run");
+    assert_eq!(
+        fill(&mut pool, now),
+        1,
+        "the endpoint holds four times as many requests as it has slots"
+    );
     for _ in 0..100 {
         pool.report_load(&id(0), 1, now);
     }
-    assert_eq!(fill(&mut pool, now), 8, "it has room again");
+    assert_eq!(fill(&mut pool, now), 8, "the endpoint has free slots again");
 }
 
 /// Load reports lag. One that was true seconds ago must not keep requests from an endpoint that
 /// has long been idle.
 #[test]
-fn load_reports_age() {
+fn load_reports_expire() {
     let (mut pool, now) = (pool(2), Instant::now());
     pool.report_load(&id(0), 8, now);
     let n_busy = |pool: &mut Pool, now| {
-        let selections = (0..100).map(|_| pool.select(None, &[], now).expect("there is room"));
+        let selections =
+            (0..100).map(|_| pool.select(None, &[], now).expect("there are free slots"));
         selections.filter(|it| it.id == id(0)).count()
     };
-    assert_eq!(n_busy(&mut pool, now), 0, "it is full");
+    assert_eq!(n_busy(&mut pool, now), 0, "the reported load fills the endpoint");
     let later = now + Duration::from_secs(20);
-    assert!(0 < n_busy(&mut pool, later), "the report is old");
+    assert!(0 < n_busy(&mut pool, later), "the report has expired");
 }
 
 /// An endpoint's own word that it is leaving stops new work there at once.
 #[test]
-fn a_leaving_endpoint_gets_nothing() {
+fn leaving_endpoint_gets_no_requests() {
     for name in baseline::BALANCERS {
-        let mut balance = baseline::balancer(name, "zone-a".into(), 1).expect("a known name");
-        balance.set_members(members(3));
-        balance.set_leaving(&id(1));
+        let mut balancer = baseline::balancer(name, "zone-a".into(), 1).expect("a known name");
+        balancer.set_members(members(3));
+        balancer.set_leaving(&id(1));
         let now = Instant::now();
         for _ in 0..100 {
-            let selection = balance.select(None, &[], now).expect("two stay");
+            let selection = balancer.select(None, &[], now).expect("two endpoints remain");
             assert_ne!(selection.id, id(1), "{name}");
         }
-        balance.set_leaving(&id(0));
-        balance.set_leaving(&id(2));
-        assert_eq!(balance.select(None, &[], now), Err(Unavailable::AllExcluded), "{name}");
+        balancer.set_leaving(&id(0));
+        balancer.set_leaving(&id(2));
+        assert_eq!(balancer.select(None, &[], now), Err(Unavailable::AllExcluded), "{name}");
     }
 }
 
 /// Two of four endpoints are left out when the other two begin to leave. With the floor
 /// counted over all four, no endpoint would be open.
 #[test]
-fn leaving_endpoints_dont_count_for_the_floor() {
+fn leaving_endpoints_do_not_count_for_the_ejection_limit() {
     let (mut pool, now) = (pool(4), Instant::now());
-    for place in [0, 0, 0, 1, 1, 1] {
-        pool.started(&id(place), now);
-        pool.finished(&id(place), Outcome::Failed, now);
+    for index in [0, 0, 0, 1, 1, 1] {
+        pool.started(&id(index), now);
+        pool.finished(&id(index), Outcome::Failed, now);
     }
     assert_eq!(pool.n_ejected(), 2);
     pool.set_leaving(&id(2));
     pool.set_leaving(&id(3));
     for _ in 0..4 {
-        let selection = pool.select(None, &[], now).expect("half of those that stay are open");
+        let selection =
+            pool.select(None, &[], now).expect("half of the remaining endpoints are eligible");
         pool.started(&selection.id, now);
     }
     assert_eq!(pool.n_ejected(), 1);
 }
 
 #[test]
-fn prompts_stay_where_they_are_cached_until_it_is_full() {
+fn prefix_affinity_holds_until_the_endpoint_is_overloaded() {
     let (mut pool, now) = (pool(8), Instant::now());
-    let home = pool.select(Some(42), &[], now).expect("there are endpoints");
-    assert_eq!(home.reason, Reason::Affinity);
-    let mut n_home = 0;
+    let preferred = pool.select(Some(42), &[], now).expect("there are endpoints");
+    assert_eq!(preferred.reason, Reason::Affinity);
+    let mut n_preferred = 0;
     for _ in 0..40 {
-        let selection = pool.select(Some(42), &[], now).expect("there is room");
-        n_home += usize::from(selection.id == home.id);
+        let selection = pool.select(Some(42), &[], now).expect("there are free slots");
+        n_preferred += usize::from(selection.id == preferred.id);
         pool.started(&selection.id, now);
     }
-    assert!((2..=8).contains(&n_home), "{n_home} of 40 at the home of the prompt");
+    assert!(
+        (2..=8).contains(&n_preferred),
+        "{n_preferred} of 40 requests at the preferred endpoint"
+    );
 }
 
 #[test]
-fn full_pools_say_so() {
+fn full_pool_reports_all_busy() {
     let (mut pool, now) = (pool(2), Instant::now());
     for _ in 0..16 {
-        let selection = pool.select(None, &[], now).expect("there is room");
+        let selection = pool.select(None, &[], now).expect("there are free slots");
         pool.started(&selection.id, now);
     }
     assert_eq!(pool.select(None, &[], now), Err(Unavailable::AllBusy));
@@ -227,7 +236,7 @@
 }
 
 #[test]
-fn a_node_keeps_a_part_of_many_endpoints() {
+fn pool_uses_a_subset_of_many_endpoints() {
     let mut pool = pool(10_000);
     assert_eq!(pool.len(), MAX_SUBSET);
     let now = Instant::now();
@@ -236,20 +245,20 @@
     let busy = |pool: &Pool| (0..10_000).filter(|it| pool.in_flight(&id(*it)) == 1).count();
     assert_eq!(busy(&pool), 1);
     pool.set_members(members(9_999));
-    assert_eq!(busy(&pool), 1, "what is known of those that stay is kept");
+    assert_eq!(busy(&pool), 1, "the state of remaining endpoints is kept");
 }
 
 #[test]
-fn the_limit_for_the_first_byte_follows_the_endpoint() {
+fn first_byte_timeout_follows_measured_latency() {
     let (mut pool, now) = (pool(1), Instant::now());
     assert_eq!(pool.first_byte_timeout(&id(0)), Duration::from_secs(2));
     for _ in 0..40 {
         pool.started(&id(0), now);
         pool.finished(&id(0), answered(100), now);
     }
-    let limit = pool.first_byte_timeout(&id(0));
-    let (least, most) = (Duration::from_millis(200), Duration::from_millis(400));
-    assert!((least..most).contains(&limit), "{limit:?}");
+    let timeout = pool.first_byte_timeout(&id(0));
+    let (shortest, longest) = (Duration::from_millis(200), Duration::from_millis(400));
+    assert!((shortest..longest).contains(&timeout), "{timeout:?}");
 }
 
 proptest! {
@@ -257,15 +266,15 @@
 
     /// Whatever endpoints do, half of them stay in, and a pick is never excluded or leaving.
     #[test]
-    fn never_more_than_half_left_out(
+    fn at_most_half_of_the_endpoints_are_ejected(
         n in 1_usize..12,
         events in proptest::collection::vec((0_usize..12, 0_u8..5, 0_u64..2_000), 0..300),
     ) {
         let (mut pool, mut now) = (pool(n), Instant::now());
         pool.set_leaving(&id(n + 1));
-        for (place, event, millis) in events {
+        for (index, event, millis) in events {
             now += Duration::from_millis(millis);
-            let exclude = [id(place)];
+            let exclude = [id(index)];
             if let Ok(selection) = pool.select(Some(millis), &exclude, now) {
                 prop_assert_ne!(&selection.id, &exclude[0]);
                 pool.started(&selection.id, now);
--- a/crates/curranthook_policy/tests/fleet/mod.rs
+++ b/crates/curranthook_policy/tests/fleet/mod.rs
@@ -14,12 +14,12 @@
     pub config: Config,
     pub reference: Reference,
     /// The share of answers that are rated when nothing is amiss.
-    pub base: f64,
+    pub base_sampling: f64,
     pub sampling: Sampling,
     /// Answers of the whole fleet between two exchanges of counts.
     pub exchange_every: u64,
-    pub quiet: f64,
-    pub bad: f64,
+    pub good_quality: f64,
+    pub bad_quality: f64,
 }
 
 /// Whether the share of rated answers follows the test's suspicion.
@@ -55,10 +55,10 @@
     }
 
     /// Serves `n` good answers; gives the answers until a false alarm, if there was one.
-    pub fn run_quiet(&mut self, n: u64) -> Option<u64> {
-        let quality = self.setup.quiet;
+    pub fn run_good(&mut self, n: u64) -> Option<u64> {
+        let quality = self.setup.good_quality;
         (0..n).find(|_| {
-            self.answer(quality);
+            self.serve_one(quality);
             self.tests.iter().any(|it| it.state() != State::Clear)
         })
     }
@@ -66,40 +66,40 @@
     /// Serves answers of bad quality; gives how many there were until all routers stopped, at
     /// most `limit`.
     pub fn run_bad(&mut self, limit: u64) -> u64 {
-        let quality = self.setup.bad;
+        let quality = self.setup.bad_quality;
         let mut n = 0;
-        while n < limit && self.answer(quality) {
+        while n < limit && self.serve_one(quality) {
             n += 1;
         }
         n
     }
 
     /// One answer by a router that still uses the version; `false` when none does.
-    fn answer(&mut self, quality: f64) -> bool {
-        let open: Vec<usize> =
+    fn serve_one(&mut self, quality: f64) -> bool {
+        let active: Vec<usize> =
             (0..ROUTERS).filter(|it| self.tests[*it].state() == State::Clear).collect();
-        if open.is_empty() {
+        if active.is_empty() {
             return false;
         }
-        let router = open[self.rng.random_range(0..open.len())];
+        let router = active[self.rng.random_range(0..active.len())];
         let share = match self.setup.sampling {
-            Sampling::Fixed => self.setup.base,
-            Sampling::Adaptive => self.tests[router].sampling_rate(self.setup.base),
+            Sampling::Fixed => self.setup.base_sampling,
+            Sampling::Adaptive => self.tests[router].sampling_rate(self.setup.base_sampling),
         };
-        let sample = draw(&mut self.rng, quality, share);
+        let sample = draw_sample(&mut self.rng, quality, share);
         self.n_ratings += u64::from(sample.rating.is_some());
         self.tests[router].add(sample);
 
         self.n_answers += 1;
         if self.n_answers.is_multiple_of(self.setup.exchange_every) {
-            self.exchange();
+            self.exchange_counts();
         }
         true
     }
 
-    fn exchange(&mut self) {
+    fn exchange_counts(&mut self) {
         let counts: Vec<Counts> = self.tests.iter().map(|it| *it.counts()).collect();
-        let found = self.tests.iter().find_map(|it| match it.state() {
+        let suspicion = self.tests.iter().find_map(|it| match it.state() {
             State::Clear => None,
             State::Suspect(reason) => Some(reason),
         });
@@ -109,7 +109,7 @@
             }
         }
         // The suspicion of one router travels with the digest and counts for all.
-        if let Some(reason) = found {
+        if let Some(reason) = suspicion {
             self.tests.iter_mut().for_each(|it| it.set_suspect(reason));
         }
     }
@@ -120,10 +120,10 @@
 }
 
 /// One call: a hundredth of them fail, answers have 50 to 400 tokens, ratings are 0 or 1.
-fn draw(rng: &mut Pcg64Mcg, quality: f64, share: f64) -> Sample {
-    const ERRORS: f64 = 0.01;
+fn draw_sample(rng: &mut Pcg64Mcg, quality: f64, share: f64) -> Sample {
+    const ERROR_RATE: f64 = 0.01;
     let tokens = rng.random_range(50..400);
-    if rng.random::<f64>() < ERRORS {
+    if rng.random::<f64>() < ERROR_RATE {
         return Sample { rating: None, outcome: Outcome::Error, tokens: 0 };
     }
     let is_rated = rng.random::<f64>() < share;
@@ -133,12 +133,12 @@
 }
 
 /// Counts of a version that was rated `mean` for long.
-pub fn long_past(mean: f64) -> Reference {
-    const N: u64 = 1_000;
+pub fn established_reference(mean: f64) -> Reference {
+    const N_SAMPLES: u64 = 1_000;
     let mut rng = Pcg64Mcg::seed_from_u64(0);
-    let samples = (0..N).map(|_| Counts::from(draw(&mut rng, mean, 0.0)));
+    let samples = (0..N_SAMPLES).map(|_| Counts::from(draw_sample(&mut rng, mean, 0.0)));
     let calls = samples.fold(Counts::default(), |sum, it| sum.plus(&it));
     // Exactly the mean, so that the study doesn't hang on one draw of the past.
-    let sum = mean * N as f64;
-    Reference::Other(Counts { n: N, sum, squares: sum, ..calls })
+    let sum = mean * N_SAMPLES as f64;
+    Reference::Other(Counts { n: N_SAMPLES, sum, squares: sum, ..calls })
 }
--- a/crates/curranthook_policy/tests/market/mod.rs
+++ b/crates/curranthook_policy/tests/market/mod.rs
@@ -16,7 +16,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// The share of answers that must be good.
-pub const TARGET: f64 = 0.9;
+pub const TARGET_QUALITY: f64 = 0.9;
 
 /// A version of a small market: its name, price and true quality.
 #[derive(Debug, Clone, Copy)]
@@ -27,24 +27,24 @@
 }
 
 pub const SMALL: Offer = Offer { name: "m@small", price: 100, quality: 0.7 };
-pub const MIDDLE: Offer = Offer { name: "m@middle", price: 400, quality: 0.86 };
+pub const MEDIUM: Offer = Offer { name: "m@middle", price: 400, quality: 0.86 };
 pub const LARGE: Offer = Offer { name: "m@large", price: 1_000, quality: 0.96 };
 
 /// What a run cost and gave.
 #[derive(Debug, Default)]
 pub struct Tally {
-    cost: f64,
-    good: f64,
+    total_cost: f64,
+    n_good: f64,
     n: f64,
 }
 
 impl Tally {
     pub fn mean_cost(&self) -> f64 {
-        self.cost / self.n
+        self.total_cost / self.n
     }
 
     pub fn quality(&self) -> f64 {
-        self.good / self.n
+        self.n_good / self.n
     }
 }
 
@@ -61,14 +61,14 @@
     pub rater: Rater,
     pub difficulty: Difficulty,
     /// How many requests there are.
-    pub n: u32,
+    pub n_requests: u32,
 }
 
 /// Serves requests by a named strategy over the three versions.
-pub fn serve(name: &str, policy: &Policy, setup: Setup, seed: u64) -> Tally {
+pub fn simulate(name: &str, policy: &Policy, setup: Setup, seed: u64) -> Tally {
     let mut strategy = baseline::strategy(name, policy.clone(), seed).expect("a known name");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let offers = [SMALL, MIDDLE, LARGE];
+    let offers = [SMALL, MEDIUM, LARGE];
     let ids = offers.map(|it| version::Id::new(it.name));
     let rates = offers.map(|it| Rate { prompt: Micros(0), completion: Micros(it.price) });
     let candidates = [0, 1, 2].map(|it| Candidate {
@@ -77,26 +77,26 @@
         prior: Some(offers[it].quality),
     });
     let kind = kind::Id::new("summary");
-    let request = Request { rater: setup.rater, ..request(&kind, TARGET, &candidates) };
+    let request = Request { rater: setup.rater, ..request(&kind, TARGET_QUALITY, &candidates) };
     let now = Instant::now();
     let mut tally = Tally::default();
-    for _ in 0..setup.n {
+    for _ in 0..setup.n_requests {
         let plan = strategy.plan(&request).expect("there are versions");
-        let place = |id| ids.iter().position(|it| it == id).expect("an allowed version");
-        let first = place(&plan.first);
-        let hardness = rng.random::<f64>();
-        let mut is_good = hardness < offers[first].quality;
-        tally.cost += offers[first].price as f64;
+        let index = |id| ids.iter().position(|it| it == id).expect("an allowed version");
+        let first = index(&plan.first);
+        let difficulty_draw = rng.random::<f64>();
+        let mut is_good = difficulty_draw < offers[first].quality;
+        tally.total_cost += offers[first].price as f64;
         if plan.second.is_some() || plan.sample == Sample::Rate {
             strategy.record_rating(&kind, &plan.first, f64::from(u8::from(is_good)), now);
         }
         if let Some(second) = plan.second.filter(|_| !is_good) {
-            let again = match setup.difficulty {
+            let second_draw = match setup.difficulty {
                 Difficulty::Independent => rng.random::<f64>(),
-                Difficulty::Shared => hardness,
+                Difficulty::Shared => difficulty_draw,
             };
-            is_good = again < offers[place(&second)].quality;
-            tally.cost += offers[place(&second)].price as f64;
+            is_good = second_draw < offers[index(&second)].quality;
+            tally.total_cost += offers[index(&second)].price as f64;
             if plan.sample == Sample::Rate {
                 strategy.record_second_rating(
                     &kind,
@@ -107,7 +107,7 @@
                 );
             }
         }
-        tally.good += f64::from(u8::from(is_good));
+        tally.n_good += f64::from(u8::from(is_good));
         tally.n += 1.0;
     }
     tally
--- a/crates/curranthook_policy/tests/rollout.rs
+++ b/crates/curranthook_policy/tests/rollout.rs
@@ -6,7 +6,7 @@
     rollout::{Decision, Gate, Hold, route},
     verdict::{Counts, Reason, State},
 };
-use curranthook_settings::rollout::{Rollout, State as Stage};
+use curranthook_settings::rollout::{Rollout, State as RolloutState};
 use proptest::prelude::*;
 
 fn rollout(share: f64) -> Rollout {
@@ -15,7 +15,7 @@
         to: "m@2".into(),
         stages: vec![share],
         stage: 0,
-        state: Stage::Running,
+        state: RolloutState::Running,
         since_millis: 0,
     }
 }
@@ -28,14 +28,14 @@
 
 #[yare::parameterized(
     good = { counts(50, 0.9, 0), State::Clear, HOUR, Decision::Advance },
-    young = { counts(50, 0.9, 0), State::Clear, Duration::ZERO, Decision::Hold(Hold::Time) },
-    few = { counts(5, 0.9, 0), State::Clear, HOUR, Decision::Hold(Hold::Answers) },
-    unrated = { counts(20, 0.9, 0), State::Clear, HOUR, Decision::Hold(Hold::Ratings) },
-    worse = { counts(50, 0.8, 0), State::Clear, HOUR, Decision::Hold(Hold::Rating) },
-    failing = { counts(50, 0.9, 100), State::Clear, HOUR, Decision::Hold(Hold::Errors) },
-    bad = { counts(50, 0.9, 0), State::Suspect(Reason::Rating), HOUR, Decision::Abort(Reason::Rating) },
+    stage_too_young = { counts(50, 0.9, 0), State::Clear, Duration::ZERO, Decision::Hold(Hold::Time) },
+    too_few_answers = { counts(5, 0.9, 0), State::Clear, HOUR, Decision::Hold(Hold::Answers) },
+    too_few_ratings = { counts(20, 0.9, 0), State::Clear, HOUR, Decision::Hold(Hold::Ratings) },
+    lower_ratings = { counts(50, 0.8, 0), State::Clear, HOUR, Decision::Hold(Hold::Rating) },
+    more_errors = { counts(50, 0.9, 100), State::Clear, HOUR, Decision::Hold(Hold::Errors) },
+    suspect = { counts(50, 0.9, 0), State::Suspect(Reason::Rating), HOUR, Decision::Abort(Reason::Rating) },
 )]
-fn gates(to: Counts, verdict: State, stage_age: Duration, expected: Decision) {
+fn stage_decisions(to: Counts, verdict: State, stage_age: Duration, expected: Decision) {
     let from = counts(1_000, 0.9, 0);
     assert_eq!(Gate::default().decide(&from, &to, verdict, stage_age), expected);
 }
@@ -45,19 +45,22 @@
 
     /// A session that moved to the new version stays there as the share grows.
     #[test]
-    fn sessions_move_one_way(key in any::<u64>(), less in 0.0_f64..=1.0, more in 0.0_f64..=1.0) {
-        let (less, more) = (rollout(less.min(more)), rollout(less.max(more)));
-        if route(&less, key) == &less.to {
-            prop_assert_eq!(route(&more, key), &more.to);
+    fn sessions_never_move_back(key in any::<u64>(), smaller in 0.0_f64..=1.0, larger in 0.0_f64..=1.0) {
+        let (smaller, larger) = (rollout(smaller.min(larger)), rollout(smaller.max(larger)));
+        if route(&smaller, key) == &smaller.to {
+            prop_assert_eq!(route(&larger, key), &larger.to);
         }
     }
 }
 
 #[test]
-fn the_share_is_kept() {
+fn share_of_moved_sessions_matches_the_stage() {
     for share in [0.0, 0.05, 0.5, 1.0] {
-        let it = rollout(share);
-        let n = (0..10_000).filter(|key| route(&it, *key) == &it.to).count();
-        assert!((n as f64 / 10_000.0 - share).abs() < 0.02, "{n} of 10,000 for {share}");
+        let rollout = rollout(share);
+        let n_moved = (0..10_000).filter(|key| route(&rollout, *key) == &rollout.to).count();
+        assert!(
+            (n_moved as f64 / 10_000.0 - share).abs() < 0.02,
+            "{n_moved} of 10,000 for {share}"
+        );
     }
 }
--- a/crates/curranthook_policy/tests/verdict.rs
+++ b/crates/curranthook_policy/tests/verdict.rs
@@ -7,49 +7,58 @@
 };
 use proptest::prelude::*;
 
-use crate::fleet::{Fleet, Sampling, Setup, long_past};
+use crate::fleet::{Fleet, Sampling, Setup, established_reference};
 
 const SETUP: Setup = Setup {
     config: Config { alpha: 0.01, horizon: 1_000, min_effect: 0.02 },
     reference: Reference::Own,
-    base: 0.3,
+    base_sampling: 0.3,
     sampling: Sampling::Adaptive,
     exchange_every: 4,
-    quiet: 0.9,
-    bad: 0.5,
+    good_quality: 0.9,
+    bad_quality: 0.5,
 };
 
 /// A version's quality falls while it serves, say because an adapter was loaded wrongly. Its
 /// answers look like any others; callers get useless ones until the version is stopped.
 #[test]
-fn fallen_version_is_stopped() {
-    let answers = (0..60).map(|seed| {
+fn degraded_version_is_stopped() {
+    let bad_answers = (0..60).map(|seed| {
         let mut fleet = Fleet::new(SETUP, seed);
-        assert_eq!(fleet.run_quiet(2_000), None, "false alarm with seed {seed}");
+        assert_eq!(fleet.run_good(2_000), None, "false alarm with seed {seed}");
         fleet.run_bad(5_000)
     });
-    let mut answers: Vec<u64> = answers.collect();
-    answers.sort_unstable();
-    assert!(answers.iter().sum::<u64>() < 60 * 45, "mean too high: {answers:?}");
-    assert!(answers[54] < 60, "nine in ten runs must stay below 60: {answers:?}");
+    let mut bad_answers: Vec<u64> = bad_answers.collect();
+    bad_answers.sort_unstable();
+    assert!(bad_answers.iter().sum::<u64>() < 60 * 45, "mean too high: {bad_answers:?}");
+    assert!(
+        bad_answers[54] < 60,
+        "nine in ten runs must stay below 60 bad answers: {bad_answers:?}"
+    );
 }
 
 /// A new version is bad from its first answer.
 #[test]
 fn bad_new_version_is_stopped() {
-    let setup = Setup { reference: long_past(0.9), base: 0.1, exchange_every: 16, ..SETUP };
-    let answers = (0..60).map(|seed| Fleet::new(setup, seed).run_bad(5_000));
-    let n_under = answers.filter(|it| *it < 60).count();
-    assert!(57 <= n_under, "{n_under} of 60 runs stayed below 60");
+    let setup = Setup {
+        reference: established_reference(0.9),
+        base_sampling: 0.1,
+        exchange_every: 16,
+        ..SETUP
+    };
+    let bad_answers = (0..60).map(|seed| Fleet::new(setup, seed).run_bad(5_000));
+    let n_below_limit = bad_answers.filter(|it| *it < 60).count();
+    assert!(57 <= n_below_limit, "{n_below_limit} of 60 runs stayed below 60");
 }
 
 /// Nothing happens. A false alarm would take a good version from all callers.
 #[test]
-fn quiet_version_is_left_alone() {
-    for reference in [long_past(0.9), Reference::Own] {
+fn healthy_version_raises_no_alarm() {
+    for reference in [established_reference(0.9), Reference::Own] {
         let setup = Setup { reference, ..SETUP };
-        let alarms = (0..100).filter(|seed| Fleet::new(setup, *seed).run_quiet(4_000).is_some());
-        let n_alarms = alarms.count();
+        let false_alarms =
+            (0..100).filter(|seed| Fleet::new(setup, *seed).run_good(4_000).is_some());
+        let n_alarms = false_alarms.count();
         assert!(n_alarms <= 1, "{n_alarms} false alarms in 100 runs");
     }
 }
@@ -61,8 +70,8 @@
     empty = { Outcome::Answered, 0, Reason::Short },
     endless = { Outcome::Answered, 30_000, Reason::Long },
 )]
-fn unrated_faults_are_found(outcome: Outcome, tokens: u64, expected: Reason) {
-    let mut test = Test::new(Config::default(), long_past(0.9));
+fn unrated_faults_are_detected(outcome: Outcome, tokens: u64, expected: Reason) {
+    let mut test = Test::new(Config::default(), established_reference(0.9));
     for _ in 0..60 {
         test.add(Sample { rating: None, outcome, tokens });
     }
@@ -70,14 +79,14 @@
 }
 
 #[test]
-fn ratings_are_asked_for_when_they_are_bad() {
-    let mut test = Test::new(Config::default(), long_past(0.9));
+fn sampling_rate_rises_after_a_bad_rating() {
+    let mut test = Test::new(Config::default(), established_reference(0.9));
     let sample = |rating| Sample { rating: Some(rating), outcome: Outcome::Answered, tokens: 200 };
-    assert_eq!(test.sampling_rate(0.1), 1.0, "a new version is rated always");
+    assert_eq!(test.sampling_rate(0.1), 1.0, "every answer of a new version is rated");
     (0..60).for_each(|_| test.add(sample(1.0)));
-    assert!(test.sampling_rate(0.1) < 0.2, "a good version is rated seldom");
+    assert!(test.sampling_rate(0.1) < 0.2, "few answers of a good version are rated");
     test.add(sample(0.0));
-    assert!(0.9 < test.sampling_rate(0.1), "one bad rating calls for more");
+    assert!(0.9 < test.sampling_rate(0.1), "one bad rating raises the rate");
 }
 
 fn counts(n: u64) -> Counts {
@@ -91,25 +100,25 @@
     /// would see bad ratings that nobody gave.
     #[test]
     fn merging_ignores_order_and_repeats(
-        steps in proptest::collection::vec((0_u64..3, 0_u64..200), 1..40),
-        rotate in 0_usize..40,
+        merges in proptest::collection::vec((0_u64..3, 0_u64..200), 1..40),
+        rotation in 0_usize..40,
     ) {
         let origin = |it: u64| Origin { vm: "vm".into(), incarnation: it };
-        let total = |steps: &[(u64, u64)]| {
+        let total = |merges: &[(u64, u64)]| {
             let mut test = Test::new(Config::default(), Reference::Own);
-            for (from, n) in steps {
+            for (from, n) in merges {
                 test.merge_counts(&origin(*from), counts(*n));
             }
             (test.total().n, test.total().calls)
         };
-        let mut turned = steps.clone();
-        turned.rotate_left(rotate % steps.len());
-        turned.extend_from_slice(&steps);
-        prop_assert_eq!(total(&steps), total(&turned));
+        let mut reordered = merges.clone();
+        reordered.rotate_left(rotation % merges.len());
+        reordered.extend_from_slice(&merges);
+        prop_assert_eq!(total(&merges), total(&reordered));
 
         let newest = (0..3).map(|from| {
-            steps.iter().filter(|it| it.0 == from).map(|it| it.1).max().unwrap_or(0)
+            merges.iter().filter(|it| it.0 == from).map(|it| it.1).max().unwrap_or(0)
         });
-        prop_assert_eq!(total(&steps).0, newest.sum::<u64>());
+        prop_assert_eq!(total(&merges).0, newest.sum::<u64>());
     }
 }
