--- a/crates/curranthook_policy/benches/decision.rs
+++ b/crates/curranthook_policy/benches/decision.rs
@@ -1,4 +1,5 @@
-//! The cost of deciding on one request: which version, and which of 64 endpoints.
+//! Benchmarks of the decisions on one request: version selection, and endpoint selection among 64
+//! endpoints.
 
 use std::{
     hint::black_box,
