--- a/crates/curranthook_policy/examples/choice_study.rs
+++ b/crates/curranthook_policy/examples/choice_study.rs
@@ -1,7 +1,7 @@
-//! Measures cost and quality of ways to choose a version, in a market of three.
+//! Measures the cost and quality of the version selection strategies with three versions.
 //!
-//! `cargo run --release -p curranthook_policy --example choice_study -- 50` runs each row over
-//! 50 seeds of 20,000 requests.
+//! `cargo run --release -p curranthook_policy --example choice_study -- 50` runs each row over 50
+//! seeds of 20,000 requests.
 
 #[path = "../tests/market/mod.rs"]
 mod market;
