--- a/crates/curranthook_policy/examples/verdict_study.rs
+++ b/crates/curranthook_policy/examples/verdict_study.rs
@@ -1,7 +1,7 @@
-//! Measures the test of versions: how often it is wrong, and how soon it is right.
+//! Measures the sequential test of versions: its false alarms and its time to detection.
 //!
-//! `cargo run --release -p curranthook_policy --example verdict_study -- 2000` runs each row
-//! over 2,000 seeds. Eight routers serve a version rated 0.9 that falls to 0.5.
+//! `cargo run --release -p curranthook_policy --example verdict_study -- 2000` runs each row over
+//! 2,000 seeds. Eight routers serve a version whose mean rating drops from 0.9 to 0.5.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -10,13 +10,13 @@
 
 use crate::fleet::{Fleet, Sampling, Setup, established_reference};
 
-/// Good answers in a quiet run, and before a fall.
+/// The number of good answers in a run without a drop, and before a drop.
 const GOOD_RUN_ANSWERS: u64 = 10_000;
 const ANSWERS_BEFORE_DROP: u64 = 2_000;
-/// Bad answers after which a run is given up.
+/// The number of bad answers after which a run is abandoned.
 const MAX_BAD_ANSWERS: u64 = 5_000;
 const THREADS: usize = 6;
-/// The most bad answers that may be shown.
+/// The number of bad answers that a run should stay below.
 const TARGET_BAD_ANSWERS: u64 = 60;
 
 fn main() {
@@ -52,7 +52,7 @@
     }
 }
 
-/// What one seed gave.
+/// The result of one seed.
 #[derive(Debug)]
 struct Run {
     has_false_alarm: bool,
