--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Versions are chosen within what is allowed, at the quality wanted, for little money.
+//! Tests of version selection: only allowed versions, the required quality, low cost.
 
 mod market;
 
@@ -41,8 +41,8 @@
     }
 }
 
-/// By bad luck the best version is rated low at first, or a middling one high. Were that
-/// believed for good, all later callers would get the middling one's answers.
+/// By chance, the best version is rated low at first, or a medium one high. If that were never
+/// corrected, all later callers would get the answers of the medium version.
 #[test]
 fn early_misleading_ratings_are_corrected() {
     let setup = Setup { rater: Rater::Up, difficulty: Difficulty::Shared, n_requests: 20_000 };
@@ -53,8 +53,8 @@
     }
 }
 
-/// Where versions fail at different requests, two cheap ones together may do as well as a dear
-/// one. That is used once ratings show it, and only then.
+/// If versions fail on different requests, a cascade of two cheap versions may be as good as an
+/// expensive one. It must be used once ratings prove it, and only then.
 #[test]
 fn cheap_cascades_are_used_once_ratings_prove_them() {
     let run = |difficulty| {
@@ -67,8 +67,8 @@
     assert!(ratio < 0.8, "{ratio} of the cost with shared difficulty");
 }
 
-/// The rating service is down. Without ratings a cheap answer that is wrong isn't noticed, so
-/// nothing is gambled on one.
+/// The rating service is down. Without ratings, wrong answers of a cheap version go unnoticed, so
+/// no version of uncertain quality is tried.
 #[test]
 fn target_is_met_while_the_rating_service_is_down() {
     let setup = Setup { rater: Rater::Down, difficulty: Difficulty::Shared, n_requests: 4_000 };
@@ -76,8 +76,8 @@
     assert!(TARGET_QUALITY <= tally.quality(), "quality {}", tally.quality());
 }
 
-/// A version gets worse for one kind of work while it serves, so callers get answers below the
-/// quality they want until the estimate follows.
+/// The quality of a version for one kind of work drops in service. Callers get answers below their
+/// target quality until the estimate follows.
 #[test]
 fn estimate_follows_a_drop_in_quality() {
     let (kind, now) = (kind::Id::new("summary"), Instant::now());
@@ -112,9 +112,10 @@
     assert_eq!(exposure_chooser.plan(&stream).map(|it| it.reason), Ok(Reason::Cascade));
 }
 
-/// A maker claims more than a version does, for little money. Each answer until that shows may
-/// be a poor one, so it must show within tens of answers, and be made up for. An honest version
-/// of nearly the same price leaves no use for it once it is known.
+/// A cheap version's provider claims more quality than it has. Each answer until this is detected
+/// may be bad, so detection must take only tens of answers, and later answers must compensate. An
+/// honest version of nearly the same price makes the overclaimed one useless once its quality is
+/// known.
 #[test]
 fn overclaimed_version_is_detected_within_60_answers() {
     for seed in 0..20 {
@@ -127,8 +128,8 @@
     }
 }
 
-/// How many of 2,000 requests an overclaimed version answers with nothing behind it, and the
-/// quality of all answers.
+/// Returns how many of 2,000 requests the overclaimed version answers without a second stage, and
+/// the quality of all answers.
 fn serve_with_overclaimed(seed: u64) -> (u32, f64) {
     let (kind, now) = (kind::Id::new("summary"), Instant::now());
     let ids = ["m@over", "m@middle", "m@large"].map(version::Id::new);
@@ -157,7 +158,7 @@
     (n_overclaimed, f64::from(n_good) / 2_000.0)
 }
 
-/// A session stays on the version it began with, so a second stage would never be used.
+/// A session stays on the version it started with, so a second stage would never be used.
 #[yare::parameterized(latency = { Weigh::Latency }, exposure = { Weigh::Exposure })]
 fn sessions_get_no_cascade(weigh: Weigh) {
     let kind = kind::Id::new("summary");
@@ -189,8 +190,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever was learned of other versions, a plan names allowed ones only, keeps to the
-    /// time left, and explores no more than its share.
+    /// Regardless of earlier ratings, a plan uses only candidates, fits into the time left, and
+    /// explores no more than the configured share.
     #[test]
     fn plans_respect_candidates_deadline_and_exploration_share(
         seed in any::<u64>(),
@@ -211,7 +212,7 @@
         let weigh = if is_latency_sensitive { Weigh::Latency } else { Weigh::Exposure };
         let mut chooser = Chooser::new(Policy { exploration, weigh, ..Policy::default() }, seed);
         let now = Instant::now();
-        // Seconds for the answer: what was observed, or what is assumed of an unknown version.
+        // Seconds per answer: as recorded, or as assumed for an unknown version.
         let mut answer_seconds = [5; 6];
         for (version, rating) in ratings {
             answer_seconds[version] = version as u64;
@@ -240,7 +241,7 @@
         prop_assert!(n_explored <= exploration * 100.0 + 1.0);
     }
 
-    /// Other nodes' sums are repeated by the digest and may come late.
+    /// Gossip between nodes repeats totals and may deliver them late.
     #[test]
     fn merging_ignores_repeated_and_older_totals(totals in proptest::collection::vec(1_u64..100, 1..20)) {
         let (kind, id) = (kind::Id::new("k"), version::Id::new("m@1"));
