--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Requests go to endpoints that answer soon, and never all to a few.
+//! Tests of load balancing: requests go to fast endpoints, but never all to a few.
 
 use std::time::{Duration, Instant};
 
@@ -28,8 +28,8 @@
     Outcome::Answered { first_byte: Duration::from_millis(millis) }
 }
 
-/// One endpoint becomes ten times slower, say because its machine is short of memory. Callers
-/// whose requests land there wait ten times as long.
+/// One endpoint becomes ten times slower, for example because its host runs out of memory. Callers
+/// of requests sent there wait ten times as long.
 #[test]
 fn slow_endpoint_gets_few_requests() {
     let (mut pool, mut now) = (pool(10), Instant::now());
@@ -46,8 +46,8 @@
     assert!(0 < n_slow, "the slow endpoint is still probed occasionally");
 }
 
-/// The same for prompts that are cached there: an endpoint keeps its prompts whatever its
-/// latency, so a slow one must be left out.
+/// As above, with prefix affinity: an endpoint keeps the prompts assigned to it regardless of its
+/// latency, so a slow endpoint must be ejected.
 #[test]
 fn slow_endpoint_loses_prefix_affinity() {
     let (mut pool, mut now) = (pool(10), Instant::now());
@@ -65,7 +65,8 @@
     assert!(n_slow < 40, "{n_slow} of 2,000 requests went to the slow endpoint");
 }
 
-/// An endpoint dies and comes back. Only an answer of its own shows that it is back.
+/// An endpoint fails and recovers. Only an answer to a request of this node shows that it has
+/// recovered.
 #[test]
 fn failed_endpoint_is_readmitted_by_a_successful_probe() {
     let (mut pool, start) = (pool(4), Instant::now());
@@ -87,9 +88,9 @@
     assert_eq!(pool.n_ejected(), 0);
 }
 
-/// An endpoint becomes slow, and each of its callers is rescued by a second attempt elsewhere. No
-/// answer of it is ever seen, yet it must stop getting requests: each rescue costs its caller the
-/// wait before it, and another endpoint the work.
+/// An endpoint becomes slow, and each of its requests is answered by a hedged attempt elsewhere. It
+/// never completes an answer, yet must stop getting requests: each hedge costs its caller the wait
+/// before it, and another endpoint the work.
 #[test]
 fn endpoint_that_always_loses_hedges_is_ejected() {
     let (mut pool, now) = (pool(4), Instant::now());
@@ -107,7 +108,7 @@
     assert_eq!(pool.n_ejected(), 1);
 }
 
-/// An answer's end comes long after its first byte where the endpoint is slow.
+/// At a slow endpoint, an answer ends long after its first byte.
 #[test]
 fn slow_first_bytes_eject_before_answers_end() {
     let (mut pool, now) = (pool(4), Instant::now());
@@ -123,8 +124,8 @@
     assert_eq!(pool.in_flight(&id(0)), 3, "the slow answers are still in flight");
 }
 
-/// Several nodes share an endpoint, and each may fill it by itself. What is too much waits where
-/// nobody can refuse it in time.
+/// Several nodes share an endpoint, and each could fill it alone. The excess requests wait in the
+/// endpoint's queue, where they can't be refused in time.
 #[test]
 fn node_limits_its_requests_at_an_overloaded_endpoint() {
     let (mut pool, mut now) = (pool(1), Instant::now());
@@ -151,7 +152,7 @@
     assert_eq!(fill(&mut pool, now), 8, "the endpoint has free slots again");
 }
 
-/// Load reports lag. One that was true seconds ago must not keep requests from an endpoint that
+/// Load reports lag. A report from seconds ago must not keep requests away from an endpoint that
 /// has long been idle.
 #[test]
 fn load_reports_expire() {
@@ -167,7 +168,7 @@
     assert!(0 < n_busy(&mut pool, later), "the report has expired");
 }
 
-/// An endpoint's own word that it is leaving stops new work there at once.
+/// An endpoint's own report that it is leaving stops new requests to it at once.
 #[test]
 fn leaving_endpoint_gets_no_requests() {
     for name in baseline::BALANCERS {
@@ -185,8 +186,8 @@
     }
 }
 
-/// Two of four endpoints are left out when the other two begin to leave. With the floor
-/// counted over all four, no endpoint would be open.
+/// Two of four endpoints are ejected when the other two start to leave. If the limit on ejections
+/// counted all four, no endpoint would be eligible.
 #[test]
 fn leaving_endpoints_do_not_count_for_the_ejection_limit() {
     let (mut pool, now) = (pool(4), Instant::now());
@@ -264,7 +265,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever endpoints do, half of them stay in, and a pick is never excluded or leaving.
+    /// Whatever the outcomes, at most half of the endpoints are ejected, and a selected endpoint is
+    /// never excluded.
     #[test]
     fn at_most_half_of_the_endpoints_are_ejected(
         n in 1_usize..12,
