--- a/crates/curranthook_policy/tests/fleet/mod.rs
+++ b/crates/curranthook_policy/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few routers that serve one version and exchange their counts.
+//! A simulation of routers that serve one version and exchange their counts.
 
 use curranthook_policy::verdict::{
     Config, Counts, Origin, Outcome, Reference, Sample, State, Test,
@@ -8,21 +8,21 @@
 
 pub const ROUTERS: usize = 8;
 
-/// What a run is like.
+/// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
     pub config: Config,
     pub reference: Reference,
-    /// The share of answers that are rated when nothing is amiss.
+    /// The share of answers that are rated while nothing is suspicious.
     pub base_sampling: f64,
     pub sampling: Sampling,
-    /// Answers of the whole fleet between two exchanges of counts.
+    /// The number of answers of the whole fleet between two exchanges of counts.
     pub exchange_every: u64,
     pub good_quality: f64,
     pub bad_quality: f64,
 }
 
-/// Whether the share of rated answers follows the test's suspicion.
+/// Whether the share of rated answers follows the suspicion of the test.
 #[allow(dead_code, reason = "the study compares both, the tests use one")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sampling {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Serves `n` good answers; gives the answers until a false alarm, if there was one.
+    /// Serves `n` good answers. Returns the number of answers before a false alarm, if there was
+    /// one.
     pub fn run_good(&mut self, n: u64) -> Option<u64> {
         let quality = self.setup.good_quality;
         (0..n).find(|_| {
@@ -63,8 +64,7 @@
         })
     }
 
-    /// Serves answers of bad quality; gives how many there were until all routers stopped, at
-    /// most `limit`.
+    /// Serves bad answers. Returns their number until all routers stopped, at most `limit`.
     pub fn run_bad(&mut self, limit: u64) -> u64 {
         let quality = self.setup.bad_quality;
         let mut n = 0;
@@ -74,7 +74,7 @@
         n
     }
 
-    /// One answer by a router that still uses the version; `false` when none does.
+    /// Serves one answer by a router that still uses the version. Returns `false` if there is none.
     fn serve_one(&mut self, quality: f64) -> bool {
         let active: Vec<usize> =
             (0..ROUTERS).filter(|it| self.tests[*it].state() == State::Clear).collect();
@@ -108,7 +108,7 @@
                 test.merge_counts(&self.origins[from], *counts);
             }
         }
-        // The suspicion of one router travels with the digest and counts for all.
+        // The alarm of one router is sent to the others by gossip and applies to all.
         if let Some(reason) = suspicion {
             self.tests.iter_mut().for_each(|it| it.set_suspect(reason));
         }
@@ -119,7 +119,7 @@
     Origin { vm: format!("vm-{router}").as_str().into(), incarnation: 1 }
 }
 
-/// One call: a hundredth of them fail, answers have 50 to 400 tokens, ratings are 0 or 1.
+/// Draws one call: a hundredth of calls fail, answers have 50 to 400 tokens, ratings are 0 or 1.
 fn draw_sample(rng: &mut Pcg64Mcg, quality: f64, share: f64) -> Sample {
     const ERROR_RATE: f64 = 0.01;
     let tokens = rng.random_range(50..400);
@@ -132,13 +132,13 @@
     Sample { rating, outcome: Outcome::Answered, tokens }
 }
 
-/// Counts of a version that was rated `mean` for long.
+/// The counts of a version with 1,000 ratings of the given mean.
 pub fn established_reference(mean: f64) -> Reference {
     const N_SAMPLES: u64 = 1_000;
     let mut rng = Pcg64Mcg::seed_from_u64(0);
     let samples = (0..N_SAMPLES).map(|_| Counts::from(draw_sample(&mut rng, mean, 0.0)));
     let calls = samples.fold(Counts::default(), |sum, it| sum.plus(&it));
-    // Exactly the mean, so that the study doesn't hang on one draw of the past.
+    // Exactly the given mean, so that the study doesn't depend on one random draw of the reference.
     let sum = mean * N_SAMPLES as f64;
     Reference::Other(Counts { n: N_SAMPLES, sum, squares: sum, ..calls })
 }
