--- a/crates/curranthook_policy/tests/market/mod.rs
+++ b/crates/curranthook_policy/tests/market/mod.rs
@@ -1,4 +1,4 @@
-//! A small market: three versions of known price and quality, and requests for them.
+//! A simulation of requests to three versions of known price and quality.
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
 /// The share of answers that must be good.
 pub const TARGET_QUALITY: f64 = 0.9;
 
-/// A version of a small market: its name, price and true quality.
+/// A version with its name, price and true quality.
 #[derive(Debug, Clone, Copy)]
 pub struct Offer {
     name: &'static str,
@@ -30,7 +30,7 @@
 pub const MEDIUM: Offer = Offer { name: "m@middle", price: 400, quality: 0.86 };
 pub const LARGE: Offer = Offer { name: "m@large", price: 1_000, quality: 0.96 };
 
-/// What a run cost and gave.
+/// The totals of a run.
 #[derive(Debug, Default)]
 pub struct Tally {
     total_cost: f64,
@@ -48,23 +48,23 @@
     }
 }
 
-/// Whether what one version fails at is what all others fail at.
+/// Whether a request that one version fails is also failed by all others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Difficulty {
     Independent,
     Shared,
 }
 
-/// What a run is like.
+/// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
     pub rater: Rater,
     pub difficulty: Difficulty,
-    /// How many requests there are.
+    /// The number of requests.
     pub n_requests: u32,
 }
 
-/// Serves requests by a named strategy over the three versions.
+/// Serves requests with a named strategy and the three versions.
 pub fn simulate(name: &str, policy: &Policy, setup: Setup, seed: u64) -> Tally {
     let mut strategy = baseline::strategy(name, policy.clone(), seed).expect("a known name");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -113,7 +113,7 @@
     tally
 }
 
-/// A request that is in no hurry.
+/// A request with plenty of time left.
 pub fn request<'a>(
     kind: &'a kind::Id,
     target_quality: f64,
