--- a/crates/curranthook_policy/tests/overload.rs
+++ b/crates/curranthook_policy/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Limits, the queue, retries and poison requests: what happens when there is too much.
+//! Tests of overload handling: rate limits, the queue, retries and poison requests.
 
 use std::{
     collections::BTreeMap,
@@ -18,8 +18,8 @@
 const TICK: Duration = Duration::from_millis(10);
 const TIME_TO_DEADLINE: Duration = Duration::from_secs(1);
 
-/// Twice as much comes as can be served, most of it from one account. Without fair shares the
-/// large account's requests would fill the queue and small accounts would get nothing.
+/// The load is twice the capacity, most of it from one account. Without fair shares, the large
+/// account's requests would fill the queue and small accounts would get nothing.
 #[test]
 fn small_accounts_are_served_under_overload() {
     let (mut queue, mut now) = (Fair::new(200), Instant::now());
@@ -54,7 +54,7 @@
     assert!(n_expired <= 100, "hardly any request expires in the queue: {n_expired}");
 }
 
-/// Endpoints stop. Requests that come now would wait until their deadline for nothing.
+/// Endpoints stop. Requests that arrive then would wait until their deadline for nothing.
 #[test]
 fn requests_are_refused_on_arrival_during_a_stall() {
     let (mut queue, mut now) = (Fair::new(100), Instant::now());
@@ -66,8 +66,8 @@
     assert!(TIME_TO_DEADLINE < full.retry_after);
 }
 
-/// One account was alone for long, then another comes. It must not be served alone to make up
-/// for time when it asked for nothing.
+/// One account was alone for a while when a second one starts. The second one must not be served
+/// exclusively to compensate for the time it sent nothing.
 #[test]
 fn idle_time_earns_no_extra_share() {
     let (mut queue, now) = (Fair::new(10_000), Instant::now());
@@ -87,7 +87,7 @@
     assert!((45..=55).contains(&n_late), "{n_late} of 100 for the late account");
 }
 
-/// Nothing came for an hour. That must not look like a stall to those who come next.
+/// Nothing arrived for an hour. Later requests must not be refused as if the queue had stalled.
 #[test]
 fn idle_time_does_not_count_as_a_stall() {
     let (mut queue, mut now) = (Fair::new(100), Instant::now());
@@ -101,7 +101,7 @@
     }
 }
 
-/// Every endpoint fails. Each request that is tried again adds to the load that broke them.
+/// Every endpoint fails, and each retry adds to the load that overloaded them.
 #[test]
 fn retry_budget_is_exhausted_without_successes() {
     let now = Instant::now();
@@ -137,8 +137,8 @@
     }
 }
 
-/// An account's callers all come to one node. With even shares it would get a quarter of what
-/// it pays for.
+/// All callers of an account use one node. With even shares, the account would get a quarter of its
+/// limit.
 #[test]
 fn rate_limit_shares_follow_demand() {
     let start = Instant::now();
@@ -155,8 +155,8 @@
     assert!((30..=40).contains(&per_second), "{per_second} a second");
 }
 
-/// A request that crashes its endpoint is sent again and again. Each time an endpoint goes
-/// down, and with it the answers that it was writing for others.
+/// A request that crashes its endpoint is repeated. Each crash takes down an endpoint together with
+/// the answers that it was generating for others.
 #[test]
 fn poison_request_is_refused_on_all_nodes() {
     let (now, fingerprint) = (Instant::now(), [1; 16]);
@@ -178,7 +178,8 @@
     assert!(!second_node.is_poison(fingerprint, now), "an endpoint answered the request");
 }
 
-/// Nodes send an entry to and fro. Were it young again each time, it would never expire.
+/// Nodes exchange a record back and forth. If each exchange refreshed its age, it would never
+/// expire.
 #[test]
 fn exchanged_poison_records_still_expire() {
     const TRANSIT_TIME: Duration = Duration::from_secs(30);
@@ -199,7 +200,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// While all accounts have requests waiting, they are served by their weights.
+    /// While all accounts have waiting requests, they are served in proportion to their weights.
     #[test]
     fn queue_serves_accounts_by_weight(weights in proptest::collection::vec(1_u32..6, 2..6)) {
         let (mut queue, now) = (Fair::new(100_000), Instant::now());
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Nothing that is taken in is lost, and nothing comes out twice.
+    /// No admitted request is lost, and none is returned twice.
     #[test]
     fn queue_returns_each_request_exactly_once(
         pushes in proptest::collection::vec((0_u32..5, 0_u64..2_000), 0..100),
@@ -246,7 +247,7 @@
         prop_assert_eq!(returned, expected);
     }
 
-    /// Shares of a limit worked out by all nodes from the same demands add up to the limit.
+    /// The shares of a limit that nodes compute from the same demands add up to the limit.
     #[test]
     fn rate_limit_shares_add_up_to_the_limit(demands in proptest::collection::vec(0.1_f64..100.0, 1..20)) {
         let fleet_demand: f64 = demands.iter().sum();
@@ -258,7 +259,7 @@
         prop_assert!((shares.sum::<f64>() - 1.0).abs() < 1e-9);
     }
 
-    /// Registers that learned the same things, in whatever order, agree.
+    /// Registers that merged the same records agree, regardless of the order.
     #[test]
     fn poison_records_merge_in_any_order(
         crashes in proptest::collection::vec((0_u8..3, 0_u8..4, any::<bool>()), 0..20),
