--- a/crates/curranthook_policy/tests/rollout.rs
+++ b/crates/curranthook_policy/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! Roll-outs move sessions one way, and go on only when nothing speaks against it.
+//! Tests of rollouts: sessions never move back, and a stage only advances if nothing speaks against
+//! the new version.
 
 use std::time::Duration;
 
@@ -43,7 +44,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A session that moved to the new version stays there as the share grows.
+    /// A session that moved to the new version stays on it as the share grows.
     #[test]
     fn sessions_never_move_back(key in any::<u64>(), smaller in 0.0_f64..=1.0, larger in 0.0_f64..=1.0) {
         let (smaller, larger) = (rollout(smaller.min(larger)), rollout(smaller.max(larger)));
