--- a/crates/curranthook_policy/tests/verdict.rs
+++ b/crates/curranthook_policy/tests/verdict.rs
@@ -1,4 +1,5 @@
-//! Bad versions are found soon, good ones are left alone, and counts may come in any order.
+//! Tests of the sequential test: it detects bad versions soon, raises few false alarms, and accepts
+//! counts in any order.
 
 mod fleet;
 
@@ -19,8 +20,8 @@
     bad_quality: 0.5,
 };
 
-/// A version's quality falls while it serves, say because an adapter was loaded wrongly. Its
-/// answers look like any others; callers get useless ones until the version is stopped.
+/// A version's quality drops in service, for example because an adapter was loaded wrongly. Its
+/// answers look normal but are useless to callers until the version is stopped.
 #[test]
 fn degraded_version_is_stopped() {
     let bad_answers = (0..60).map(|seed| {
@@ -51,7 +52,7 @@
     assert!(57 <= n_below_limit, "{n_below_limit} of 60 runs stayed below 60");
 }
 
-/// Nothing happens. A false alarm would take a good version from all callers.
+/// The quality does not change. A false alarm would take a good version away from all callers.
 #[test]
 fn healthy_version_raises_no_alarm() {
     for reference in [established_reference(0.9), Reference::Own] {
@@ -63,8 +64,8 @@
     }
 }
 
-/// A version begins to fail, or to give empty or endless answers. No rating is needed to see
-/// that.
+/// A version starts to fail, or to give empty or endless answers. This must be detected without
+/// ratings.
 #[yare::parameterized(
     errors = { Outcome::Error, 0, Reason::Errors },
     empty = { Outcome::Answered, 0, Reason::Short },
@@ -96,8 +97,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The digest repeats counts and brings them out of order. Were one counted twice, a node
-    /// would see bad ratings that nobody gave.
+    /// Gossip repeats counts and delivers them out of order. If one were counted twice, a node
+    /// would see bad ratings that were never given.
     #[test]
     fn merging_ignores_order_and_repeats(
         merges in proptest::collection::vec((0_u64..3, 0_u64..200), 1..40),
