--- a/crates/curranthook_steward/src/document.rs
+++ b/crates/curranthook_steward/src/document.rs
@@ -6,18 +6,18 @@
 use curranthook_publish::store::{self, Outcome, Retry, Stored};
 use curranthook_settings::{
     Document,
-    document::{Error as Edit, Stamp},
+    document::{Error as EditError, Stamp},
 };
 use curranthook_types::{Clock, vm};
 use parking_lot::Mutex;
 
 /// Reads and replaces the document.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Editor {
     table: Arc<dyn Table>,
     clock: Arc<dyn Clock>,
-    by: String,
-    last: Mutex<Option<Arc<Stored>>>,
+    author: String,
+    cached: Mutex<Option<Arc<Stored>>>,
 }
 
 /// How a change ended.
@@ -26,15 +26,15 @@
     /// It's published.
     Published,
     /// Somebody else published first; look again and decide anew.
-    Overtaken,
+    Conflict,
     /// It was so already.
-    Unneeded,
+    Unchanged,
 }
 
-impl Desk {
+impl Editor {
     /// A desk that publishes in the name of the steward on `vm`.
     pub fn new(table: Arc<dyn Table>, clock: Arc<dyn Clock>, vm: &vm::Id) -> Self {
-        Self { table, clock, by: format!("steward on {vm}"), last: Mutex::default() }
+        Self { table, clock, author: format!("steward on {vm}"), cached: Mutex::default() }
     }
 
     /// The document as it is now.
@@ -42,11 +42,11 @@
     /// It's asked for twice a second and shard, and can be some megabytes long. So the row is
     /// only sent, and read, when it has changed since the last time.
     pub async fn read(&self) -> anyhow::Result<Option<Arc<Stored>>> {
-        let last = self.last.lock().clone();
-        let known = last.as_ref().map(|it| &it.tag);
-        let Some(newer) = store::read_newer(&*self.table, known).await? else { return Ok(last) };
+        let cached = self.cached.lock().clone();
+        let known = cached.as_ref().map(|it| &it.tag);
+        let Some(newer) = store::read_newer(&*self.table, known).await? else { return Ok(cached) };
         let newer = Arc::new(newer);
-        *self.last.lock() = Some(Arc::clone(&newer));
+        *self.cached.lock() = Some(Arc::clone(&newer));
         Ok(Some(newer))
     }
 
@@ -55,19 +55,19 @@
     pub async fn change(
         &self,
         stored: &Stored,
-        edit: impl FnOnce(&Document, &Stamp<'_>) -> Result<Document, Edit>,
+        edit: impl FnOnce(&Document, &Stamp<'_>) -> Result<Document, EditError>,
     ) -> anyhow::Result<Change> {
         let publication = ulid::Ulid::generate().to_string();
         let at_millis = self.clock.unix_millis();
-        let stamp = Stamp { by: &self.by, at_millis, publication: &publication };
+        let stamp = Stamp { by: &self.author, at_millis, publication: &publication };
         let next = match edit(&stored.document, &stamp) {
             Ok(next) => next,
-            Err(e) if e.is_unchanged() => return Ok(Change::Unneeded),
+            Err(e) if e.is_unchanged() => return Ok(Change::Unchanged),
             Err(e) => return Err(e.into()),
         };
         match store::write(&*self.table, Some(&stored.tag), &next, Retry::default()).await? {
             Outcome::Done => Ok(Change::Published),
-            Outcome::Conflict(_) => Ok(Change::Overtaken),
+            Outcome::Conflict(_) => Ok(Change::Conflict),
         }
     }
 }
--- a/crates/curranthook_steward/src/evidence.rs
+++ b/crates/curranthook_steward/src/evidence.rs
@@ -10,7 +10,7 @@
 
 /// Asks the router.
 #[derive(Debug)]
-pub struct Source {
+pub struct Client {
     link: link::Http,
     key: auth::Key,
     clock: Arc<dyn Clock>,
@@ -21,7 +21,7 @@
 /// The counts of one version from one node.
 pub type Row = (version::Id, Origin, Counts);
 
-impl Source {
+impl Client {
     /// Asks the router whose peers' address is `router`.
     pub fn new(pool: Arc<Pool>, clock: Arc<dyn Clock>, key: &[u8], router: SocketAddr) -> Self {
         let link = link::Http::new(pool);
@@ -29,16 +29,16 @@
     }
 
     /// All that the router knows, its own counts and other nodes'.
-    pub async fn all(&self) -> Result<Vec<Row>, rpc::Error> {
-        self.ask("origins").await
+    pub async fn counts(&self) -> Result<Vec<Row>, rpc::Error> {
+        self.call("origins").await
     }
 
     /// About how many nodes there are, as far as the router knows.
-    pub async fn fleet(&self) -> Result<usize, rpc::Error> {
-        self.ask("fleet").await
+    pub async fn fleet_size(&self) -> Result<usize, rpc::Error> {
+        self.call("fleet").await
     }
 
-    async fn ask<R: DeserializeOwned + Clone + 'static>(
+    async fn call<R: DeserializeOwned + Clone + 'static>(
         &self,
         method: &str,
     ) -> Result<R, rpc::Error> {
--- a/crates/curranthook_steward/src/lease.rs
+++ b/crates/curranthook_steward/src/lease.rs
@@ -26,9 +26,9 @@
 /// How long a lease holds after its row was written.
 pub const TERM: Duration = Duration::from_secs(6);
 /// How long an order, or any other effect of a lease, may take.
-pub const EFFECT: Duration = Duration::from_secs(2);
+pub const EFFECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a candidate must have seen a row unchanged before it takes it over.
-pub const TAKE_OVER: Duration = Duration::from_secs(8);
+pub const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// What a lease's row says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,40 +58,45 @@
     table: Arc<dyn Table>,
     clock: Arc<dyn Clock>,
     shard: String,
-    me: Holder,
+    own_holder: Holder,
     held: Option<Held>,
-    seen: Option<(Tag, Instant)>,
+    last_seen: Option<(Tag, Instant)>,
 }
 
 #[derive(Debug)]
 struct Held {
     tag: Tag,
     record: Record,
-    until: Instant,
+    expires: Instant,
 }
 
 impl Lease {
     /// The lease of `shard`, held by others as far as is known.
-    pub fn new(table: Arc<dyn Table>, clock: Arc<dyn Clock>, shard: &str, me: Holder) -> Self {
-        Self { table, clock, shard: shard.to_owned(), me, held: None, seen: None }
+    pub fn new(
+        table: Arc<dyn Table>,
+        clock: Arc<dyn Clock>,
+        shard: &str,
+        own_holder: Holder,
+    ) -> Self {
+        Self { table, clock, shard: shard.to_owned(), own_holder, held: None, last_seen: None }
     }
 
-    /// The fencing number, if the lease has at least `needed` left.
-    pub fn fencing(&self, needed: Duration) -> Option<u64> {
+    /// The fencing number, if the lease has at least `min_remaining` left.
+    pub fn fencing_token(&self, min_remaining: Duration) -> Option<u64> {
         let held = self.held.as_ref()?;
-        (self.clock.now() + needed < held.until).then_some(held.record.fencing)
+        (self.clock.now() + min_remaining < held.expires).then_some(held.record.fencing)
     }
 
     /// Renews the lease if it's held, or takes it if nobody holds it.
-    pub async fn step(&mut self) -> Result<(), Error> {
+    pub async fn renew_or_acquire(&mut self) -> Result<(), Error> {
         match self.held.take() {
             Some(held) => self.renew(held).await,
-            None => self.look().await,
+            None => self.try_acquire().await,
         }
     }
 
     /// Gives the lease back, so that another steward needn't wait for its end.
-    pub async fn close(mut self) {
+    pub async fn release(mut self) {
         let Some(held) = self.held.take() else { return };
         let record = Record { released: true, ..held.record };
         // If this is lost, the lease runs out by itself.
@@ -101,63 +106,63 @@
     async fn renew(&mut self, held: Held) -> Result<(), Error> {
         let record = Record { renewal: held.record.renewal + 1, ..held.record.clone() };
         // The term counts from before the write: how long it took to arrive isn't known.
-        let started = self.clock.now();
+        let sent_at = self.clock.now();
         match self.table.replace(TABLE, &self.shard, &held.tag, encode(&record)).await {
             Ok(Write::Done(tag)) => {
-                self.hold(tag, record, started);
+                self.set_held(tag, record, sent_at);
                 Ok(())
             }
-            Ok(Write::Conflict) => self.look().await,
+            Ok(Write::Conflict) => self.try_acquire().await,
             // Whether the renewal took effect isn't known, so the old term still binds. A look
             // at the row tells which of its states the next renewal has to name.
             Err(e) => {
-                self.recover(held, &record, started).await;
+                self.recover_after_error(held, &record, sent_at).await;
                 Err(e)
             }
         }
     }
 
-    async fn recover(&mut self, held: Held, sent: &Record, started: Instant) {
+    async fn recover_after_error(&mut self, held: Held, sent: &Record, sent_at: Instant) {
         match self.table.get(TABLE, &self.shard).await {
             Ok(Some(row)) if decode(&row).as_ref() == Ok(sent) => {
-                self.hold(row.tag, sent.clone(), started);
+                self.set_held(row.tag, sent.clone(), sent_at);
             }
-            Ok(Some(row)) if row.tag != held.tag => self.see(row.tag),
+            Ok(Some(row)) if row.tag != held.tag => self.observe(row.tag),
             _ => self.held = Some(held),
         }
     }
 
-    async fn look(&mut self) -> Result<(), Error> {
-        let started = self.clock.now();
+    async fn try_acquire(&mut self) -> Result<(), Error> {
+        let sent_at = self.clock.now();
         let Some(row) = self.table.get(TABLE, &self.shard).await? else {
-            let record = self.record(1);
+            let record = self.new_record(1);
             let written = self.table.insert(TABLE, &self.shard, encode(&record)).await;
-            return self.taken(written, record, started).await;
+            return self.finish_acquire(written, record, sent_at).await;
         };
         let found = decode(&row)?;
-        self.see(row.tag.clone());
-        if !found.released && !self.is_stale(started) {
+        self.observe(row.tag.clone());
+        if !found.released && !self.is_expired(sent_at) {
             return Ok(());
         }
-        let record = self.record(found.fencing + 1);
+        let record = self.new_record(found.fencing + 1);
         let written = self.table.replace(TABLE, &self.shard, &row.tag, encode(&record)).await;
-        self.taken(written, record, started).await
+        self.finish_acquire(written, record, sent_at).await
     }
 
-    async fn taken(
+    async fn finish_acquire(
         &mut self,
         written: Result<Write, Error>,
         record: Record,
-        started: Instant,
+        sent_at: Instant,
     ) -> Result<(), Error> {
         match written {
-            Ok(Write::Done(tag)) => self.hold(tag, record, started),
+            Ok(Write::Done(tag)) => self.set_held(tag, record, sent_at),
             Ok(Write::Conflict) => {}
             // Only a row that names this process and this fencing number is ours.
             Err(Error::Lost(_)) => {
                 let row = self.table.get(TABLE, &self.shard).await?;
                 if let Some(row) = row.filter(|it| decode(it).as_ref() == Ok(&record)) {
-                    self.hold(row.tag, record, started);
+                    self.set_held(row.tag, record, sent_at);
                 }
             }
             Err(e) => return Err(e),
@@ -165,24 +170,26 @@
         Ok(())
     }
 
-    fn hold(&mut self, tag: Tag, record: Record, started: Instant) {
-        self.seen = None;
-        self.held = Some(Held { tag, record, until: started + TERM });
+    fn set_held(&mut self, tag: Tag, record: Record, sent_at: Instant) {
+        self.last_seen = None;
+        self.held = Some(Held { tag, record, expires: sent_at + TERM });
     }
 
-    fn see(&mut self, tag: Tag) {
-        let is_known = self.seen.as_ref().is_some_and(|(seen, _)| *seen == tag);
-        if !is_known {
-            self.seen = Some((tag, self.clock.now()));
+    fn observe(&mut self, tag: Tag) {
+        let is_unchanged = self.last_seen.as_ref().is_some_and(|(last_seen, _)| *last_seen == tag);
+        if !is_unchanged {
+            self.last_seen = Some((tag, self.clock.now()));
         }
     }
 
-    fn is_stale(&self, now: Instant) -> bool {
-        self.seen.as_ref().is_some_and(|(_, since)| TAKE_OVER <= now.duration_since(*since))
+    fn is_expired(&self, now: Instant) -> bool {
+        self.last_seen
+            .as_ref()
+            .is_some_and(|(_, since)| TAKEOVER_TIMEOUT <= now.duration_since(*since))
     }
 
-    fn record(&self, fencing: u64) -> Record {
-        Record { holder: self.me.clone(), fencing, renewal: 0, released: false }
+    fn new_record(&self, fencing: u64) -> Record {
+        Record { holder: self.own_holder.clone(), fencing, renewal: 0, released: false }
     }
 }
 
--- a/crates/curranthook_steward/src/lib.rs
+++ b/crates/curranthook_steward/src/lib.rs
@@ -1,7 +1,7 @@
 //! Control work under leases.
 //!
 //! [`lease`] gets and keeps leases in the platform's table. [`shard`] says what work there is,
-//! [`look`] how often the shards of others are looked at.
+//! [`poll`] how often the shards of others are looked at.
 //! [`verdict`] withdraws versions that turned bad, [`rollout`] moves roll-outs on, [`order`]
 //! tells engines which versions to serve. [`document`] reads and replaces the published
 //! configuration. [`serve`] puts it all together.
@@ -9,8 +9,8 @@
 pub mod document;
 pub mod evidence;
 pub mod lease;
-pub mod look;
 pub mod order;
+pub mod poll;
 pub mod rollout;
 pub mod serve;
 pub mod shard;
--- a/crates/curranthook_steward/src/order.rs
+++ b/crates/curranthook_steward/src/order.rs
@@ -14,7 +14,7 @@
 use curranthook_types::{endpoint, header, version};
 use serde::{Deserialize, Serialize};
 
-use crate::lease::EFFECT;
+use crate::lease::EFFECT_TIMEOUT;
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The engine did it.
-    Obeyed,
+    Applied,
     /// The engine has seen a newer fencing number: the lease is lost.
     Stale,
 }
@@ -57,63 +57,63 @@
 /// The orders that would bring an engine from what it serves to what it should serve.
 ///
 /// ```
-/// # use curranthook_steward::order::{Action, missing};
+/// # use curranthook_steward::order::{Action, difference};
 /// let served = ["m@1".into(), "m@2".into()].into();
-/// let wanted = ["m@2".into()].into();
-/// let orders = missing(&served, &wanted);
+/// let desired = ["m@2".into()].into();
+/// let orders = difference(&served, &desired);
 /// assert_eq!((orders.len(), orders[0].action), (1, Action::Unload));
 /// ```
-pub fn missing(served: &BTreeSet<version::Id>, wanted: &BTreeSet<version::Id>) -> Vec<Order> {
+pub fn difference(served: &BTreeSet<version::Id>, desired: &BTreeSet<version::Id>) -> Vec<Order> {
     let order = |action, version: &version::Id| Order { action, version: version.clone() };
-    let unload = served.difference(wanted).map(|it| order(Action::Unload, it));
-    let load = wanted.difference(served).map(|it| order(Action::Load, it));
+    let unload = served.difference(desired).map(|it| order(Action::Unload, it));
+    let load = desired.difference(served).map(|it| order(Action::Load, it));
     unload.chain(load).collect()
 }
 
 /// What an engine should serve.
-pub fn wanted(document: &Document, endpoint: &Endpoint) -> BTreeSet<version::Id> {
+pub fn desired(document: &Document, endpoint: &Endpoint) -> BTreeSet<version::Id> {
     endpoint.versions.difference(&document.withdrawn).cloned().collect()
 }
 
 /// Speaks with engines.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Client {
     pool: Arc<Pool>,
 }
 
-impl Desk {
+impl Client {
     /// A desk that takes its connections from `pool`.
     pub fn new(pool: Arc<Pool>) -> Self {
         Self { pool }
     }
 
     /// What an engine serves now.
-    pub async fn served(&self, endpoint: &Endpoint) -> anyhow::Result<BTreeSet<version::Id>> {
+    pub async fn list_served(&self, endpoint: &Endpoint) -> anyhow::Result<BTreeSet<version::Id>> {
         let res = Exchange::get(endpoint.address, "/v1/models").run(&self.pool).await?;
         anyhow::ensure!(res.status().is_success(), "the engine answered {}", res.status());
         let models: Models = serde_json::from_slice(res.body())?;
         Ok(models.data.into_iter().map(|it| it.id).collect())
     }
 
-    /// Gives one order. The lease must have more than [`EFFECT`] left when this is called.
-    pub async fn give(
+    /// Gives one order. The lease must have more than [`EFFECT_TIMEOUT`] left when this is called.
+    pub async fn send(
         &self,
         id: &endpoint::Id,
         endpoint: &Endpoint,
         order: &Order,
-        fencing: u64,
+        fencing_token: u64,
     ) -> Result<Outcome, exchange::Error> {
         let res = Exchange::post(endpoint.address, "/orders")
-            .with_header(header::FENCING, fencing.to_string())
+            .with_header(header::FENCING, fencing_token.to_string())
             .with_json(order)
-            .with_timeout(EFFECT)
+            .with_timeout(EFFECT_TIMEOUT)
             .run(&self.pool)
             .await?;
         log::info!("{id}: {:?} {}: {}", order.action, order.version, res.status());
         Ok(if res.status() == http::StatusCode::CONFLICT {
             Outcome::Stale
         } else {
-            Outcome::Obeyed
+            Outcome::Applied
         })
     }
 }
--- a/crates/curranthook_steward/src/look.rs
+++ b/crates/curranthook_steward/src/poll.rs
@@ -5,10 +5,10 @@
 use crate::shard::Shard;
 
 /// The shortest time between two looks at one shard.
-const SHORTEST: Duration = Duration::from_secs(4);
+const MIN_INTERVAL: Duration = Duration::from_secs(4);
 /// Looks a second by all stewards together. The platform's table gives about two thousand reads a
 /// second to everybody; at a fixed interval, stewards alone would take them all at 1,100 nodes.
-const FLEET_LOOKS: f64 = 400.0;
+const FLEET_READS_PER_SECOND: f64 = 400.0;
 
 /// The longest time between two looks at one shard, in a fleet of `n_nodes`.
 ///
@@ -16,11 +16,11 @@
 /// number of those who look, and it takes only one of them to look twice.
 ///
 /// ```
-/// # use curranthook_steward::look;
-/// assert_eq!(look::interval(8).as_secs(), 4);
-/// assert_eq!(look::interval(1_800).as_secs(), 27);
+/// # use curranthook_steward::poll;
+/// assert_eq!(poll::interval(8).as_secs(), 4);
+/// assert_eq!(poll::interval(1_800).as_secs(), 27);
 /// ```
 pub fn interval(n_nodes: usize) -> Duration {
     let n_shards = Shard::all().len();
-    SHORTEST.max(Duration::from_secs_f64((n_nodes * n_shards) as f64 / FLEET_LOOKS))
+    MIN_INTERVAL.max(Duration::from_secs_f64((n_nodes * n_shards) as f64 / FLEET_READS_PER_SECOND))
 }
--- a/crates/curranthook_steward/src/rollout.rs
+++ b/crates/curranthook_steward/src/rollout.rs
@@ -9,15 +9,15 @@
     rollout::{Decision, Gate},
     verdict::{Counts, State},
 };
-use curranthook_settings::{Document, rollout::State as Progress};
+use curranthook_settings::{Document, rollout::State as RolloutState};
 use curranthook_types::version;
 
 use crate::evidence::Row;
 
 /// What the counts were when this steward first saw a stage.
 #[derive(Debug, Default)]
-pub struct Watch {
-    base: HashMap<(String, usize), (Counts, Counts)>,
+pub struct Tracker {
+    baselines: HashMap<(String, usize), (Counts, Counts)>,
 }
 
 /// A step to be published.
@@ -29,9 +29,9 @@
     Abort,
 }
 
-impl Watch {
+impl Tracker {
     /// The steps that the evidence calls for, by model.
-    pub fn steps(
+    pub fn next_steps(
         &mut self,
         document: &Document,
         rows: &[Row],
@@ -39,23 +39,23 @@
         gate: &Gate,
         verdict: impl Fn(&version::Id) -> State,
     ) -> Vec<(String, Step)> {
-        let mut steps = Vec::new();
+        let mut next_steps = Vec::new();
         for (model, it) in &document.rollouts {
-            if it.state != Progress::Running {
+            if it.state != RolloutState::Running {
                 continue;
             }
             let (from, to) = (total(rows, &it.from), total(rows, &it.to));
             let key = (model.clone(), it.stage);
-            let base = self.base.entry(key).or_insert((from, to));
-            let (from, to) = (since(&from, &base.0), since(&to, &base.1));
+            let baseline = self.baselines.entry(key).or_insert((from, to));
+            let (from, to) = (difference(&from, &baseline.0), difference(&to, &baseline.1));
             let stage_age = Duration::from_millis(now_millis.saturating_sub(it.since_millis));
             match gate.decide(&from, &to, verdict(&it.to), stage_age) {
-                Decision::Advance => steps.push((model.clone(), Step::Advance(it.stage))),
-                Decision::Abort(_) => steps.push((model.clone(), Step::Abort)),
+                Decision::Advance => next_steps.push((model.clone(), Step::Advance(it.stage))),
+                Decision::Abort(_) => next_steps.push((model.clone(), Step::Abort)),
                 Decision::Hold(_) => {}
             }
         }
-        steps
+        next_steps
     }
 }
 
@@ -65,16 +65,16 @@
         .fold(Counts::default(), |sum, (_, _, counts)| sum.plus(counts))
 }
 
-/// What came after `base`. A node that was replaced takes its counts with it; the difference
+/// What came after `baseline`. A node that was replaced takes its counts with it; the difference
 /// then is less than it should be, which delays a stage and never hastens it.
-fn since(now: &Counts, base: &Counts) -> Counts {
+fn difference(now: &Counts, baseline: &Counts) -> Counts {
     Counts {
-        n: now.n.saturating_sub(base.n),
-        sum: (now.sum - base.sum).max(0.0),
-        squares: (now.squares - base.squares).max(0.0),
-        calls: now.calls.saturating_sub(base.calls),
-        errors: now.errors.saturating_sub(base.errors),
-        tokens: now.tokens.saturating_sub(base.tokens),
-        lengths: (now.lengths - base.lengths).max(0.0),
+        n: now.n.saturating_sub(baseline.n),
+        sum: (now.sum - baseline.sum).max(0.0),
+        squares: (now.squares - baseline.squares).max(0.0),
+        calls: now.calls.saturating_sub(baseline.calls),
+        errors: now.errors.saturating_sub(baseline.errors),
+        tokens: now.tokens.saturating_sub(baseline.tokens),
+        lengths: (now.lengths - baseline.lengths).max(0.0),
     }
 }
--- a/crates/curranthook_steward/src/serve.rs
+++ b/crates/curranthook_steward/src/serve.rs
@@ -32,20 +32,20 @@
 
 use crate::{
     document, evidence,
-    lease::{EFFECT, Holder, Lease},
-    look, order, rollout,
+    lease::{EFFECT_TIMEOUT, Holder, Lease},
+    order, poll, rollout,
     shard::Shard,
     verdict,
 };
 
 /// How often a held lease is renewed.
-const RENEW: Duration = Duration::from_secs(2);
+const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// How often the router is asked how large the fleet is.
-const ASK_FLEET: Duration = Duration::from_secs(10);
+const FLEET_SIZE_INTERVAL: Duration = Duration::from_secs(10);
 /// How often held work is done.
-const WORK: Duration = Duration::from_millis(500);
+const WORK_INTERVAL: Duration = Duration::from_millis(500);
 /// How often every engine is looked at, changed document or not.
-const SWEEP: Duration = Duration::from_secs(30);
+const FULL_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
 /// What the command line sets.
 #[derive(Debug, Clone)]
@@ -61,9 +61,9 @@
 struct Steward {
     site: site::Id,
     clock: Arc<dyn Clock>,
-    desk: document::Desk,
-    evidence: evidence::Source,
-    orders: order::Desk,
+    document: document::Editor,
+    evidence: evidence::Client,
+    engines: order::Client,
     gate: Gate,
     /// About how many nodes there are.
     n_nodes: AtomicUsize,
@@ -88,17 +88,17 @@
     let clock: Arc<dyn Clock> = Arc::new(clock::System);
     let pool = || Arc::new(Pool::new(ex.clone(), Arc::clone(&clock)));
     let table: Arc<dyn Table> = Arc::new(Client::new(settings.platform.table, pool()));
-    let me = Holder { vm: settings.vm.clone(), incarnation: clock.unix_millis() };
+    let own_holder = Holder { vm: settings.vm.clone(), incarnation: clock.unix_millis() };
     let steward = Arc::new(Steward {
         site: settings.site.clone(),
-        desk: document::Desk::new(Arc::clone(&table), Arc::clone(&clock), &settings.vm),
-        evidence: evidence::Source::new(
+        document: document::Editor::new(Arc::clone(&table), Arc::clone(&clock), &settings.vm),
+        evidence: evidence::Client::new(
             pool(),
             Arc::clone(&clock),
             &settings.peer_key,
             options.router,
         ),
-        orders: order::Desk::new(pool()),
+        engines: order::Client::new(pool()),
         gate: options.gate,
         n_nodes: AtomicUsize::new(1),
         status: Mutex::default(),
@@ -108,12 +108,13 @@
         .into_iter()
         .map(|shard| {
             let key = shard.key(&settings.site);
-            let lease = Lease::new(Arc::clone(&table), Arc::clone(&clock), &key, me.clone());
-            ex.spawn(Arc::clone(&steward).keep(shard, lease, stop.clone()))
+            let lease =
+                Lease::new(Arc::clone(&table), Arc::clone(&clock), &key, own_holder.clone());
+            ex.spawn(Arc::clone(&steward).run_shard(shard, lease, stop.clone()))
         })
         .collect();
-    ex.spawn(Arc::clone(&steward).ask_fleet(stop.clone())).detach();
-    let serving = ex.spawn({
+    ex.spawn(Arc::clone(&steward).poll_fleet_size(stop.clone())).detach();
+    let server_task = ex.spawn({
         let (ex, steward, stop) = (ex.clone(), Arc::clone(&steward), stop.clone());
         async move { server.serve(&ex, steward, stop).await }
     });
@@ -123,75 +124,76 @@
     for shard in shards {
         shard.await;
     }
-    serving.await;
+    server_task.await;
     log::info!("ended");
     Ok(())
 }
 
 /// What a shard remembers between two rounds of work.
 #[derive(Debug, Default)]
-struct Memory {
-    court: verdict::Court,
-    watch: rollout::Watch,
+struct ShardState {
+    monitor: verdict::Monitor,
+    tracker: rollout::Tracker,
     epoch: Epoch,
-    swept: Option<Instant>,
+    last_full_check: Option<Instant>,
 }
 
 impl Steward {
     /// Holds one shard's lease when it can, and does the work while it does.
-    async fn keep(self: Arc<Self>, shard: Shard, mut lease: Lease, stop: Stop) {
+    async fn run_shard(self: Arc<Self>, shard: Shard, mut lease: Lease, stop: Stop) {
         let key = shard.key(&self.site);
-        let mut memory = Memory::default();
-        let mut next_step = self.clock.now();
+        let mut state = ShardState::default();
+        let mut next_lease_check = self.clock.now();
         while !stop.is_set() {
             let now = self.clock.now();
-            if next_step <= now {
-                if let Err(e) = lease.step().await {
+            if next_lease_check <= now {
+                if let Err(e) = lease.renew_or_acquire().await {
                     log::debug!("{key}: {e}");
                 }
-                let is_held = lease.fencing(Duration::ZERO).is_some();
-                self.note(&key, is_held);
-                next_step = now + if is_held { RENEW } else { self.look_after() };
+                let is_held = lease.fencing_token(Duration::ZERO).is_some();
+                self.update_status(&key, is_held);
+                next_lease_check = now + if is_held { RENEW_INTERVAL } else { self.poll_delay() };
             }
-            if lease.fencing(EFFECT).is_some() {
-                if let Err(e) = self.work(shard, &lease, &mut memory).await {
+            if lease.fencing_token(EFFECT_TIMEOUT).is_some() {
+                if let Err(e) = self.run_work(shard, &lease, &mut state).await {
                     log::debug!("{key}: {e:#}");
                 }
             } else {
                 // Whoever takes the shard later starts from what the platform and the engines
                 // say, not from what this process remembers.
-                memory = Memory::default();
+                state = ShardState::default();
             }
             futures_lite::future::or(stop.wait(), async {
-                Timer::after(WORK).await;
+                Timer::after(WORK_INTERVAL).await;
             })
             .await;
         }
-        lease.close().await;
+        lease.release().await;
     }
 
     /// Keeps the fleet's size. Without an answer the last one holds: a router that is restarted
     /// must not have its steward look as often as in a small fleet.
-    async fn ask_fleet(self: Arc<Self>, stop: Stop) {
+    async fn poll_fleet_size(self: Arc<Self>, stop: Stop) {
         while !stop.is_set() {
-            if let Ok(n_nodes) = self.evidence.fleet().await {
+            if let Ok(n_nodes) = self.evidence.fleet_size().await {
                 self.n_nodes.store(n_nodes, Ordering::Relaxed);
             }
             futures_lite::future::or(stop.wait(), async {
-                Timer::after(ASK_FLEET).await;
+                Timer::after(FLEET_SIZE_INTERVAL).await;
             })
             .await;
         }
     }
 
     /// A steward that holds much already waits longer, so that shards spread over the stewards.
-    fn look_after(&self) -> Duration {
+    fn poll_delay(&self) -> Duration {
         let n_held = u32::try_from(self.status.lock().shards.len()).unwrap_or(u32::MAX);
         let jitter = rand::rng().random_range(0.5..1.0);
-        look::interval(self.n_nodes.load(Ordering::Relaxed)).mul_f64(jitter) + (WORK * n_held)
+        poll::interval(self.n_nodes.load(Ordering::Relaxed)).mul_f64(jitter)
+            + (WORK_INTERVAL * n_held)
     }
 
-    fn note(&self, key: &str, is_held: bool) {
+    fn update_status(&self, key: &str, is_held: bool) {
         let mut status = self.status.lock();
         let was_held = status.shards.iter().any(|it| it == key);
         if is_held && !was_held {
@@ -203,43 +205,53 @@
         }
     }
 
-    async fn work(&self, shard: Shard, lease: &Lease, memory: &mut Memory) -> anyhow::Result<()> {
-        let Some(stored) = self.desk.read().await? else { return Ok(()) };
+    async fn run_work(
+        &self,
+        shard: Shard,
+        lease: &Lease,
+        state: &mut ShardState,
+    ) -> anyhow::Result<()> {
+        let Some(stored) = self.document.read().await? else { return Ok(()) };
         match shard {
-            Shard::Verdicts => self.judge(&stored, memory).await,
-            Shard::Rollouts => self.roll(&stored, memory).await,
-            Shard::Orders(_) => self.order(shard, &stored, lease, memory).await,
+            Shard::Verdicts => self.withdraw_bad_version(&stored, state).await,
+            Shard::Rollouts => self.advance_rollout(&stored, state).await,
+            Shard::Orders(_) => self.reconcile_engines(shard, &stored, lease, state).await,
         }
     }
 
-    async fn judge(&self, stored: &Stored, memory: &mut Memory) -> anyhow::Result<()> {
-        let rows = self.evidence.all().await?;
+    async fn withdraw_bad_version(
+        &self,
+        stored: &Stored,
+        state: &mut ShardState,
+    ) -> anyhow::Result<()> {
+        let rows = self.evidence.counts().await?;
         // One at a time: once it's published, what was read is old, and the next round reads anew.
-        let Some(it) = memory.court.judge(&stored.document, &rows).into_iter().next() else {
+        let Some(it) = state.monitor.evaluate(&stored.document, &rows).into_iter().next() else {
             return Ok(());
         };
         let change =
-            self.desk.change(stored, |doc, stamp| doc.withdraw(&it.version, stamp)).await?;
+            self.document.change(stored, |doc, stamp| doc.withdraw(&it.version, stamp)).await?;
         log::warn!("{} withdrawn for its {}: {change:?}", it.version, it.reason.name());
         if change == document::Change::Published {
             self.status.lock().withdrawn += 1;
-            memory.court.forget(&it.version);
+            state.monitor.reset(&it.version);
         }
         Ok(())
     }
 
-    async fn roll(&self, stored: &Stored, memory: &mut Memory) -> anyhow::Result<()> {
+    async fn advance_rollout(&self, stored: &Stored, state: &mut ShardState) -> anyhow::Result<()> {
         if stored.document.rollouts.is_empty() {
             return Ok(());
         }
-        let rows = self.evidence.all().await?;
-        memory.court.judge(&stored.document, &rows);
-        let (court, now) = (&memory.court, self.clock.unix_millis());
-        let steps =
-            memory.watch.steps(&stored.document, &rows, now, &self.gate, |it| court.state(it));
+        let rows = self.evidence.counts().await?;
+        state.monitor.evaluate(&stored.document, &rows);
+        let (monitor, now) = (&state.monitor, self.clock.unix_millis());
+        let steps = state
+            .tracker
+            .next_steps(&stored.document, &rows, now, &self.gate, |it| monitor.state(it));
         let Some((model, step)) = steps.into_iter().next() else { return Ok(()) };
         let change = self
-            .desk
+            .document
             .change(stored, |doc, stamp| match step {
                 rollout::Step::Advance(from) => doc.advance(&model, from, stamp),
                 rollout::Step::Abort => doc.abort(&model, stamp),
@@ -250,35 +262,37 @@
         Ok(())
     }
 
-    async fn order(
+    async fn reconcile_engines(
         &self,
         shard: Shard,
         stored: &Stored,
         lease: &Lease,
-        memory: &mut Memory,
+        state: &mut ShardState,
     ) -> anyhow::Result<()> {
         let Some(config) = stored.document.sites.get(&self.site) else { return Ok(()) };
         let now = self.clock.now();
-        let is_due = memory.swept.is_none_or(|at| at + SWEEP <= now);
-        if !is_due && memory.epoch == stored.document.epoch {
+        let is_check_due = state.last_full_check.is_none_or(|at| at + FULL_CHECK_INTERVAL <= now);
+        if !is_check_due && state.epoch == stored.document.epoch {
             return Ok(());
         }
         let mut all_done = true;
         for (id, endpoint) in &config.endpoints {
-            if endpoint.service.is_some() || Shard::of(id) != shard {
+            if endpoint.service.is_some() || Shard::for_endpoint(id) != shard {
                 continue;
             }
-            let Ok(served) = self.orders.served(endpoint).await else {
+            let Ok(served) = self.engines.list_served(endpoint).await else {
                 all_done = false;
                 continue;
             };
-            let wanted = order::wanted(&stored.document, endpoint);
-            for it in order::missing(&served, &wanted) {
+            let desired = order::desired(&stored.document, endpoint);
+            for it in order::difference(&served, &desired) {
                 // Asked for each order anew: engines that ignore the fencing number are only
                 // protected by the time that the lease has left.
-                let Some(fencing) = lease.fencing(EFFECT) else { return Ok(()) };
-                match self.orders.give(id, endpoint, &it, fencing).await {
-                    Ok(order::Outcome::Obeyed) => self.status.lock().orders += 1,
+                let Some(fencing_token) = lease.fencing_token(EFFECT_TIMEOUT) else {
+                    return Ok(());
+                };
+                match self.engines.send(id, endpoint, &it, fencing_token).await {
+                    Ok(order::Outcome::Applied) => self.status.lock().orders += 1,
                     Ok(order::Outcome::Stale) => {
                         self.status.lock().stale_orders += 1;
                         all_done = false;
@@ -288,8 +302,8 @@
             }
         }
         if all_done {
-            memory.epoch = stored.document.epoch;
-            memory.swept = Some(now);
+            state.epoch = stored.document.epoch;
+            state.last_full_check = Some(now);
         }
         Ok(())
     }
--- a/crates/curranthook_steward/src/shard.rs
+++ b/crates/curranthook_steward/src/shard.rs
@@ -3,7 +3,7 @@
 use curranthook_types::{endpoint, site};
 
 /// How many shards the orders to a site's engines are spread over.
-pub const N_ORDERS: u64 = 4;
+pub const N_ORDER_SHARDS: u64 = 4;
 
 /// A kind of control work, or a part of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 impl Shard {
     /// All shards of a site.
     pub fn all() -> Vec<Self> {
-        let orders = (0..N_ORDERS).map(Self::Orders);
+        let orders = (0..N_ORDER_SHARDS).map(Self::Orders);
         [Self::Verdicts, Self::Rollouts].into_iter().chain(orders).collect()
     }
 
@@ -37,11 +37,11 @@
     ///
     /// ```
     /// # use curranthook_steward::shard::Shard;
-    /// assert!(Shard::all().contains(&Shard::of(&"tally-1".into())));
+    /// assert!(Shard::all().contains(&Shard::for_endpoint(&"tally-1".into())));
     /// ```
-    pub fn of(endpoint: &endpoint::Id) -> Self {
+    pub fn for_endpoint(endpoint: &endpoint::Id) -> Self {
         let bytes = endpoint.as_str().as_bytes();
-        let sum = bytes.iter().fold(0_u64, |sum, it| sum.wrapping_mul(31) + u64::from(*it));
-        Self::Orders(sum % N_ORDERS)
+        let hash = bytes.iter().fold(0_u64, |sum, it| sum.wrapping_mul(31) + u64::from(*it));
+        Self::Orders(hash % N_ORDER_SHARDS)
     }
 }
--- a/crates/curranthook_steward/src/verdict.rs
+++ b/crates/curranthook_steward/src/verdict.rs
@@ -14,7 +14,7 @@
 
 /// The tests of all versions.
 #[derive(Debug, Default)]
-pub struct Court {
+pub struct Monitor {
     tests: HashMap<version::Id, Test>,
 }
 
@@ -27,9 +27,9 @@
     pub reason: Reason,
 }
 
-impl Court {
+impl Monitor {
     /// Takes in the evidence and names the versions to be withdrawn.
-    pub fn judge(&mut self, document: &Document, rows: &[Row]) -> Vec<Verdict> {
+    pub fn evaluate(&mut self, document: &Document, rows: &[Row]) -> Vec<Verdict> {
         for (version, origin, counts) in rows {
             let test = self
                 .tests
@@ -54,7 +54,7 @@
     }
 
     /// Starts the test of `version` anew, after an operator brought it back.
-    pub fn forget(&mut self, version: &version::Id) {
+    pub fn reset(&mut self, version: &version::Id) {
         self.tests.remove(version);
     }
 }
--- /dev/null
+++ b/crates/curranthook_steward/tests/poll.rs
@@ -0,0 +1,28 @@
+//! Looks at shards that others hold must not take up the table as the fleet grows.
+
+use std::time::Duration;
+
+use curranthook_steward::{poll, shard::Shard};
+use yare::parameterized;
+
+/// Each steward looks at each shard. At a fixed interval, 1,800 stewards would read the table
+/// more often than the platform bears, and operators' publications would be refused.
+#[parameterized(
+    small_fleet = { 8 },
+    where_the_interval_starts_to_grow = { 267 },
+    target_fleet = { 1_800 },
+    above_target = { 20_000 },
+)]
+fn fleet_poll_rate_stays_below_the_table_limit(n_nodes: usize) {
+    const MAX_READS_PER_SECOND: f64 = 410.0;
+    let n_reads = (n_nodes * Shard::all().len()) as f64;
+    let rate = n_reads / poll::interval(n_nodes).as_secs_f64();
+    assert!(rate < MAX_READS_PER_SECOND, "{rate} looks a second");
+}
+
+/// In a small fleet nobody else would notice a dead holder.
+#[test]
+fn small_fleet_polls_at_the_minimum_interval() {
+    assert_eq!(poll::interval(1), Duration::from_secs(4));
+    assert_eq!(poll::interval(100), Duration::from_secs(4));
+}
