--- a/crates/curranthook_steward/src/lease.rs
+++ b/crates/curranthook_steward/src/lease.rs
@@ -194,7 +194,7 @@
 }
 
 fn encode(record: &Record) -> Bytes {
-    serde_json::to_vec(record).expect("a record has only plain fields").into()
+    serde_json::to_vec(record).expect("a lease record is always serializable").into()
 }
 
 fn decode(row: &Row) -> Result<Record, Error> {
--- a/crates/curranthook_steward/src/order.rs
+++ b/crates/curranthook_steward/src/order.rs
@@ -90,7 +90,11 @@
     /// What an engine serves now.
     pub async fn list_served(&self, endpoint: &Endpoint) -> anyhow::Result<BTreeSet<version::Id>> {
         let res = Exchange::get(endpoint.address, "/v1/models").run(&self.pool).await?;
-        anyhow::ensure!(res.status().is_success(), "the engine answered {}", res.status());
+        anyhow::ensure!(
+            res.status().is_success(),
+            "engine returned {} for GET /v1/models",
+            res.status()
+        );
         let models: Models = serde_json::from_slice(res.body())?;
         Ok(models.data.into_iter().map(|it| it.id).collect())
     }
@@ -109,7 +113,7 @@
             .with_timeout(EFFECT_TIMEOUT)
             .run(&self.pool)
             .await?;
-        log::info!("{id}: {:?} {}: {}", order.action, order.version, res.status());
+        log::info!("order to engine {id}, {:?} {}: {}", order.action, order.version, res.status());
         Ok(if res.status() == http::StatusCode::CONFLICT {
             Outcome::Stale
         } else {
--- a/crates/curranthook_steward/src/serve.rs
+++ b/crates/curranthook_steward/src/serve.rs
@@ -82,7 +82,8 @@
 
 /// Runs a steward until SIGTERM or SIGINT, then gives its leases back.
 pub async fn run(settings: Settings, options: Options, ex: runtime::Handle) -> anyhow::Result<()> {
-    let server = Server::bind(settings.steward_listen).context("binding the steward's address")?;
+    let server = Server::bind(settings.steward_listen)
+        .context("failed to bind the address steward_listen")?;
     println!("{}", serde_json::json!({"listening": {"http": server.addr()}}));
     let (trigger, stop) = stop::new();
     let clock: Arc<dyn Clock> = Arc::new(clock::System);
@@ -118,14 +119,15 @@
         let (ex, steward, stop) = (ex.clone(), Arc::clone(&steward), stop.clone());
         async move { server.serve(&ex, steward, stop).await }
     });
-    let mut signals = Signals::new([Signal::Term, Signal::Int]).context("listening to signals")?;
+    let mut signals = Signals::new([Signal::Term, Signal::Int])
+        .context("failed to install the signal handlers")?;
     signals.next().await;
     trigger.set();
     for shard in shards {
         shard.await;
     }
     server_task.await;
-    log::info!("ended");
+    log::info!("steward stopped");
     Ok(())
 }
 
@@ -148,7 +150,7 @@
             let now = self.clock.now();
             if next_lease_check <= now {
                 if let Err(e) = lease.renew_or_acquire().await {
-                    log::debug!("{key}: {e}");
+                    log::debug!("cannot renew or acquire the lease of shard {key}: {e}");
                 }
                 let is_held = lease.fencing_token(Duration::ZERO).is_some();
                 self.update_status(&key, is_held);
@@ -156,7 +158,7 @@
             }
             if lease.fencing_token(EFFECT_TIMEOUT).is_some() {
                 if let Err(e) = self.run_work(shard, &lease, &mut state).await {
-                    log::debug!("{key}: {e:#}");
+                    log::debug!("work on shard {key} failed: {e:#}");
                 }
             } else {
                 // Whoever takes the shard later starts from what the platform and the engines
@@ -197,10 +199,10 @@
         let mut status = self.status.lock();
         let was_held = status.shards.iter().any(|it| it == key);
         if is_held && !was_held {
-            log::info!("took {key}");
+            log::info!("acquired the lease of shard {key}");
             status.shards.push(key.to_owned());
         } else if !is_held && was_held {
-            log::info!("lost {key}");
+            log::info!("lost the lease of shard {key}");
             status.shards.retain(|it| it != key);
         }
     }
@@ -231,7 +233,7 @@
         };
         let change =
             self.document.change(stored, |doc, stamp| doc.withdraw(&it.version, stamp)).await?;
-        log::warn!("{} withdrawn for its {}: {change:?}", it.version, it.reason.name());
+        log::warn!("withdrawal of version {}, reason {}: {change:?}", it.version, it.reason.name());
         if change == document::Change::Published {
             self.status.lock().withdrawn += 1;
             state.monitor.reset(&it.version);
@@ -257,7 +259,7 @@
                 rollout::Step::Abort => doc.abort(&model, stamp),
             })
             .await?;
-        log::info!("roll-out of {model}: {step:?}: {change:?}");
+        log::info!("rollout of {model}, step {step:?}: {change:?}");
         self.status.lock().steps += 1;
         Ok(())
     }
--- a/crates/curranthook_steward/tests/poll.rs
+++ b/crates/curranthook_steward/tests/poll.rs
@@ -17,7 +17,7 @@
     const MAX_READS_PER_SECOND: f64 = 410.0;
     let n_reads = (n_nodes * Shard::all().len()) as f64;
     let rate = n_reads / poll::interval(n_nodes).as_secs_f64();
-    assert!(rate < MAX_READS_PER_SECOND, "{rate} looks a second");
+    assert!(rate < MAX_READS_PER_SECOND, "{rate} reads per second");
 }
 
 /// In a small fleet nobody else would notice a dead holder.
