--- a/crates/curranthook_steward/src/bin/curranthook-steward.rs
+++ b/crates/curranthook_steward/src/bin/curranthook-steward.rs
@@ -1,4 +1,4 @@
-//! One VM's steward.
+//! The steward process of a VM.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -8,26 +8,27 @@
 use curranthook_settings::startup::{self, Format};
 use curranthook_steward::serve;
 
-/// Does control work under leases: one beside each router, all equal.
+/// Runs control work under leases: one steward beside each router, all with the same role.
 #[derive(Debug, Parser)]
 #[command(version, after_help = "Example: curranthook-steward --settings node.yaml")]
 struct Arguments {
-    /// The node's settings.
+    /// Path of the node's settings file.
     #[arg(long)]
     settings: PathBuf,
-    /// Where the router beside it takes calls from peers, if not as the settings say.
+    /// Address at which the router on this VM accepts calls from peers; by default as in the
+    /// settings.
     #[arg(long)]
     router: Option<SocketAddr>,
-    /// How long a stage of a roll-out lasts at least, in milliseconds.
+    /// Minimum duration of a rollout stage, in milliseconds.
     #[arg(long, default_value_t = 60_000)]
     stage_ms: u64,
-    /// How many answers of the new version a stage needs.
+    /// Minimum number of answers by the new version in a stage.
     #[arg(long, default_value_t = 100)]
     stage_answers: u64,
-    /// How many of them must have been rated.
+    /// Minimum number of rated answers of the new version in a stage.
     #[arg(long, default_value_t = 30)]
     stage_ratings: u64,
-    /// Log lines for people or for programs.
+    /// Log format: text for people or JSON for programs.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     log: Format,
 }
