--- a/crates/curranthook_steward/src/document.rs
+++ b/crates/curranthook_steward/src/document.rs
@@ -1,4 +1,4 @@
-//! The published configuration, as stewards read and change it.
+//! Reading and changing the published configuration document.
 
 use std::sync::Arc;
 
@@ -20,27 +20,27 @@
     cached: Mutex<Option<Arc<Stored>>>,
 }
 
-/// How a change ended.
+/// The result of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It's published.
+    /// The change was published.
     Published,
-    /// Somebody else published first; look again and decide anew.
+    /// Another change was published first; the caller has to read the document and decide again.
     Conflict,
-    /// It was so already.
+    /// The document already was as requested.
     Unchanged,
 }
 
 impl Editor {
-    /// A desk that publishes in the name of the steward on `vm`.
+    /// Creates an editor that publishes in the name of the steward on `vm`.
     pub fn new(table: Arc<dyn Table>, clock: Arc<dyn Clock>, vm: &vm::Id) -> Self {
         Self { table, clock, author: format!("steward on {vm}"), cached: Mutex::default() }
     }
 
-    /// The document as it is now.
+    /// The current document.
     ///
-    /// It's asked for twice a second and shard, and can be some megabytes long. So the row is
-    /// only sent, and read, when it has changed since the last time.
+    /// It is read twice a second per shard and can be some megabytes long, so the row is only
+    /// transferred and parsed if it changed since the last read.
     pub async fn read(&self) -> anyhow::Result<Option<Arc<Stored>>> {
         let cached = self.cached.lock().clone();
         let known = cached.as_ref().map(|it| &it.tag);
@@ -50,8 +50,8 @@
         Ok(Some(newer))
     }
 
-    /// Publishes `edit` of what was read. It's compare-and-set on what was read, so a steward
-    /// that was frozen and woke with an old document changes nothing.
+    /// Publishes `edit` applied to the document that was read. It is a compare-and-set against that
+    /// version, so a steward that was frozen and resumes with an old document changes nothing.
     pub async fn change(
         &self,
         stored: &Stored,
