--- a/crates/curranthook_steward/src/evidence.rs
+++ b/crates/curranthook_steward/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What the router beside this steward knows of all nodes' answers.
+//! Client for the counts of all nodes' answers, as known by the router on this VM.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -8,7 +8,7 @@
 use curranthook_types::{Clock, bill::Origin, version};
 use serde::de::DeserializeOwned;
 
-/// Asks the router.
+/// Client of the router's peer interface.
 #[derive(Debug)]
 pub struct Client {
     link: link::Http,
@@ -22,18 +22,18 @@
 pub type Row = (version::Id, Origin, Counts);
 
 impl Client {
-    /// Asks the router whose peers' address is `router`.
+    /// Creates a client for the router whose peer interface listens at `router`.
     pub fn new(pool: Arc<Pool>, clock: Arc<dyn Clock>, key: &[u8], router: SocketAddr) -> Self {
         let link = link::Http::new(pool);
         Self { link, key: auth::Key::new(key), clock, counters: Counters::default(), router }
     }
 
-    /// All that the router knows, its own counts and other nodes'.
+    /// All counts known by the router, its own and those of other nodes.
     pub async fn counts(&self) -> Result<Vec<Row>, rpc::Error> {
         self.call("origins").await
     }
 
-    /// About how many nodes there are, as far as the router knows.
+    /// The approximate number of nodes, as far as the router knows.
     pub async fn fleet_size(&self) -> Result<usize, rpc::Error> {
         self.call("fleet").await
     }
