--- a/crates/curranthook_steward/src/lease.rs
+++ b/crates/curranthook_steward/src/lease.rs
@@ -1,15 +1,15 @@
 //! Leases on shards of control work.
 //!
-//! A lease is a row in the platform's table. Its holder rewrites the row in time; a row that a
-//! candidate has seen unchanged for long enough, by the candidate's own clock, has no holder
-//! any more. So no two clocks are ever compared.
+//! A lease is a row in the platform's table. Its holder rewrites the row within the lease term. A
+//! row that a candidate has seen unchanged for long enough, by the candidate's own clock, has no
+//! holder any more, so clocks of different machines are never compared.
 //!
-//! A holder can be frozen past the end of its lease and go on unaware. Hence each change of
-//! holder raises the fencing number, which goes with every order. Engines that check it refuse
-//! the old holder's orders. For those that don't, a holder sends an order only while its lease
-//! has more time left than the order may take, and a successor waits that much longer. What
-//! remains is a holder frozen between that check and the send; the next look at the engine
-//! finds what it did, and the order is given again (see [`crate::order`]).
+//! A holder can be frozen past the end of its lease and resume without noticing. Therefore each
+//! change of holder increments the fencing token, which is sent with every order. Engines that
+//! check it refuse orders of the old holder. For engines that don't, a holder sends an order only
+//! while its lease has more time left than the order may take, and a successor waits that much
+//! longer. The remaining case is a holder that is frozen between that check and the send; the next
+//! check of the engine detects the effect, and the order is sent again (see [`crate::order`]).
 
 use std::{
     sync::Arc,
@@ -23,36 +23,36 @@
 
 /// The table that holds the leases.
 pub const TABLE: &str = "leases";
-/// How long a lease holds after its row was written.
+/// How long a lease is valid after its row was written.
 pub const TERM: Duration = Duration::from_secs(6);
-/// How long an order, or any other effect of a lease, may take.
+/// The timeout of an order or any other effect of a lease.
 pub const EFFECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a candidate must have seen a row unchanged before it takes it over.
+/// How long a candidate must have seen a row unchanged before it takes over the lease.
 pub const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What a lease's row says.
+/// The content of a lease's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who holds it.
+    /// The current or last holder.
     pub holder: Holder,
-    /// Counts changes of holder.
+    /// The fencing token: the number of changes of holder.
     pub fencing: u64,
-    /// Counts renewals, so that each one changes the row.
+    /// The number of renewals, so that each renewal changes the row.
     pub renewal: u64,
-    /// Whether the holder gave it back.
+    /// Whether the holder released the lease.
     pub released: bool,
 }
 
-/// A steward's process.
+/// A steward process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// Its VM.
+    /// The VM it runs on.
     pub vm: vm::Id,
-    /// Which process of that VM.
+    /// Distinguishes successive processes on the same VM.
     pub incarnation: vm::Incarnation,
 }
 
-/// How a steward stands with the lease of one shard.
+/// The lease of one shard, as seen by this process.
 #[derive(Debug)]
 pub struct Lease {
     table: Arc<dyn Table>,
@@ -71,7 +71,7 @@
 }
 
 impl Lease {
-    /// The lease of `shard`, held by others as far as is known.
+    /// The lease of `shard`, not held until acquired.
     pub fn new(
         table: Arc<dyn Table>,
         clock: Arc<dyn Clock>,
@@ -81,13 +81,13 @@
         Self { table, clock, shard: shard.to_owned(), own_holder, held: None, last_seen: None }
     }
 
-    /// The fencing number, if the lease has at least `min_remaining` left.
+    /// The fencing token, if the lease is held for more than `min_remaining` from now.
     pub fn fencing_token(&self, min_remaining: Duration) -> Option<u64> {
         let held = self.held.as_ref()?;
         (self.clock.now() + min_remaining < held.expires).then_some(held.record.fencing)
     }
 
-    /// Renews the lease if it's held, or takes it if nobody holds it.
+    /// Renews the lease if it is held, or acquires it if it is free.
     pub async fn renew_or_acquire(&mut self) -> Result<(), Error> {
         match self.held.take() {
             Some(held) => self.renew(held).await,
@@ -95,17 +95,18 @@
         }
     }
 
-    /// Gives the lease back, so that another steward needn't wait for its end.
+    /// Releases the lease, so that another steward needn't wait for its expiry.
     pub async fn release(mut self) {
         let Some(held) = self.held.take() else { return };
         let record = Record { released: true, ..held.record };
-        // If this is lost, the lease runs out by itself.
+        // If this write is lost, the lease expires on its own.
         let _written = self.table.replace(TABLE, &self.shard, &held.tag, encode(&record)).await;
     }
 
     async fn renew(&mut self, held: Held) -> Result<(), Error> {
         let record = Record { renewal: held.record.renewal + 1, ..held.record.clone() };
-        // The term counts from before the write: how long it took to arrive isn't known.
+        // The term counts from before the write, since the time the write took to arrive is
+        // unknown.
         let sent_at = self.clock.now();
         match self.table.replace(TABLE, &self.shard, &held.tag, encode(&record)).await {
             Ok(Write::Done(tag)) => {
@@ -113,8 +114,8 @@
                 Ok(())
             }
             Ok(Write::Conflict) => self.try_acquire().await,
-            // Whether the renewal took effect isn't known, so the old term still binds. A look
-            // at the row tells which of its states the next renewal has to name.
+            // Whether the renewal took effect is unknown, so the old expiry still applies. Reading
+            // the row shows which of its states the next renewal has to replace.
             Err(e) => {
                 self.recover_after_error(held, &record, sent_at).await;
                 Err(e)
@@ -158,7 +159,7 @@
         match written {
             Ok(Write::Done(tag)) => self.set_held(tag, record, sent_at),
             Ok(Write::Conflict) => {}
-            // Only a row that names this process and this fencing number is ours.
+            // Only a row with this process as holder and this fencing token is this process's own.
             Err(Error::Lost(_)) => {
                 let row = self.table.get(TABLE, &self.shard).await?;
                 if let Some(row) = row.filter(|it| decode(it).as_ref() == Ok(&record)) {
