--- a/crates/curranthook_steward/src/lib.rs
+++ b/crates/curranthook_steward/src/lib.rs
@@ -1,10 +1,10 @@
 //! Control work under leases.
 //!
-//! [`lease`] gets and keeps leases in the platform's table. [`shard`] says what work there is,
-//! [`poll`] how often the shards of others are looked at.
-//! [`verdict`] withdraws versions that turned bad, [`rollout`] moves roll-outs on, [`order`]
-//! tells engines which versions to serve. [`document`] reads and replaces the published
-//! configuration. [`serve`] puts it all together.
+//! [`lease`] acquires and renews leases in the platform's table. [`shard`] defines how the work is
+//! divided, [`poll`] how often leases held by other stewards are polled. [`verdict`] withdraws
+//! versions whose quality dropped, [`rollout`] advances rollouts, [`order`] tells engines which
+//! versions to serve. [`document`] reads and replaces the published configuration. [`serve`] runs
+//! the steward.
 
 pub mod document;
 pub mod evidence;
