--- a/crates/curranthook_steward/src/order.rs
+++ b/crates/curranthook_steward/src/order.rs
@@ -1,11 +1,12 @@
-//! Tells engines which versions to serve.
+//! Orders to engines to load and unload versions.
 //!
-//! This is the second line of defence for a withdrawn version: a router that is cut off from
-//! the platform and from all peers can't know of the withdrawal, but an engine that has
-//! unloaded the version refuses it all the same.
+//! This is the second line of defence for a withdrawn version: a router that is cut off from the
+//! platform and from all peers can't know of the withdrawal, but an engine that has unloaded the
+//! version refuses it anyway.
 //!
-//! What an engine serves is compared with what it should serve, and ordered until it holds. So
-//! an order that was lost, or undone by a late order of a former lease holder, is given again.
+//! The versions an engine serves are compared with those it should serve, and orders are sent until
+//! they match. So an order that was lost, or undone by a late order of a former lease holder, is
+//! sent again.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -21,26 +22,26 @@
 pub struct Order {
     /// What to do.
     pub action: Action,
-    /// With which version.
+    /// The version to load or unload.
     pub version: version::Id,
 }
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Serve the version.
+    /// Start serving the version.
     Load,
-    /// Serve it no more.
+    /// Stop serving the version.
     Unload,
 }
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The engine did it.
+    /// The engine accepted the order: any response other than 409 Conflict.
     Applied,
-    /// The engine has seen a newer fencing number: the lease is lost.
+    /// The engine has seen a higher fencing token, so the lease is lost.
     Stale,
 }
 
@@ -54,7 +55,8 @@
     id: version::Id,
 }
 
-/// The orders that would bring an engine from what it serves to what it should serve.
+/// The orders that bring an engine from the versions it serves to those it should serve.
+///
 ///
 /// ```
 /// # use curranthook_steward::order::{Action, difference};
@@ -70,24 +72,24 @@
     unload.chain(load).collect()
 }
 
-/// What an engine should serve.
+/// The versions that an engine should serve.
 pub fn desired(document: &Document, endpoint: &Endpoint) -> BTreeSet<version::Id> {
     endpoint.versions.difference(&document.withdrawn).cloned().collect()
 }
 
-/// Speaks with engines.
+/// Client for engines.
 #[derive(Debug)]
 pub struct Client {
     pool: Arc<Pool>,
 }
 
 impl Client {
-    /// A desk that takes its connections from `pool`.
+    /// Creates a client that takes its connections from `pool`.
     pub fn new(pool: Arc<Pool>) -> Self {
         Self { pool }
     }
 
-    /// What an engine serves now.
+    /// The versions that an engine serves now.
     pub async fn list_served(&self, endpoint: &Endpoint) -> anyhow::Result<BTreeSet<version::Id>> {
         let res = Exchange::get(endpoint.address, "/v1/models").run(&self.pool).await?;
         anyhow::ensure!(
@@ -99,7 +101,7 @@
         Ok(models.data.into_iter().map(|it| it.id).collect())
     }
 
-    /// Gives one order. The lease must have more than [`EFFECT_TIMEOUT`] left when this is called.
+    /// Sends one order. The lease must have more than [`EFFECT_TIMEOUT`] left when this is called.
     pub async fn send(
         &self,
         id: &endpoint::Id,
