--- a/crates/curranthook_steward/src/poll.rs
+++ b/crates/curranthook_steward/src/poll.rs
@@ -1,19 +1,21 @@
-//! How often a steward looks at shards that others hold.
+//! How often a steward polls leases held by other stewards.
 
 use std::time::Duration;
 
 use crate::shard::Shard;
 
-/// The shortest time between two looks at one shard.
+/// The shortest time between two polls of one shard.
 const MIN_INTERVAL: Duration = Duration::from_secs(4);
-/// Looks a second by all stewards together. The platform's table gives about two thousand reads a
-/// second to everybody; at a fixed interval, stewards alone would take them all at 1,100 nodes.
+/// The maximum rate of polls by all stewards together. The platform's table serves about two
+/// thousand reads per second to all clients; at a fixed interval, stewards alone would use them up
+/// at 1,100 nodes.
 const FLEET_READS_PER_SECOND: f64 = 400.0;
 
-/// The longest time between two looks at one shard, in a fleet of `n_nodes`.
+/// The longest time between two polls of one shard, in a fleet of `n_nodes`.
+///
+/// A large fleet detects a dead holder about as fast as a small one: the interval grows with the
+/// number of stewards that poll, and any one of them detects it by polling twice.
 ///
-/// A large fleet finds a dead holder about as soon as a small one: the interval grows with the
-/// number of those who look, and it takes only one of them to look twice.
 ///
 /// ```
 /// # use curranthook_steward::poll;
