--- a/crates/curranthook_steward/src/rollout.rs
+++ b/crates/curranthook_steward/src/rollout.rs
@@ -1,7 +1,7 @@
-//! Moves roll-outs on, stage by stage.
+//! Advances rollouts, stage by stage.
 //!
-//! The stage is part of the published document, and a step names the stage it leaves, so a
-//! steward that takes over goes on from there: a stage is never left out or begun again.
+//! The stage is part of the published document, and a step names the stage it leaves, so a steward
+//! that takes over continues from there: a stage is never skipped or restarted.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -14,7 +14,7 @@
 
 use crate::evidence::Row;
 
-/// What the counts were when this steward first saw a stage.
+/// The counts of both versions when this steward first saw a stage.
 #[derive(Debug, Default)]
 pub struct Tracker {
     baselines: HashMap<(String, usize), (Counts, Counts)>,
@@ -23,14 +23,14 @@
 /// A step to be published.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// To the stage after this one.
+    /// Advance to the stage after this one.
     Advance(usize),
-    /// Back to the old version.
+    /// Return to the old version.
     Abort,
 }
 
 impl Tracker {
-    /// The steps that the evidence calls for, by model.
+    /// The steps that the counts call for, by model.
     pub fn next_steps(
         &mut self,
         document: &Document,
@@ -65,8 +65,8 @@
         .fold(Counts::default(), |sum, (_, _, counts)| sum.plus(counts))
 }
 
-/// What came after `baseline`. A node that was replaced takes its counts with it; the difference
-/// then is less than it should be, which delays a stage and never hastens it.
+/// The counts since `baseline`. The counts of a replaced node disappear, so the difference can be
+/// too small, which delays a stage but never advances it too early.
 fn difference(now: &Counts, baseline: &Counts) -> Counts {
     Counts {
         n: now.n.saturating_sub(baseline.n),
