--- a/crates/curranthook_steward/src/serve.rs
+++ b/crates/curranthook_steward/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a steward, runs its shards and ends it.
+//! Starts a steward, runs its shards and stops it.
 
 use std::{
     net::SocketAddr,
@@ -40,23 +40,23 @@
 
 /// How often a held lease is renewed.
 const RENEW_INTERVAL: Duration = Duration::from_secs(2);
-/// How often the router is asked how large the fleet is.
+/// How often the router is asked for the size of the fleet.
 const FLEET_SIZE_INTERVAL: Duration = Duration::from_secs(10);
-/// How often held work is done.
+/// How often the work of a held shard is run.
 const WORK_INTERVAL: Duration = Duration::from_millis(500);
-/// How often every engine is looked at, changed document or not.
+/// How often every engine is checked even if the document did not change.
 const FULL_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What the command line sets.
+/// The command line options.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The address at which the router beside this steward takes calls from peers.
+    /// The address at which the router on this VM accepts calls from peers.
     pub router: SocketAddr,
-    /// When stages of roll-outs are passed.
+    /// The conditions for advancing a stage of a rollout.
     pub gate: Gate,
 }
 
-/// The parts that shards work with.
+/// The state shared by all shards.
 #[derive(Debug)]
 struct Steward {
     site: site::Id,
@@ -65,12 +65,12 @@
     evidence: evidence::Client,
     engines: order::Client,
     gate: Gate,
-    /// About how many nodes there are.
+    /// The approximate number of nodes.
     n_nodes: AtomicUsize,
     status: Mutex<Status>,
 }
 
-/// The answer to `GET /status`.
+/// The response to `GET /status`.
 #[derive(Debug, Default, Clone, Serialize)]
 struct Status {
     shards: Vec<String>,
@@ -80,7 +80,7 @@
     stale_orders: u64,
 }
 
-/// Runs a steward until SIGTERM or SIGINT, then gives its leases back.
+/// Runs a steward until SIGTERM or SIGINT, then releases its leases.
 pub async fn run(settings: Settings, options: Options, ex: runtime::Handle) -> anyhow::Result<()> {
     let server = Server::bind(settings.steward_listen)
         .context("failed to bind the address steward_listen")?;
@@ -131,7 +131,7 @@
     Ok(())
 }
 
-/// What a shard remembers between two rounds of work.
+/// What a shard keeps between two rounds of work.
 #[derive(Debug, Default)]
 struct ShardState {
     monitor: verdict::Monitor,
@@ -141,7 +141,7 @@
 }
 
 impl Steward {
-    /// Holds one shard's lease when it can, and does the work while it does.
+    /// Holds the lease of one shard when possible, and runs its work while it is held.
     async fn run_shard(self: Arc<Self>, shard: Shard, mut lease: Lease, stop: Stop) {
         let key = shard.key(&self.site);
         let mut state = ShardState::default();
@@ -161,8 +161,8 @@
                     log::debug!("work on shard {key} failed: {e:#}");
                 }
             } else {
-                // Whoever takes the shard later starts from what the platform and the engines
-                // say, not from what this process remembers.
+                // The next holder of the shard starts from the state of the platform and the
+                // engines, and so does this process if it gets the lease back.
                 state = ShardState::default();
             }
             futures_lite::future::or(stop.wait(), async {
@@ -173,8 +173,8 @@
         lease.release().await;
     }
 
-    /// Keeps the fleet's size. Without an answer the last one holds: a router that is restarted
-    /// must not have its steward look as often as in a small fleet.
+    /// Updates the size of the fleet. Without a response the last size remains: while a router
+    /// restarts, its steward must not poll as often as in a small fleet.
     async fn poll_fleet_size(self: Arc<Self>, stop: Stop) {
         while !stop.is_set() {
             if let Ok(n_nodes) = self.evidence.fleet_size().await {
@@ -187,7 +187,8 @@
         }
     }
 
-    /// A steward that holds much already waits longer, so that shards spread over the stewards.
+    /// The time until the next attempt to acquire a lease. It grows with the number of shards held,
+    /// so that shards spread over the stewards.
     fn poll_delay(&self) -> Duration {
         let n_held = u32::try_from(self.status.lock().shards.len()).unwrap_or(u32::MAX);
         let jitter = rand::rng().random_range(0.5..1.0);
@@ -227,7 +228,8 @@
         state: &mut ShardState,
     ) -> anyhow::Result<()> {
         let rows = self.evidence.counts().await?;
-        // One at a time: once it's published, what was read is old, and the next round reads anew.
+        // One version at a time: publishing makes the document that was read outdated, and the next
+        // round reads it again.
         let Some(it) = state.monitor.evaluate(&stored.document, &rows).into_iter().next() else {
             return Ok(());
         };
@@ -288,8 +290,8 @@
             };
             let desired = order::desired(&stored.document, endpoint);
             for it in order::difference(&served, &desired) {
-                // Asked for each order anew: engines that ignore the fencing number are only
-                // protected by the time that the lease has left.
+                // Checked again before each order: engines that ignore the fencing token are only
+                // protected by the remaining time of the lease.
                 let Some(fencing_token) = lease.fencing_token(EFFECT_TIMEOUT) else {
                     return Ok(());
                 };
