--- a/crates/curranthook_steward/src/shard.rs
+++ b/crates/curranthook_steward/src/shard.rs
@@ -1,18 +1,18 @@
-//! The shards that control work is cut into.
+//! Division of the control work into shards.
 
 use curranthook_types::{endpoint, site};
 
-/// How many shards the orders to a site's engines are spread over.
+/// The number of shards for the orders to a site's engines.
 pub const N_ORDER_SHARDS: u64 = 4;
 
 /// A kind of control work, or a part of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shard {
-    /// Verdicts on versions.
+    /// Withdrawal of bad versions.
     Verdicts,
-    /// Roll-outs.
+    /// Rollouts.
     Rollouts,
-    /// Orders to the engines whose ids fall to this part.
+    /// Orders to the engines whose ids hash to this part.
     Orders(u64),
 }
 
@@ -23,8 +23,8 @@
         [Self::Verdicts, Self::Rollouts].into_iter().chain(orders).collect()
     }
 
-    /// The key of the shard's lease. Verdicts and roll-outs change the one document, so the
-    /// whole fleet has one shard of each.
+    /// The key of the shard's lease. Verdicts and rollouts change the single document, so there is
+    /// one shard of each for the whole fleet.
     pub fn key(self, site: &site::Id) -> String {
         match self {
             Self::Verdicts => "verdicts".to_owned(),
@@ -33,7 +33,8 @@
         }
     }
 
-    /// The part that an engine falls to.
+    /// The shard that an engine belongs to.
+    ///
     ///
     /// ```
     /// # use curranthook_steward::shard::Shard;
