--- a/crates/curranthook_steward/src/verdict.rs
+++ b/crates/curranthook_steward/src/verdict.rs
@@ -1,8 +1,8 @@
-//! Withdraws versions that turned bad.
+//! Withdraws versions whose quality dropped.
 //!
-//! Every router tests what it sees and leaves a suspect alone by itself. Here the evidence of
-//! all nodes together is tested once more before a version is withdrawn for everyone, so that
-//! the false alarms of many nodes don't add up.
+//! Every router tests the answers it sees and stops using a suspect version on its own. Here the
+//! counts of all nodes together are tested again before a version is withdrawn for all, so that the
+//! false alarms of many nodes don't add up.
 
 use std::collections::HashMap;
 
@@ -12,23 +12,23 @@
 
 use crate::evidence::Row;
 
-/// The tests of all versions.
+/// The sequential tests of all versions.
 #[derive(Debug, Default)]
 pub struct Monitor {
     tests: HashMap<version::Id, Test>,
 }
 
-/// A version to be withdrawn.
+/// A version to withdraw.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
-    /// Which.
+    /// The version.
     pub version: version::Id,
-    /// Why.
+    /// What got worse.
     pub reason: Reason,
 }
 
 impl Monitor {
-    /// Takes in the evidence and names the versions to be withdrawn.
+    /// Merges the counts and returns the versions to withdraw.
     pub fn evaluate(&mut self, document: &Document, rows: &[Row]) -> Vec<Verdict> {
         for (version, origin, counts) in rows {
             let test = self
@@ -48,20 +48,20 @@
             .collect()
     }
 
-    /// The state of a version's test, for a roll-out to it.
+    /// The state of a version's test, for a rollout to it.
     pub fn state(&self, version: &version::Id) -> State {
         self.tests.get(version).map_or(State::Clear, Test::state)
     }
 
-    /// Starts the test of `version` anew, after an operator brought it back.
+    /// Restarts the test of `version`, after it was withdrawn or an operator reinstated it.
     pub fn reset(&mut self, version: &version::Id) {
         self.tests.remove(version);
     }
 }
 
-/// Whether a version may be withdrawn without asking an operator. Where latency is weighed most,
-/// an account is never left with no version at all: slow trucks at the gate are worse than
-/// poor answers. Where exposure is weighed most, no answer is better than a wrong one.
+/// Whether a version may be withdrawn without asking an operator. Where the policy weighs latency
+/// most, an account is never left without a version: for its callers, delays are worse than poor
+/// answers. Where it weighs exposure most, no answer is better than a wrong one.
 fn may_withdraw(document: &Document, version: &version::Id) -> bool {
     document.sites.values().all(|config| {
         config.policy.weigh == Weigh::Exposure
