--- a/crates/curranthook_steward/tests/poll.rs
+++ b/crates/curranthook_steward/tests/poll.rs
@@ -1,12 +1,13 @@
-//! Looks at shards that others hold must not take up the table as the fleet grows.
+//! Tests that polling of leases held by others does not exhaust the table's read rate as the fleet
+//! grows.
 
 use std::time::Duration;
 
 use curranthook_steward::{poll, shard::Shard};
 use yare::parameterized;
 
-/// Each steward looks at each shard. At a fixed interval, 1,800 stewards would read the table
-/// more often than the platform bears, and operators' publications would be refused.
+/// Each steward polls each shard. At a fixed interval, 1,800 stewards would read the table more
+/// often than the platform allows, and publications by operators would be refused.
 #[parameterized(
     small_fleet = { 8 },
     where_the_interval_starts_to_grow = { 267 },
@@ -20,7 +21,7 @@
     assert!(rate < MAX_READS_PER_SECOND, "{rate} reads per second");
 }
 
-/// In a small fleet nobody else would notice a dead holder.
+/// In a small fleet, no other steward would detect a dead holder in time.
 #[test]
 fn small_fleet_polls_at_the_minimum_interval() {
     assert_eq!(poll::interval(1), Duration::from_secs(4));
