--- a/crates/curranthook_steward/src/verdict.rs
+++ b/crates/curranthook_steward/src/verdict.rs
@@ -53,7 +53,7 @@
         self.tests.get(version).map_or(State::Clear, Test::state)
     }
 
-    /// Restarts the test of `version`, after it was withdrawn or an operator reinstated it.
+    /// Restarts the test of `version`, so that it is tested anew if an operator reinstates it.
     pub fn reset(&mut self, version: &version::Id) {
         self.tests.remove(version);
     }
