--- a/crates/curranthook_policy/examples/verdict_study.rs
+++ b/crates/curranthook_policy/examples/verdict_study.rs
@@ -15,13 +15,13 @@
 const ANSWERS_BEFORE_DROP: u64 = 2_000;
 /// The number of bad answers after which a run is abandoned.
 const MAX_BAD_ANSWERS: u64 = 5_000;
-const THREADS: usize = 6;
+const N_THREADS: usize = 6;
 /// The number of bad answers that a run should stay below.
 const TARGET_BAD_ANSWERS: u64 = 60;
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|it| it.parse().ok()).unwrap_or(200);
-    println!("{seeds} seeds, {} routers, quality 0.9 falls to 0.5", fleet::ROUTERS);
+    println!("{seeds} seeds, {} routers, quality 0.9 falls to 0.5", fleet::N_ROUTERS);
     println!(
         "| reference | sampling | base | exchange | false alarms | rated when good | bad from start: mean p95 under {TARGET_BAD_ANSWERS} | bad after drop: mean p95 under {TARGET_BAD_ANSWERS} |"
     );
@@ -79,7 +79,7 @@
 fn print_row(name: &str, setup: Setup, seeds: u64) {
     let runs: Vec<Run> = std::thread::scope(|scope| {
         let part = |part| scope.spawn(move || run_part(setup, seeds, part));
-        let parts: Vec<_> = (0..THREADS).map(part).collect();
+        let parts: Vec<_> = (0..N_THREADS).map(part).collect();
         parts.into_iter().flat_map(|it| it.join().expect("a run doesn't panic")).collect()
     });
     let n_alarms = runs.iter().filter(|it| it.has_false_alarm).count();
@@ -101,7 +101,7 @@
 }
 
 fn run_part(setup: Setup, seeds: u64, part: usize) -> Vec<Run> {
-    (part as u64..seeds).step_by(THREADS).map(|seed| run(setup, seed)).collect()
+    (part as u64..seeds).step_by(N_THREADS).map(|seed| run(setup, seed)).collect()
 }
 
 fn summary(mut bad_answers: Vec<u64>) -> String {
--- a/crates/curranthook_policy/tests/fleet/mod.rs
+++ b/crates/curranthook_policy/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-pub const ROUTERS: usize = 8;
+pub const N_ROUTERS: usize = 8;
 
 /// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
@@ -47,8 +47,8 @@
         Self {
             setup,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            tests: (0..ROUTERS).map(|_| test()).collect(),
-            origins: (0..ROUTERS).map(origin).collect(),
+            tests: (0..N_ROUTERS).map(|_| test()).collect(),
+            origins: (0..N_ROUTERS).map(origin).collect(),
             n_answers: 0,
             n_ratings: 0,
         }
@@ -77,7 +77,7 @@
     /// Serves one answer by a router that still uses the version. Returns `false` if there is none.
     fn serve_one(&mut self, quality: f64) -> bool {
         let active: Vec<usize> =
-            (0..ROUTERS).filter(|it| self.tests[*it].state() == State::Clear).collect();
+            (0..N_ROUTERS).filter(|it| self.tests[*it].state() == State::Clear).collect();
         if active.is_empty() {
             return false;
         }
--- a/crates/curranthook_steward/src/serve.rs
+++ b/crates/curranthook_steward/src/serve.rs
@@ -161,8 +161,8 @@
                     log::debug!("work on shard {key} failed: {e:#}");
                 }
             } else {
-                // The next holder of the shard starts from the state of the platform and the
-                // engines, and so does this process if it gets the lease back.
+                // Whichever process acquires the lease next starts from the state of the platform and
+                // the engines, not from what this process remembers.
                 state = ShardState::default();
             }
             futures_lite::future::or(stop.wait(), async {
