--- a/crates/curranthook_policy/examples/verdict_study.rs
+++ b/crates/curranthook_policy/examples/verdict_study.rs
@@ -66,13 +66,13 @@
     let mut healthy = Fleet::new(setup, seed);
     let false_alarm = healthy.run_good(GOOD_RUN_ANSWERS);
     let mut degrading = Fleet::new(setup, !seed);
-    let is_undisturbed = degrading.run_good(ANSWERS_BEFORE_DROP).is_none();
+    let has_no_false_alarm = degrading.run_good(ANSWERS_BEFORE_DROP).is_none();
     Run {
         has_false_alarm: false_alarm.is_some(),
         n_good: false_alarm.unwrap_or(GOOD_RUN_ANSWERS),
         n_ratings: healthy.n_ratings,
         n_bad_from_start: Fleet::new(setup, seed).run_bad(MAX_BAD_ANSWERS),
-        n_bad_after_drop: is_undisturbed.then(|| degrading.run_bad(MAX_BAD_ANSWERS)),
+        n_bad_after_drop: has_no_false_alarm.then(|| degrading.run_bad(MAX_BAD_ANSWERS)),
     }
 }
 
--- a/crates/curranthook_policy/src/hash.rs
+++ b/crates/curranthook_policy/src/hash.rs
@@ -25,8 +25,8 @@
 /// # use curranthook_policy::hash;
 /// assert_ne!(hash::pair(1, 2), hash::pair(2, 1));
 /// ```
-pub fn pair(left: u64, right: u64) -> u64 {
-    mix(left ^ mix(right))
+pub fn pair(first: u64, second: u64) -> u64 {
+    mix(first ^ mix(second))
 }
 
 /// Maps a hash to a number from 0 up to, but not including, 1.
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -119,7 +119,7 @@
 #[test]
 fn overclaimed_version_is_detected_within_60_answers() {
     for seed in 0..20 {
-        let (n_overclaimed, quality) = serve_with_overclaimed(seed);
+        let (n_overclaimed, quality) = serve_with_overclaimed_version(seed);
         assert!(
             n_overclaimed < 60,
             "{n_overclaimed} answers by the overclaimed version with seed {seed}"
@@ -130,7 +130,7 @@
 
 /// Returns how many of 2,000 requests the overclaimed version answers without a second stage, and
 /// the quality of all answers.
-fn serve_with_overclaimed(seed: u64) -> (u32, f64) {
+fn serve_with_overclaimed_version(seed: u64) -> (u32, f64) {
     let (kind, now) = (kind::Id::new("summary"), Instant::now());
     let ids = ["m@over", "m@middle", "m@large"].map(version::Id::new);
     let rates = [100, 120, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
