--- a/crates/curranthook_steward/src/serve.rs
+++ b/crates/curranthook_steward/src/serve.rs
@@ -127,7 +127,7 @@
         shard.await;
     }
     server_task.await;
-    log::info!("steward stopped");
+    log::info!("ended");
     Ok(())
 }
 
@@ -292,10 +292,8 @@
             for it in order::difference(&served, &desired) {
                 // Checked again before each order: engines that ignore the fencing token are only
                 // protected by the remaining time of the lease.
-                let Some(fencing_token) = lease.fencing_token(EFFECT_TIMEOUT) else {
-                    return Ok(());
-                };
-                match self.engines.send(id, endpoint, &it, fencing_token).await {
+                let Some(token) = lease.fencing_token(EFFECT_TIMEOUT) else { return Ok(()) };
+                match self.engines.send(id, endpoint, &it, token).await {
                     Ok(order::Outcome::Applied) => self.status.lock().orders += 1,
                     Ok(order::Outcome::Stale) => {
                         self.status.lock().stale_orders += 1;
