--- a/crates/curranthook_gateway/src/cascade.rs
+++ b/crates/curranthook_gateway/src/cascade.rs
@@ -24,9 +24,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
     /// The time from the request's arrival to the first event.
-    pub first_event: Duration,
+    pub time_to_first_event: Duration,
     /// The time from the request's arrival to the last event.
-    pub last_event: Duration,
+    pub time_to_last_event: Duration,
     /// The cost of the answer as a share of its value.
     pub cost: f64,
 }
@@ -44,8 +44,8 @@
     /// The expected value of a good answer, given how likely it is to arrive on time, late or not
     /// at all.
     fn value(&self, targets: &Targets) -> f64 {
-        let on_time = probability(self.first_event, targets.objective);
-        let completes = probability(self.last_event, targets.deadline);
+        let on_time = probability(self.time_to_first_event, targets.objective);
+        let completes = probability(self.time_to_last_event, targets.deadline);
         completes * (on_time + (1.0 - on_time) * LATE_VALUE) - self.cost
     }
 }
@@ -68,9 +68,9 @@
 /// # use curranthook_gateway::cascade::{self, Targets, Forecast};
 /// let s = Duration::from_secs;
 /// let targets = Targets { objective: s(2), deadline: s(15) };
-/// let small = Forecast { first_event: s(0), last_event: s(1), cost: 0.01 };
-/// let idle = Forecast { first_event: s(1), last_event: s(3), cost: 0.1 };
-/// let busy = Forecast { first_event: s(6), last_event: s(20), cost: 0.1 };
+/// let small = Forecast { time_to_first_event: s(0), time_to_last_event: s(1), cost: 0.01 };
+/// let idle = Forecast { time_to_first_event: s(1), time_to_last_event: s(3), cost: 0.1 };
+/// let busy = Forecast { time_to_first_event: s(6), time_to_last_event: s(20), cost: 0.1 };
 /// assert!(cascade::should_escalate(10, &small, &idle, &targets));
 /// assert!(!cascade::should_escalate(90, &small, &idle, &targets));
 /// assert!(!cascade::should_escalate(10, &small, &busy, &targets));
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -35,8 +35,8 @@
             request: &self.request.head.id,
             model: &model,
             confidence,
-            first_ms: millis(expected.first_event),
-            last_ms: millis(expected.last_event),
+            first_ms: millis(expected.time_to_first_event),
+            last_ms: millis(expected.time_to_last_event),
         });
         self.models.switch_to_largest();
         self.peer_state = Some(peer_state);
@@ -51,15 +51,16 @@
             objective: self.route.latency_target,
             deadline: self.request.deadline.saturating_duration_since(self.request.received_at),
         };
-        let large_first_event = elapsed + self.first_event(rule, large, peer_state)?;
+        let large_time_to_first_event =
+            elapsed + self.time_to_first_event(rule, large, peer_state)?;
         let small = self.forecast(small, elapsed, 0.0);
-        let large = self.forecast(large, large_first_event, cascade::LARGE_MODEL_COST);
+        let large = self.forecast(large, large_time_to_first_event, cascade::LARGE_MODEL_COST);
         cascade::should_escalate(confidence, &small, &large, &targets).then_some(large)
     }
 
     /// The expected time to the first event of `model` at the endpoint that would be selected now;
     /// `None` if there is no endpoint for it.
-    fn first_event(
+    fn time_to_first_event(
         &self,
         rule: &Rule,
         model: &Candidate,
@@ -68,14 +69,15 @@
         let criteria = self.criteria(rule, Some(model));
         let directory = self.gateway.directory.lock();
         let choice = selection::best(&self.gateway, &directory, &criteria, peer_state)?;
-        Some(choice.first_event(&criteria.model?.latency))
+        Some(choice.time_to_first_event(&criteria.model?.latency))
     }
 
-    fn forecast(&self, model: &Candidate, first_event: Duration, cost: f64) -> Forecast {
+    fn forecast(&self, model: &Candidate, time_to_first_event: Duration, cost: f64) -> Forecast {
         let n_events = self.models.event_count(self.request.output_tokens());
         Forecast {
-            first_event,
-            last_event: first_event + self.latency(model).remaining_events(n_events),
+            time_to_first_event,
+            time_to_last_event: time_to_first_event
+                + self.latency(model).remaining_events(n_events),
             cost,
         }
     }
--- a/crates/curranthook_gateway/src/latency.rs
+++ b/crates/curranthook_gateway/src/latency.rs
@@ -43,8 +43,13 @@
 
 impl Estimate {
     /// The expected time to the first event of a request that is sent now.
-    pub fn first_event(&self, prompt: Prompt, outstanding: u32, queue_delay: Duration) -> Duration {
-        self.coefficients.first_event(prompt, outstanding) + queue_delay
+    pub fn time_to_first_event(
+        &self,
+        prompt: Prompt,
+        outstanding: u32,
+        queue_delay: Duration,
+    ) -> Duration {
+        self.coefficients.time_to_first_event(prompt, outstanding) + queue_delay
     }
 
     /// The expected time of `n_events` after the first.
@@ -64,7 +69,7 @@
     /// let queue_delay = Duration::from_millis(500);
     /// let first = FirstEvent { prompt, outstanding: 3, queue_delay, elapsed: Duration::from_secs(1) };
     /// (0..50).for_each(|_| estimator.record_first_event("engines", "large", 1.0, first));
-    /// let idle = estimator.estimate("engines", "large", 1.0).first_event(prompt, 3, Duration::ZERO);
+    /// let idle = estimator.estimate("engines", "large", 1.0).time_to_first_event(prompt, 3, Duration::ZERO);
     /// assert!(idle.abs_diff(Duration::from_millis(500)) < Duration::from_millis(20), "{idle:?}");
     /// ```
     pub fn estimate(&self, service: &str, model: &str, relative_price: f64) -> Estimate {
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -69,7 +69,7 @@
         let choice = selection::best(gateway, &directory, criteria, peer_state)?;
         let Choice { prompt, outstanding, queue_delay, .. } = choice;
         let latency = criteria.model.map(|it| it.latency);
-        let expected_first_event = latency.map(|it| choice.first_event(&it));
+        let expected_first_event = latency.map(|it| choice.time_to_first_event(&it));
         let pending_prefill =
             latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
         let entry = choice.endpoint.entry.clone();
--- a/crates/curranthook_gateway/src/prefill.rs
+++ b/crates/curranthook_gateway/src/prefill.rs
@@ -78,7 +78,7 @@
     /// let prompt = Prompt::new(10_000, 0);
     /// let elapsed = Duration::from_millis(300);
     /// (0..50).for_each(|_| filter.update(prompt, 0, Duration::ZERO, elapsed));
-    /// let expected = filter.coefficients().first_event(prompt, 0);
+    /// let expected = filter.coefficients().time_to_first_event(prompt, 0);
     /// assert!(expected.abs_diff(elapsed) < Duration::from_millis(10), "{expected:?}");
     /// ```
     pub fn new(relative_price: f64) -> Self {
@@ -137,7 +137,7 @@
 
     /// The time to the first event, after the engine has prefilled everything that was queued
     /// ahead.
-    pub fn first_event(&self, prompt: Prompt, outstanding: u32) -> Duration {
+    pub fn time_to_first_event(&self, prompt: Prompt, outstanding: u32) -> Duration {
         let delay = self.0[0] + self.0[3] * f64::from(outstanding) / UNITS.2;
         self.prefill_time(prompt) + saturating_seconds(delay)
     }
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -91,8 +91,8 @@
 
 impl Choice<'_> {
     /// The expected time to the first event, for a model with this `latency`.
-    pub fn first_event(&self, latency: &Estimate) -> Duration {
-        latency.first_event(self.prompt, self.outstanding, self.queue_delay)
+    pub fn time_to_first_event(&self, latency: &Estimate) -> Duration {
+        latency.time_to_first_event(self.prompt, self.outstanding, self.queue_delay)
     }
 }
 
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -114,16 +114,16 @@
 )]
 fn escalation_requires_a_better_expected_answer(
     confidence: u8,
-    first_event_ms: u64,
-    last_event_ms: u64,
+    time_to_first_event_ms: u64,
+    time_to_last_event_ms: u64,
     expected: bool,
 ) {
     let ms = Duration::from_millis;
     let targets = Targets { objective: ms(2_000), deadline: ms(15_000) };
-    let small = Forecast { first_event: ms(100), last_event: ms(900), cost: 0.0 };
+    let small = Forecast { time_to_first_event: ms(100), time_to_last_event: ms(900), cost: 0.0 };
     let large = Forecast {
-        first_event: ms(first_event_ms),
-        last_event: ms(last_event_ms),
+        time_to_first_event: ms(time_to_first_event_ms),
+        time_to_last_event: ms(time_to_last_event_ms),
         cost: cascade::LARGE_MODEL_COST,
     };
     assert_eq!(cascade::should_escalate(confidence, &small, &large, &targets), expected);
--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -37,7 +37,12 @@
     Engine { ms_per_thousand_tokens: 15.0, ms_per_million_pairs: 3.0, ..FAST };
 
 impl Engine {
-    fn first_event(&self, prompt: Prompt, outstanding: u32, rng: &mut impl Rng) -> Duration {
+    fn time_to_first_event(
+        &self,
+        prompt: Prompt,
+        outstanding: u32,
+        rng: &mut impl Rng,
+    ) -> Duration {
         let (uncached, cached) = (prompt.uncached as f64, prompt.cached as f64);
         let pairs = uncached * (cached + uncached / 2.0) / 1e6;
         let fixed_ms = self.base_ms + self.ms_per_running * f64::from(outstanding);
@@ -65,7 +70,7 @@
     for _ in 0..n {
         let (prompt, outstanding) = (prompt(rng), rng.random_range(0..8));
         let queue_delay = Duration::from_millis(rng.random_range(0..4) * 100);
-        let elapsed = queue_delay + engine.first_event(prompt, outstanding, rng);
+        let elapsed = queue_delay + engine.time_to_first_event(prompt, outstanding, rng);
         estimator.record_first_event(
             "engines",
             "large",
@@ -94,8 +99,8 @@
     let mut errors: Vec<f64> = (0..1_000)
         .map(|_| {
             let (prompt, outstanding) = (prompt(&mut rng), rng.random_range(0..8));
-            let elapsed = engine.first_event(prompt, outstanding, &mut rng);
-            let expected = estimate.first_event(prompt, outstanding, Duration::ZERO);
+            let elapsed = engine.time_to_first_event(prompt, outstanding, &mut rng);
+            let expected = estimate.time_to_first_event(prompt, outstanding, Duration::ZERO);
             elapsed.abs_diff(expected).as_secs_f64() / elapsed.as_secs_f64()
         })
         .collect();
@@ -111,8 +116,8 @@
     let estimate = trained_estimate(engine, 120, &mut rng);
     let never_overtaken = Engine { overtaken_share: 0.0, ..engine };
     let longest = Prompt::new(50_000, 0);
-    let elapsed = never_overtaken.first_event(longest, 3, &mut rng);
-    let expected = estimate.first_event(longest, 3, Duration::ZERO);
+    let elapsed = never_overtaken.time_to_first_event(longest, 3, &mut rng);
+    let expected = estimate.time_to_first_event(longest, 3, Duration::ZERO);
     assert!(elapsed.abs_diff(expected) < elapsed / 4, "{elapsed:?}, expected {expected:?}");
 }
 
@@ -141,8 +146,8 @@
             let elapsed = Duration::from_secs_f64(rng.random_range(0.9..1.1)) * slowdown;
             filter.update(prompt, 0, Duration::ZERO, elapsed);
         }
-        let expected =
-            filter.coefficients().first_event(prompt, 0).as_secs_f64() / f64::from(slowdown);
+        let expected = filter.coefficients().time_to_first_event(prompt, 0).as_secs_f64()
+            / f64::from(slowdown);
         assert!((0.85..1.15).contains(&expected), "{expected} at {slowdown}");
     }
 }
--- a/crates/curranthook_gateway/tests/shared_engines.rs
+++ b/crates/curranthook_gateway/tests/shared_engines.rs
@@ -115,10 +115,10 @@
                 best[placement::choose(&shortlist, &task).unwrap()]
             }
         };
-        let first_event = engines[index].prefill(prefix, node, now) - now;
+        let time_to_first_event = engines[index].prefill(prefix, node, now) - now;
         n_all += 1;
-        n_late += u32::from(FIRST_EVENT_TARGET < first_event);
-        sum += first_event;
+        n_late += u32::from(FIRST_EVENT_TARGET < time_to_first_event);
+        sum += time_to_first_event;
     }
     Latency { late_share: f64::from(n_late) / f64::from(n_all), mean: sum / n_all }
 }
