--- a/crates/curranthook_gateway/src/cascade.rs
+++ b/crates/curranthook_gateway/src/cascade.rs
@@ -44,9 +44,10 @@
     /// The expected value of a good answer, given how likely it is to arrive on time, late or not
     /// at all.
     fn value(&self, targets: &Targets) -> f64 {
-        let on_time = probability(self.time_to_first_event, targets.objective);
-        let completes = probability(self.time_to_last_event, targets.deadline);
-        completes * (on_time + (1.0 - on_time) * LATE_VALUE) - self.cost
+        let on_time_probability = probability(self.time_to_first_event, targets.objective);
+        let completion_probability = probability(self.time_to_last_event, targets.deadline);
+        completion_probability * (on_time_probability + (1.0 - on_time_probability) * LATE_VALUE)
+            - self.cost
     }
 }
 
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -27,7 +27,7 @@
     selection::{self, Criteria, TargetModel},
 };
 
-use self::retry::Next;
+use self::retry::Decision;
 
 /// The `Retry-After` while no endpoint is reachable: about the time until a reachable endpoint is
 /// discovered.
@@ -149,7 +149,7 @@
                 Err(failure) => {
                     let elapsed = self.gateway.now().saturating_duration_since(sent_at);
                     self.log_failure(&id, &failure, elapsed);
-                    if let Next::Respond(refusal) = self.on_failure(&id, &failure).await {
+                    if let Decision::Respond(refusal) = self.on_failure(&id, &failure).await {
                         return Err(refusal);
                     }
                 }
@@ -165,9 +165,9 @@
     ) -> Result<(), Refusal> {
         let failure = Failure { cause, execution: Execution::MayHaveRun };
         self.log_failure(endpoint, &failure, Duration::ZERO);
-        match self.on_possible_run(endpoint, &failure).await {
-            Next::Retry => Ok(()),
-            Next::Respond(refusal) => Err(refusal),
+        match self.on_ambiguous_failure(endpoint, &failure).await {
+            Decision::Retry => Ok(()),
+            Decision::Respond(refusal) => Err(refusal),
         }
     }
 
@@ -407,6 +407,6 @@
 }
 
 /// The duration in whole milliseconds.
-pub fn millis(it: Duration) -> u64 {
-    u64::try_from(it.as_millis()).unwrap_or(u64::MAX)
+pub fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -24,7 +24,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What follows a failed attempt.
-pub(super) enum Next {
+pub(super) enum Decision {
     /// Another attempt.
     Retry,
     /// This refusal is sent to the caller.
@@ -33,11 +33,15 @@
 
 impl Job {
     /// Handles a failed attempt at `endpoint`.
-    pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failure: &Failure) -> Next {
+    pub(super) async fn on_failure(
+        &mut self,
+        endpoint: &endpoint::Id,
+        failure: &Failure,
+    ) -> Decision {
         if failure.execution == Execution::MayHaveRun {
             self.n_runs += 1;
             self.started = Started::Maybe;
-            return self.on_possible_run(endpoint, failure).await;
+            return self.on_ambiguous_failure(endpoint, failure).await;
         }
         self.n_rejections += 1;
         if failure.cause != Cause::StaleConnection {
@@ -50,35 +54,35 @@
         let reached_endpoint = matches!(failure.cause, Cause::Full | Cause::Misdirected);
         let is_budget_spent = reached_endpoint && !self.try_spend(failure.cause.name());
         if MAX_REJECTIONS <= self.n_rejections || is_budget_spent {
-            return Next::Respond(self.refusal(reason).with_retry_after(RETRY_AFTER_FULL));
+            return Decision::Respond(self.refusal(reason).with_retry_after(RETRY_AFTER_FULL));
         }
         self.gateway.metrics.record_retry(failure.cause.name());
-        Next::Retry
+        Decision::Retry
     }
 
     /// Handles a failed attempt at `endpoint` that may have run the request.
-    pub(super) async fn on_possible_run(
+    pub(super) async fn on_ambiguous_failure(
         &mut self,
         endpoint: &endpoint::Id,
         failure: &Failure,
-    ) -> Next {
+    ) -> Decision {
         if failure.cause == Cause::Disconnected {
-            self.charge_poison(endpoint).await;
+            self.attribute_crash(endpoint).await;
         }
         if failure.cause != Cause::StaleConnection {
             self.tried_endpoints.push(endpoint.clone());
         }
         if failure.cause == Cause::Timeout {
-            return Next::Respond(self.refusal(Reason::Timeout));
+            return Decision::Respond(self.refusal(Reason::Timeout));
         }
         let now = self.gateway.now();
         if self.gateway.poison.lock().is_poison(self.request.fingerprint, now) {
-            return Next::Respond(self.refusal(Reason::Poison));
+            return Decision::Respond(self.refusal(Reason::Poison));
         }
         if !self.route.retry_policy.is_retryable() || !self.try_rerun(failure.cause.name()) {
-            return Next::Respond(self.refusal(Reason::EndpointFailed));
+            return Decision::Respond(self.refusal(Reason::EndpointFailed));
         }
-        Next::Retry
+        Decision::Retry
     }
 
     /// Takes one run from the budget; returns whether the request may run once more.
@@ -101,7 +105,7 @@
     }
 
     /// Charges the request with the crash of `endpoint`, if that no longer accepts connections.
-    async fn charge_poison(&self, endpoint: &endpoint::Id) {
+    async fn attribute_crash(&self, endpoint: &endpoint::Id) {
         let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
         let connect = self.gateway.pool.take(addr, Freshness::New);
--- a/crates/curranthook_gateway/src/latency.rs
+++ b/crates/curranthook_gateway/src/latency.rs
@@ -5,7 +5,7 @@
 use crate::prefill::{self, Coefficients, Filter, Prompt};
 
 /// The weight of a new observation in the moving average.
-const SMOOTHING: f64 = 0.1;
+const SMOOTHING_FACTOR: f64 = 0.1;
 
 /// The latency estimates of all models.
 #[derive(Debug, Default)]
@@ -94,7 +94,7 @@
         relative_price: f64,
         event: FirstEvent,
     ) {
-        let it = self.entry(service, model, relative_price);
+        let it = self.model_mut(service, model, relative_price);
         it.filter.update(event.prompt, event.outstanding, event.queue_delay, event.elapsed);
     }
 
@@ -109,13 +109,15 @@
     ) {
         if 1 < n_events {
             let interval = elapsed.as_secs_f64() / f64::from(n_events - 1);
-            let mean =
-                self.entry(service, model, relative_price).event_interval_s.get_or_insert(interval);
-            *mean += SMOOTHING * (interval - *mean);
+            let mean = self
+                .model_mut(service, model, relative_price)
+                .event_interval_s
+                .get_or_insert(interval);
+            *mean += SMOOTHING_FACTOR * (interval - *mean);
         }
     }
 
-    fn entry(&mut self, service: &str, model: &str, relative_price: f64) -> &mut Model {
+    fn model_mut(&mut self, service: &str, model: &str, relative_price: f64) -> &mut Model {
         let new = || Model { filter: Filter::new(relative_price), event_interval_s: None };
         self.models.entry((service.to_owned(), model.to_owned())).or_insert_with(new)
     }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -152,8 +152,9 @@
         let now = self.gateway.now();
         let mut directory = self.gateway.directory.lock();
         directory.request_ended(&self.id, self.outcome, self.pending_prefill, now);
-        let is_lost = matches!(self.outcome, Outcome::ConnectFailed | Outcome::AddressReused);
-        if is_lost
+        let is_unreachable =
+            matches!(self.outcome, Outcome::ConnectFailed | Outcome::AddressReused);
+        if is_unreachable
             && directory.has_recent_answer(now)
             && let Some(reports) = self.gateway.load_reports.get()
         {
--- a/crates/curranthook_gateway/src/mirror.rs
+++ b/crates/curranthook_gateway/src/mirror.rs
@@ -116,13 +116,13 @@
     }
 
     /// Records a reading of the store's clock.
-    pub fn set_clock(&mut self, store: Duration, now: Instant) {
-        self.clock = Some((store, now));
+    pub fn set_clock(&mut self, store_time: Duration, now: Instant) {
+        self.clock = Some((store_time, now));
     }
 
     /// The current time of the store's clock, if it has been read.
     pub fn store_time(&self, now: Instant) -> Option<Duration> {
-        self.clock.map(|(store, at)| store + now.saturating_duration_since(at))
+        self.clock.map(|(store_time, at)| store_time + now.saturating_duration_since(at))
     }
 
     /// The revision up to which a table is known.
--- a/crates/curranthook_gateway/src/placement.rs
+++ b/crates/curranthook_gateway/src/placement.rs
@@ -92,7 +92,7 @@
 /// ```
 /// # use std::time::Duration;
 /// # use curranthook_gateway::placement::{self, Candidate, Locality, CacheHolders, Task};
-/// let at = |id_hash, wait| Candidate {
+/// let candidate = |id_hash, wait| Candidate {
 ///     id_hash,
 ///     wait: Duration::from_millis(wait),
 ///     failure_rate: 0.0,
@@ -101,13 +101,13 @@
 /// };
 /// let holders = CacheHolders::Guessed;
 /// let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt: 7 };
-/// assert_eq!(placement::best(&[at(1, 300), at(2, 100), at(3, 200)], &task, 2), [1, 2]);
+/// assert_eq!(placement::best(&[candidate(1, 300), candidate(2, 100), candidate(3, 200)], &task, 2), [1, 2]);
 /// ```
 pub fn best(candidates: &[Candidate], task: &Task, n: usize) -> Vec<usize> {
-    let mut all: Vec<_> = costs(candidates, task).collect();
-    all.sort_unstable();
-    all.truncate(n);
-    all.into_iter().map(|it| it.index).collect()
+    let mut ranked: Vec<_> = costs(candidates, task).collect();
+    ranked.sort_unstable();
+    ranked.truncate(n);
+    ranked.into_iter().map(|it| it.index).collect()
 }
 
 /// The cost of a candidate. The hash breaks ties.
@@ -129,12 +129,16 @@
             if is_preferred || it.has_prefix_cached { Duration::ZERO } else { task.prefix_prefill };
         let failure_penalty =
             FAILING_PENALTY.mul_f64((it.failure_rate - MAX_HEALTHY_FAILURE_RATE).max(0.0));
-        let cross_domain =
+        let cross_domain_penalty =
             if it.locality == Locality::SameDomain { Duration::ZERO } else { CROSS_DOMAIN_PENALTY };
         let tie_breaker = match task.prefix_hash {
             Some(prefix_hash) => u64::MAX - hash::pair(prefix_hash, it.id_hash),
             None => hash::pair(task.salt, it.id_hash),
         };
-        Cost { time: it.wait + prefill + failure_penalty + cross_domain, tie_breaker, index }
+        Cost {
+            time: it.wait + prefill + failure_penalty + cross_domain_penalty,
+            tie_breaker,
+            index,
+        }
     })
 }
--- a/crates/curranthook_gateway/src/prefill.rs
+++ b/crates/curranthook_gateway/src/prefill.rs
@@ -120,10 +120,10 @@
         // belongs to another term, which the next observations correct.
         self.coefficients.rows_mut(1, N_TERMS - 1).apply(|it| *it = it.max(0.0));
         self.covariance -= gain * (terms.transpose() * self.covariance);
-        for it in 0..N_TERMS {
-            let recovery = VARIANCE_RECOVERY * self.prior_variance[it];
-            self.covariance[(it, it)] =
-                (self.covariance[(it, it)] + recovery).min(self.prior_variance[it]);
+        for index in 0..N_TERMS {
+            let recovery = VARIANCE_RECOVERY * self.prior_variance[index];
+            self.covariance[(index, index)] =
+                (self.covariance[(index, index)] + recovery).min(self.prior_variance[index]);
         }
     }
 }
@@ -143,7 +143,7 @@
     }
 
     /// The delay that each concurrent request adds to the first event of another one.
-    pub fn delay_per_running(&self) -> Duration {
+    pub fn delay_per_concurrent_request(&self) -> Duration {
         saturating_seconds(self.0[3] / UNITS.2)
     }
 }
@@ -155,8 +155,8 @@
 
 /// Converts seconds to a duration, clamped to 1e6 s (about eleven days). Callers may claim prompts
 /// and answers of any length, for which the result may be NaN or exceed what a `Duration` can hold.
-pub(crate) fn saturating_seconds(it: f64) -> Duration {
+pub(crate) fn saturating_seconds(seconds: f64) -> Duration {
     const MAX_SECONDS: f64 = 1e6;
-    let it = if it.is_nan() { 0.0 } else { it.clamp(0.0, MAX_SECONDS) };
-    Duration::from_secs_f64(it)
+    let seconds = if seconds.is_nan() { 0.0 } else { seconds.clamp(0.0, MAX_SECONDS) };
+    Duration::from_secs_f64(seconds)
 }
--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -230,8 +230,9 @@
         Some(gateway.affinity.lock().holders(prefix_hash, now))
     };
     // The nodes of a small fleet report to all others which prefixes they sent where.
-    let is_known = peer_state.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
-    let holders = if is_known { CacheHolders::Known } else { CacheHolders::Guessed };
+    let are_holders_known =
+        peer_state.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
+    let holders = if are_holders_known { CacheHolders::Known } else { CacheHolders::Guessed };
     let cached_at = peer_state.holders.clone().or_else(own_record).unwrap_or_default();
     let candidate = |it: &&Tracked| Candidate {
         id_hash: it.id_hash,
@@ -265,24 +266,25 @@
 fn eligible<'a>(ready: &[&'a Tracked], criteria: &Criteria<'_>, now: Instant) -> Vec<&'a Tracked> {
     let is_allowed = |it: &Tracked| criteria.rule.allows(&it.entry.version);
     let is_untried = |it: &Tracked| !criteria.tried.contains(&it.entry.id);
-    let select = |keep: &dyn Fn(&Tracked) -> bool| -> Vec<&'a Tracked> {
-        ready.iter().copied().filter(|it| it.admits(now) && keep(it)).collect()
+    let select = |predicate: &dyn Fn(&Tracked) -> bool| -> Vec<&'a Tracked> {
+        ready.iter().copied().filter(|it| it.admits(now) && predicate(it)).collect()
     };
     // A new version whose rollout order may not have arrived yet gets no requests, unless a known
     // order decides.
-    let is_known = |it: &Tracked| *criteria.rule != Rule::Any || it.is_established_version(now);
+    let is_order_known =
+        |it: &Tracked| *criteria.rule != Rule::Any || it.is_established_version(now);
     // A version whose endpoints are throttled still exists: no other version replaces it.
-    let is_throttled = |it: &Tracked| !it.admits(now) && is_allowed(it) && is_known(it);
+    let is_throttled = |it: &Tracked| !it.admits(now) && is_allowed(it) && is_order_known(it);
     let has_throttled = ready.iter().any(|it| is_throttled(it));
-    let is_usable = |it: &Tracked| is_allowed(it) && (is_known(it) || !has_throttled);
+    let is_usable = |it: &Tracked| is_allowed(it) && (is_order_known(it) || !has_throttled);
     let preferences: [&dyn Fn(&Tracked) -> bool; 4] = [
-        &|it| is_allowed(it) && is_known(it) && is_untried(it) && !it.is_ejected(now),
+        &|it| is_allowed(it) && is_order_known(it) && is_untried(it) && !it.is_ejected(now),
         &|it| is_usable(it) && is_untried(it) && !it.is_ejected(now),
         &|it| is_usable(it) && is_untried(it),
         &|it| is_usable(it),
     ];
-    for keep in preferences {
-        let matching = select(keep);
+    for predicate in preferences {
+        let matching = select(predicate);
         if !matching.is_empty() {
             return matching;
         }
@@ -298,24 +300,24 @@
 }
 
 fn expected_wait(
-    it: &Tracked,
+    endpoint: &Tracked,
     criteria: &Criteria<'_>,
     remote_queue: Duration,
     now: Instant,
 ) -> Duration {
-    let outstanding = it.estimated_requests(now);
+    let outstanding = endpoint.estimated_requests(now);
     if let Some(model) = criteria.model {
-        return queue_delay(it, criteria, remote_queue)
-            + model.latency.coefficients.delay_per_running() * outstanding;
+        return queue_delay(endpoint, criteria, remote_queue)
+            + model.latency.coefficients.delay_per_concurrent_request() * outstanding;
     }
-    let slots = it.entry.slots.max(1);
+    let slots = endpoint.entry.slots.max(1);
     let waiting = (outstanding + 1).saturating_sub(slots);
     DEFAULT_PROCESSING_TIME * waiting / slots + Duration::from_millis(1) * outstanding
 }
 
 /// The queued work that delays the request.
-fn queue_delay(it: &Tracked, criteria: &Criteria<'_>, remote_queue: Duration) -> Duration {
-    let waiting = it.pending + remote_queue;
+fn queue_delay(endpoint: &Tracked, criteria: &Criteria<'_>, remote_queue: Duration) -> Duration {
+    let waiting = endpoint.pending + remote_queue;
     // Engines serve small models first, so their requests only wait for the prefill that is in
     // progress.
     let is_small_model = criteria
@@ -324,8 +326,8 @@
     if is_small_model { waiting / 8 } else { waiting }
 }
 
-fn locality(gateway: &Gateway, it: &Tracked) -> Locality {
-    if it.entry.domain == gateway.settings.domain {
+fn locality(gateway: &Gateway, endpoint: &Tracked) -> Locality {
+    if endpoint.entry.domain == gateway.settings.domain {
         Locality::SameDomain
     } else {
         Locality::DifferentDomain
@@ -333,6 +335,6 @@
 }
 
 /// The key by which a request is placed: the hash of the model and of the shared prompt prefix.
-pub fn prefix_hash(parts: Option<u64>, model: &str) -> Option<u64> {
-    parts.map(|it| hash::pair(it, hash::bytes(model.as_bytes())))
+pub fn prefix_hash(prompt_prefix_hash: Option<u64>, model: &str) -> Option<u64> {
+    prompt_prefix_hash.map(|it| hash::pair(it, hash::bytes(model.as_bytes())))
 }
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -22,7 +22,7 @@
 
 /// An endpoint counts as stalled if it sends no event for this many times the longest event gap of a
 /// stream on time: the stream is late already, and callers leave soon after.
-const MAX_GAP_FACTOR: u32 = 2;
+const IDLE_TIMEOUT_GAP_FACTOR: u32 = 2;
 /// The shortest time after which an endpoint counts as stalled, since it may prefill other prompts
 /// between two events.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -201,7 +201,7 @@
     /// count: an endpoint that trickles them would keep its caller waiting until the deadline.
     fn idle_time_left(&self) -> Duration {
         let gap = self.job.route.max_event_gap.unwrap_or_default();
-        let idle_timeout = gap.saturating_mul(MAX_GAP_FACTOR).max(MIN_IDLE_TIMEOUT);
+        let idle_timeout = gap.saturating_mul(IDLE_TIMEOUT_GAP_FACTOR).max(MIN_IDLE_TIMEOUT);
         idle_timeout
             .saturating_sub(self.job.gateway.now().saturating_duration_since(self.last_progress_at))
     }
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -39,8 +39,10 @@
     let reversed: Vec<_> = endpoints.iter().rev().copied().collect();
     for prefix_hash in 0..200 {
         let task = task(prefix_hash, 300);
-        let at = |all: &[Candidate]| all[placement::choose(all, &task).unwrap()].id_hash;
-        assert_eq!(at(&endpoints), at(&reversed));
+        let preferred_id = |candidates: &[Candidate]| {
+            candidates[placement::choose(candidates, &task).unwrap()].id_hash
+        };
+        assert_eq!(preferred_id(&endpoints), preferred_id(&reversed));
     }
 }
 
@@ -48,27 +50,27 @@
 /// preferred endpoint, and to the endpoint that processed it, wherever that is.
 #[test]
 fn known_cache_holders_take_precedence() {
-    let mut all: Vec<_> = (1..=12).map(idle).collect();
+    let mut endpoints: Vec<_> = (1..=12).map(idle).collect();
     let guessed = task(7, 600);
-    let preferred = placement::choose(&all, &guessed).unwrap();
-    all[preferred].wait = Duration::from_millis(300);
-    assert_eq!(placement::choose(&all, &guessed), Some(preferred));
+    let preferred = placement::choose(&endpoints, &guessed).unwrap();
+    endpoints[preferred].wait = Duration::from_millis(300);
+    assert_eq!(placement::choose(&endpoints, &guessed), Some(preferred));
     let known = Task { holders: CacheHolders::Known, ..guessed };
-    assert_ne!(placement::choose(&all, &known), Some(preferred));
-    let other = (preferred + 5) % all.len();
-    all[other].has_prefix_cached = true;
-    assert_eq!(placement::choose(&all, &known), Some(other));
+    assert_ne!(placement::choose(&endpoints, &known), Some(preferred));
+    let other = (preferred + 5) % endpoints.len();
+    endpoints[other].has_prefix_cached = true;
+    assert_eq!(placement::choose(&endpoints, &known), Some(other));
 }
 
 /// One of twelve endpoints is lost. Only prefixes that preferred it move; all others stay where
 /// they are cached.
 #[test]
 fn losing_an_endpoint_moves_only_its_own_prefixes() {
-    let all: Vec<_> = (1..=12).map(idle).collect();
+    let endpoints: Vec<_> = (1..=12).map(idle).collect();
     let moved = (0..1_200).filter(|prefix_hash| {
         let task = task(*prefix_hash, 300);
-        let before = all[placement::choose(&all, &task).unwrap()].id_hash;
-        let after = all[..11][placement::choose(&all[..11], &task).unwrap()].id_hash;
+        let before = endpoints[placement::choose(&endpoints, &task).unwrap()].id_hash;
+        let after = endpoints[..11][placement::choose(&endpoints[..11], &task).unwrap()].id_hash;
         before != after
     });
     let moved = moved.count();
@@ -79,25 +81,29 @@
 /// longer than processing the prefix elsewhere, other endpoints take requests.
 #[test]
 fn a_busy_preferred_endpoint_is_skipped() {
-    let mut all: Vec<_> = (1..=4).map(idle).collect();
+    let mut endpoints: Vec<_> = (1..=4).map(idle).collect();
     let task = task(7, 300);
-    let preferred = placement::choose(&all, &task).unwrap();
-    all[preferred].wait = Duration::from_millis(200);
-    assert_eq!(placement::choose(&all, &task), Some(preferred), "waiting is shorter than prefill");
-    all[preferred].wait = Duration::from_millis(400);
-    assert_ne!(placement::choose(&all, &task), Some(preferred));
+    let preferred = placement::choose(&endpoints, &task).unwrap();
+    endpoints[preferred].wait = Duration::from_millis(200);
+    assert_eq!(
+        placement::choose(&endpoints, &task),
+        Some(preferred),
+        "waiting is shorter than prefill"
+    );
+    endpoints[preferred].wait = Duration::from_millis(400);
+    assert_ne!(placement::choose(&endpoints, &task), Some(preferred));
 }
 
 /// An endpoint fails most requests while its health check passes, which callers would see in one of
 /// four requests. It gets none as long as other endpoints are available.
 #[test]
 fn a_failing_endpoint_is_avoided() {
-    let mut all: Vec<_> = (1..=4).map(idle).collect();
-    all[2].failure_rate = 0.6;
+    let mut endpoints: Vec<_> = (1..=4).map(idle).collect();
+    endpoints[2].failure_rate = 0.6;
     for salt in 0..100 {
         let holders = CacheHolders::Guessed;
         let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt };
-        assert_ne!(placement::choose(&all, &task), Some(2));
+        assert_ne!(placement::choose(&endpoints, &task), Some(2));
     }
 }
 
--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -65,9 +65,9 @@
     Prompt::new(prefix_tokens + own_tokens.min(54_000.0) as u64, cached)
 }
 
-fn trained_estimate(engine: Engine, n: usize, rng: &mut impl Rng) -> Estimate {
+fn trained_estimate(engine: Engine, n_answers: usize, rng: &mut impl Rng) -> Estimate {
     let mut estimator = Estimator::default();
-    for _ in 0..n {
+    for _ in 0..n_answers {
         let (prompt, outstanding) = (prompt(rng), rng.random_range(0..8));
         let queue_delay = Duration::from_millis(rng.random_range(0..4) * 100);
         let elapsed = queue_delay + engine.time_to_first_event(prompt, outstanding, rng);
