--- a/crates/curranthook_gateway/src/frontend.rs
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -17,7 +17,7 @@
     request, startup, stream, unary,
 };
 
-/// The timeout of requests whose caller states none.
+/// The timeout of a request whose caller sets none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// The time limit for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -28,9 +28,10 @@
 /// The handler of callers' connections.
 #[derive(Debug)]
 pub struct Frontend {
-    /// The node that serves the requests.
+    /// The node's shared state.
     pub gateway: Arc<Gateway>,
-    /// Whether new requests are refused; set during shutdown.
+    /// Whether new requests are refused; set when a node that shuts down begins to drain its
+    /// connections.
     pub closed: std::sync::atomic::AtomicBool,
 }
 
@@ -86,7 +87,8 @@
         let Some(configuration) = gateway.configuration.load_full() else {
             return Err(startup::refusal(gateway));
         };
-        // Checked before the body is read, so that no body is read for a caller without access.
+        // Checked before the body is read, so that a caller without access cannot make the node
+        // read a body.
         admit(&configuration, &head)?;
         let read = body::read(body, configuration.document.limits.max_body);
         let body = match timeout::run(BODY_TIMEOUT, read).await {
@@ -96,7 +98,7 @@
                 return Err(refusal(Reason::Invalid));
             }
         };
-        // Checked again: the configuration may have changed while the body was received.
+        // Checked again, since the configuration may have changed while the body was received.
         let configuration = gateway.configuration.load_full().unwrap_or(configuration);
         let (route, account) = admit(&configuration, &head)?;
         let timeout = head.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
@@ -151,7 +153,7 @@
         Err(refusal) => return Err((job, refusal)),
     };
     let mut headers = job.gateway.dialect.response_headers(&exchange.head.headers);
-    // Another endpoint may continue the stream, so the total length is unknown.
+    // If this endpoint fails, another one continues the stream, so the total length is unknown.
     headers.remove(header::CONTENT_LENGTH);
     let status = exchange.reply.status;
     let elapsed = job.gateway.now().saturating_duration_since(job.request.received_at);
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! The life of an admitted request: attempts are made until one yields a response for the caller.
+//! Runs an admitted request: makes attempts until one yields a response for the caller.
 
 mod escalation;
 mod retry;
@@ -33,25 +33,25 @@
 /// discovered.
 const RETRY_AFTER_NO_ENDPOINT: Duration = Duration::from_millis(700);
 
-/// How many times peers are queried for a reachable endpoint before a request is placed.
+/// The number of times that peers are queried for a reachable endpoint before one is selected.
 const MAX_QUERY_ROUNDS: usize = 3;
 
 /// The outcome of a request whose response was received completely.
 pub const OUTCOME_WHOLE: &str = "whole";
 
-/// How a request ended. Times are measured from its arrival.
+/// How a request ended. Times are measured from the request's arrival.
 #[derive(Debug, Default)]
 pub struct Summary<'a> {
     /// The response status sent to the caller.
     pub status: u16,
-    /// The outcome, as logged and counted.
+    /// The outcome in the log and in metrics.
     pub outcome: &'static str,
     /// The endpoint that answered last; empty if none did.
     pub endpoint: &'a str,
     /// The time to the first byte of the response.
     pub first_byte_after: Duration,
-    /// The number of stream events forwarded to the caller. Distinguishes a stream that ran out of
-    /// time while events arrived from one that stalled.
+    /// The number of stream events forwarded to the caller. Distinguishes a stream that reached its
+    /// deadline while events arrived from one that stalled.
     pub n_events: u32,
     /// The time to the last forwarded event.
     pub last_event_after: Duration,
@@ -60,7 +60,7 @@
 /// An admitted request and the state of its attempts.
 #[derive(Debug)]
 pub struct Job {
-    /// The node that serves it.
+    /// The node's shared state.
     pub gateway: Arc<Gateway>,
     /// The admitted request.
     pub request: Request,
@@ -83,7 +83,7 @@
     /// Whether an endpoint answered with a server error.
     has_errored: bool,
     configuration_version: u64,
-    /// State reported by peers that was queried for the decision on the next attempt.
+    /// Peer state that was queried to decide on escalation, and that the next attempt uses.
     peer_state: Option<PeerState>,
     _in_flight: InFlight,
 }
@@ -129,7 +129,7 @@
         self.request.time_left(self.gateway.now())
     }
 
-    /// Makes attempts until an endpoint yields a response for the caller.
+    /// Makes attempts until an endpoint returns a response that can be forwarded to the caller.
     pub async fn execute(&mut self) -> Result<Exchange, Refusal> {
         loop {
             if self.time_left().is_zero() {
@@ -199,8 +199,9 @@
             .with_retry_after(retry_after.unwrap_or(RETRY_AFTER_NO_ENDPOINT))
     }
 
-    /// Queries peers about the endpoints that may take the request; empty in a small fleet, whose
-    /// nodes report their load to all others unasked.
+    /// Queries peers about the load of the endpoints that may take the request. Returns an empty
+    /// state in a small fleet, where each node reports its load to all others without being
+    /// queried.
     async fn query_peers(&self, criteria: &Criteria<'_>) -> PeerState {
         let mut peer_state = PeerState::default();
         for _ in 0..MAX_QUERY_ROUNDS {
@@ -288,11 +289,12 @@
         attempt::run(&self.gateway, &self.request, self.route.retry_policy, lease, &outgoing).await
     }
 
-    /// Returns the response if the caller gets it; otherwise another attempt follows.
+    /// Returns the response if it is to be forwarded to the caller; `None` if another attempt
+    /// follows.
     async fn accept_or_retry(&mut self, exchange: Exchange, version: &str) -> Option<Exchange> {
         let is_error = exchange.reply.status.is_server_error();
-        // A request that itself causes errors fails again in each attempt; it counts as evidence
-        // about a version only once.
+        // A request that itself causes errors fails in each attempt. After its first error, its
+        // responses no longer count as evidence about versions.
         if !self.has_errored {
             let first_byte = (!is_error).then_some(exchange.first_byte);
             self.gateway.rollouts.lock().record_answer(
@@ -387,7 +389,8 @@
         let Summary { status, outcome, endpoint, .. } = *end;
         let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
         if outcome == OUTCOME_WHOLE {
-            // A complete response shows that the request did not cause the crashes charged to it.
+            // A complete response shows that the request did not cause the crashes attributed to
+            // it.
             self.gateway.poison.lock().clear(self.request.fingerprint);
         }
         self.gateway.metrics.record_ended(outcome, elapsed);
@@ -406,7 +409,7 @@
     }
 }
 
-/// The duration in whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -20,8 +20,8 @@
         let Some(confidence) = confidence.filter(|_| can_retry) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session_hash());
-        // Load from other nodes can only delay the larger model. So if the larger model is not
-        // better without that load, the response is kept without querying peers.
+        // Load from other nodes can only delay the larger model. So if its forecast is no better
+        // even without that load, the response is kept and no peer is queried.
         if self.improvement(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -14,7 +14,7 @@
     refusal::{Reason, Refusal, Started},
 };
 
-/// How many attempts of a request may be rejected by endpoints that did not run it.
+/// The number of attempts that end without running the request, after which the request is refused.
 const MAX_REJECTIONS: u32 = 5;
 /// The `Retry-After` while all endpoints are full: about the time in which they complete some
 /// requests.
@@ -23,16 +23,16 @@
 /// connections.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What follows a failed attempt.
+/// The decision after a failed attempt.
 pub(super) enum Decision {
-    /// Another attempt.
+    /// Another attempt is made.
     Retry,
-    /// This refusal is sent to the caller.
+    /// No further attempt is made, and this refusal is sent to the caller.
     Respond(Refusal),
 }
 
 impl Job {
-    /// Handles a failed attempt at `endpoint`.
+    /// Decides what follows a failed attempt at `endpoint`.
     pub(super) async fn on_failure(
         &mut self,
         endpoint: &endpoint::Id,
@@ -60,7 +60,7 @@
         Decision::Retry
     }
 
-    /// Handles a failed attempt at `endpoint` that may have run the request.
+    /// Decides what follows a failed attempt at `endpoint` that may have run the request.
     pub(super) async fn on_ambiguous_failure(
         &mut self,
         endpoint: &endpoint::Id,
@@ -85,7 +85,8 @@
         Decision::Retry
     }
 
-    /// Takes one run from the budget; returns whether the request may run once more.
+    /// Takes one retry from the budget, unless the request has used up its attempts. Returns
+    /// whether the request may run once more.
     pub(super) fn try_rerun(&mut self, why: &'static str) -> bool {
         if self.route.max_attempts <= self.n_runs {
             self.log_not_repeated("attempts");
@@ -104,7 +105,8 @@
         true
     }
 
-    /// Charges the request with the crash of `endpoint`, if that no longer accepts connections.
+    /// Attributes the crash of `endpoint` to the request, if the endpoint no longer accepts
+    /// connections.
     async fn attribute_crash(&self, endpoint: &endpoint::Id) {
         let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
--- a/crates/curranthook_gateway/src/lib.rs
+++ b/crates/curranthook_gateway/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! A request passes through these stages:
 //!
-//! - [`frontend`]: admits a request from a caller's connection against the [`document`] in force
+//! - [`frontend`]: receives a caller's request, admits it according to the [`document`] in force
 //!   and creates a [`job`];
-//! - [`startup`]: holds requests until the first configuration has been read;
+//! - [`startup`]: lets requests wait until the first configuration has been read;
 //! - [`job`]: runs attempts until one succeeds, within the [`retry_budget`];
 //! - [`rollouts`], [`cascade`], [`selection`], [`placement`]: choose the version, the model and the
 //!   endpoint;
-//! - [`lease`], [`attempt`]: account for the request at an endpoint, and make one attempt there;
-//!   [`load_reports`] receives the load that other nodes put on endpoints, kept in the
+//! - [`lease`], [`attempt`]: count the request as load of an endpoint, and make one attempt there;
+//!   [`load_reports`] receives the load that other nodes put on endpoints, which is stored in the
 //!   [`load_table`] or, in a large fleet, queried from the endpoints' [`load_owners`];
 //! - [`permit`]: divides among the nodes the request rate of endpoints that are in [`slow_start`]
 //!   or announce a [`rate_limit`]; [`retry_schedule`] spreads the `Retry-After` times of refused
@@ -18,12 +18,12 @@
 //!
 //! [`placement`], [`cascade`], [`latency`], [`prefill`], [`retry_budget`], [`permit`] and [`steps`]
 //! make decisions without I/O and without reading a clock. [`watch`] and [`apply`] turn rows of the
-//! store into the node's state: [`document`], [`directory`] and [`rollouts`]; [`advertised`] holds
-//! what endpoints state about themselves in responses. In a large fleet, changes reach most nodes
-//! through a tree of [`relays`]; through [`peers`], nodes query each other, which replaces the
-//! store while it is unavailable; [`outage`] detects whether the store is unavailable to all nodes.
-//! [`fleet_writer`] writes the [`fleet`] rows that nodes publish for each other. [`gateway`] holds
-//! the state that all of them share, [`serve`] starts and stops the node.
+//! store into the node's state: [`document`], [`directory`] and [`rollouts`]; [`advertised`]
+//! contains what endpoints state about themselves in response headers. In a large fleet, changes
+//! reach most nodes through a tree of [`relays`]; through [`peers`], nodes query each other, which
+//! replaces the store while it is unavailable; [`outage`] detects whether the store is unavailable
+//! to all nodes. [`fleet_writer`] writes the [`fleet`] rows that nodes publish for each other.
+//! [`gateway`] contains the state that all modules share, [`serve`] starts and stops the node.
 //!
 //! Deployments implement the interfaces at the edges: [`dialect::Dialect`] for callers and
 //! endpoints, [`store::Store`] and [`store::Decoder`] for the store.
--- a/crates/curranthook_gateway/src/retry_budget.rs
+++ b/crates/curranthook_gateway/src/retry_budget.rs
@@ -1,11 +1,12 @@
-//! Limits how many requests may be retried, per service.
+//! Limits the number of retries per service.
 
 use std::{
     collections::{HashMap, VecDeque},
     time::{Duration, Instant},
 };
 
-/// The fleet-wide limit on retries, of which each node uses its share.
+/// The limit on the retries of a whole fleet. Retries per request apply at each node to its own
+/// requests; the additional ones are divided among the nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     /// Retries allowed per request.
@@ -19,7 +20,7 @@
 /// The share of the limit that is used. The rest covers requests that cross the edges of the window
 /// and nodes that do not know of each other yet.
 const USABLE_SHARE: f64 = 0.8;
-/// The time span that one counter of the window covers.
+/// The time span that one counter of the sliding window covers.
 const COUNTER_SPAN: Duration = Duration::from_millis(500);
 
 /// The retry budget of a node.
--- a/crates/curranthook_gateway/src/startup.rs
+++ b/crates/curranthook_gateway/src/startup.rs
@@ -18,31 +18,33 @@
     refusal::{Reason, Refusal, Started},
 };
 
-/// The time allowed for the first read of the store. The read takes 0.13 s while the store is up;
-/// the limit leaves room for one call that is rejected and retried.
+/// The time after the node's start within which the first read of the store should complete. The
+/// read takes 0.13 s while the store is up; the limit leaves room for one call that is rejected and
+/// retried.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// Divides a caller's timeout to get the time that its request may wait for a configuration. The
-/// timeouts of streams are two to ten times their targets for the first event, so most requests
+/// The divisor of a caller's timeout that yields how long its request may wait for a configuration.
+/// The timeouts of streams are two to ten times their targets for the first event, so most requests
 /// that waited are still answered on time.
 const MAX_WAIT_DIVISOR: u32 = 10;
-/// The upper limit of that wait. A store that has been unavailable for longer is likely to stay so.
+/// The longest time that a request may wait for a configuration. A store that has been unavailable
+/// for longer is likely to stay so.
 const MAX_WAIT: Duration = Duration::from_millis(2_500);
-/// How many requests may wait at a time. Each holds a connection and a request head, about 20 KB
-/// together; further requests are refused at once.
+/// The number of requests that may wait at a time. Each occupies a connection and a request head,
+/// about 20 KB together; further requests are refused at once.
 pub const MAX_WAITERS: usize = 256;
-/// The shortest and the longest `Retry-After` of a node that cannot reach the store. Callers with
-/// deadlines of 15 s accept at most a third of their deadline, hence 5 s.
+/// The shortest and the longest `Retry-After` of a node that cannot reach the store. The longest is
+/// what a caller with a deadline of 15 s accepts, a third of its deadline.
 const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(5));
 /// The `Retry-After` as a multiple of the time that the node has been without the store. An outage
 /// that has lasted is likely to last about as long again; callers have one retry left and would
 /// lose it by coming back too early, so the estimate errs on the long side.
 const RETRY_AFTER_FACTOR: u32 = 2;
 
-/// Counts the requests that wait.
+/// The number of requests that wait.
 #[derive(Debug, Default)]
 pub struct Waiters(AtomicUsize);
 
-/// One waiting request; dropping it frees its slot.
+/// The slot of a waiting request; dropping it releases the slot.
 #[derive(Debug)]
 pub struct Slot<'a>(&'a Waiters);
 
@@ -67,8 +69,8 @@
     }
 }
 
-/// Waits until the node can serve, for as long as it is likely to become ready and a part of the
-/// caller's `timeout` is left.
+/// Waits until the node can serve. Returns at the latest when the first read of the store should
+/// have completed or, if that is later, after the allowed part of the caller's `timeout`.
 pub async fn wait(gateway: &Gateway, timeout: Option<Duration>) {
     if gateway.is_serving() {
         return;
@@ -83,7 +85,7 @@
         if gateway.is_serving() || time_left.is_zero() {
             return;
         }
-        // Whether woken or timed out, the loop checks the state again.
+        // The loop checks the state again both after a wake and after a timeout.
         let _timed_out = timeout::run(time_left, changed).await;
     }
 }
