--- a/crates/curranthook_gateway/src/affinity.rs
+++ b/crates/curranthook_gateway/src/affinity.rs
@@ -1,4 +1,5 @@
-//! Remembers which endpoints have prompt prefixes cached, from what this node sent or peers reported.
+//! Remembers which endpoints are likely to have a prompt prefix cached: those that this node sent
+//! it to, or that peers reported.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -21,7 +22,7 @@
     /// The hash of the model and of the prefix.
     #[serde(rename = "subject")]
     pub prefix_hash: u64,
-    /// The endpoint that received it.
+    /// The endpoint that the prefix was sent to.
     pub endpoint: endpoint::Id,
 }
 
