--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -23,12 +23,12 @@
     request::Request,
 };
 
-/// How long a connection may have been idle to be used for a retryable request. Endpoints close
-/// idle connections after some seconds, and a request that is sent at that moment is lost.
+/// The longest idle time after which a connection is reused for a retryable request. Endpoints
+/// close idle connections after some seconds, and a request that is sent at that moment is lost.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(3);
 
-/// A connection that was closed while idle fails within this time after use: a few round trips
-/// between failure domains.
+/// The time within which a request on a connection that the endpoint had closed fails: a few round
+/// trips between failure domains.
 const STALE_DETECTION_TIME: Duration = Duration::from_millis(10);
 
 /// How long a new connection must stay open before a non-retryable request is sent on it: a round
@@ -42,7 +42,7 @@
     pub lease: Lease,
     /// The connection that carries the exchange.
     pub conn: Connection,
-    /// The parsed head of the response.
+    /// The response head, parsed.
     pub reply: Reply,
     /// The head of the response as received.
     pub head: Parts,
@@ -70,7 +70,7 @@
     StaleConnection,
     /// The endpoint has no capacity left.
     Full,
-    /// Another endpoint uses the address now.
+    /// Another endpoint now uses the address.
     Misdirected,
     /// The connection was lost.
     Disconnected,
@@ -178,9 +178,9 @@
         return not_run(Cause::StaleConnection);
     }
     if conn.is_reused() && elapsed_time < STALE_DETECTION_TIME {
-        // The endpoint most likely closed the connection just as it was used, which is no sign of a
-        // fault. A failure after a longer time means that the endpoint had the request and its
-        // response was lost.
+        // The endpoint most likely closed the connection just as the request was sent, which is no
+        // sign of a fault. A failure after a longer time means that the endpoint received the
+        // request and its response was lost.
         lease.close(Outcome::Abandoned);
         return may_have_run(Cause::StaleConnection);
     }
@@ -194,8 +194,9 @@
         let is_misdirected = reply.status == http::StatusCode::MISDIRECTED_REQUEST;
         return Some(not_run(if is_misdirected { Cause::Misdirected } else { Cause::Full }));
     }
-    // A late response on a reused connection takes the position of the next one. The request id
-    // reveals it; forwarded, the caller would receive another caller's response.
+    // On a reused connection, a late response to an earlier request arrives in place of the
+    // expected one. The request id reveals this; if the response were forwarded, a caller would
+    // receive another caller's response.
     if reply.request_id.as_deref() != Some(request.head.id.as_str()) {
         return Some(may_have_run(Cause::WrongRequest));
     }
@@ -238,7 +239,7 @@
         self.lease.close(outcome);
     }
 
-    /// Closes the connection, which tells the endpoint to stop working on the request.
+    /// Closes the connection, upon which the endpoint stops working on the request.
     pub fn close(self, outcome: Outcome) {
         self.conn.close();
         self.lease.close(outcome);
