--- a/crates/curranthook_gateway/src/cascade.rs
+++ b/crates/curranthook_gateway/src/cascade.rs
@@ -15,9 +15,10 @@
 const CONFIDENCE_MIDPOINT: f64 = 50.0;
 const CONFIDENCE_SCALE: f64 = 10.0;
 /// The cost of an answer of the largest model as a share of the answer's value: engine time, and
-/// the added wait of other requests.
+/// the delay it causes to other requests.
 pub const LARGE_MODEL_COST: f64 = 0.45;
-/// The uncertainty of a forecast as a share of the time limit that it is compared with.
+/// The spread of the logistic curve that models a forecast's uncertainty, as a share of the time
+/// limit that the forecast is compared with.
 const FORECAST_RELATIVE_SPREAD: f64 = 0.2;
 
 /// The expected timing and cost of a model's answer to a request.
@@ -89,10 +90,10 @@
     small_value < large.value(targets)
 }
 
-/// The number of priority ranks. Requests to large models come this many ranks after those to
-/// small models.
+/// The number of priority ranks. Requests to large models rank this far behind those to small
+/// models.
 const N_RANKS: u8 = 4;
-/// The relative price from which a model counts as large: prefill takes long there.
+/// The relative price from which a model counts as large, which means that its prefill takes long.
 pub const LARGE_MODEL_MIN_RELATIVE_PRICE: f64 = 0.5;
 
 /// The priority of a request at its engine; 0 is served first. `rank` comes from the route or the
