--- a/crates/curranthook_gateway/src/connections.rs
+++ b/crates/curranthook_gateway/src/connections.rs
@@ -1,8 +1,8 @@
 //! The number of idle connections that a node keeps to an endpoint.
 //!
 //! An endpoint accepts a limited number of connections from all nodes together and resets further
-//! ones. A node that kept every connection it has used would take up the capacity that other nodes
-//! need for new ones.
+//! ones. A node that kept every connection it has used would occupy capacity that other nodes need
+//! for new connections.
 
 /// The share of an endpoint's connections that may be idle; the rest is for requests in flight.
 const IDLE_SHARE: f64 = 0.5;
@@ -11,7 +11,7 @@
 /// `max_connections` in total.
 ///
 /// Guards against an endpoint that resets new connections because idle ones use up its limit, when
-/// most other endpoints have left and a large fleet turns to it.
+/// most other endpoints are gone and a large fleet sends its requests to the remaining ones.
 ///
 /// ```
 /// # use curranthook_gateway::connections;
