--- a/crates/curranthook_gateway/src/dialect.rs
+++ b/crates/curranthook_gateway/src/dialect.rs
@@ -1,7 +1,7 @@
 //! The interface to the headers and status codes of callers and endpoints.
 //!
-//! The stages know no header names and no status conventions of a deployment: a [`Dialect`] decodes
-//! them once into the types of this module.
+//! The other modules are independent of a deployment's header names and status codes: a [`Dialect`]
+//! converts them into the types of this module.
 
 use std::{fmt::Debug, time::Duration};
 
@@ -15,7 +15,7 @@
     request::{Head, Request},
 };
 
-/// Translates between the types of the stages and HTTP messages.
+/// Converts between HTTP messages and the types of this crate.
 pub trait Dialect: Debug + Send + Sync {
     /// Parses the head of a caller's request.
     fn parse_request_head(&self, head: &http::request::Parts) -> Result<Head, InvalidHeader>;
@@ -30,7 +30,7 @@
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
     /// Adds the headers of a refusal to `headers`.
     fn add_refusal_headers(&self, refusal: &Refusal, headers: &mut HeaderMap);
-    /// Adds to `headers` that this connection accepts no more requests.
+    /// Adds the header which announces that this connection accepts no more requests.
     fn add_closing_headers(&self, headers: &mut HeaderMap) {
         headers.insert(http::header::CONNECTION, HeaderValue::from_static("close"));
     }
@@ -49,8 +49,8 @@
 /// What a node adds to a request that it sends to an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Outgoing<'a> {
-    /// The endpoint that the request is meant for; another one that uses its address now must not
-    /// run the request.
+    /// The endpoint that the request is addressed to. Another endpoint that now uses its address
+    /// must not run the request.
     pub endpoint: &'a endpoint::Id,
     /// The client account of the caller.
     pub account: Option<&'a account::Id>,
@@ -83,9 +83,10 @@
     /// The requests per second that the endpoint accepts from all nodes together; `None` if it
     /// states no limit.
     pub rate_limit: Option<f64>,
-    /// How long an endpoint that rejected the request accepts no requests from this node.
+    /// The time for which the endpoint accepts no more requests from this node, if it rejected the
+    /// request.
     pub pause: Option<Duration>,
-    /// Whether the endpoint accepts new work or is about to end.
+    /// Whether the endpoint accepts new work or is shutting down.
     pub state: State,
     /// Whether the endpoint keeps the connection open.
     pub connection: Connection,
@@ -100,7 +101,7 @@
     MayHaveRun,
 }
 
-/// Whether a response is the endpoint's own.
+/// Whether the seal shows that the endpoint itself produced the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Seal {
     /// The seal is present and the body is unchanged.
