--- a/crates/curranthook_gateway/src/entry.rs
+++ b/crates/curranthook_gateway/src/entry.rs
@@ -4,8 +4,8 @@
 
 use curranthook_types::{domain, endpoint};
 
-/// The list's entry of an endpoint. Each start of an endpoint creates a new entry, mostly under a
-/// new id.
+/// An endpoint's entry in the platform's list. Each start of an endpoint creates a new entry,
+/// usually with a new id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The endpoint's id.
