--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -77,7 +77,9 @@
     service: String,
     models: Models,
     tried_endpoints: Vec<endpoint::Id>,
+    /// The number of attempts that ran or may have run the request.
     n_runs: u32,
+    /// The number of attempts that ended without running the request.
     n_rejections: u32,
     started: Started,
     /// Whether an endpoint answered with a server error.
