--- a/crates/curranthook_gateway/src/latency.rs
+++ b/crates/curranthook_gateway/src/latency.rs
@@ -4,7 +4,7 @@
 
 use crate::prefill::{self, Coefficients, Filter, Prompt};
 
-/// The weight of a new observation in the moving average.
+/// The weight of a new observation in the moving average of event intervals, from 0 to 1.
 const SMOOTHING_FACTOR: f64 = 0.1;
 
 /// The latency estimates of all models.
@@ -28,14 +28,14 @@
     event_interval_s: f64,
 }
 
-/// An observed first event.
+/// An observation of the time to a first event.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstEvent {
     /// The prompt of the request.
     pub prompt: Prompt,
     /// The number of concurrent requests at the endpoint.
     pub outstanding: u32,
-    /// The prefill work that was queued ahead of the request.
+    /// The prefill time of the work that was queued ahead of the request.
     pub queue_delay: Duration,
     /// The time from sending the request to its first event.
     pub elapsed: Duration,
@@ -67,9 +67,12 @@
     /// # use curranthook_gateway::{latency::{FirstEvent, Estimator}, prefill::Prompt};
     /// let (mut estimator, prompt) = (Estimator::default(), Prompt::new(8_000, 0));
     /// let queue_delay = Duration::from_millis(500);
-    /// let first = FirstEvent { prompt, outstanding: 3, queue_delay, elapsed: Duration::from_secs(1) };
+    /// let elapsed = Duration::from_secs(1);
+    /// let first = FirstEvent { prompt, outstanding: 3, queue_delay, elapsed };
     /// (0..50).for_each(|_| estimator.record_first_event("engines", "large", 1.0, first));
-    /// let idle = estimator.estimate("engines", "large", 1.0).time_to_first_event(prompt, 3, Duration::ZERO);
+    /// let idle = estimator
+    ///     .estimate("engines", "large", 1.0)
+    ///     .time_to_first_event(prompt, 3, Duration::ZERO);
     /// assert!(idle.abs_diff(Duration::from_millis(500)) < Duration::from_millis(20), "{idle:?}");
     /// ```
     pub fn estimate(&self, service: &str, model: &str, relative_price: f64) -> Estimate {
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Records a first event.
+    /// Updates the estimate for `model` with the time to a first event.
     pub fn record_first_event(
         &mut self,
         service: &str,
@@ -117,6 +120,7 @@
         }
     }
 
+    /// The state of `model`, created from the prior on first use.
     fn model_mut(&mut self, service: &str, model: &str, relative_price: f64) -> &mut Model {
         let new = || Model { filter: Filter::new(relative_price), event_interval_s: None };
         self.models.entry((service.to_owned(), model.to_owned())).or_insert_with(new)
