--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -1,4 +1,4 @@
-//! Accounts for a request at the endpoint that it is sent to.
+//! Counts a request as load of the endpoint that it is sent to, until the request ends.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
     selection::{self, Choice, Criteria},
 };
 
-/// A request slot at an endpoint. Dropping the lease releases it.
+/// A request slot at an endpoint. Dropping the lease releases the slot.
 #[derive(Debug)]
 pub struct Lease {
     gateway: Arc<Gateway>,
@@ -29,11 +29,12 @@
     pub addr: SocketAddr,
     /// The version of the endpoint's software.
     pub version: String,
-    /// The estimated number of requests that the endpoint had.
+    /// The estimated number of queued and running requests at the endpoint when the lease was
+    /// acquired.
     pub outstanding: u32,
     /// The prompt, split by what the endpoint is expected to have cached.
     pub prompt: Prompt,
-    /// The prefill work that was queued ahead of the request.
+    /// The prefill time of the work that was queued ahead of the request.
     pub queue_delay: Duration,
     /// The expected time to the first event; `None` for a service without models.
     pub expected_first_event: Option<Duration>,
@@ -45,7 +46,8 @@
     outcome: Outcome,
 }
 
-/// Whether a response carries everything that its endpoint states about itself.
+/// Whether a response carries all headers in which its endpoint states its own limits. If so, a
+/// missing rate limit means that there is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completeness {
     /// A successful response to the request.
@@ -99,7 +101,7 @@
         })
     }
 
-    /// Applies what the endpoint states about itself in a response.
+    /// Applies the state and the limits that the endpoint announces in a response.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
         let incarnation =
             Incarnation { id: self.id.clone(), addr: self.addr, started_ms: self.started_ms };
