--- a/crates/curranthook_gateway/src/mirror.rs
+++ b/crates/curranthook_gateway/src/mirror.rs
@@ -7,19 +7,19 @@
 
 use crate::store::{Batch, Rev, Row, Table};
 
-/// All rows that a node has read.
+/// A node's local copy of the store's tables.
 #[derive(Debug, Default)]
 pub struct Mirror {
     tables: HashMap<Table, Rows>,
-    /// When the store last answered a call for the operators' rows, which are read most often.
+    /// When the store last answered a call for the operator table, which is read most often.
     last_answer: Option<Instant>,
-    /// The store's clock, and when it was read.
+    /// The time that the store's clock showed, and when it was read.
     clock: Option<(Duration, Instant)>,
 }
 
 #[derive(Debug, Default)]
 struct Rows {
-    /// Removed rows stay as rows without a value, so that peers learn of the removal.
+    /// Removed rows stay as rows without a value, so that the removal can be reported to peers.
     rows: BTreeMap<String, Row>,
     rev: Rev,
     /// The revision since which all changes are known.
@@ -28,17 +28,17 @@
     is_interrupted: bool,
 }
 
-/// Why a mirror cannot tell the changes of a table.
+/// Why a mirror cannot return the changes of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangesError {
-    /// The mirror began to follow the table after the requested revision.
+    /// The mirror's history of the table begins after the requested revision.
     HistoryMissing,
     /// The store has not answered for too long.
     Stale,
 }
 
 impl Mirror {
-    /// Applies changed rows. Returns those that are newer than the known ones.
+    /// Applies changed rows. Returns those that are newer than the mirror's.
     pub fn merge(&mut self, table: Table, batch: Batch) -> Vec<Row> {
         let table_rows = self.tables.entry(table).or_default();
         let is_newer = |row: &Row| table_rows.rows.get(&row.key).is_none_or(|it| it.rev < row.rev);
@@ -125,7 +125,7 @@
         self.clock.map(|(store_time, at)| store_time + now.saturating_duration_since(at))
     }
 
-    /// The revision up to which a table is known.
+    /// The revision of the store that the mirror's copy of a table corresponds to.
     pub fn rev(&self, table: Table) -> Rev {
         self.tables.get(&table).map_or(Rev(0), |it| it.rev)
     }
