--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -1,4 +1,4 @@
-//! The models that may answer a request, and the one that is in use.
+//! The models that may answer a request, and the one in use.
 
 use crate::{
     document::{Document, Route},
@@ -23,7 +23,7 @@
 }
 
 impl Models {
-    /// The models for a request that specifies `requested` on `route`.
+    /// Lists the models for a request on `route` that specifies `requested`.
     pub fn new(document: &Document, service: &str, route: &Route, requested: &Model) -> Self {
         let names = match requested {
             Model::None => Vec::new(),
@@ -46,22 +46,22 @@
         }
     }
 
-    /// The model in use.
+    /// The model that attempts currently use.
     pub fn current(&self) -> Option<&Candidate> {
         self.candidates.get(self.current_index)
     }
 
-    /// The index of the model in use.
+    /// The index of the model that attempts currently use.
     pub fn index(&self) -> usize {
         self.current_index
     }
 
-    /// The largest model, unless it is the one in use.
+    /// The largest model, unless it is in use already.
     pub fn larger(&self) -> Option<&Candidate> {
         self.candidates[self.candidates.len().min(self.current_index + 1)..].last()
     }
 
-    /// Uses the largest model from now on.
+    /// Makes all further attempts use the largest model.
     pub fn switch_to_largest(&mut self) {
         self.current_index = self.candidates.len().saturating_sub(1);
     }
