--- a/crates/curranthook_gateway/src/placement.rs
+++ b/crates/curranthook_gateway/src/placement.rs
@@ -1,11 +1,11 @@
 //! Chooses the endpoint for a request among candidates.
 //!
-//! Engines cache the prompts that they process, so a request is cheapest where its shared prefix
-//! was processed last. Rendezvous hashing over the endpoints gives each prefix the same preference
-//! order at every node, without communication; a preferred endpoint that is busy is skipped if
-//! processing the prefix again elsewhere takes less time than waiting. Where nodes report which
-//! prefixes were processed where, that takes precedence over the hash: most prefixes occur for the
-//! first time, and then no endpoint is better than another.
+//! Engines cache the prompts that they process, so a request is cheapest at the endpoint that
+//! processed its shared prefix last. Rendezvous hashing over the endpoints gives each prefix the
+//! same preference order at every node, without communication; a preferred endpoint that is busy is
+//! skipped if processing the prefix again elsewhere takes less time than waiting. If the nodes
+//! report to each other which endpoint processed which prefix, these reports take precedence over
+//! the hash: most prefixes occur for the first time, and then no endpoint is better than another.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 pub struct Candidate {
     /// The hash of the endpoint's id.
     pub id_hash: u64,
-    /// How long the work that is already there delays the request.
+    /// How long the work that the endpoint already has delays the request.
     pub wait: Duration,
     /// The recent share of failed requests, from 0 to 1.
     pub failure_rate: f64,
     /// Whether the endpoint is in the failure domain of the node.
     pub locality: Locality,
-    /// Whether this node knows that the shared prefix was processed there.
+    /// Whether this node knows that the endpoint processed the shared prefix.
     pub has_prefix_cached: bool,
 }
 
@@ -51,19 +51,21 @@
 /// What is known about the endpoints that have a shared prefix cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheHolders {
-    /// Exactly the marked candidates have it cached.
+    /// The prefix is cached by exactly those candidates that have `has_prefix_cached` set.
     Known,
-    /// Unmarked candidates may have it cached, most likely the one that rendezvous hashing prefers.
+    /// Other candidates may have the prefix cached too, most likely the one that rendezvous hashing
+    /// prefers.
     Guessed,
 }
 
-/// The cost of another failure domain, as a delay: a round trip and the transferred bytes.
+/// The penalty for an endpoint in another failure domain: the delay of a round trip and of the
+/// transferred bytes.
 const CROSS_DOMAIN_PENALTY: Duration = Duration::from_millis(3);
-/// The cost of an endpoint at which every request fails, as a delay: longer than any wait that is
-/// acceptable.
+/// The penalty for an endpoint at which every request fails, as a delay: longer than any acceptable
+/// wait.
 const FAILING_PENALTY: Duration = Duration::from_millis(1_500);
-/// Up to this share of failures an endpoint counts as healthy, since some requests fail for reasons
-/// of their own.
+/// The largest share of failed requests at which an endpoint counts as healthy. Some requests fail
+/// for reasons that are not the endpoint's.
 const MAX_HEALTHY_FAILURE_RATE: f64 = 0.3;
 
 /// The index of the best candidate.
@@ -101,7 +103,8 @@
 /// };
 /// let holders = CacheHolders::Guessed;
 /// let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt: 7 };
-/// assert_eq!(placement::best(&[candidate(1, 300), candidate(2, 100), candidate(3, 200)], &task, 2), [1, 2]);
+/// let candidates = [candidate(1, 300), candidate(2, 100), candidate(3, 200)];
+/// assert_eq!(placement::best(&candidates, &task, 2), [1, 2]);
 /// ```
 pub fn best(candidates: &[Candidate], task: &Task, n: usize) -> Vec<usize> {
     let mut ranked: Vec<_> = costs(candidates, task).collect();
@@ -110,7 +113,7 @@
     ranked.into_iter().map(|it| it.index).collect()
 }
 
-/// The cost of a candidate. The hash breaks ties.
+/// The cost of a candidate. A hash breaks ties.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
     time: Duration,
