--- a/crates/curranthook_gateway/src/prefill.rs
+++ b/crates/curranthook_gateway/src/prefill.rs
@@ -1,9 +1,9 @@
 //! Estimates a model's time to the first event, learned from observed first events.
 //!
 //! The time grows with the number of prefilled tokens, with the number of token pairs that attend
-//! to each other (for the longest prompts these take as much time again) and with the number of
-//! concurrent requests. The rates differ between deployments and models, so a Kalman filter tracks
-//! them from a prior, request by request.
+//! to each other (for the longest prompts the pairs take as much time as the tokens) and with the
+//! number of concurrent requests. The rates differ between deployments and models, so a Kalman
+//! filter tracks them from a prior, request by request.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     prior_variance: SVector<f64, N_TERMS>,
 }
 
-/// The coefficients that a [`Filter`] estimates, in seconds per unit.
+/// The coefficients that a [`Filter`] estimates, in seconds per one of [`UNITS`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Coefficients([f64; N_TERMS]);
 
@@ -116,8 +116,9 @@
         let error = elapsed.as_secs_f64() - queue_delay.as_secs_f64() - expected;
         let gain = gain / variance;
         self.coefficients += gain * error.clamp(-max_error, max_error);
-        // More tokens, pairs or requests never make an engine faster. An estimate below zero
-        // belongs to another term, which the next observations correct.
+        // More tokens, pairs or requests never make an engine faster. A negative coefficient makes
+        // up for another one that is too large; it is set to zero, and later observations correct
+        // the other one.
         self.coefficients.rows_mut(1, N_TERMS - 1).apply(|it| *it = it.max(0.0));
         self.covariance -= gain * (terms.transpose() * self.covariance);
         for index in 0..N_TERMS {
@@ -135,8 +136,7 @@
         saturating_seconds(self.0[1] * uncached + self.0[2] * pairs)
     }
 
-    /// The time to the first event, after the engine has prefilled everything that was queued
-    /// ahead.
+    /// The time to the first event, without the time for prompts that are queued ahead.
     pub fn time_to_first_event(&self, prompt: Prompt, outstanding: u32) -> Duration {
         let delay = self.0[0] + self.0[3] * f64::from(outstanding) / UNITS.2;
         self.prefill_time(prompt) + saturating_seconds(delay)
