--- a/crates/curranthook_gateway/src/refusal.rs
+++ b/crates/curranthook_gateway/src/refusal.rs
@@ -36,7 +36,7 @@
 }
 
 impl Reason {
-    /// The name in logs, responses and metric labels.
+    /// The name of the reason in logs, responses and metric labels.
     ///
     /// ```
     /// # use curranthook_gateway::refusal::Reason;
@@ -68,22 +68,23 @@
     pub reason: Reason,
     /// The response status. 429 and 503 guarantee that the request has not run and never will.
     pub status: StatusCode,
-    /// The `Retry-After`, where a retry may help.
+    /// The `Retry-After`, if a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 /// Whether an endpoint may have started to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Started {
-    /// No endpoint has started it.
+    /// No endpoint has started the request.
     #[default]
     No,
-    /// An endpoint may have started it.
+    /// An endpoint may have started the request.
     Maybe,
 }
 
 impl Refusal {
-    /// The refusal for `reason`. `started` decides what the status may guarantee.
+    /// Creates the refusal for `reason`. `started` decides whether the status may guarantee that
+    /// the request has not run.
     ///
     /// ```
     /// # use curranthook_gateway::refusal::{Started, Reason, Refusal};
