--- a/crates/curranthook_gateway/src/request.rs
+++ b/crates/curranthook_gateway/src/request.rs
@@ -57,8 +57,8 @@
     pub max_output: u64,
 }
 
-/// A part of a prompt. Requests share parts; the last one belongs to the request or its session
-/// alone.
+/// A part of a prompt. Different requests may share parts; the last part is specific to the request
+/// or its session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
     /// A hash that identifies the content.
@@ -78,7 +78,8 @@
     pub deadline: Instant,
     /// When the request was received.
     pub received_at: Instant,
-    /// A hash that the same request has at every node and at any time.
+    /// A hash of the host, the URI, the API key and the body; the same for equal requests at every
+    /// node and at any time.
     pub fingerprint: Fingerprint,
 }
 
@@ -95,7 +96,7 @@
     }
 
     /// The hash of the prompt prefix that the request shares with others: of all parts but the
-    /// last. It also identifies the session of the request.
+    /// last. This hash also identifies the session of the request.
     pub fn prefix_hash(&self) -> Option<u64> {
         let (_own, prefix) = self.head.prompt_parts.split_last()?;
         (!prefix.is_empty()).then(|| prefix.iter().fold(0, |it, part| hash::pair(it, part.hash)))
