--- a/crates/curranthook_gateway/src/retry_budget.rs
+++ b/crates/curranthook_gateway/src/retry_budget.rs
@@ -72,6 +72,7 @@
         true
     }
 
+    /// The current counter of `service`. Drops counters that have left the window.
     fn counter(&mut self, service: &str, now: Instant) -> &mut Counter {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), VecDeque::new());
