--- a/crates/curranthook_gateway/src/retry_schedule.rs
+++ b/crates/curranthook_gateway/src/retry_schedule.rs
@@ -6,24 +6,25 @@
     time::{Duration, Instant},
 };
 
-/// The longest `Retry-After`; by then the endpoints may admit more.
+/// The longest `Retry-After`; after that time the endpoints may admit more requests.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// The last time slot given out, per service.
+/// The last reserved time slot per service.
 #[derive(Debug, Default)]
 pub struct Reservations {
     last_slots: HashMap<String, Instant>,
 }
 
 impl Reservations {
-    /// Reserves a time slot for a caller, if this node may send the service `rate` requests per
-    /// second. Each caller gets a slot of its own; otherwise all would return at once and compete
-    /// for the same few requests.
+    /// Reserves the next time slot for a refused caller, if this node may send the service `rate`
+    /// requests per second, and returns the time until the slot. Each caller gets a slot of its
+    /// own; otherwise all would return at once and compete for the same few requests.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// # use curranthook_gateway::retry_schedule::Reservations;
-    /// let (mut reservations, now, s) = (Reservations::default(), Instant::now(), Duration::from_secs(1));
+    /// let mut reservations = Reservations::default();
+    /// let (now, s) = (Instant::now(), Duration::from_secs(1));
     /// assert_eq!(reservations.reserve("engines", 0.5, now), 2 * s);
     /// assert_eq!(reservations.reserve("engines", 0.5, now), 4 * s);
     /// assert_eq!(reservations.reserve("engines", 0.5, now + 5 * s), 2 * s);
