--- a/crates/curranthook_gateway/src/selection.rs
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -1,4 +1,5 @@
-//! Selects the endpoint for a request from those that may take it, by what the node knows of each.
+//! Selects the endpoint for a request, based on the load, failures and cached prefixes that the
+//! node knows of each endpoint.
 
 use std::{
     cell::LazyCell,
@@ -22,21 +23,21 @@
     slow_start,
 };
 
-/// The assumed processing time of a request at a service without models.
+/// The assumed processing time of a request to a service without models.
 const DEFAULT_PROCESSING_TIME: Duration = Duration::from_millis(50);
 
-/// The number of endpoints about which peers are queried before a request is placed. Each costs two
-/// datagrams.
+/// The number of endpoints whose load is queried from peers before a request is placed. Each query
+/// costs two datagrams.
 const SHORTLIST_LEN: usize = 4;
 
 /// What a request requires of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Criteria<'a> {
-    /// The service that takes the request.
+    /// The service that the request is sent to.
     pub service: &'a str,
-    /// The versions that may take the request.
+    /// The versions that the request may be sent to.
     pub rule: &'a Rule,
-    /// Endpoints that earlier attempts went to.
+    /// The endpoints that earlier attempts were sent to.
     pub tried: &'a [endpoint::Id],
     /// The hash of the model and of the prompt prefix that the request shares with others.
     pub prefix_hash: Option<u64>,
@@ -50,7 +51,7 @@
     pub salt: u64,
 }
 
-/// The model that is to answer.
+/// The model that is to answer the request.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetModel {
     /// The model's price relative to the most expensive model of the service.
@@ -76,16 +77,16 @@
     }
 }
 
-/// The selected endpoint and the load that the request meets there.
+/// The selected endpoint and its estimated load when the request arrives.
 #[derive(Debug)]
 pub struct Choice<'a> {
     /// The selected endpoint.
     pub endpoint: &'a Tracked,
     /// The prompt, split by what the endpoint is expected to have cached.
     pub prompt: Prompt,
-    /// The estimated number of requests that the endpoint has.
+    /// The estimated number of queued and running requests at the endpoint.
     pub outstanding: u32,
-    /// The prefill work that is queued there ahead of the request.
+    /// The prefill time of the work that is queued at the endpoint ahead of the request.
     pub queue_delay: Duration,
 }
 
@@ -96,8 +97,9 @@
     }
 }
 
-/// The best endpoint for a request, if there is one. `peer_state` holds the load that other nodes
-/// put on some endpoints; if it covers any eligible endpoint, only covered ones are considered.
+/// The best endpoint for a request, if there is one. `peer_state` contains the load that other
+/// nodes put on some endpoints; if it covers any eligible endpoint, only covered ones are
+/// considered.
 pub fn best<'a>(
     gateway: &Gateway,
     directory: &'a Directory,
@@ -108,7 +110,7 @@
     let ready: Vec<&Tracked> = directory.ready(criteria.service).collect();
     let mut endpoints = eligible(&ready, criteria, now);
     if endpoints.iter().any(|it| peer_state.waiting.contains_key(&it.entry.id)) {
-        // The load of the others is unknown, so they would seem idle.
+        // The load of endpoints that are not covered is unknown, so they would seem idle.
         endpoints.retain(|it| peer_state.waiting.contains_key(&it.entry.id));
     }
     let (holders, candidates) = candidates(gateway, &endpoints, criteria, peer_state, now);
@@ -126,8 +128,9 @@
     })
 }
 
-/// The endpoints about which peers are queried before a request is placed, the best first by this
-/// node's own knowledge; empty in a small fleet, whose nodes report their load to each other.
+/// The endpoints whose load is queried from peers before a request is placed, the best first
+/// according to the load that this node knows; empty in a small fleet, whose nodes report their
+/// load to each other.
 pub fn shortlist(gateway: &Gateway, criteria: &Criteria<'_>) -> Vec<endpoint::Id> {
     if criteria.model.is_none() || !load_owners::are_used(gateway.n_nodes()) {
         return Vec::new();
@@ -143,8 +146,7 @@
     indices.into_iter().map(|it| endpoints[it].entry.id.clone()).collect()
 }
 
-/// The rate at which endpoints that match a request admit requests, while they admit none from this
-/// node.
+/// The limits of endpoints that match a request but admit none from this node now.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Throttled {
     /// The requests per second that all nodes together may send to those endpoints whose rate is
@@ -170,8 +172,8 @@
     })
 }
 
-/// Recomputes what this node may send to the endpoints of `service` whose rate is shared by all
-/// nodes.
+/// Recomputes the rate at which this node may send requests to those endpoints of `service` whose
+/// rate limit all nodes share.
 pub fn renew_permits(gateway: &Gateway, directory: &mut Directory, service: &str, now: Instant) {
     let node_hashes = LazyCell::new(|| {
         let peers = gateway.peers.lock();
@@ -186,7 +188,7 @@
     directory.renew_permits(service, &permits, now);
 }
 
-/// The rates that endpoints grant to the fleet, divided among its nodes.
+/// Divides the rates that endpoints grant to the whole fleet among its nodes.
 struct FleetPermits<F> {
     slow_start_rate: Option<f64>,
     rotation: u64,
@@ -229,7 +231,7 @@
         let prefix_hash = criteria.prefix_hash?;
         Some(gateway.affinity.lock().holders(prefix_hash, now))
     };
-    // The nodes of a small fleet report to all others which prefixes they sent where.
+    // The nodes of a small fleet report to all others which prefixes they sent to which endpoints.
     let are_holders_known =
         peer_state.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
     let holders = if are_holders_known { CacheHolders::Known } else { CacheHolders::Guessed };
@@ -249,7 +251,7 @@
     (holders, endpoints.iter().map(candidate).collect())
 }
 
-/// The work that other nodes have queued at an endpoint.
+/// The prefill time of the work that other nodes have queued at an endpoint.
 fn remote_queue(
     gateway: &Gateway,
     id: &endpoint::Id,
@@ -269,8 +271,8 @@
     let select = |predicate: &dyn Fn(&Tracked) -> bool| -> Vec<&'a Tracked> {
         ready.iter().copied().filter(|it| it.admits(now) && predicate(it)).collect()
     };
-    // A new version whose rollout order may not have arrived yet gets no requests, unless a known
-    // order decides.
+    // A new version gets no requests as long as its rollout order may still be on the way, unless
+    // the rule already follows from an order.
     let is_order_known =
         |it: &Tracked| *criteria.rule != Rule::Any || it.is_established_version(now);
     // A version whose endpoints are throttled still exists: no other version replaces it.
@@ -293,7 +295,8 @@
     // target version or away from it, any other version is better than a refusal.
     match criteria.rule {
         Rule::Only(_) => select(&|it| is_untried(it)),
-        // No other version is left, so the rollout is over, even if this node has not learned of it yet.
+        // No other version is left, so the rollout is over, even if this node has not received that
+        // state yet.
         Rule::Not(_) if !has_throttled => select(&|it| is_untried(it) && !it.is_ejected(now)),
         Rule::Not(_) | Rule::Any => Vec::new(),
     }
@@ -310,16 +313,17 @@
         return queue_delay(endpoint, criteria, remote_queue)
             + model.latency.coefficients.delay_per_concurrent_request() * outstanding;
     }
+    // One millisecond per outstanding request prefers the less loaded of endpoints with free slots.
     let slots = endpoint.entry.slots.max(1);
     let waiting = (outstanding + 1).saturating_sub(slots);
     DEFAULT_PROCESSING_TIME * waiting / slots + Duration::from_millis(1) * outstanding
 }
 
-/// The queued work that delays the request.
+/// The time that queued work delays the request.
 fn queue_delay(endpoint: &Tracked, criteria: &Criteria<'_>, remote_queue: Duration) -> Duration {
     let waiting = endpoint.pending + remote_queue;
-    // Engines serve small models first, so their requests only wait for the prefill that is in
-    // progress.
+    // Engines serve small models first, so requests to them only wait for the prefill that is in
+    // progress, which is taken to be an eighth of the queued work.
     let is_small_model = criteria
         .model
         .is_some_and(|it| it.relative_price < cascade::LARGE_MODEL_MIN_RELATIVE_PRICE);
@@ -334,7 +338,7 @@
     }
 }
 
-/// The key by which a request is placed: the hash of the model and of the shared prompt prefix.
+/// The hash of the model and of the shared prompt prefix, which determines the preferred endpoint.
 pub fn prefix_hash(prompt_prefix_hash: Option<u64>, model: &str) -> Option<u64> {
     prompt_prefix_hash.map(|it| hash::pair(it, hash::bytes(model.as_bytes())))
 }
