--- a/crates/curranthook_gateway/src/signal.rs
+++ b/crates/curranthook_gateway/src/signal.rs
@@ -24,7 +24,8 @@
         self.0.lock().clear();
     }
 
-    /// Waits for the next [`Self::wake`]; wakes count from this call, not from the first poll.
+    /// Waits for the next [`Self::wake`]. A wake between this call and the first poll is not
+    /// missed.
     pub fn wait(&self) -> impl Future<Output = ()> + use<> {
         let (tx, rx) = async_channel::bounded::<()>(1);
         let mut waiting = self.0.lock();
