--- a/crates/curranthook_gateway/src/splitter.rs
+++ b/crates/curranthook_gateway/src/splitter.rs
@@ -41,7 +41,7 @@
         Some(Events { bytes, last_id, count })
     }
 
-    /// Whether no bytes of an incomplete event are buffered.
+    /// Whether the buffer is empty, which means that the stream is at an event boundary.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
