--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -20,8 +20,8 @@
     splitter::Splitter,
 };
 
-/// An endpoint counts as stalled if it sends no event for this many times the longest event gap of a
-/// stream on time: the stream is late already, and callers leave soon after.
+/// The time without an event after which an endpoint counts as stalled, as a multiple of the
+/// route's `max_event_gap`. By then the stream is late already, and callers cancel soon after.
 const IDLE_TIMEOUT_GAP_FACTOR: u32 = 2;
 /// The shortest time after which an endpoint counts as stalled, since it may prefill other prompts
 /// between two events.
@@ -32,7 +32,8 @@
 #[error("stream aborted: {}", .0.reason.name())]
 struct Aborted(Refusal);
 
-/// A stream that is forwarded to its caller. Dropping it tells the endpoint to stop.
+/// A stream that is forwarded to its caller. Dropping it closes the connection, upon which the
+/// endpoint stops.
 #[derive(Debug)]
 struct Relay {
     job: Job,
@@ -40,10 +41,10 @@
     splitter: Splitter,
     status: u16,
     first_byte_after: Duration,
-    /// The number of events received from the current endpoint, and since when.
+    /// The number of events received from the current endpoint, and when its response began.
     n_events: u32,
     started_at: Instant,
-    /// When the last event arrived that the caller had not received yet.
+    /// When the last event arrived that was new to the caller.
     last_progress_at: Instant,
     /// The number of events forwarded to the caller in total, and the time from the request's
     /// arrival to the last of them.
@@ -73,8 +74,9 @@
         }
         let next = relay.next().await.transpose()?;
         if next.is_err() {
-            // The server flushes a connection while it waits for the next frame; an error closes
-            // the connection at once, and the events just before it would be lost.
+            // The HTTP server flushes a connection while it waits for the next frame, whereas an
+            // error closes the connection at once; without this yield, the events just before the
+            // error would be lost.
             future::yield_now().await;
         }
         let frame = next.map(Frame::data).map_err(|e| Box::new(e) as curranthook_http::body::Error);
@@ -124,7 +126,8 @@
                         let now = self.job.gateway.now();
                         self.last_event_after =
                             now.saturating_duration_since(self.job.request.received_at);
-                        // Comments that only keep a connection alive carry nothing for the caller.
+                        // Comments that only keep the connection alive are no progress for the
+                        // caller.
                         if events.last_id.is_some() || self.job.last_event_id.is_none() {
                             self.last_progress_at = now;
                         }
@@ -217,8 +220,12 @@
 
 /// The result of reading from an endpoint.
 enum Progress {
+    /// Complete events to forward.
     Events(Bytes),
+    /// Bytes that complete no event, or a frame without data.
     Partial,
+    /// The end of the stream, at an event boundary.
     End,
+    /// The endpoint disconnected or stalled, or the deadline passed.
     Failed(Cause),
 }
