--- a/crates/curranthook_gateway/src/unknown_headers.rs
+++ b/crates/curranthook_gateway/src/unknown_headers.rs
@@ -1,7 +1,7 @@
 //! Detects response headers that no decoder reads.
 //!
-//! Such a header shows nowhere else: the endpoint's responses are forwarded, and whatever the
-//! header requests is not done.
+//! Nothing else reveals such a header: the endpoint's responses are forwarded as usual, and
+//! whatever the header requests is silently ignored.
 
 use std::collections::HashSet;
 
