--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -1,4 +1,4 @@
-//! Rows that changed, turned into what a node believes.
+//! Applies changed rows of the store to the node's state.
 
 use std::sync::Arc;
 
@@ -9,82 +9,82 @@
     entry::{Entry, State},
     event::Event,
     fleet,
-    gateway::Current,
+    gateway::Configuration,
     store::{Batch, Operator, Row, Table},
-    watch::name,
+    watch::table_name,
 };
 
-/// Takes in rows. `is_whole` says that a row that isn't among them doesn't exist.
-pub fn batch(gateway: &Arc<Gateway>, table: Table, batch: Batch, is_whole: bool, from: &str) {
+/// Applies rows of a table. If `is_snapshot` is set, rows that are not in the batch do not exist.
+pub fn batch(gateway: &Arc<Gateway>, table: Table, batch: Batch, is_snapshot: bool, from: &str) {
     if let Some(now) = batch.now {
         gateway.mirror.lock().set_clock(now, gateway.now());
     }
-    let news = {
+    let changed = {
         let mut mirror = gateway.mirror.lock();
-        if is_whole { mirror.replace(table, batch) } else { mirror.merge(table, batch) }
+        if is_snapshot { mirror.replace(table, batch) } else { mirror.merge(table, batch) }
     };
-    for row in &news {
+    for row in &changed {
         match table {
-            Table::Operator => operator(gateway, row, from),
-            Table::Endpoints => entry(gateway, row),
-            Table::Fleet => fleet::row(gateway, row),
+            Table::Operator => apply_operator_row(gateway, row, from),
+            Table::Endpoints => apply_endpoint_row(gateway, row),
+            Table::Fleet => fleet::apply_row(gateway, row),
         }
     }
     if table == Table::Endpoints {
         let n = gateway.directory.lock().len();
         gateway.metrics.endpoints.set(i64::try_from(n).unwrap_or(i64::MAX));
     }
-    // Last, as whoever is woken looks at what was taken in. The first read of a table counts even
-    // if that is empty: requests may be waiting for it.
-    if !news.is_empty() || is_whole {
-        gateway.changed.wake();
+    // Signalled last, because the tasks that wake read the state changed above. The first read of a
+    // table counts even if the table is empty, since requests may be waiting for it.
+    if !changed.is_empty() || is_snapshot {
+        gateway.rows_changed.wake();
     }
 }
 
-fn operator(gateway: &Arc<Gateway>, row: &Row, from: &str) {
+fn apply_operator_row(gateway: &Arc<Gateway>, row: &Row, from: &str) {
     if let Some(domain) = gateway.decoder.evacuation(&row.key) {
-        evacuation(gateway, domain, row, from);
+        apply_evacuation(gateway, domain, row, from);
         return;
     }
     let Some(value) = &row.value else { return };
     match gateway.decoder.operator(&row.key, value) {
         Ok(Operator::Document(document)) => {
             let version = document.version;
-            let before = gateway.current.load().as_ref().map_or(0, |it| it.document.version);
-            // A configuration never goes back: an older row, from a peer that knows less, would
-            // bring back keys and routes that were taken away.
+            let before = gateway.configuration.load().as_ref().map_or(0, |it| it.document.version);
+            // The configuration never goes back to an older version: an older row, from a peer that
+            // is behind, would restore keys and routes that were removed.
             if version <= before {
                 return;
             }
             let routes = document.n_routes();
-            gateway.current.store(Some(Arc::new(Current { document, rev: row.rev })));
+            gateway.configuration.store(Some(Arc::new(Configuration { document, rev: row.rev })));
             gateway.metrics.configuration.set(version);
             let rev = row.rev.0;
             gateway.log.write(&Event::Configuration { version, before, routes, rev, from });
         }
         Ok(Operator::Order(order)) => {
             let service = order.service.clone();
-            let heard = gateway.store_time();
-            gateway.rollouts.lock().ordered(order, row.rev, heard);
-            // Steps of this order may have been read before it.
-            fleet::reread(gateway, &service);
+            let received_at = gateway.store_time();
+            gateway.rollouts.lock().apply_order(order, row.rev, received_at);
+            // Steps of this order may have been read before the order itself.
+            fleet::reapply_rows(gateway, &service);
         }
         Ok(Operator::Other) => {}
-        Err(e) => rejected(gateway, Table::Operator, &e.to_string()),
+        Err(e) => log_rejected(gateway, Table::Operator, &e.to_string()),
     }
 }
 
-fn evacuation(gateway: &Gateway, domain: domain::Id, row: &Row, from: &str) {
+fn apply_evacuation(gateway: &Gateway, domain: domain::Id, row: &Row, from: &str) {
     let (state, rev) = (if row.value.is_some() { "ordered" } else { "ended" }, row.rev.0);
     gateway.log.write(&Event::Evacuation { domain: domain.as_str(), state, rev, from });
     let mut directory = gateway.directory.lock();
     match row.value {
         Some(_) => directory.evacuate(domain),
-        None => directory.readmit(&domain),
+        None => directory.end_evacuation(&domain),
     }
 }
 
-fn entry(gateway: &Arc<Gateway>, row: &Row) {
+fn apply_endpoint_row(gateway: &Arc<Gateway>, row: &Row) {
     let id = endpoint::Id::new(&row.key);
     let now = gateway.now();
     let Some(value) = &row.value else {
@@ -96,11 +96,11 @@
         Ok(entry) => {
             let state = if entry.state == State::Ready { "ready" } else { "leaving" };
             log_endpoint(gateway, &id, Some(&entry), state, row);
-            gateway.directory.lock().set(entry, now);
+            gateway.directory.lock().upsert(entry, now);
         }
         Err(e) => {
             gateway.directory.lock().remove(&id, now);
-            rejected(gateway, Table::Endpoints, &e.to_string());
+            log_rejected(gateway, Table::Endpoints, &e.to_string());
         }
     }
 }
@@ -117,11 +117,11 @@
         service: entry.map_or("", |it| it.service.as_str()),
         state,
         version: entry.map_or("", |it| it.version.as_str()),
-        born: entry.and_then(|it| it.born),
+        born: entry.and_then(|it| it.started_ms),
         rev: row.rev.0,
     });
 }
 
-fn rejected(gateway: &Gateway, table: Table, why: &str) {
-    gateway.log.write(&Event::RowRejected { table: name(table), why });
+fn log_rejected(gateway: &Gateway, table: Table, why: &str) {
+    gateway.log.write(&Event::RowRejected { table: table_name(table), why });
 }
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a node knows, and what it has seen of each.
+//! The endpoints known to a node, and what the node has observed of each.
 
 mod tracked;
 
@@ -12,7 +12,7 @@
 use curranthook_types::{domain, endpoint};
 
 use crate::{
-    advertised::{Advertised, Departed, Start},
+    advertised::{Advertised, Cache, Incarnation},
     dialect::Load,
     entry::Entry,
     rate_limit,
@@ -21,97 +21,105 @@
 
 pub use self::tracked::Tracked;
 
-/// How much one answer or failure moves the share of failures: about the last ten count.
-const SMOOTHING: f64 = 0.1;
-/// How long ago an endpoint must have answered for this node to blame another endpoint, and not its own
-/// links, for a connection that fails.
-const LINKS_EXPIRY: Duration = Duration::from_secs(1);
-/// How long a new version of a service that has others gets nothing, if no order for it is known.
-/// Entries and orders come by different calls; a lost call delays an order by up to this.
-const UNKNOWN_VERSION: Duration = Duration::from_secs(4);
-
-/// What this node may send to an endpoint whose rate all nodes share: the least time between two requests,
-/// none if there may be none. Endpoints are told by the hash of their id.
+/// The weight of a new outcome in the moving average of failures; roughly the last ten outcomes
+/// count.
+const FAILURE_SMOOTHING: f64 = 0.1;
+/// How recently some endpoint must have answered for a failed connection to be blamed on the
+/// endpoint rather than on this node's own network links.
+const RECENT_ANSWER: Duration = Duration::from_secs(1);
+/// How long a new version of a service that already has another version gets no requests if no
+/// rollout order for it is known. Entries and orders are read by separate calls, and a lost call
+/// can delay an order by up to this.
+const NEW_VERSION_DELAY: Duration = Duration::from_secs(4);
+
+/// Computes this node's part of a rate that all nodes share at one endpoint: the minimum interval
+/// between two requests, or none if the node may send no requests. Endpoints are identified by the
+/// hash of their id.
 pub trait Permits {
-    /// To an endpoint in slow start.
+    /// The interval for an endpoint in slow start.
     fn slow_start(&self, endpoint: u64) -> Option<Duration>;
-    /// To one that names a limit of `rate` requests a second, in the present turn.
-    fn limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
-    /// The present turn (see [`rate_limit::turn`]).
-    fn turn(&self) -> u64;
+    /// The interval for an endpoint that limits all nodes to `rate` requests per second, in the
+    /// current rotation.
+    fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
+    /// The number of the current rotation (see [`rate_limit::rotation`]).
+    fn rotation(&self) -> u64;
 }
 
 /// The endpoints of all services.
 #[derive(Debug, Default)]
 pub struct Directory {
     endpoints: HashMap<endpoint::Id, Tracked>,
-    /// The endpoint that was last known at each address.
+    /// The id of the endpoint last known at each address.
     by_addr: HashMap<SocketAddr, endpoint::Id>,
-    /// From when on each version may be used, by service.
+    /// When each version counts as established and gets requests without an order, by service and
+    /// version.
     versions: HashMap<String, HashMap<String, Instant>>,
-    /// What endpoints said of themselves that aren't in the list for now.
-    departed: Departed,
-    /// Failure domains whose endpoints get no new work.
+    /// The reported state of endpoints that have no entry at present.
+    advertised_cache: Cache,
+    /// Failure domains whose endpoints get no new requests.
     evacuated: HashSet<domain::Id>,
-    /// When an endpoint last answered.
+    /// When any endpoint last answered.
     last_answer: Option<Instant>,
-    /// Until when removed entries are kept, because they may have lapsed with the store.
-    lapsing_until: Option<Instant>,
+    /// Until when removed entries are kept, because they may have lapsed while the store was
+    /// unavailable.
+    missing_kept_until: Option<Instant>,
 }
 
-/// How a request at an endpoint ended.
+/// How a request to an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer.
+    /// The endpoint answered.
     Answered,
-    /// With an error of the endpoint's own.
+    /// The endpoint itself failed the request.
     Failed,
-    /// It was turned away, as the endpoint is full.
+    /// The endpoint refused the request because it is at capacity.
     Full,
-    /// No connection to it could be opened.
-    NoConnection,
-    /// It broke off.
-    Unreachable,
-    /// The address belongs to another endpoint by now.
-    Gone,
-    /// The node dropped it.
-    Dropped,
+    /// No connection to the endpoint could be opened.
+    ConnectFailed,
+    /// The connection broke off.
+    ConnectionLost,
+    /// The address now belongs to another endpoint.
+    AddressReused,
+    /// This node gave the request up; that says nothing about the endpoint.
+    Abandoned,
 }
 
 impl Directory {
-    /// Takes in an entry.
-    pub fn set(&mut self, entry: Entry, now: Instant) {
-        if self.drop_older(&entry, now) == Some(entry.id.clone()) {
+    /// Adds or updates an endpoint from its entry in the store.
+    pub fn upsert(&mut self, entry: Entry, now: Instant) {
+        if self.remove_older_at_address(&entry, now) == Some(entry.id.clone()) {
             return;
         }
         let versions = self.versions.entry(entry.service.clone()).or_default();
-        let from = if versions.is_empty() { now } else { now + UNKNOWN_VERSION };
-        let known_from = *versions.entry(entry.version.clone()).or_insert(from);
-        let (id, warm_in) = (entry.id.clone(), entry.warm_in);
+        let established_at = if versions.is_empty() { now } else { now + NEW_VERSION_DELAY };
+        let established_at = *versions.entry(entry.version.clone()).or_insert(established_at);
+        let (id, slow_start) = (entry.id.clone(), entry.slow_start);
         match self.endpoints.get_mut(&id) {
-            // The same id after a restart is another endpoint: nothing known of it holds.
-            Some(it) if Start::of(&it.entry) == Start::of(&entry) => {
+            // An endpoint that restarted under the same id is a different one; nothing observed of
+            // the old one applies to it.
+            Some(it) if Incarnation::of(&it.entry) == Incarnation::of(&entry) => {
                 it.entry = entry;
-                it.missing = false;
+                it.is_missing = false;
             }
             _ => {
-                let advertised = self.departed.take(&entry, now);
-                self.endpoints.insert(id.clone(), Tracked::new(entry, advertised, known_from));
+                let advertised = self.advertised_cache.take(&entry, now);
+                self.endpoints.insert(id.clone(), Tracked::new(entry, advertised, established_at));
             }
         }
         if let Some(it) = self.endpoints.get_mut(&id) {
-            it.set_warm_in(warm_in, now);
+            it.set_slow_start(slow_start, now);
         }
     }
 
-    /// Drops the older one of `entry` and another endpoint that was known at its address, and says which.
-    /// The list keeps the entry of an endpoint that crashed for some seconds, beside that of its successor.
-    fn drop_older(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
+    /// If another endpoint was known at the address of `entry`, removes the older of the two and
+    /// returns its id. For some seconds, the store lists the entry of a crashed endpoint beside
+    /// that of its successor.
+    fn remove_older_at_address(&mut self, entry: &Entry, now: Instant) -> Option<endpoint::Id> {
         let known = self.by_addr.insert(entry.addr, entry.id.clone());
         let other = known.filter(|it| *it != entry.id)?;
-        let born = self.endpoints.get(&other)?.entry.born;
-        let (own, others) = entry.born.zip(born)?;
-        let older = match own.cmp(&others) {
+        let other_started_ms = self.endpoints.get(&other)?.entry.started_ms;
+        let (started_ms, other_started_ms) = entry.started_ms.zip(other_started_ms)?;
+        let older = match started_ms.cmp(&other_started_ms) {
             Ordering::Greater => other,
             Ordering::Less => {
                 self.by_addr.insert(entry.addr, other);
@@ -119,27 +127,28 @@
             }
             Ordering::Equal => return None,
         };
-        self.forget(&older, now);
+        self.remove_tracked(&older, now);
         Some(older)
     }
 
-    /// An entry was removed.
+    /// Handles the removal of an entry: drops the endpoint, or marks it as missing while removed
+    /// entries are being kept.
     pub fn remove(&mut self, id: &endpoint::Id, now: Instant) {
-        let keeps = self.lapsing_until.is_some_and(|until| now < until);
+        let keeps_missing = self.missing_kept_until.is_some_and(|until| now < until);
         match self.endpoints.get_mut(id) {
-            Some(it) if keeps && it.is_ready() => it.missing = true,
-            _ => self.forget(id, now),
+            Some(it) if keeps_missing && it.is_ready() => it.is_missing = true,
+            _ => self.remove_tracked(id, now),
         }
     }
 
-    /// Takes an endpoint out of the list. What it said of itself holds if its entry comes back.
-    fn forget(&mut self, id: &endpoint::Id, now: Instant) {
+    /// Removes an endpoint. The state it reported is cached in case its entry comes back.
+    fn remove_tracked(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.remove(id) {
-            self.departed.put(&it.entry, it.advertised, now);
+            self.advertised_cache.insert(&it.entry, it.advertised, now);
         }
     }
 
-    /// Only these entries exist now.
+    /// Removes all endpoints that are not among `rows`.
     pub fn retain(&mut self, rows: &[Row], now: Instant) {
         let gone: Vec<_> = self
             .endpoints
@@ -152,25 +161,25 @@
         }
     }
 
-    /// The store is back after it was away. Entries may have lapsed meanwhile though their
-    /// endpoints live; dropping them at once would leave nobody to send to, so they're kept `until`
-    /// then.
-    pub fn store_returned(&mut self, until: Instant) {
-        self.lapsing_until = Some(until);
+    /// Called when the store is available again after an outage. Entries of live endpoints may have
+    /// lapsed during it. Dropping them at once could leave no endpoint to send requests to, so
+    /// removed entries are kept `until` then.
+    pub fn keep_missing_until(&mut self, until: Instant) {
+        self.missing_kept_until = Some(until);
     }
 
-    /// Drops entries that lapsed and didn't come back in time.
-    pub fn sweep(&mut self, now: Instant) {
-        if self.lapsing_until.is_some_and(|until| until <= now) {
-            self.lapsing_until = None;
-            let missing = self.endpoints.extract_if(|_, it| it.missing);
+    /// Removes endpoints whose entries lapsed and did not come back in time.
+    pub fn remove_lapsed(&mut self, now: Instant) {
+        if self.missing_kept_until.is_some_and(|until| until <= now) {
+            self.missing_kept_until = None;
+            let missing = self.endpoints.extract_if(|_, it| it.is_missing);
             for (_, it) in missing {
-                self.departed.put(&it.entry, it.advertised, now);
+                self.advertised_cache.insert(&it.entry, it.advertised, now);
             }
         }
     }
 
-    /// The endpoints of a service that take new work.
+    /// The endpoints of a service that accept new requests.
     ///
     /// ```
     /// # use curranthook_gateway::directory::Directory;
@@ -182,13 +191,13 @@
         self.endpoints.values().filter(of_service).filter(move |it| !is_evacuated(it))
     }
 
-    /// The endpoints of a failure domain get no new work from now on.
+    /// Stops new requests to the endpoints of a failure domain.
     pub fn evacuate(&mut self, domain: domain::Id) {
         self.evacuated.insert(domain);
     }
 
-    /// The endpoints of a failure domain get work again.
-    pub fn readmit(&mut self, domain: &domain::Id) {
+    /// Allows new requests to the endpoints of a failure domain again.
+    pub fn end_evacuation(&mut self, domain: &domain::Id) {
         self.evacuated.remove(domain);
     }
 
@@ -197,65 +206,67 @@
         self.endpoints.values()
     }
 
-    /// One endpoint.
-    pub fn tracked(&self, id: &endpoint::Id) -> Option<&Tracked> {
+    /// The endpoint with this id.
+    pub fn get(&self, id: &endpoint::Id) -> Option<&Tracked> {
         self.endpoints.get(id)
     }
 
-    /// Works out what this node may send to the endpoints of a service that take a bounded rate from all
-    /// nodes, where that isn't known.
+    /// Recomputes this node's permits for the endpoints of a service whose rate all nodes share,
+    /// where they are outdated.
     pub fn renew_permits(&mut self, service: &str, permits: &impl Permits, now: Instant) {
         for it in self.endpoints.values_mut().filter(|it| it.entry.service == service) {
             let slow_start = it.slow_start.as_mut();
             if let Some(slow_start) = slow_start.filter(|it| it.is_outdated(now)) {
-                slow_start.share.set_interval(permits.slow_start(it.seed), now);
+                slow_start.share.set_interval(permits.slow_start(it.id_hash), now);
             }
-            let (limit, turn) = (it.advertised.rate_limit.as_mut(), permits.turn());
-            if let Some(limit) = limit.filter(|it| it.is_outdated(turn, now)) {
-                limit.set_interval(permits.limited(it.seed, limit.rate), turn, now);
+            let (limit, rotation) = (it.advertised.rate_limit.as_mut(), permits.rotation());
+            if let Some(limit) = limit.filter(|it| it.is_outdated(rotation, now)) {
+                limit.set_interval(permits.rate_limited(it.id_hash, limit.rate), rotation, now);
             }
         }
     }
 
-    /// Takes in what another node heard of an endpoint's limit. Returns whether that changes it.
-    pub fn reported_limit(&mut self, id: &endpoint::Id, notice: &rate_limit::Notice) -> bool {
+    /// Applies another node's report about an endpoint's rate limit. Returns whether the rate
+    /// changed.
+    pub fn apply_reported_limit(&mut self, id: &endpoint::Id, notice: &rate_limit::Notice) -> bool {
         self.endpoints.get_mut(id).is_some_and(|it| it.advertised.set_rate_limit(notice))
     }
 
-    /// Takes in what an endpoint said of its limit. Returns whether that changes it.
+    /// Applies an endpoint's own report about its rate limit. Returns whether the rate changed.
     pub fn set_rate_limit(
         &mut self,
-        start: &Start,
+        incarnation: &Incarnation,
         notice: &rate_limit::Notice,
         now: Instant,
     ) -> bool {
-        self.advertised(start, now).is_some_and(|it| it.set_rate_limit(notice))
+        self.advertised(incarnation, now).is_some_and(|it| it.set_rate_limit(notice))
     }
 
-    /// An endpoint said that it's leaving. Returns whether that's news.
-    pub fn set_leaving(&mut self, start: &Start, now: Instant) -> bool {
-        let known = self.advertised(start, now);
+    /// Marks an endpoint as leaving. Returns whether it was not marked before.
+    pub fn set_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
+        let known = self.advertised(incarnation, now);
         known.is_some_and(|it| !std::mem::replace(&mut it.is_leaving, true))
     }
 
-    /// An endpoint wants no requests of this node for so long.
-    pub fn pause(&mut self, start: &Start, length: Duration, now: Instant) {
-        if let Some(it) = self.advertised(start, now) {
+    /// Stops requests from this node to an endpoint for `length`.
+    pub fn pause(&mut self, incarnation: &Incarnation, length: Duration, now: Instant) {
+        if let Some(it) = self.advertised(incarnation, now) {
             it.pause(length, now);
         }
     }
 
-    /// What a start of an endpoint says of itself; none if there is another one under its id.
-    fn advertised(&mut self, start: &Start, now: Instant) -> Option<&mut Advertised> {
-        match self.endpoints.get_mut(&start.id) {
-            Some(it) if Start::of(&it.entry) == *start => Some(&mut it.advertised),
+    /// The reported state of this incarnation; none if another incarnation is known under its id.
+    fn advertised(&mut self, incarnation: &Incarnation, now: Instant) -> Option<&mut Advertised> {
+        match self.endpoints.get_mut(&incarnation.id) {
+            Some(it) if Incarnation::of(&it.entry) == *incarnation => Some(&mut it.advertised),
             Some(_) => None,
-            None => self.departed.get_mut(start, now),
+            None => self.advertised_cache.get_or_insert(incarnation, now),
         }
     }
 
-    /// A request goes to an endpoint.
-    pub fn started(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
+    /// Records that a request is being sent; `work` is the expected prefill time that stays pending
+    /// until the first byte.
+    pub fn request_sent(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.in_flight += 1;
             it.pending += work;
@@ -268,8 +279,14 @@
         }
     }
 
-    /// The first byte of its answer came.
-    pub fn began(&mut self, id: &endpoint::Id, work: Duration, load: Option<Load>, now: Instant) {
+    /// Records the first byte of the answer, with the load that the endpoint reported.
+    pub fn first_byte_received(
+        &mut self,
+        id: &endpoint::Id,
+        work: Duration,
+        load: Option<Load>,
+        now: Instant,
+    ) {
         self.last_answer = Some(now);
         if let Some(it) = self.endpoints.get_mut(id) {
             it.pending = it.pending.saturating_sub(work);
@@ -279,63 +296,70 @@
         }
     }
 
-    /// The request ended; `work` is what it still had pending.
-    pub fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, work: Duration, now: Instant) {
+    /// Records the end of a request; `work` is what was still pending for it.
+    pub fn request_ended(
+        &mut self,
+        id: &endpoint::Id,
+        outcome: Outcome,
+        work: Duration,
+        now: Instant,
+    ) {
         let Some(it) = self.endpoints.get_mut(id) else { return };
         it.in_flight = it.in_flight.saturating_sub(1);
         it.pending = it.pending.saturating_sub(work);
         let failed = match outcome {
             Outcome::Answered => {
-                it.pause = Duration::ZERO;
-                it.out_until = None;
+                it.ejection_time = Duration::ZERO;
+                it.ejected_until = None;
                 it.unreachable_since = None;
                 0.0
             }
             Outcome::Failed => 1.0,
-            Outcome::NoConnection => {
-                it.failed(now);
+            Outcome::ConnectFailed => {
+                it.eject_after_failure(now);
                 it.unreachable_since = Some(now);
                 1.0
             }
-            Outcome::Unreachable => {
-                it.failed(now);
+            Outcome::ConnectionLost => {
+                it.eject_after_failure(now);
                 1.0
             }
-            Outcome::Gone => {
-                self.forget(id, now);
+            Outcome::AddressReused => {
+                self.remove_tracked(id, now);
                 return;
             }
-            Outcome::Full | Outcome::Dropped => return,
+            Outcome::Full | Outcome::Abandoned => return,
         };
-        it.failures += SMOOTHING * (failed - it.failures);
+        it.failures += FAILURE_SMOOTHING * (failed - it.failures);
     }
 
-    /// Whether a connection that fails is its endpoint's fault, as this node reaches others.
-    pub fn reaches_others(&self, now: Instant) -> bool {
-        self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < LINKS_EXPIRY)
+    /// Whether any endpoint answered recently, so that this node's own links work and a failed
+    /// connection is the endpoint's fault.
+    pub fn has_recent_answer(&self, now: Instant) -> bool {
+        self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < RECENT_ANSWER)
     }
 
-    /// Another node found that no connection to an endpoint can be opened.
-    pub fn reported_unreachable(&mut self, id: &endpoint::Id, now: Instant) {
+    /// Applies another node's report that no connection to an endpoint can be opened.
+    pub fn report_unreachable(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.unreachable_since = Some(now);
-            it.avoid(now);
+            it.eject(now);
         }
     }
 
-    /// Leaves an endpoint alone that others can't reach.
-    pub fn avoid(&mut self, id: &endpoint::Id, now: Instant) {
+    /// Ejects an endpoint for a while because other nodes cannot reach it.
+    pub fn eject(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
-            it.avoid(now);
+            it.eject(now);
         }
     }
 
-    /// How many endpoints are in the list.
+    /// The number of endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
--- /dev/null
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -0,0 +1,275 @@
+//! Writes this node's rows for the other nodes: its address, rollout steps that are due, its
+//! evidence about a new version, and the requests it blames for endpoint failures.
+
+use std::{
+    cmp::Reverse,
+    collections::HashMap,
+    sync::Arc,
+    time::{Duration, Instant},
+};
+
+use async_io::Timer;
+use curranthook_policy::hash;
+
+use crate::{
+    Gateway,
+    event::Event,
+    fleet::{Key, Node, Observation, log_rollout},
+    rollouts::Rollout,
+    settings::Settings,
+    steps::{self, Evidence, Phase, Step},
+    store::{Commit, Committed, Error, Progress, Report, Rev, Table},
+};
+
+/// How often the node checks what has to be written.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The delay between the nodes' attempts to write a step, so that the first one writes it and the
+/// others see that it is written.
+const STEP_STAGGER: Duration = Duration::from_millis(200);
+/// The highest rank with a delay of its own; nodes of a higher rank share this one.
+const MAX_RANK: usize = 8;
+/// The delay before a step whose write failed is tried again.
+const STEP_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The minimum interval between two writes of evidence about a new version.
+const EVIDENCE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How much the intervals grow with each node, so that all nodes together write at most 40 rows per
+/// second.
+const INTERVAL_PER_NODE: Duration = Duration::from_millis(25);
+/// The minimum interval between two writes of blamed requests. A request that brought down three
+/// endpoints must be known to all nodes within the three seconds for which a node counts as in
+/// touch.
+const POISON_INTERVAL: Duration = Duration::from_millis(500);
+/// The maximum number of blamed requests in a row. At 150 bytes each, they take a sixth of the
+/// maximum row size.
+const MAX_POISON_ENTRIES: usize = 64;
+/// How many nodes write evidence that contains only good answers. A few nodes see enough of these;
+/// bad answers are written by all.
+const MAX_GOOD_EVIDENCE_WRITERS: u32 = 6;
+/// How long a starting node waits for the fleet rows, to see whether its address is already in
+/// them.
+const MEMBERS_TIMEOUT: Duration = Duration::from_millis(500);
+/// The span over which the nodes of a fleet that starts for the first time spread these writes. The
+/// store rejects more than a few hundred per second.
+const ANNOUNCE_SPREAD: Duration = Duration::from_millis(900);
+/// The delay before a failed write of the node's own address is tried again.
+const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_secs(1);
+
+/// Writes what is due, for the lifetime of the process.
+pub async fn run(gateway: Arc<Gateway>) {
+    let mut writer = Writer {
+        gateway,
+        due_since: HashMap::new(),
+        written_evidence: HashMap::new(),
+        written_poison: (0, None),
+    };
+    writer.announce().await;
+    loop {
+        Timer::after(POLL_INTERVAL).await;
+        writer.update_rollouts().await;
+        writer.write_poison().await;
+    }
+}
+
+struct Writer {
+    gateway: Arc<Gateway>,
+    /// The due phase of each service's rollout and when it became due, by the store's clock.
+    due_since: HashMap<String, (Phase, Duration)>,
+    /// The evidence last written for each service, and when.
+    written_evidence: HashMap<String, (Evidence, Duration)>,
+    /// The number of endpoint failures in the last written row of blamed requests, and when it was
+    /// written.
+    written_poison: (usize, Option<Instant>),
+}
+
+impl Writer {
+    async fn announce(&self) {
+        let Some(peers) = self.gateway.settings.peers else { return };
+        let value = {
+            let Settings { reports, capacity, domain, .. } = self.gateway.settings.clone();
+            encode(&Node { peers, reports, domain: Some(domain), capacity })
+        };
+        let name = self.gateway.settings.node.clone();
+        let key = Key::Node(&name).to_string();
+        if self.gateway.settings.is_first_start {
+            Timer::after(ANNOUNCE_SPREAD.mul_f64(rand::random())).await;
+        } else {
+            self.gateway.wait_for_members(MEMBERS_TIMEOUT).await;
+        }
+        loop {
+            // Nothing to do if an earlier process of this node wrote the same row.
+            let known = self.gateway.mirror.lock().row(Table::Fleet, &key).cloned();
+            if known.is_some_and(|it| it.value.as_deref() == Some(&value[..])) {
+                return;
+            }
+            if self.write(&key, None, &value, None).await.is_ok() {
+                return;
+            }
+            Timer::after(ANNOUNCE_RETRY_DELAY).await;
+        }
+    }
+
+    async fn update_rollouts(&mut self) {
+        let now = self.gateway.store_time();
+        let Some(now) = now else { return };
+        let running: Vec<Rollout> = self.gateway.rollouts.lock().running().cloned().collect();
+        for it in running {
+            self.write_evidence(&it, now).await;
+            self.advance(&it, now).await;
+        }
+    }
+
+    async fn advance(&mut self, it: &Rollout, now: Duration) {
+        let service = &it.order.service;
+        let next = match &it.step {
+            None => Some(Phase::Waiting),
+            Some((step, _)) => {
+                let schedule = *self.gateway.rollouts.lock().schedule();
+                steps::due(&schedule, &it.order, step, it.evidence(), now)
+            }
+        };
+        let Some(phase) = next else {
+            self.due_since.remove(service);
+            return;
+        };
+        let due = match self.due_since.get(service) {
+            Some((known, at)) if *known == phase => *at,
+            _ => {
+                self.due_since.insert(service.clone(), (phase, now));
+                now
+            }
+        };
+        if now < due + STEP_STAGGER * self.rank(service) {
+            return;
+        }
+        self.due_since.remove(service);
+        if self.write_step(it, phase, now).await.is_err() {
+            self.due_since.insert(service.clone(), (phase, now + STEP_RETRY_DELAY));
+        }
+    }
+
+    async fn write_step(&self, it: &Rollout, phase: Phase, now: Duration) -> Result<(), Error> {
+        let service = &it.order.service;
+        let (began, expected) = match &it.step {
+            Some((step, rev)) => (step.began, *rev),
+            // Nodes of a higher rank write this step later, so the step begins when the order was
+            // received.
+            None => (it.received_at.unwrap_or(now), self.step_row_rev(service)),
+        };
+        let target = it.order.target.clone();
+        let step = Step { order: it.order_rev, target, phase, began, since: now };
+        let state = match phase {
+            Phase::Completed => Progress::Completed,
+            Phase::RolledBack => Progress::RolledBack,
+            _ => Progress::Running,
+        };
+        let is_reported = phase == Phase::Waiting || phase.is_final();
+        let report = Report { service: service.clone(), target: step.target.clone(), state };
+        let key = Key::Step(service).to_string();
+        let value = encode(&step);
+        let report = is_reported.then_some(&report);
+        match self.write(&key, Some(expected), &value, report).await? {
+            Committed::Done(rev) => {
+                let mut rollouts = self.gateway.rollouts.lock();
+                rollouts.apply_step(service, step, rev);
+                if let Some(it) = rollouts.get(service) {
+                    log_rollout(&self.gateway, it, "taken");
+                }
+            }
+            Committed::Conflict => log_rollout(&self.gateway, it, "conflict"),
+        }
+        Ok(())
+    }
+
+    /// The revision of the service's step row, which an earlier order may have written.
+    fn step_row_rev(&self, service: &str) -> Rev {
+        let key = Key::Step(service).to_string();
+        self.gateway.mirror.lock().row(Table::Fleet, &key).map_or(Rev(0), |it| it.rev)
+    }
+
+    /// Writes this node's evidence about a rollout, if it has changed.
+    async fn write_evidence(&mut self, it: &Rollout, now: Duration) {
+        let service = &it.order.service;
+        if matches!(it.phase(), Phase::Waiting | Phase::Completed | Phase::RolledBack) {
+            return;
+        }
+        let (known, at) = self.written_evidence.get(service).copied().unwrap_or_default();
+        let is_same = known.new.bad == it.own.new.bad && !it.own.is_suspicious();
+        let is_due = match is_same {
+            true => known.new != it.own.new && self.rank(service) < MAX_GOOD_EVIDENCE_WRITERS,
+            false => true,
+        };
+        let interval = self.write_interval(EVIDENCE_INTERVAL);
+        if !is_due || now < at + interval {
+            return;
+        }
+        let key = Key::Evidence(service, &self.gateway.settings.node).to_string();
+        let value = encode(&Observation { order: it.order_rev, evidence: it.own });
+        let is_written = self.write(&key, None, &value, None).await.is_ok();
+        // A failed write delays the next one as a successful write does; otherwise each node would
+        // call an unavailable store four times a second.
+        let written = if is_written { it.own } else { known };
+        self.written_evidence.insert(service.clone(), (written, now));
+    }
+
+    /// Writes the requests that this node blames for endpoint failures, if there are new ones.
+    async fn write_poison(&mut self) {
+        let now = self.gateway.now();
+        let interval = self.write_interval(POISON_INTERVAL);
+        let (known, at) = self.written_poison;
+        if at.is_some_and(|at| now.saturating_duration_since(at) < interval) {
+            return;
+        }
+        let mut entries = self.gateway.poison.lock().export(now);
+        let n_failures: usize = entries.iter().map(|it| it.endpoints.len()).sum();
+        if n_failures <= known {
+            return;
+        }
+        // When many endpoints fail at once, each request in flight there is blamed. A request that
+        // really brings down endpoints is sent again, so it is among those with the most failures
+        // or the newest.
+        entries.sort_by_key(|it| (Reverse(it.endpoints.len()), it.age));
+        entries.truncate(MAX_POISON_ENTRIES);
+        let key = Key::Poison(&self.gateway.settings.node).to_string();
+        let written = self.write(&key, None, &encode(&entries), None).await;
+        // A failed write is not repeated at once: the store may be unavailable, or reject the row
+        // permanently.
+        let n_failures = if written.is_ok() { n_failures } else { known };
+        self.written_poison = (n_failures, Some(now));
+    }
+
+    /// The interval at which this node may write rows that every node writes.
+    fn write_interval(&self, min: Duration) -> Duration {
+        let n_nodes = u32::try_from(self.gateway.n_nodes()).unwrap_or(u32::MAX);
+        min.max(INTERVAL_PER_NODE.saturating_mul(n_nodes))
+    }
+
+    async fn write(
+        &self,
+        key: &str,
+        expected: Option<Rev>,
+        value: &[u8],
+        report: Option<&Report>,
+    ) -> Result<Committed, Error> {
+        let result = self.gateway.store.commit(Commit { key, expected, value, report }).await;
+        self.gateway.metrics.record_store_call(Table::Fleet, &result);
+        if let Err(e) = &result {
+            let why = format!("{key}: {e}");
+            let (name, state) = ("store", "write_failed");
+            self.gateway.log.write(&Event::Dependency { name, state, why: &why });
+        }
+        result
+    }
+
+    /// This node's rank among the nodes that may write a step of `service`; rank 0 writes first.
+    fn rank(&self, service: &str) -> u32 {
+        let weight =
+            |node: &str| hash::pair(hash::bytes(service.as_bytes()), hash::bytes(node.as_bytes()));
+        let own = weight(&self.gateway.settings.node);
+        let n_before = self.gateway.peers.lock().keys().filter(|it| weight(it) < own).count();
+        u32::try_from(n_before.min(MAX_RANK)).unwrap_or(u32::MAX)
+    }
+}
+
+fn encode(value: &impl serde::Serialize) -> Vec<u8> {
+    serde_json::to_vec(value).expect("rows can be written as JSON")
+}
--- /dev/null
+++ b/crates/curranthook_gateway/src/frontend.rs
@@ -0,0 +1,178 @@
+//! The HTTP handler for callers: admits requests, runs them and writes the responses.
+
+use std::{sync::Arc, time::Duration};
+
+use curranthook_http::{Body, body, server::Handler, timeout};
+use futures_lite::future::Boxed;
+use http::{Request, Response, header, request::Parts};
+use hyper::body::Incoming;
+
+use crate::{
+    Gateway,
+    document::Denied,
+    event::Event,
+    gateway::Configuration,
+    job::{Job, Summary, millis},
+    refusal::{Reason, Refusal, Started},
+    request, startup, stream, unary,
+};
+
+/// The timeout of a request whose caller sets none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time limit for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The `Retry-After` of a node that is shutting down: short, since another node of the fleet can
+/// take the request at once.
+const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
+
+/// The handler of callers' connections.
+#[derive(Debug)]
+pub struct Frontend {
+    /// The node's shared state.
+    pub gateway: Arc<Gateway>,
+    /// Whether new requests are refused; set when a node that shuts down begins to drain its
+    /// connections.
+    pub closed: std::sync::atomic::AtomicBool,
+}
+
+impl Handler for Frontend {
+    fn handle(self: Arc<Self>, req: Request<Incoming>) -> Boxed<Response<Body>> {
+        Box::pin(async move {
+            let gateway = &self.gateway;
+            let (head, body) = req.into_parts();
+            let result = match self.admit(&head, body).await {
+                Ok(job) => run_job(job).await,
+                Err(refusal) => {
+                    self.log_refusal(&head, &refusal);
+                    Err(refusal)
+                }
+            };
+            let mut res = result.unwrap_or_else(|refusal| refusal_response(gateway, &refusal));
+            if gateway.is_stopping() {
+                gateway.dialect.add_closing_headers(res.headers_mut());
+            }
+            res
+        })
+    }
+}
+
+impl Frontend {
+    fn log_refusal(&self, head: &Parts, refusal: &Refusal) {
+        let gateway = &self.gateway;
+        let parsed = gateway.dialect.parse_request_head(head).ok();
+        gateway.log.write(&Event::Refused {
+            request: parsed.as_ref().map_or("", |it| it.id.as_str()),
+            path: head.uri.path(),
+            status: refusal.status.as_u16(),
+            reason: refusal.reason.name(),
+            retry_after_ms: refusal.retry_after.map(millis),
+            configuration: gateway.configuration.load().as_ref().map(|it| it.document.version),
+            in_flight: gateway.in_flight(),
+        });
+    }
+
+    /// Parses and admits a request, and reads its body.
+    async fn admit(&self, head: &Parts, body: Incoming) -> Result<Job, Refusal> {
+        let gateway = &self.gateway;
+        let refusal = |reason| Refusal::new(reason, Started::No);
+        if self.closed.load(std::sync::atomic::Ordering::Relaxed) {
+            return Err(refusal(Reason::Stopping).with_retry_after(RETRY_AFTER_STOPPING));
+        }
+        let received_at = gateway.now();
+        let head = gateway.dialect.parse_request_head(head).map_err(|e| {
+            log::debug!("cannot parse a caller's request head: {e}");
+            refusal(Reason::Invalid)
+        })?;
+        startup::wait(gateway, head.timeout).await;
+        let Some(configuration) = gateway.configuration.load_full() else {
+            return Err(startup::refusal(gateway));
+        };
+        // Checked before the body is read, so that a caller without access cannot make the node
+        // read a body.
+        admit(&configuration, &head)?;
+        let read = body::read(body, configuration.document.limits.max_body);
+        let body = match timeout::run(BODY_TIMEOUT, read).await {
+            Ok(Ok(body)) => body,
+            Ok(Err(body::ReadError::TooLarge { .. })) => return Err(refusal(Reason::TooLarge)),
+            Ok(Err(body::ReadError::Broken(_))) | Err(timeout::Elapsed) => {
+                return Err(refusal(Reason::Invalid));
+            }
+        };
+        // Checked again, since the configuration may have changed while the body was received.
+        let configuration = gateway.configuration.load_full().unwrap_or(configuration);
+        let (route, account) = admit(&configuration, &head)?;
+        let timeout = head.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
+        let request = request::Request::new(head, body, received_at, timeout);
+        if gateway.poison.lock().is_poison(request.fingerprint, received_at) {
+            return Err(refusal(Reason::Poison));
+        }
+        Job::new(gateway, &configuration, request, route, account.map(|it| it.id), priority)
+    }
+}
+
+fn admit(
+    configuration: &Configuration,
+    head: &request::Head,
+) -> Result<(Arc<crate::document::Route>, Option<crate::document::Account>), Refusal> {
+    let admitted =
+        configuration.document.admit(&head.host, head.uri.path(), head.api_key.as_deref());
+    let (route, account) = admitted.map_err(|denied| {
+        let reason = match denied {
+            Denied::NoRoute => Reason::NoRoute,
+            Denied::UnknownKey => Reason::UnknownKey,
+        };
+        Refusal::new(reason, Started::No)
+    })?;
+    Ok((Arc::clone(route), account.cloned()))
+}
+
+async fn run_job(mut job: Job) -> Result<Response<Body>, Refusal> {
+    let gateway = Arc::clone(&job.gateway);
+    let result = if job.route.retry_policy.is_stream() {
+        open_stream(job).await
+    } else {
+        match unary::read(&mut job).await {
+            Ok((head, bytes)) => {
+                let headers = gateway.dialect.response_headers(&head.headers);
+                Ok(respond(head.status, headers, body::full(bytes)))
+            }
+            Err(refusal) => Err((job, refusal)),
+        }
+    };
+    result.map_err(|(job, refusal)| {
+        let (status, outcome) = (refusal.status.as_u16(), refusal.reason.name());
+        job.record_end(&Summary { status, outcome, ..Summary::default() });
+        refusal
+    })
+}
+
+async fn open_stream(mut job: Job) -> Result<Response<Body>, (Job, Refusal)> {
+    let exchange = match job.execute().await {
+        Ok(exchange) => exchange,
+        Err(refusal) => return Err((job, refusal)),
+    };
+    let mut headers = job.gateway.dialect.response_headers(&exchange.head.headers);
+    // If this endpoint fails, another one continues the stream, so the total length is unknown.
+    headers.remove(header::CONTENT_LENGTH);
+    let status = exchange.reply.status;
+    let elapsed = job.gateway.now().saturating_duration_since(job.request.received_at);
+    job.gateway.metrics.record_first_byte(elapsed);
+    Ok(respond(status, headers, stream::body(job, exchange)))
+}
+
+fn respond(status: http::StatusCode, headers: http::HeaderMap, body: Body) -> Response<Body> {
+    let mut res = Response::new(body);
+    *res.status_mut() = status;
+    *res.headers_mut() = headers;
+    res
+}
+
+/// The response to a refused request, which states the reason.
+fn refusal_response(gateway: &Gateway, refusal: &Refusal) -> Response<Body> {
+    gateway.metrics.record_refusal(refusal.reason);
+    let text = serde_json::json!({ "error": refusal.reason.name() });
+    let mut res = body::json(refusal.status.as_u16(), &text);
+    gateway.dialect.add_refusal_headers(refusal, res.headers_mut());
+    res
+}
--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the stages and tasks of a node share.
+//! State shared by the stages and tasks of a node.
 
 use std::{
     collections::HashMap,
@@ -17,52 +17,52 @@
 
 use crate::{
     affinity::Affinity,
-    budget::Budget,
     dialect::Dialect,
     directory::Directory,
     document::{Document, Service},
     event::Log,
     fleet,
+    latency::Estimator,
     load_owners::Owners,
-    load_reports::Reports,
+    load_reports::Socket,
     load_table::LoadTable,
     metrics::Metrics,
     mirror::Mirror,
     outage::Outage,
-    pace::Paces,
-    returns::Returns,
+    retry_budget::Budget,
+    retry_schedule::Reservations,
     rollouts::Rollouts,
     settings::Settings,
     signal::Signal,
-    starting::Waiting,
-    steps::Plan,
+    startup::Waiters,
+    steps::Schedule,
     store::{Decoder, Rev, Store, Table},
     unknown_headers::UnknownHeaders,
 };
 
-/// How many requests the register of poison requests remembers.
+/// The maximum number of requests in the register of poison requests.
 const POISON_CAPACITY: usize = 4_096;
-/// How long sent bytes may stay unacknowledged before a connection is given up. An endpoint, peer
-/// or store without power is noticed after this; a busy one still acknowledges.
-const UNACKED: Duration = Duration::from_millis(1_200);
-/// How long a connection attempt may take: many round trips between failure domains, and less
-/// than the second after which the system would send its first packet again.
-const CONNECT: Duration = Duration::from_millis(400);
+/// How long sent bytes may stay unacknowledged before a connection is closed. This detects an
+/// endpoint, peer or store that has lost power; a busy one still acknowledges.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The timeout for opening a connection: many round trips between failure domains, but less than
+/// the second after which the operating system retransmits its first packet.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What a node is made of.
+/// The dependencies of a node.
 #[derive(Debug)]
 pub struct Parts {
     /// The executor.
     pub ex: runtime::Handle,
-    /// The time.
+    /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// The wire.
+    /// The protocol spoken with callers and endpoints.
     pub dialect: Arc<dyn Dialect>,
-    /// The rows of others.
+    /// The decoder of rows that others write.
     pub decoder: Arc<dyn Decoder>,
     /// The store.
     pub store: Arc<dyn Store>,
-    /// The log.
+    /// The event log.
     pub log: Log,
 }
 
@@ -71,74 +71,74 @@
 pub struct Gateway {
     /// The executor.
     pub ex: runtime::Handle,
-    /// The time.
+    /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// The wire.
+    /// The protocol spoken with callers and endpoints.
     pub dialect: Arc<dyn Dialect>,
-    /// The rows of others.
+    /// The decoder of rows that others write.
     pub decoder: Arc<dyn Decoder>,
     /// The store.
     pub store: Arc<dyn Store>,
-    /// The log.
+    /// The event log.
     pub log: Log,
-    /// Its settings.
+    /// The node's settings.
     pub settings: Settings,
-    /// Its counters.
+    /// The node's metrics.
     pub metrics: Metrics,
-    /// Connections to endpoints and peers.
+    /// The connections to endpoints and peers.
     pub pool: Pool,
-    /// The configuration in force.
-    pub current: ArcSwapOption<Current>,
-    /// The endpoints.
+    /// The configuration in force; none before the first was read.
+    pub configuration: ArcSwapOption<Configuration>,
+    /// The known endpoints.
     pub directory: Mutex<Directory>,
-    /// Where prompts were read.
+    /// The endpoints where shared prompt parts were prefilled.
     pub affinity: Mutex<Affinity>,
-    /// How fast models are.
-    pub paces: Mutex<Paces>,
-    /// Repeats.
-    pub budget: Mutex<Budget>,
-    /// When refused callers may come back.
-    pub returns: Mutex<Returns>,
-    /// Requests that end endpoints.
+    /// The observed speed of models.
+    pub latency_estimator: Mutex<Estimator>,
+    /// The budget for retries.
+    pub retry_budget: Mutex<Budget>,
+    /// When refused callers are told to come back.
+    pub retry_schedule: Mutex<Reservations>,
+    /// Requests that are blamed for endpoint failures.
     pub poison: Mutex<Register>,
-    /// Roll-outs.
+    /// The rollouts.
     pub rollouts: Mutex<Rollouts>,
-    /// The rows of the store as they are known.
+    /// A copy of the store's rows.
     pub mirror: Mutex<Mirror>,
-    /// Whom the store doesn't answer.
+    /// Whether a store outage affects all nodes or only this one.
     pub outage: Mutex<Outage>,
-    /// What other nodes have waiting at endpoints.
+    /// Work that other nodes have pending at endpoints.
     pub load_table: Mutex<LoadTable>,
-    /// Who is told of it in a large fleet.
+    /// The owner of each endpoint's load information, in a large fleet.
     pub load_owners: Mutex<Owners>,
-    /// The datagrams between nodes; none if the node has no address for them.
-    pub load_reports: OnceLock<Arc<Reports>>,
-    /// Wakes whoever tells other nodes what this one has waiting.
-    pub waiting_changed: Signal,
-    /// Wakes peers that wait for rows.
-    pub changed: Signal,
-    /// Other nodes, by name.
+    /// The datagram socket for load reports; none if the node has no address for it.
+    pub load_reports: OnceLock<Arc<Socket>>,
+    /// Wakes the task that reports this node's pending work to others.
+    pub pending_work_changed: Signal,
+    /// Wakes peers' queries that wait for changed rows.
+    pub rows_changed: Signal,
+    /// The nodes of the fleet, by name.
     pub peers: Mutex<HashMap<String, fleet::Node>>,
-    /// What endpoints said that nobody reads.
+    /// Headers from endpoints that are not recognized.
     pub unknown_headers: Mutex<UnknownHeaders>,
     /// Requests that wait for the first configuration.
-    pub starting: Waiting,
+    pub startup_waiters: Waiters,
     /// When the process started.
     pub started: Instant,
     stopping: AtomicBool,
     in_flight: AtomicUsize,
 }
 
-/// A configuration and where it stands in the history of the store.
+/// A configuration and its revision in the store.
 #[derive(Debug)]
-pub struct Current {
+pub struct Configuration {
     /// The configuration.
     pub document: Document,
     /// Its revision.
     pub rev: Rev,
 }
 
-/// Counts a request as under way until it's dropped.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<Gateway>);
 
@@ -149,16 +149,16 @@
 }
 
 impl Gateway {
-    /// A node that knows nothing yet.
+    /// Creates a node without any knowledge of the fleet or a configuration.
     pub fn new(parts: Parts, settings: Settings) -> Arc<Self> {
         let Parts { ex, clock, dialect, decoder, store, log } = parts;
         let started = clock.now();
         let pool = Pool::new(Arc::clone(&ex), Arc::clone(&clock));
-        let pool = pool.with_connect_timeout(CONNECT).with_liveness(UNACKED);
+        let pool = pool.with_connect_timeout(CONNECT_TIMEOUT).with_liveness(UNACKED_TIMEOUT);
         Arc::new(Self {
             pool,
-            rollouts: Mutex::new(Rollouts::new(Plan::new(settings.exposure))),
-            budget: Mutex::new(Budget::new(settings.repeats)),
+            rollouts: Mutex::new(Rollouts::new(Schedule::new(settings.max_exposure))),
+            retry_budget: Mutex::new(Budget::new(settings.retries)),
             poison: Mutex::new(Register::new(POISON_CAPACITY)),
             ex,
             clock,
@@ -168,88 +168,88 @@
             log,
             settings,
             metrics: Metrics::default(),
-            current: ArcSwapOption::empty(),
+            configuration: ArcSwapOption::empty(),
             directory: Mutex::default(),
-            returns: Mutex::default(),
+            retry_schedule: Mutex::default(),
             affinity: Mutex::default(),
-            paces: Mutex::default(),
+            latency_estimator: Mutex::default(),
             mirror: Mutex::default(),
             outage: Mutex::default(),
             load_table: Mutex::default(),
             load_owners: Mutex::default(),
             load_reports: OnceLock::new(),
-            waiting_changed: Signal::default(),
-            changed: Signal::default(),
+            pending_work_changed: Signal::default(),
+            rows_changed: Signal::default(),
             peers: Mutex::default(),
             unknown_headers: Mutex::default(),
-            starting: Waiting::default(),
+            startup_waiters: Waiters::default(),
             started,
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
         })
     }
 
-    /// The time.
+    /// The current time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// The store's clock, as far as it's known.
+    /// The store's clock; none if it is unknown.
     pub fn store_time(&self) -> Option<Duration> {
         self.mirror.lock().store_time(self.now())
     }
 
-    /// How many nodes there are, this one with them.
+    /// The number of nodes in the fleet, including this one.
     pub fn n_nodes(&self) -> usize {
         self.peers.lock().len().max(1)
     }
 
-    /// What the configuration in force says of a service; none if it says nothing.
-    pub fn service<T>(&self, name: &str, say: impl FnOnce(&Service) -> Option<T>) -> Option<T> {
-        say(self.current.load().as_ref()?.document.services.get(name)?)
+    /// Reads a property of a service from the configuration in force; none if it is not set.
+    pub fn service<T>(&self, name: &str, read: impl FnOnce(&Service) -> Option<T>) -> Option<T> {
+        read(self.configuration.load().as_ref()?.document.services.get(name)?)
     }
 
-    /// Waits until the rows of the fleet are read, `limit` at most.
-    pub async fn members_known(&self, limit: Duration) {
-        let read = async {
+    /// Waits until the fleet table has been read, but at most for `limit`.
+    pub async fn wait_for_members(&self, limit: Duration) {
+        let members_read = async {
             loop {
-                let changed = self.changed.wait();
-                if self.mirror.lock().knows(Table::Fleet) {
+                let changed = self.rows_changed.wait();
+                if self.mirror.lock().has_read(Table::Fleet) {
                     return;
                 }
                 changed.await;
             }
         };
-        let _elapsed = timeout::run(limit, read).await;
+        let _elapsed = timeout::run(limit, members_read).await;
     }
 
-    /// Whether it takes new callers.
+    /// Whether the node accepts new callers.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.is_serving()
     }
 
-    /// Whether it knows all that it needs to serve requests.
+    /// Whether the node has a configuration and has read all tables, as serving requests requires.
     pub fn is_serving(&self) -> bool {
-        self.current.load().is_some() && self.mirror.lock().is_read()
+        self.configuration.load().is_some() && self.mirror.lock().has_read_all()
     }
 
-    /// Whether it was told to stop.
+    /// Whether the node is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Takes no new callers from now on.
+    /// Stops accepting new callers.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Counts a request as under way.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    /// Counts a request as in flight for the lifetime of the returned guard.
+    pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
 
-    /// How many requests are under way.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way: the attempts at it, until one has an answer that the caller may get.
+//! Runs an admitted request: makes attempts until one yields a response for the caller.
 
 mod escalation;
 mod retry;
@@ -10,145 +10,148 @@
 
 use crate::{
     Gateway,
-    ask::{Ask, Model},
-    attempt::{self, Cause, Failed, Open},
+    attempt::{self, Cause, Exchange, Failure},
     cascade,
     dialect::{Execution, Outgoing},
     directory::Outcome,
     document::Route,
     event::Event,
-    gateway::{Current, InFlight},
+    gateway::{Configuration, InFlight},
+    latency::{Estimate, FirstEvent},
     lease::Lease,
-    load_reports::{self, Heard},
+    load_reports::{self, PeerState},
     models::{Candidate, Models},
-    offer::{self, Wanted, Wants},
-    pace::{First, Pace},
-    refusal::{Ran, Reason, Refusal},
+    refusal::{Reason, Refusal, Started},
+    request::{Model, Request},
     rollouts::{Kind, Rule},
+    selection::{self, Criteria, TargetModel},
 };
 
-use self::retry::Next;
+use self::retry::Decision;
 
-/// When to come back while no endpoint can be reached: about the time in which one is noticed.
-const RETRY_AWAY: Duration = Duration::from_millis(700);
+/// The `Retry-After` while no endpoint is reachable: about the time until a reachable endpoint is
+/// discovered.
+const RETRY_AFTER_NO_ENDPOINT: Duration = Duration::from_millis(700);
 
-/// How many times others are asked for an endpoint that can be reached, before a request is placed.
-const MAX_QUESTIONS: usize = 3;
+/// The number of times that peers are queried for a reachable endpoint before one is selected.
+const MAX_QUERY_ROUNDS: usize = 3;
 
-/// The outcome of a request whose answer arrived whole.
-pub const WHOLE: &str = "whole";
+/// The outcome of a request whose response was received completely.
+pub const OUTCOME_WHOLE: &str = "whole";
 
-/// How a request ended. Times count from when it came.
+/// How a request ended. Times are measured from the request's arrival.
 #[derive(Debug, Default)]
-pub struct End<'a> {
-    /// The status that its caller got.
+pub struct Summary<'a> {
+    /// The response status sent to the caller.
     pub status: u16,
-    /// What became of it.
+    /// The outcome in the log and in metrics.
     pub outcome: &'static str,
-    /// The endpoint that answered it last; empty if none did.
+    /// The endpoint that answered last; empty if none did.
     pub endpoint: &'a str,
-    /// When the first byte of the answer came.
-    pub first_byte: Duration,
-    /// How many events of a stream were passed on. A stream that runs out of time while events come is
-    /// told by it from one that fell silent.
-    pub events: u32,
-    /// When the last of them was.
-    pub last_event: Duration,
+    /// The time to the first byte of the response.
+    pub first_byte_after: Duration,
+    /// The number of stream events forwarded to the caller. Distinguishes a stream that reached its
+    /// deadline while events arrived from one that stalled.
+    pub n_events: u32,
+    /// The time to the last forwarded event.
+    pub last_event_after: Duration,
 }
 
-/// A request on its way.
+/// An admitted request and the state of its attempts.
 #[derive(Debug)]
 pub struct Job {
-    /// The node.
+    /// The node's shared state.
     pub gateway: Arc<Gateway>,
-    /// The request.
-    pub ask: Ask,
-    /// Its route.
+    /// The admitted request.
+    pub request: Request,
+    /// The route that matched.
     pub route: Arc<Route>,
-    /// Who calls.
+    /// The client account of the caller.
     pub account: Option<account::Id>,
-    /// How urgent it is.
+    /// The rank of the request; 0 is served first.
     pub priority: u8,
-    /// The last event that the caller has.
-    pub last_event: Option<u64>,
-    /// How many attempts there were.
-    pub attempts: u32,
+    /// The id of the last event that the caller has received.
+    pub last_event_id: Option<u64>,
+    /// The number of attempts so far.
+    pub n_attempts: u32,
     service: String,
     models: Models,
-    tried: Vec<endpoint::Id>,
-    runs: u32,
-    rejections: u32,
-    ran: Ran,
-    /// Whether an endpoint answered it with an error.
-    has_failed: bool,
-    configuration: u64,
-    /// What other nodes told while the next attempt was decided on.
-    heard: Option<Heard>,
+    tried_endpoints: Vec<endpoint::Id>,
+    /// The number of attempts that ran or may have run the request.
+    n_runs: u32,
+    /// The number of attempts that ended without running the request.
+    n_rejections: u32,
+    started: Started,
+    /// Whether an endpoint answered with a server error.
+    has_errored: bool,
+    configuration_version: u64,
+    /// Peer state that was queried to decide on escalation, and that the next attempt uses.
+    peer_state: Option<PeerState>,
     _in_flight: InFlight,
 }
 
 impl Job {
-    /// A request that was let in.
+    /// Creates the job of an admitted request and counts the request for the retry budget.
     pub fn new(
         gateway: &Arc<Gateway>,
-        current: &Current,
-        ask: Ask,
+        configuration: &Configuration,
+        request: Request,
         route: Arc<Route>,
         account: Option<account::Id>,
         priority: u8,
     ) -> Result<Self, Refusal> {
-        let place = hash::unit(hash::bytes(ask.head.id.as_bytes()));
-        let service = route.service(place).map(str::to_owned);
-        let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Ran::No))?;
-        let models = Models::new(&current.document, &service, &route, &ask.head.model);
-        gateway.budget.lock().asked(&service, gateway.now());
+        let split_point = hash::unit(hash::bytes(request.head.id.as_bytes()));
+        let service = route.service(split_point).map(str::to_owned);
+        let service = service.ok_or_else(|| Refusal::new(Reason::NoEndpoint, Started::No))?;
+        let models = Models::new(&configuration.document, &service, &route, &request.head.model);
+        gateway.retry_budget.lock().record_request(&service, gateway.now());
         Ok(Self {
-            last_event: ask.head.last_event,
+            last_event_id: request.head.last_event_id,
             account,
             priority,
-            attempts: 0,
+            n_attempts: 0,
             service,
             models,
-            tried: Vec::new(),
-            runs: 0,
-            rejections: 0,
-            ran: Ran::No,
-            has_failed: false,
-            configuration: current.document.version,
-            heard: None,
-            _in_flight: gateway.enter(),
+            tried_endpoints: Vec::new(),
+            n_runs: 0,
+            n_rejections: 0,
+            started: Started::No,
+            has_errored: false,
+            configuration_version: configuration.document.version,
+            peer_state: None,
+            _in_flight: gateway.track_request(),
             gateway: Arc::clone(gateway),
-            ask,
+            request,
             route,
         })
     }
 
-    /// The time left for it.
+    /// The time left until the deadline.
     pub fn time_left(&self) -> Duration {
-        self.ask.time_left(self.gateway.now())
+        self.request.time_left(self.gateway.now())
     }
 
-    /// Sends it until an endpoint answers it.
-    pub async fn open(&mut self) -> Result<Open, Refusal> {
+    /// Makes attempts until an endpoint returns a response that can be forwarded to the caller.
+    pub async fn execute(&mut self) -> Result<Exchange, Refusal> {
         loop {
             if self.time_left().is_zero() {
                 return Err(self.refusal(Reason::Timeout));
             }
-            let lease = self.place().await?;
+            let lease = self.acquire_lease().await?;
             let (id, version) = (lease.id.clone(), lease.version.clone());
-            let started = self.gateway.now();
+            let sent_at = self.gateway.now();
             match self.attempt(lease).await {
-                Ok(open) => {
-                    self.runs += 1;
-                    self.ran = Ran::Maybe;
-                    if let Some(open) = self.judge(open, &version).await {
-                        return Ok(open);
+                Ok(exchange) => {
+                    self.n_runs += 1;
+                    self.started = Started::Maybe;
+                    if let Some(exchange) = self.accept_or_retry(exchange, &version).await {
+                        return Ok(exchange);
                     }
                 }
-                Err(failed) => {
-                    let took = self.gateway.now().saturating_duration_since(started);
-                    self.log_failed(&id, &failed, took);
-                    if let Next::Respond(refusal) = self.on_failure(&id, &failed).await {
+                Err(failure) => {
+                    let elapsed = self.gateway.now().saturating_duration_since(sent_at);
+                    self.log_failure(&id, &failure, elapsed);
+                    if let Decision::Respond(refusal) = self.on_failure(&id, &failure).await {
                         return Err(refusal);
                     }
                 }
@@ -156,100 +159,110 @@
         }
     }
 
-    /// An attempt failed after its answer had begun, so another may follow.
-    pub async fn broke_off(
+    /// Handles an attempt that failed after its response had begun; another attempt may follow.
+    pub async fn on_response_failed(
         &mut self,
         endpoint: &endpoint::Id,
         cause: Cause,
     ) -> Result<(), Refusal> {
-        let failed = Failed { cause, execution: Execution::MayHaveRun };
-        self.log_failed(endpoint, &failed, Duration::ZERO);
-        match self.on_maybe_run(endpoint, &failed).await {
-            Next::Retry => Ok(()),
-            Next::Respond(refusal) => Err(refusal),
+        let failure = Failure { cause, execution: Execution::MayHaveRun };
+        self.log_failure(endpoint, &failure, Duration::ZERO);
+        match self.on_ambiguous_failure(endpoint, &failure).await {
+            Decision::Retry => Ok(()),
+            Decision::Respond(refusal) => Err(refusal),
         }
     }
 
-    async fn place(&mut self) -> Result<Lease, Refusal> {
-        let session = self.session();
+    async fn acquire_lease(&mut self) -> Result<Lease, Refusal> {
+        let session = self.session_hash();
         let rule = self.gateway.rollouts.lock().rule(&self.service, session);
-        let heard = self.heard.take();
-        let wanted = self.wanted(&rule, self.models.current());
-        let heard = match heard {
-            Some(heard) => heard,
-            None => self.hear(&wanted).await,
+        let peer_state = self.peer_state.take();
+        let criteria = self.criteria(&rule, self.models.current());
+        let peer_state = match peer_state {
+            Some(peer_state) => peer_state,
+            None => self.query_peers(&criteria).await,
         };
-        let lease = Lease::take(&self.gateway, &wanted, &heard);
-        lease.ok_or_else(|| self.unplaced(&wanted))
+        let lease = Lease::acquire(&self.gateway, &criteria, &peer_state);
+        lease.ok_or_else(|| self.no_endpoint_refusal(&criteria))
     }
 
-    /// The refusal of a request that no endpoint takes.
-    fn unplaced(&self, wanted: &Wanted<'_>) -> Refusal {
-        let Some(throttled) = offer::throttled(&self.gateway, wanted) else {
-            return self.refusal(Reason::NoEndpoint).with_retry_after(RETRY_AWAY);
+    /// The refusal of a request that no endpoint can take.
+    fn no_endpoint_refusal(&self, criteria: &Criteria<'_>) -> Refusal {
+        let Some(throttled) = selection::throttled(&self.gateway, criteria) else {
+            return self.refusal(Reason::NoEndpoint).with_retry_after(RETRY_AFTER_NO_ENDPOINT);
         };
         let (n_nodes, now) = (self.gateway.n_nodes(), self.gateway.now());
-        let by_pause = throttled.resumes.map(|it| it.saturating_duration_since(now));
+        let after_pause = throttled.resumes_at.map(|it| it.saturating_duration_since(now));
         let own_rate = Some(throttled.rate / n_nodes as f64).filter(|it| 0.0 < *it);
-        let by_rate = own_rate.map(|it| self.gateway.returns.lock().book(&self.service, it, now));
-        let after = by_pause.into_iter().chain(by_rate).min();
-        self.refusal(Reason::Throttled).with_retry_after(after.unwrap_or(RETRY_AWAY))
+        let after_interval =
+            own_rate.map(|it| self.gateway.retry_schedule.lock().reserve(&self.service, it, now));
+        let retry_after = after_pause.into_iter().chain(after_interval).min();
+        self.refusal(Reason::Throttled)
+            .with_retry_after(retry_after.unwrap_or(RETRY_AFTER_NO_ENDPOINT))
     }
 
-    /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
-    /// have told already.
-    async fn hear(&self, wanted: &Wanted<'_>) -> Heard {
-        let mut heard = Heard::default();
-        for _ in 0..MAX_QUESTIONS {
-            let shortlist = offer::shortlist(&self.gateway, wanted);
+    /// Queries peers about the load of the endpoints that may take the request. Returns an empty
+    /// state in a small fleet, where each node reports its load to all others without being
+    /// queried.
+    async fn query_peers(&self, criteria: &Criteria<'_>) -> PeerState {
+        let mut peer_state = PeerState::default();
+        for _ in 0..MAX_QUERY_ROUNDS {
+            let shortlist = selection::shortlist(&self.gateway, criteria);
             if shortlist.is_empty() {
-                return Heard::default();
+                return PeerState::default();
             }
-            heard = self.ask_others(shortlist, wanted.subject).await;
-            if heard.unreachable.is_empty() {
+            peer_state = self.query_owners(shortlist, criteria.prefix_hash).await;
+            if peer_state.unreachable.is_empty() {
                 break;
             }
             let now = self.gateway.now();
             let mut directory = self.gateway.directory.lock();
-            heard.unreachable.iter().for_each(|it| directory.avoid(it, now));
-            // One that can be reached is enough.
-            if heard.waiting.keys().any(|it| !heard.unreachable.contains(it)) {
+            peer_state.unreachable.iter().for_each(|it| directory.eject(it, now));
+            // One reachable endpoint is enough.
+            if peer_state.waiting.keys().any(|it| !peer_state.unreachable.contains(it)) {
                 break;
             }
         }
-        heard
+        peer_state
     }
 
-    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, subject: Option<u64>) -> Heard {
-        let mut heard = load_reports::ask(&self.gateway, shortlist, subject).await;
-        let is_unheard = |it: &endpoint::Id| !heard.waiting.contains_key(it);
-        let holders = heard.holders.iter().flatten();
-        let unheard: Vec<_> = holders.filter(|it| is_unheard(it)).cloned().collect();
-        if !unheard.is_empty() {
-            let of_holders = load_reports::ask(&self.gateway, unheard, None).await;
-            heard.waiting.extend(of_holders.waiting);
-            heard.unreachable.extend(of_holders.unreachable);
+    async fn query_owners(
+        &self,
+        shortlist: Vec<endpoint::Id>,
+        prefix_hash: Option<u64>,
+    ) -> PeerState {
+        let mut peer_state = load_reports::query(&self.gateway, shortlist, prefix_hash).await;
+        let is_unreported = |it: &endpoint::Id| !peer_state.waiting.contains_key(it);
+        let holders = peer_state.holders.iter().flatten();
+        let unreported: Vec<_> = holders.filter(|it| is_unreported(it)).cloned().collect();
+        if !unreported.is_empty() {
+            let holder_reports = load_reports::query(&self.gateway, unreported, None).await;
+            peer_state.waiting.extend(holder_reports.waiting);
+            peer_state.unreachable.extend(holder_reports.unreachable);
         }
-        heard
+        peer_state
     }
 
-    /// What is to be placed if `model` is asked.
-    fn wanted<'a>(&'a self, rule: &'a Rule, model: Option<&Candidate>) -> Wanted<'a> {
+    /// The selection criteria if `model` is to answer.
+    fn criteria<'a>(&'a self, rule: &'a Rule, model: Option<&Candidate>) -> Criteria<'a> {
         let name = model.map_or("", |it| it.name.as_str());
-        Wanted {
+        Criteria {
             service: &self.service,
             rule,
-            tried: &self.tried,
-            subject: offer::subject(self.ask.subject(), name),
-            shared_tokens: self.ask.shared_tokens(),
-            prompt_tokens: self.ask.prompt_tokens(),
-            model: model.map(|it| Wants { weight: it.weight, pace: self.pace(it) }),
-            salt: hash::bytes(self.ask.head.id.as_bytes()),
+            tried: &self.tried_endpoints,
+            prefix_hash: selection::prefix_hash(self.request.prefix_hash(), name),
+            prefix_tokens: self.request.prefix_tokens(),
+            prompt_tokens: self.request.prompt_tokens(),
+            model: model.map(|it| TargetModel {
+                relative_price: it.relative_price,
+                latency: self.latency(it),
+            }),
+            salt: hash::bytes(self.request.head.id.as_bytes()),
         }
     }
 
-    async fn attempt(&mut self, lease: Lease) -> Result<Open, Failed> {
-        self.attempts += 1;
+    async fn attempt(&mut self, lease: Lease) -> Result<Exchange, Failure> {
+        self.n_attempts += 1;
         let candidate = self.models.current();
         let model = candidate.map(|it| it.name.as_str());
         let id = lease.id.clone();
@@ -257,77 +270,90 @@
             endpoint: &id,
             account: self.account.as_ref(),
             time_left: self.time_left(),
-            model: model.filter(|_| self.ask.head.model == Model::Any),
-            priority: candidate.map(|it| cascade::urgency(self.priority, it.weight)),
-            last_event: self.last_event,
+            model: model.filter(|_| self.request.head.model == Model::Any),
+            priority: candidate
+                .map(|it| cascade::engine_priority(self.priority, it.relative_price)),
+            last_event_id: self.last_event_id,
         };
         self.gateway.log.write(&Event::Sent {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             route: &self.route.name,
             endpoint: id.as_str(),
             version: &lease.version,
             model: model.unwrap_or_default(),
-            attempt: self.attempts,
-            busy: lease.busy,
-            expected_ms: lease.expected.map(millis),
-            resumed_after: self.last_event,
+            attempt: self.n_attempts,
+            busy: lease.outstanding,
+            expected_ms: lease.expected_first_event.map(millis),
+            resumed_after: self.last_event_id,
             left_ms: millis(outgoing.time_left),
-            configuration: self.configuration,
+            configuration: self.configuration_version,
         });
-        attempt::run(&self.gateway, &self.ask, self.route.repeat, lease, &outgoing).await
+        attempt::run(&self.gateway, &self.request, self.route.retry_policy, lease, &outgoing).await
     }
 
-    /// Whether the caller gets this answer; if not, another attempt follows.
-    async fn judge(&mut self, open: Open, version: &str) -> Option<Open> {
-        let is_error = open.reply.status.is_server_error();
-        // A request that fails for a reason of its own fails again; it's evidence once.
-        if !self.has_failed {
-            let took = (!is_error).then_some(open.first_byte);
-            self.gateway.rollouts.lock().began(&self.service, version, self.kind(), took);
+    /// Returns the response if it is to be forwarded to the caller; `None` if another attempt
+    /// follows.
+    async fn accept_or_retry(&mut self, exchange: Exchange, version: &str) -> Option<Exchange> {
+        let is_error = exchange.reply.status.is_server_error();
+        // A request that itself causes errors fails in each attempt. After its first error, its
+        // responses no longer count as evidence about versions.
+        if !self.has_errored {
+            let first_byte = (!is_error).then_some(exchange.first_byte);
+            self.gateway.rollouts.lock().record_answer(
+                &self.service,
+                version,
+                self.kind(),
+                first_byte,
+            );
         }
-        self.has_failed |= is_error;
+        self.has_errored |= is_error;
         if is_error {
-            if self.route.repeat.is_repeatable() && self.may_run_again("error") {
-                self.tried.push(open.lease.id.clone());
-                open.close(Outcome::Failed);
+            if self.route.retry_policy.is_retryable() && self.try_rerun("error") {
+                self.tried_endpoints.push(exchange.lease.id.clone());
+                exchange.close(Outcome::Failed);
                 return None;
             }
-            return Some(open);
+            return Some(exchange);
         }
         if let Some(it) = self.models.current() {
-            let lease = &open.lease;
-            if let Some(expected) = lease.expected {
-                self.gateway.metrics.estimated(expected, open.first_byte);
+            let lease = &exchange.lease;
+            if let Some(expected) = lease.expected_first_event {
+                self.gateway.metrics.record_estimate(expected, exchange.first_byte);
             }
-            let first = First {
+            let first_event = FirstEvent {
                 prompt: lease.prompt,
-                busy: lease.busy,
-                waited: lease.waited,
-                took: open.first_byte,
+                outstanding: lease.outstanding,
+                queue_delay: lease.queue_delay,
+                elapsed: exchange.first_byte,
             };
-            let mut paces = self.gateway.paces.lock();
-            paces.began(&self.service, &it.name, it.weight, first);
+            let mut estimator = self.gateway.latency_estimator.lock();
+            estimator.record_first_event(&self.service, &it.name, it.relative_price, first_event);
         }
-        if open.reply.status.is_success() && self.escalates(open.reply.confidence).await {
-            open.close(Outcome::Answered);
+        if exchange.reply.status.is_success() && self.try_escalate(exchange.reply.confidence).await
+        {
+            exchange.close(Outcome::Answered);
             return None;
         }
-        Some(open)
+        Some(exchange)
     }
 
-    fn pace(&self, model: &Candidate) -> Pace {
-        self.gateway.paces.lock().of(&self.service, &model.name, model.weight)
+    fn latency(&self, model: &Candidate) -> Estimate {
+        self.gateway.latency_estimator.lock().estimate(
+            &self.service,
+            &model.name,
+            model.relative_price,
+        )
     }
 
-    /// An answer of `events` ended `took` after its first event.
-    pub fn streamed(&self, version: &str, events: u32, took: Duration) {
+    /// Records a stream of `n_events` that ended `elapsed` after its first event.
+    pub fn record_stream(&self, version: &str, n_events: u32, elapsed: Duration) {
         if let Some(it) = self.models.current() {
-            let mut paces = self.gateway.paces.lock();
-            paces.ended(&self.service, &it.name, it.weight, events, took);
+            let mut estimator = self.gateway.latency_estimator.lock();
+            estimator.record_stream(&self.service, &it.name, it.relative_price, n_events, elapsed);
         }
-        if let Some(each) = took.checked_div(events.saturating_sub(1)) {
+        if let Some(interval) = elapsed.checked_div(n_events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
-            rollouts.ended(&self.service, version, self.kind(), each);
+            rollouts.record_stream_end(&self.service, version, self.kind(), interval);
         }
     }
 
@@ -335,56 +361,57 @@
         Kind { route: &self.route.name, model: self.models.index() }
     }
 
-    /// The refusal for `reason` after what happened so far.
+    /// The refusal for `reason`, given whether an endpoint may have started the request.
     pub fn refusal(&self, reason: Reason) -> Refusal {
-        Refusal::new(reason, self.ran)
+        Refusal::new(reason, self.started)
     }
 
-    /// A hash that all requests of the same session have.
-    fn session(&self) -> u64 {
-        let own = || hash::bytes(self.ask.head.id.as_bytes());
-        let route = hash::bytes(self.route.prefix.as_bytes());
-        self.ask.subject().map_or_else(own, |it| hash::pair(it, route))
+    /// A hash that all requests of the same session share.
+    fn session_hash(&self) -> u64 {
+        let request_hash = || hash::bytes(self.request.head.id.as_bytes());
+        let route_hash = hash::bytes(self.route.prefix.as_bytes());
+        self.request.prefix_hash().map_or_else(request_hash, |it| hash::pair(it, route_hash))
     }
 
-    fn log_failed(&self, endpoint: &endpoint::Id, failed: &Failed, took: Duration) {
+    fn log_failure(&self, endpoint: &endpoint::Id, failure: &Failure, elapsed: Duration) {
         self.gateway.log.write(&Event::AttemptFailed {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             endpoint: endpoint.as_str(),
-            why: failed.cause.name(),
-            execution: match failed.execution {
+            why: failure.cause.name(),
+            execution: match failure.execution {
                 Execution::NotRun => "not_run",
                 Execution::MayHaveRun => "may_have_run",
             },
-            took_ms: millis(took),
+            took_ms: millis(elapsed),
         });
     }
 
-    /// Logs and counts its end.
-    pub fn ended(&self, end: &End<'_>) {
-        let End { status, outcome, endpoint, .. } = *end;
-        let took = self.gateway.now().saturating_duration_since(self.ask.since);
-        if outcome == WHOLE {
-            // Endpoints that ended while they ran it had another reason, then.
-            self.gateway.poison.lock().clear(self.ask.fingerprint);
+    /// Logs and counts the end of the request.
+    pub fn record_end(&self, end: &Summary<'_>) {
+        let Summary { status, outcome, endpoint, .. } = *end;
+        let elapsed = self.gateway.now().saturating_duration_since(self.request.received_at);
+        if outcome == OUTCOME_WHOLE {
+            // A complete response shows that the request did not cause the crashes attributed to
+            // it.
+            self.gateway.poison.lock().clear(self.request.fingerprint);
         }
-        self.gateway.metrics.ended(outcome, took);
+        self.gateway.metrics.record_ended(outcome, elapsed);
         self.gateway.log.write(&Event::Ended {
-            request: &self.ask.head.id,
+            request: &self.request.head.id,
             route: &self.route.name,
             status,
             outcome,
             endpoint,
-            attempts: self.attempts,
-            first_byte_ms: millis(end.first_byte),
-            events: end.events,
-            last_event_ms: millis(end.last_event),
-            took_ms: millis(took),
+            attempts: self.n_attempts,
+            first_byte_ms: millis(end.first_byte_after),
+            events: end.n_events,
+            last_event_ms: millis(end.last_event_after),
+            took_ms: millis(elapsed),
         });
     }
 }
 
-/// A duration in whole milliseconds.
-pub fn millis(it: Duration) -> u64 {
-    u64::try_from(it.as_millis()).unwrap_or(u64::MAX)
+/// Converts a duration to whole milliseconds.
+pub fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -1,4 +1,4 @@
-//! A place at the endpoint that a request goes to, and the account that is kept of it there.
+//! Counts a request as load of the endpoint that it is sent to, until the request ends.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -6,135 +6,144 @@
 
 use crate::{
     Gateway,
-    advertised::Start,
-    affinity::Read,
+    advertised::Incarnation,
+    affinity::Record,
     connections,
     dialect::{Load, Reply},
     directory::Outcome,
     entry::State,
     event::Event,
-    load_reports::Heard,
-    offer::{self, Offer, Wanted},
+    load_reports::PeerState,
     prefill::Prompt,
     rate_limit,
+    selection::{self, Choice, Criteria},
 };
 
-/// A place at an endpoint. Dropping it gives it back.
+/// A request slot at an endpoint. Dropping the lease releases the slot.
 #[derive(Debug)]
 pub struct Lease {
     gateway: Arc<Gateway>,
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: endpoint::Id,
-    /// Where it listens.
+    /// The address that the endpoint listens at.
     pub addr: SocketAddr,
-    /// Its version.
+    /// The version of the endpoint's software.
     pub version: String,
-    /// How busy it seemed.
-    pub busy: u32,
-    /// The prompt that it reads.
+    /// The estimated number of queued and running requests at the endpoint when the lease was
+    /// acquired.
+    pub outstanding: u32,
+    /// The prompt, split by what the endpoint is expected to have cached.
     pub prompt: Prompt,
-    /// The work that waited there.
-    pub waited: Duration,
-    /// When its first event is likely to come; none for plain services.
-    pub expected: Option<Duration>,
-    /// How many idle connections this node may keep there.
+    /// The prefill time of the work that was queued ahead of the request.
+    pub queue_delay: Duration,
+    /// The expected time to the first event; `None` for a service without models.
+    pub expected_first_event: Option<Duration>,
+    /// How many idle connections this node may keep to the endpoint.
     pub max_idle: usize,
-    /// Which start of the endpoint it's for.
-    born: Option<u64>,
-    pending: Duration,
+    /// When the endpoint started, in milliseconds of the wall clock; identifies its incarnation.
+    started_ms: Option<u64>,
+    pending_prefill: Duration,
     outcome: Outcome,
 }
 
-/// Whether an answer is all that its endpoint would say.
+/// Whether a response carries all headers in which its endpoint states its own limits. If so, a
+/// missing rate limit means that there is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completeness {
-    /// A successful answer to the request.
+    /// A successful response to the request.
     Whole,
-    /// A failure, a refusal, or none of the request's.
+    /// A failure, a refusal, or a response to another request.
     Partial,
 }
 
 impl Lease {
-    /// A place at the best endpoint for a request, if there is one (see [`offer::best`]).
-    pub fn take(gateway: &Arc<Gateway>, wanted: &Wanted<'_>, heard: &Heard) -> Option<Self> {
+    /// Acquires a lease at the best endpoint for a request, if there is one (see
+    /// [`selection::best`]).
+    pub fn acquire(
+        gateway: &Arc<Gateway>,
+        criteria: &Criteria<'_>,
+        peer_state: &PeerState,
+    ) -> Option<Self> {
         let now = gateway.now();
         let mut directory = gateway.directory.lock();
-        directory.sweep(now);
-        offer::renew_permits(gateway, &mut directory, wanted.service, now);
-        let offer = offer::best(gateway, &directory, wanted, heard)?;
-        let Offer { prompt, busy, waited, .. } = offer;
-        let pace = wanted.model.map(|it| it.pace);
-        let expected = pace.map(|it| offer.first_event(&it));
-        let pending = pace.map_or(Duration::ZERO, |it| it.speed.prefill(prompt));
-        let entry = offer.endpoint.entry.clone();
-        directory.started(&entry.id, pending, now);
-        if let Some(subject) = wanted.subject {
-            gateway.affinity.lock().read(subject, &entry.id, now);
+        directory.remove_lapsed(now);
+        selection::renew_permits(gateway, &mut directory, criteria.service, now);
+        let choice = selection::best(gateway, &directory, criteria, peer_state)?;
+        let Choice { prompt, outstanding, queue_delay, .. } = choice;
+        let latency = criteria.model.map(|it| it.latency);
+        let expected_first_event = latency.map(|it| choice.time_to_first_event(&it));
+        let pending_prefill =
+            latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
+        let entry = choice.endpoint.entry.clone();
+        directory.request_sent(&entry.id, pending_prefill, now);
+        if let Some(prefix_hash) = criteria.prefix_hash {
+            gateway.affinity.lock().record(prefix_hash, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
-                reports.read(Read { subject, endpoint: entry.id.clone() });
+                reports.queue_prefill(Record { prefix_hash, endpoint: entry.id.clone() });
             }
         }
-        gateway.waiting_changed.wake();
-        let max_connections = gateway.service(wanted.service, |it| it.max_connections);
+        gateway.pending_work_changed.wake();
+        let max_connections = gateway.service(criteria.service, |it| it.max_connections);
         let max_idle = max_connections.map(|it| connections::max_idle(it, gateway.n_nodes()));
         Some(Self {
             gateway: Arc::clone(gateway),
             id: entry.id,
             addr: entry.addr,
             version: entry.version,
-            born: entry.born,
-            busy,
+            started_ms: entry.started_ms,
+            outstanding,
             prompt,
-            waited,
-            expected,
+            queue_delay,
+            expected_first_event,
             max_idle: max_idle.unwrap_or(usize::MAX),
-            pending,
-            outcome: Outcome::Dropped,
+            pending_prefill,
+            outcome: Outcome::Abandoned,
         })
     }
 
-    /// Takes in what the endpoint says of itself in an answer.
+    /// Applies the state and the limits that the endpoint announces in a response.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
-        let start = Start { id: self.id.clone(), addr: self.addr, born: self.born };
+        let incarnation =
+            Incarnation { id: self.id.clone(), addr: self.addr, started_ms: self.started_ms };
         let (endpoint, now) = (self.id.as_str(), self.gateway.now());
         let at = self.gateway.store_time().unwrap_or_default();
         let notice = rate_limit::Notice { rate: reply.rate_limit, at };
         let mut directory = self.gateway.directory.lock();
-        if reply.state == State::Leaving && directory.set_leaving(&start, now) {
+        if reply.state == State::Leaving && directory.set_leaving(&incarnation, now) {
             self.gateway.log.write(&Event::Leaving { endpoint, from: "answer" });
         }
         if let Some(length) = reply.pause {
-            directory.pause(&start, length, now);
+            directory.pause(&incarnation, length, now);
             let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
             self.gateway.log.write(&Event::Paused { endpoint, length_ms });
         }
-        // An answer that went wrong may lack what its endpoint says in all others.
-        let tells_limit = completeness == Completeness::Whole || notice.rate.is_some();
-        let is_news = tells_limit && directory.set_rate_limit(&start, &notice, now);
+        // A failed response may lack headers that the endpoint sends in all others.
+        let states_limit = completeness == Completeness::Whole || notice.rate.is_some();
+        let is_changed = states_limit && directory.set_rate_limit(&incarnation, &notice, now);
         drop(directory);
-        if is_news {
-            self.tell_rate_limit(notice);
+        if is_changed {
+            self.report_rate_limit(notice);
         }
     }
 
-    fn tell_rate_limit(&self, notice: rate_limit::Notice) {
+    fn report_rate_limit(&self, notice: rate_limit::Notice) {
         let (endpoint, rate) = (self.id.as_str(), notice.rate);
         self.gateway.log.write(&Event::RateLimit { endpoint, rate, from: "answer" });
         if let Some(reports) = self.gateway.load_reports.get() {
-            reports.limit(&self.id, notice);
-            self.gateway.waiting_changed.wake();
+            reports.queue_limit(&self.id, notice);
+            self.gateway.pending_work_changed.wake();
         }
     }
 
-    /// The first byte of an answer came.
-    pub fn began(&mut self, load: Option<Load>) {
+    /// Records that the first byte of the response arrived.
+    pub fn record_first_byte(&mut self, load: Option<Load>) {
         let now = self.gateway.now();
-        let pending = std::mem::take(&mut self.pending);
-        self.gateway.directory.lock().began(&self.id, pending, load, now);
-        self.gateway.waiting_changed.wake();
+        let pending_prefill = std::mem::take(&mut self.pending_prefill);
+        self.gateway.directory.lock().first_byte_received(&self.id, pending_prefill, load, now);
+        self.gateway.pending_work_changed.wake();
     }
 
-    /// Gives it back.
+    /// Releases the lease with the outcome of the request.
     pub fn close(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -144,14 +153,15 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut directory = self.gateway.directory.lock();
-        directory.finished(&self.id, self.outcome, self.pending, now);
-        let is_lost = matches!(self.outcome, Outcome::NoConnection | Outcome::Gone);
-        if is_lost
-            && directory.reaches_others(now)
+        directory.request_ended(&self.id, self.outcome, self.pending_prefill, now);
+        let is_unreachable =
+            matches!(self.outcome, Outcome::ConnectFailed | Outcome::AddressReused);
+        if is_unreachable
+            && directory.has_recent_answer(now)
             && let Some(reports) = self.gateway.load_reports.get()
         {
-            reports.unreachable(self.id.clone());
-            self.gateway.waiting_changed.wake();
+            reports.queue_unreachable(self.id.clone());
+            self.gateway.pending_work_changed.wake();
         }
     }
 }
--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -1,14 +1,14 @@
-//! The datagrams by which nodes know of each other's work at engines.
+//! Datagrams by which nodes tell each other about their pending work at engines.
 //!
-//! In a small fleet each node tells all others what it has waiting. In a large one it tells only
-//! the [`load_owners`] of the endpoints concerned, and asks the owners of a few candidates before it
-//! places a request. A lost datagram is made good by the next; a question without an answer costs
-//! 15 ms, and the request is placed by what its node knows itself.
+//! In a small fleet, each node reports its pending work to all others. In a large one, it reports
+//! only to the [`load_owners`] of the endpoints concerned, and queries the owners of a few
+//! candidates before it places a request. The next report makes up for a lost one. An unanswered
+//! query costs 15 ms, and the request is then placed by the node's own knowledge.
 //!
 //! [`load_owners`]: crate::load_owners
 
 mod limits;
-mod questions;
+mod queries;
 
 use std::{
     collections::{HashMap, HashSet},
@@ -25,86 +25,87 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-use crate::{Gateway, affinity::Read, load_owners, rate_limit};
+use crate::{Gateway, affinity::Record, load_owners, rate_limit};
 
 use self::limits::Limit;
-pub use self::questions::ask;
+pub use self::queries::query;
 
-/// How often a node with work waiting tells it again.
-const REPEAT: Duration = Duration::from_millis(300);
-/// The least time between two rounds of reports.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Work below this isn't worth telling: less than the way to an engine and back.
-const MIN_WORK: Duration = Duration::from_millis(10);
-/// The largest datagram; what doesn't fit isn't told.
+/// How often a node repeats its report while it has work pending.
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
+/// The minimum interval between two rounds of reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
+/// The minimum pending work to report; less is shorter than the round trip to an engine.
+const MIN_REPORTED_WORK: Duration = Duration::from_millis(10);
+/// The maximum size of a datagram, in bytes. What does not fit is not reported.
 const MAX_DATAGRAM: usize = 1_400;
-/// How many endpoints fit into one.
-const MAX_ENTRIES: usize = 32;
+/// The maximum number of endpoints in a report, so that it fits into a datagram.
+const MAX_REPORTED_ENDPOINTS: usize = 32;
 
-/// How many prompts sent to be read fit into one beside them.
-const MAX_READS: usize = 8;
+/// The maximum number of prompts sent for prefill in a report, beside the endpoints.
+const MAX_REPORTED_PREFILLS: usize = 8;
 
-/// How many unreachable endpoints fit into one beside them.
-const MAX_UNREACHABLE: usize = 8;
+/// The maximum number of unreachable endpoints in a report, beside the others.
+const MAX_REPORTED_UNREACHABLE: usize = 8;
 
-/// Work that waits at endpoints.
-type Waiting = HashMap<endpoint::Id, Duration>;
+/// Work pending at endpoints, as its expected prefill time.
+type PendingWork = HashMap<endpoint::Id, Duration>;
 
-/// What nodes send each other.
+/// A message between nodes.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Message {
-    /// What `node` has waiting, in place of what it told before.
+    /// The work that `node` has pending; replaces its previous report.
     #[serde(rename = "notice")]
     Report {
         node: String,
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
-        waiting: Waiting,
-        /// What it has sent to be read since.
-        #[serde(default)]
-        reads: Vec<Read>,
-        /// The endpoints to which it couldn't open a connection since.
+        waiting: PendingWork,
+        /// The prompts it sent for prefill since then.
+        #[serde(default, rename = "reads")]
+        prefills: Vec<Record>,
+        /// The endpoints to which it could not open a connection since then.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
     },
-    /// What endpoints said of their limits.
+    /// Rate limits reported by endpoints.
     Limits { limits: Vec<Limit> },
-    /// What do all nodes but `node` have waiting at these endpoints?
+    /// Asks how much work all nodes except `node` have pending at these endpoints.
     Question {
         id: u64,
         node: String,
         endpoints: Vec<endpoint::Id>,
-        /// Where were the parts of this subject read?
-        #[serde(default)]
-        subject: Option<u64>,
+        /// Also asks which endpoints have prefilled this prompt prefix: the hash of the model and the
+        /// shared prompt parts.
+        #[serde(default, rename = "subject")]
+        prefix_hash: Option<u64>,
     },
     /// The answer to a question.
     Answer {
         id: u64,
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
-        waiting: Waiting,
-        /// Where the subject's parts were read, if that was asked.
+        waiting: PendingWork,
+        /// The endpoints that have prefilled the prompt prefix, if that was asked.
         #[serde(default)]
         holders: Option<Vec<endpoint::Id>>,
-        /// Those of the endpoints asked about that can't be reached.
+        /// Those of the given endpoints that are unreachable.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
     },
 }
 
-/// What other nodes know that bears on where a request goes.
+/// What other nodes know that matters for placing a request.
 #[derive(Debug, Clone, Default)]
-pub struct Heard {
-    /// The work that they have waiting, for the endpoints asked about.
-    pub waiting: Waiting,
-    /// The endpoints that read the shared parts lately; none if nobody could tell.
+pub struct PeerState {
+    /// The work that they have pending at each of the given endpoints.
+    pub waiting: PendingWork,
+    /// The endpoints that recently prefilled the shared prompt parts; none if unknown.
     pub holders: Option<Vec<endpoint::Id>>,
-    /// Those of the endpoints asked about to which no connection can be opened.
+    /// Those of the given endpoints to which no connection can be opened.
     pub unreachable: Vec<endpoint::Id>,
 }
 
-impl Heard {
+impl PeerState {
     fn extend(&mut self, other: Self) {
         self.waiting.extend(other.waiting);
         self.unreachable.extend(other.unreachable);
@@ -112,199 +113,203 @@
     }
 }
 
-/// The socket, and the questions that wait for answers.
+/// The datagram socket, the queries that await an answer, and what is queued for the next report.
 #[derive(Debug)]
-pub struct Reports {
+pub struct Socket {
     socket: Async<UdpSocket>,
-    next: AtomicU64,
-    asked: Mutex<HashMap<u64, Sender<(u64, Heard)>>>,
-    /// What this node sent to be read and hasn't told yet.
-    reads: Mutex<Vec<Read>>,
-    /// The endpoints that it couldn't reach and hasn't told of yet.
+    next_query_id: AtomicU64,
+    open_queries: Mutex<HashMap<u64, Sender<(u64, PeerState)>>>,
+    /// Prompts sent for prefill that have not been reported yet.
+    prefills: Mutex<Vec<Record>>,
+    /// Unreachable endpoints that have not been reported yet.
     unreachable: Mutex<Vec<endpoint::Id>>,
-    /// What it heard of limits and hasn't told yet.
+    /// Rate limits that have not been reported yet.
     limits: limits::Queue,
 }
 
-impl Reports {
-    /// Reports over `socket`.
+impl Socket {
+    /// Wraps a bound socket.
     pub fn new(socket: Async<UdpSocket>) -> Self {
         Self {
             socket,
-            next: AtomicU64::new(0),
-            asked: Mutex::default(),
-            reads: Mutex::default(),
+            next_query_id: AtomicU64::new(0),
+            open_queries: Mutex::default(),
+            prefills: Mutex::default(),
             unreachable: Mutex::default(),
             limits: limits::Queue::default(),
         }
     }
 
-    /// Notes that parts were sent to be read, to be told with the next report.
-    pub fn read(&self, read: Read) {
-        let mut reads = self.reads.lock();
-        if reads.len() < MAX_READS {
-            reads.push(read);
+    /// Queues the information that prompt parts were sent for prefill, for the next report.
+    pub fn queue_prefill(&self, record: Record) {
+        let mut prefills = self.prefills.lock();
+        if prefills.len() < MAX_REPORTED_PREFILLS {
+            prefills.push(record);
         }
     }
 
-    /// Notes that no connection to an endpoint could be opened, to be told with the next report.
-    pub fn unreachable(&self, endpoint: endpoint::Id) {
+    /// Queues an endpoint to which no connection could be opened, for the next report.
+    pub fn queue_unreachable(&self, endpoint: endpoint::Id) {
         let mut all = self.unreachable.lock();
-        if all.len() < MAX_UNREACHABLE && !all.contains(&endpoint) {
+        if all.len() < MAX_REPORTED_UNREACHABLE && !all.contains(&endpoint) {
             all.push(endpoint);
         }
     }
 
-    /// Notes what an endpoint said of its limit, to be told soon.
-    pub fn limit(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
+    /// Queues what an endpoint reported about its rate limit, to be sent soon.
+    pub fn queue_limit(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
         self.limits.push(endpoint, notice);
     }
 
     async fn send(&self, message: &Message, addr: SocketAddr) {
         let bytes = serde_json::to_vec(message).expect("a message can be written as JSON");
         if let Err(e) = self.socket.send_to(&bytes, addr).await {
-            log::debug!("{addr} can't be told: {e}");
+            log::debug!("cannot send to {addr}: {e}");
         }
     }
 }
 
-/// Tells the others and listens to them, for as long as the process lives.
-pub async fn run(gateway: Arc<Gateway>, reports: Arc<Reports>) {
-    let hears = hear(Arc::clone(&gateway), Arc::clone(&reports));
-    gateway.ex.spawn(hears).detach();
-    let mut told = HashSet::new();
+/// Sends reports and handles messages from others, for the lifetime of the process.
+pub async fn run(gateway: Arc<Gateway>, reports: Arc<Socket>) {
+    let receiver = receive(Arc::clone(&gateway), Arc::clone(&reports));
+    gateway.ex.spawn(receiver).detach();
+    let mut reported_to = HashSet::new();
     loop {
-        wait_for_news(&gateway, &reports, &told).await;
-        told = tell(&gateway, &reports, told).await;
-        limits::tell(&gateway, &reports).await;
-        Timer::after(PAUSE).await;
+        wait_for_changes(&gateway, &reports, &reported_to).await;
+        reported_to = send_reports(&gateway, &reports, reported_to).await;
+        limits::send(&gateway, &reports).await;
+        Timer::after(MIN_REPORT_INTERVAL).await;
     }
 }
 
-/// Waits until there may be something to tell. Whoever was told of work is told again after a while.
-async fn wait_for_news(gateway: &Gateway, reports: &Reports, told: &HashSet<SocketAddr>) {
-    let changed = gateway.waiting_changed.wait();
-    // What came while others were being told woke nobody.
+/// Waits until there may be something to report. Nodes that were told of pending work are told
+/// again after a while.
+async fn wait_for_changes(gateway: &Gateway, reports: &Socket, reported_to: &HashSet<SocketAddr>) {
+    let changed = gateway.pending_work_changed.wait();
+    // The signal has no effect while reports are being sent, so limits may have been queued since.
     if !reports.limits.is_empty() {
         return;
     }
-    let again = async {
-        match told.is_empty() {
+    let repeat = async {
+        match reported_to.is_empty() {
             true => std::future::pending().await,
             false => {
-                Timer::after(REPEAT).await;
+                Timer::after(REPORT_INTERVAL).await;
             }
         }
     };
-    future::or(changed, again).await;
+    future::or(changed, repeat).await;
 }
 
-async fn hear(gateway: Arc<Gateway>, reports: Arc<Reports>) {
+async fn receive(gateway: Arc<Gateway>, reports: Arc<Socket>) {
     let mut bytes = [0; MAX_DATAGRAM];
     loop {
         match reports.socket.recv_from(&mut bytes).await {
             Ok((n, from)) => match serde_json::from_slice(&bytes[..n]) {
-                Ok(message) => take(&gateway, &reports, message, from).await,
-                Err(e) => log::debug!("a message of {from} can't be read: {e}"),
+                Ok(message) => handle(&gateway, &reports, message, from).await,
+                Err(e) => log::debug!("malformed message from {from}: {e}"),
             },
             Err(e) => {
-                log::debug!("no message can be received: {e}");
-                Timer::after(PAUSE).await;
+                log::debug!("cannot receive messages: {e}");
+                Timer::after(MIN_REPORT_INTERVAL).await;
             }
         }
     }
 }
 
-async fn take(gateway: &Gateway, reports: &Reports, message: Message, from: SocketAddr) {
+async fn handle(gateway: &Gateway, reports: &Socket, message: Message, from: SocketAddr) {
     let now = gateway.now();
     match message {
-        Message::Report { node, waiting, reads, unreachable } => {
-            gateway.load_table.lock().report(node, waiting, now);
+        Message::Report { node, waiting, prefills, unreachable } => {
+            gateway.load_table.lock().update(node, waiting, now);
             let mut directory = gateway.directory.lock();
-            unreachable.iter().for_each(|it| directory.reported_unreachable(it, now));
+            unreachable.iter().for_each(|it| directory.report_unreachable(it, now));
             drop(directory);
             let mut affinity = gateway.affinity.lock();
-            reads.iter().for_each(|it| affinity.read(it.subject, &it.endpoint, now));
+            prefills.iter().for_each(|it| affinity.record(it.prefix_hash, &it.endpoint, now));
         }
         Message::Limits { limits } => {
-            limits.iter().for_each(|it| limits::hear(gateway, reports, it));
+            limits.iter().for_each(|it| limits::receive(gateway, reports, it));
         }
-        Message::Question { id, node, endpoints, subject } => {
-            let Heard { waiting, holders, unreachable } = kept(gateway, endpoints, subject, &node);
+        Message::Question { id, node, endpoints, prefix_hash } => {
+            let PeerState { waiting, holders, unreachable } =
+                local_state(gateway, endpoints, prefix_hash, &node);
             reports.send(&Message::Answer { id, waiting, holders, unreachable }, from).await;
         }
         Message::Answer { id, waiting, holders, unreachable } => {
-            let asked = reports.asked.lock().remove(&id);
-            // Whoever asked may have gone on without it.
-            let _late = asked.map(|it| it.try_send((id, Heard { waiting, holders, unreachable })));
+            let query = reports.open_queries.lock().remove(&id);
+            // The query may have timed out already.
+            let _late =
+                query.map(|it| it.try_send((id, PeerState { waiting, holders, unreachable })));
         }
     }
 }
 
-/// What all nodes but `asker` have waiting at `endpoints`, and where `subject` was read, as far as this
-/// node was told.
-fn kept(
+/// The work that all nodes except `requester` have pending at `endpoints`, and the endpoints
+/// that have prefilled the prompt prefix, as far as this node was told.
+fn local_state(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
-    subject: Option<u64>,
-    asker: &str,
-) -> Heard {
-    let holders = subject.map(|it| gateway.affinity.lock().holders(it, gateway.now()));
+    prefix_hash: Option<u64>,
+    requester: &str,
+) -> PeerState {
+    let holders = prefix_hash.map(|it| gateway.affinity.lock().holders(it, gateway.now()));
     let (directory, load_table, now) =
         (gateway.directory.lock(), gateway.load_table.lock(), gateway.now());
     let own = &gateway.settings.node;
     let waiting = |id: &endpoint::Id| {
-        let of_others = load_table.waiting(id, asker, now);
-        let of_this = directory.tracked(id).map_or(Duration::ZERO, |it| it.pending);
-        // This node doesn't tell itself.
-        if own == asker { of_others } else { of_others + of_this }
+        let others_work = load_table.waiting(id, requester, now);
+        let own_work = directory.get(id).map_or(Duration::ZERO, |it| it.pending);
+        // A node does not send reports to itself, so only other requesters get its own work added.
+        if own == requester { others_work } else { others_work + own_work }
     };
     let is_unreachable =
-        |id: &&endpoint::Id| directory.tracked(id).is_some_and(|it| it.is_unreachable(now));
+        |id: &&endpoint::Id| directory.get(id).is_some_and(|it| it.is_unreachable(now));
     let unreachable = endpoints.iter().filter(is_unreachable).cloned().collect();
     let waiting = endpoints.into_iter().map(|id| (id.clone(), waiting(&id))).collect();
-    Heard { waiting, holders, unreachable }
+    PeerState { waiting, holders, unreachable }
 }
 
-/// Tells others what this node has waiting: all of them, or the owners of the endpoints. Returns
-/// who was told of any work; whoever was before is told that there's none.
-async fn tell(
+/// Reports this node's pending work: to all nodes, or to the owners of the endpoints. Returns the
+/// nodes that were told of any work. Nodes in `previous` that have no work to be told of any more
+/// get an empty report.
+async fn send_reports(
     gateway: &Gateway,
-    reports: &Reports,
-    before: HashSet<SocketAddr>,
+    reports: &Socket,
+    previous: HashSet<SocketAddr>,
 ) -> HashSet<SocketAddr> {
-    let waiting: Waiting = {
+    let waiting: PendingWork = {
         let directory = gateway.directory.lock();
-        let all = directory.all().filter(|it| MIN_WORK <= it.pending);
-        all.map(|it| (it.entry.id.clone(), it.pending)).take(MAX_ENTRIES).collect()
+        let all = directory.all().filter(|it| MIN_REPORTED_WORK <= it.pending);
+        all.map(|it| (it.entry.id.clone(), it.pending)).take(MAX_REPORTED_ENDPOINTS).collect()
     };
-    let reads = std::mem::take(&mut *reports.reads.lock());
+    let prefills = std::mem::take(&mut *reports.prefills.lock());
     let unreachable = std::mem::take(&mut *reports.unreachable.lock());
-    let mut shares = shares(gateway, Share { waiting, reads, unreachable });
-    for addr in before {
-        shares.entry(addr).or_default();
+    let mut reports_by_node = reports_by_node(gateway, Report { waiting, prefills, unreachable });
+    for addr in previous {
+        reports_by_node.entry(addr).or_default();
     }
-    let mut told = HashSet::new();
-    for (addr, Share { waiting, reads, unreachable }) in shares {
+    let mut reported_to = HashSet::new();
+    for (addr, Report { waiting, prefills, unreachable }) in reports_by_node {
         if !waiting.is_empty() {
-            told.insert(addr);
+            reported_to.insert(addr);
         }
         let node = gateway.settings.node.clone();
-        reports.send(&Message::Report { node, waiting, reads, unreachable }, addr).await;
+        reports.send(&Message::Report { node, waiting, prefills, unreachable }, addr).await;
     }
-    told
+    reported_to
 }
 
-/// What one node is told.
+/// The contents of a report to one node.
 #[derive(Debug, Clone, Default)]
-struct Share {
-    waiting: Waiting,
-    reads: Vec<Read>,
+struct Report {
+    waiting: PendingWork,
+    prefills: Vec<Record>,
     unreachable: Vec<endpoint::Id>,
 }
 
-/// Who is told what of `all`.
-fn shares(gateway: &Gateway, all: Share) -> HashMap<SocketAddr, Share> {
+/// Splits `all` into the report for each node.
+fn reports_by_node(gateway: &Gateway, all: Report) -> HashMap<SocketAddr, Report> {
     let own = gateway.settings.reports;
     let peers = gateway.peers.lock();
     if !load_owners::are_used(peers.len()) {
@@ -313,24 +318,24 @@
     }
     drop(peers);
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
-    let mut shares: HashMap<SocketAddr, Share> = HashMap::new();
+    let mut reports_by_node: HashMap<SocketAddr, Report> = HashMap::new();
     for (id, work) in all.waiting {
-        let owner = owners.of(&id, now).filter(|it| Some(*it) != own);
+        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
-            shares.entry(addr).or_default().waiting.insert(id, work);
+            reports_by_node.entry(addr).or_default().waiting.insert(id, work);
         }
     }
     for id in all.unreachable {
-        let owner = owners.of(&id, now).filter(|it| Some(*it) != own);
+        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
-            shares.entry(addr).or_default().unreachable.push(id);
+            reports_by_node.entry(addr).or_default().unreachable.push(id);
         }
     }
-    for read in all.reads {
-        let owner = owners.of_subject(read.subject, now).filter(|it| Some(*it) != own);
+    for record in all.prefills {
+        let owner = owners.owner_of_hash(record.prefix_hash, now).filter(|it| Some(*it) != own);
         if let Some(addr) = owner {
-            shares.entry(addr).or_default().reads.push(read);
+            reports_by_node.entry(addr).or_default().prefills.push(record);
         }
     }
-    shares
+    reports_by_node
 }
--- a/crates/curranthook_gateway/src/rate_limit.rs
+++ b/crates/curranthook_gateway/src/rate_limit.rs
@@ -1,8 +1,8 @@
-//! The rate that an endpoint names in its answers: what it takes from all nodes together.
+//! The rate limit that an endpoint reports in its answers: what it accepts from all nodes together.
 //!
-//! The fleet shares it by [`permit`]. Who holds the permits changes from turn to turn, so
-//! that each node sends a request now and then and hears whether the endpoint still names a limit. A node
-//! that hears of a change tells others (see [`load_reports`](crate::load_reports)).
+//! The fleet shares the rate by [`permit`]. The holders of the permits rotate, so that each node
+//! sends a request now and then and learns whether the endpoint still reports a limit. A node that
+//! learns of a change tells others (see [`load_reports`](crate::load_reports)).
 
 use std::time::{Duration, Instant};
 
@@ -11,54 +11,62 @@
 use crate::permit::{self, Share};
 
 /// How long the same nodes hold the permits of an endpoint.
-const TURN: Duration = Duration::from_secs(4);
-/// The part of the rate that is handed out. What is left covers requests that are sent before they are due,
-/// and nodes that don't know of each other yet.
-const GRANTED: f64 = 0.85;
-/// How many requests a node may send before they are due. Requests come at random, and what can't be sent
-/// the moment it comes is refused or burdens other endpoints, while permits go unused.
-const BURST: u32 = 1;
-/// The least rate that is handed out, in requests a second: some node has to ask an endpoint that takes
-/// nothing whether it still does.
-const MIN_RATE: f64 = 0.25;
+const ROTATION_PERIOD: Duration = Duration::from_secs(4);
+/// The share of the rate that is granted. The rest covers requests that are sent before they are
+/// due, and nodes that do not know of each other yet.
+const GRANTED_SHARE: f64 = 0.85;
+/// How many requests a node may send before they are due. Requests arrive at random. One that could
+/// not be sent on arrival would be refused or add to the load of other endpoints, while permits
+/// stay unused.
+const MAX_BURST: u32 = 1;
+/// The minimum rate that is granted, in requests per second. Some node has to keep checking whether
+/// an endpoint that accepts nothing still does so.
+const MIN_GRANTED_RATE: f64 = 0.25;
 
-/// What an endpoint said of its limit.
+/// What an endpoint reported about its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Notice {
-    /// The requests a second that it takes; none if it names no limit.
+    /// The requests per second that it accepts; none if it reports no limit.
     pub rate: Option<f64>,
-    /// When it said so, by the store's clock.
+    /// When it reported that, by the store's clock.
     pub at: Duration,
 }
 
-/// The limit of an endpoint, as one node takes part in it.
+/// The rate limit of an endpoint, and this node's share of it.
 #[derive(Debug, Clone, Copy)]
 pub struct RateLimit {
-    /// The requests a second that the endpoint takes from all nodes.
+    /// The requests per second that the endpoint accepts from all nodes.
     pub rate: f64,
     share: Share,
-    turn: Option<u64>,
+    rotation: Option<u64>,
 }
 
-/// The least time between two requests of `node` to `endpoint`, all as hashes, if the fleet of `nodes` may
-/// send it `rate` requests a second; none if it's not this node's turn.
+/// The minimum interval between two requests from `node` to `endpoint` if all `nodes` together may
+/// send it `rate` requests per second; none if the node holds no permit in this rotation. Nodes and
+/// endpoints are given as hashes.
 ///
-/// Guards against an endpoint in need that gets from each node what it takes from all of them.
+/// Prevents each node from sending an overloaded endpoint as much as it accepts from all of them.
 ///
 /// ```
 /// # use curranthook_gateway::rate_limit;
 /// let nodes: Vec<u64> = (0..6).collect();
-/// let holder = |turn| {
-///     nodes.iter().position(|it| rate_limit::interval(1.0, 7, turn, *it, &nodes).is_some())
+/// let holder = |rotation| {
+///     nodes.iter().position(|it| rate_limit::interval(1.0, 7, rotation, *it, &nodes).is_some())
 /// };
-/// assert!((0..60).all(|turn| holder(turn).is_some()));
-/// assert!((0..6).all(|node| (0..60).any(|turn| holder(turn) == Some(node))));
+/// assert!((0..60).all(|rotation| holder(rotation).is_some()));
+/// assert!((0..6).all(|node| (0..60).any(|rotation| holder(rotation) == Some(node))));
 /// ```
-pub fn interval(rate: f64, endpoint: u64, turn: u64, node: u64, nodes: &[u64]) -> Option<Duration> {
-    permit::interval(granted(rate), hash::pair(endpoint, turn), node, nodes)
+pub fn interval(
+    rate: f64,
+    endpoint: u64,
+    rotation: u64,
+    node: u64,
+    nodes: &[u64],
+) -> Option<Duration> {
+    permit::interval(granted(rate), hash::pair(endpoint, rotation), node, nodes)
 }
 
-/// The requests a second that the fleet may send to an endpoint that names `rate`.
+/// The requests per second that the fleet may send to an endpoint that reports a limit of `rate`.
 ///
 /// ```
 /// # use curranthook_gateway::rate_limit;
@@ -66,16 +74,16 @@
 /// assert!(0.0 < rate_limit::granted(0.0));
 /// ```
 pub fn granted(rate: f64) -> f64 {
-    (rate * GRANTED).max(MIN_RATE)
+    (rate * GRANTED_SHARE).max(MIN_GRANTED_RATE)
 }
 
-/// The turn at a time of the store's clock.
-pub fn turn(time: Duration) -> u64 {
-    time.as_secs() / TURN.as_secs()
+/// The number of the rotation at a time of the store's clock.
+pub fn rotation(time: Duration) -> u64 {
+    time.as_secs() / ROTATION_PERIOD.as_secs()
 }
 
 impl RateLimit {
-    /// A limit of `rate` requests a second that was named just now.
+    /// A limit of `rate` requests per second, with no permit yet.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -88,26 +96,27 @@
     /// assert!(limit.is_outdated(8, now));
     /// ```
     pub fn new(rate: f64) -> Self {
-        Self { rate, share: Share::default().with_burst(BURST), turn: None }
+        Self { rate, share: Share::default().with_burst(MAX_BURST), rotation: None }
     }
 
-    /// The same limit at another rate.
+    /// The same limit at another rate; its permit has to be recomputed.
     pub fn with_rate(self, rate: f64) -> Self {
-        Self { rate, turn: None, ..self }
+        Self { rate, rotation: None, ..self }
     }
 
-    /// Whether the node has to work out its permit again.
-    pub fn is_outdated(&self, turn: u64, now: Instant) -> bool {
-        self.turn != Some(turn) || self.share.is_outdated(now)
+    /// Whether the permit has to be recomputed.
+    pub fn is_outdated(&self, rotation: u64, now: Instant) -> bool {
+        self.rotation != Some(rotation) || self.share.is_outdated(now)
     }
 
-    /// Sets the least time between two requests in a turn; none if there may be none.
-    pub fn set_interval(&mut self, interval: Option<Duration>, turn: u64, now: Instant) {
+    /// Sets the minimum interval between two requests in a rotation; none if the node may send no
+    /// requests.
+    pub fn set_interval(&mut self, interval: Option<Duration>, rotation: u64, now: Instant) {
         let had_permit = self.share.interval().is_some();
-        self.turn = Some(turn);
+        self.rotation = Some(rotation);
         self.share.set_interval(interval, now);
         if let Some(interval) = interval.filter(|_| !had_permit) {
-            // Whoever held the permit before may have used it just now.
+            // The previous holder of the permit may just have used it.
             self.share.defer(now + interval / 2);
         }
     }
@@ -117,7 +126,7 @@
         self.share.admits(now)
     }
 
-    /// A request was sent.
+    /// Records that a request was sent.
     pub fn sent(&mut self, now: Instant) {
         self.share.sent(now);
     }
--- /dev/null
+++ b/crates/curranthook_gateway/src/selection.rs
@@ -0,0 +1,344 @@
+//! Selects the endpoint for a request, based on the load, failures and cached prefixes that the
+//! node knows of each endpoint.
+
+use std::{
+    cell::LazyCell,
+    time::{Duration, Instant},
+};
+
+use curranthook_policy::hash;
+use curranthook_types::endpoint;
+
+use crate::{
+    Gateway, cascade,
+    directory::{Directory, Permits, Tracked},
+    latency::Estimate,
+    load_owners,
+    load_reports::PeerState,
+    permit,
+    placement::{self, CacheHolders, Candidate, Locality, Task},
+    prefill::Prompt,
+    rate_limit,
+    rollouts::Rule,
+    slow_start,
+};
+
+/// The assumed processing time of a request to a service without models.
+const DEFAULT_PROCESSING_TIME: Duration = Duration::from_millis(50);
+
+/// The number of endpoints whose load is queried from peers before a request is placed. Each query
+/// costs two datagrams.
+const SHORTLIST_LEN: usize = 4;
+
+/// What a request requires of an endpoint.
+#[derive(Debug, Clone, Copy)]
+pub struct Criteria<'a> {
+    /// The service that the request is sent to.
+    pub service: &'a str,
+    /// The versions that the request may be sent to.
+    pub rule: &'a Rule,
+    /// The endpoints that earlier attempts were sent to.
+    pub tried: &'a [endpoint::Id],
+    /// The hash of the model and of the prompt prefix that the request shares with others.
+    pub prefix_hash: Option<u64>,
+    /// The number of tokens of that prefix.
+    pub prefix_tokens: u64,
+    /// The number of tokens of the whole prompt.
+    pub prompt_tokens: u64,
+    /// The model; `None` for a service without models.
+    pub model: Option<TargetModel>,
+    /// A value that differs between requests, to break ties.
+    pub salt: u64,
+}
+
+/// The model that is to answer the request.
+#[derive(Debug, Clone, Copy)]
+pub struct TargetModel {
+    /// The model's price relative to the most expensive model of the service.
+    pub relative_price: f64,
+    /// The model's estimated latency.
+    pub latency: Estimate,
+}
+
+impl Criteria<'_> {
+    /// The prompt as an engine processes it, with or without the prefix in its cache.
+    fn prompt(&self, has_prefix_cached: bool) -> Prompt {
+        Prompt::new(self.prompt_tokens, if has_prefix_cached { self.prefix_tokens } else { 0 })
+    }
+
+    fn prefill(&self, has_prefix_cached: bool) -> Duration {
+        let prompt = self.prompt(has_prefix_cached);
+        self.model.map_or(Duration::ZERO, |it| it.latency.coefficients.prefill_time(prompt))
+    }
+
+    fn task(&self, holders: CacheHolders) -> Task {
+        let prefix_prefill = self.prefill(false).saturating_sub(self.prefill(true));
+        Task { prefix_hash: self.prefix_hash, prefix_prefill, holders, salt: self.salt }
+    }
+}
+
+/// The selected endpoint and its estimated load when the request arrives.
+#[derive(Debug)]
+pub struct Choice<'a> {
+    /// The selected endpoint.
+    pub endpoint: &'a Tracked,
+    /// The prompt, split by what the endpoint is expected to have cached.
+    pub prompt: Prompt,
+    /// The estimated number of queued and running requests at the endpoint.
+    pub outstanding: u32,
+    /// The prefill time of the work that is queued at the endpoint ahead of the request.
+    pub queue_delay: Duration,
+}
+
+impl Choice<'_> {
+    /// The expected time to the first event, for a model with this `latency`.
+    pub fn time_to_first_event(&self, latency: &Estimate) -> Duration {
+        latency.time_to_first_event(self.prompt, self.outstanding, self.queue_delay)
+    }
+}
+
+/// The best endpoint for a request, if there is one. `peer_state` contains the load that other
+/// nodes put on some endpoints; if it covers any eligible endpoint, only covered ones are
+/// considered.
+pub fn best<'a>(
+    gateway: &Gateway,
+    directory: &'a Directory,
+    criteria: &Criteria<'_>,
+    peer_state: &PeerState,
+) -> Option<Choice<'a>> {
+    let now = gateway.now();
+    let ready: Vec<&Tracked> = directory.ready(criteria.service).collect();
+    let mut endpoints = eligible(&ready, criteria, now);
+    if endpoints.iter().any(|it| peer_state.waiting.contains_key(&it.entry.id)) {
+        // The load of endpoints that are not covered is unknown, so they would seem idle.
+        endpoints.retain(|it| peer_state.waiting.contains_key(&it.entry.id));
+    }
+    let (holders, candidates) = candidates(gateway, &endpoints, criteria, peer_state, now);
+    let index = placement::choose(&candidates, &criteria.task(holders))?;
+    let endpoint = endpoints[index];
+    Some(Choice {
+        prompt: criteria.prompt(candidates[index].has_prefix_cached),
+        outstanding: endpoint.estimated_requests(now),
+        queue_delay: queue_delay(
+            endpoint,
+            criteria,
+            remote_queue(gateway, &endpoint.entry.id, peer_state, now),
+        ),
+        endpoint,
+    })
+}
+
+/// The endpoints whose load is queried from peers before a request is placed, the best first
+/// according to the load that this node knows; empty in a small fleet, whose nodes report their
+/// load to each other.
+pub fn shortlist(gateway: &Gateway, criteria: &Criteria<'_>) -> Vec<endpoint::Id> {
+    if criteria.model.is_none() || !load_owners::are_used(gateway.n_nodes()) {
+        return Vec::new();
+    }
+    let now = gateway.now();
+    let mut directory = gateway.directory.lock();
+    renew_permits(gateway, &mut directory, criteria.service, now);
+    let ready: Vec<&Tracked> = directory.ready(criteria.service).collect();
+    let endpoints = eligible(&ready, criteria, now);
+    let (holders, candidates) =
+        candidates(gateway, &endpoints, criteria, &PeerState::default(), now);
+    let indices = placement::best(&candidates, &criteria.task(holders), SHORTLIST_LEN);
+    indices.into_iter().map(|it| endpoints[it].entry.id.clone()).collect()
+}
+
+/// The limits of endpoints that match a request but admit none from this node now.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Throttled {
+    /// The requests per second that all nodes together may send to those endpoints whose rate is
+    /// shared.
+    pub rate: f64,
+    /// When the first pause that one of them requested ends.
+    pub resumes_at: Option<Instant>,
+}
+
+/// The limits of the endpoints that match a request but admit none from this node now; `None` if no
+/// endpoint does.
+pub fn throttled(gateway: &Gateway, criteria: &Criteria<'_>) -> Option<Throttled> {
+    let now = gateway.now();
+    let slow_start_rate = gateway.service(criteria.service, |it| it.slow_start_rate);
+    let directory = gateway.directory.lock();
+    let ready = directory.ready(criteria.service);
+    let blocked = ready.filter(|it| criteria.rule.allows(&it.entry.version) && !it.admits(now));
+    blocked.fold(None, |sum, it| {
+        let Throttled { rate, resumes_at } = sum.unwrap_or_default();
+        let endpoint_rate = it.throttled_rate(slow_start_rate, now).unwrap_or_default();
+        let resumes_at = resumes_at.into_iter().chain(it.paused_until(now)).min();
+        Some(Throttled { rate: rate + endpoint_rate, resumes_at })
+    })
+}
+
+/// Recomputes the rate at which this node may send requests to those endpoints of `service` whose
+/// rate limit all nodes share.
+pub fn renew_permits(gateway: &Gateway, directory: &mut Directory, service: &str, now: Instant) {
+    let node_hashes = LazyCell::new(|| {
+        let peers = gateway.peers.lock();
+        peers.keys().map(|it| hash::bytes(it.as_bytes())).collect::<Vec<_>>()
+    });
+    let permits = FleetPermits {
+        slow_start_rate: gateway.service(service, |it| it.slow_start_rate),
+        rotation: rate_limit::rotation(gateway.store_time().unwrap_or_default()),
+        node_hash: hash::bytes(gateway.settings.node.as_bytes()),
+        node_hashes,
+    };
+    directory.renew_permits(service, &permits, now);
+}
+
+/// Divides the rates that endpoints grant to the whole fleet among its nodes.
+struct FleetPermits<F> {
+    slow_start_rate: Option<f64>,
+    rotation: u64,
+    /// The hash of this node's name.
+    node_hash: u64,
+    /// The hashes of all nodes' names.
+    node_hashes: LazyCell<Vec<u64>, F>,
+}
+
+impl<F: FnOnce() -> Vec<u64>> Permits for FleetPermits<F> {
+    fn slow_start(&self, endpoint: u64) -> Option<Duration> {
+        match self.slow_start_rate {
+            Some(rate) => permit::interval(
+                slow_start::granted(rate),
+                endpoint,
+                self.node_hash,
+                &self.node_hashes,
+            ),
+            None => Some(Duration::ZERO),
+        }
+    }
+
+    fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration> {
+        rate_limit::interval(rate, endpoint, self.rotation, self.node_hash, &self.node_hashes)
+    }
+
+    fn rotation(&self) -> u64 {
+        self.rotation
+    }
+}
+
+fn candidates(
+    gateway: &Gateway,
+    endpoints: &[&Tracked],
+    criteria: &Criteria<'_>,
+    peer_state: &PeerState,
+    now: Instant,
+) -> (CacheHolders, Vec<Candidate>) {
+    let own_record = || {
+        let prefix_hash = criteria.prefix_hash?;
+        Some(gateway.affinity.lock().holders(prefix_hash, now))
+    };
+    // The nodes of a small fleet report to all others which prefixes they sent to which endpoints.
+    let are_holders_known =
+        peer_state.holders.is_some() || !load_owners::are_used(gateway.n_nodes());
+    let holders = if are_holders_known { CacheHolders::Known } else { CacheHolders::Guessed };
+    let cached_at = peer_state.holders.clone().or_else(own_record).unwrap_or_default();
+    let candidate = |it: &&Tracked| Candidate {
+        id_hash: it.id_hash,
+        wait: expected_wait(
+            it,
+            criteria,
+            remote_queue(gateway, &it.entry.id, peer_state, now),
+            now,
+        ),
+        failure_rate: it.failures,
+        locality: locality(gateway, it),
+        has_prefix_cached: cached_at.contains(&it.entry.id),
+    };
+    (holders, endpoints.iter().map(candidate).collect())
+}
+
+/// The prefill time of the work that other nodes have queued at an endpoint.
+fn remote_queue(
+    gateway: &Gateway,
+    id: &endpoint::Id,
+    peer_state: &PeerState,
+    now: Instant,
+) -> Duration {
+    let reported = peer_state.waiting.get(id).copied();
+    reported.unwrap_or_else(|| gateway.load_table.lock().waiting(id, &gateway.settings.node, now))
+}
+
+/// The endpoints to choose from, among those that admit a request now. Endpoints that were tried
+/// before, are ejected, or run a version that the request should not go to are considered only if
+/// there are no others.
+fn eligible<'a>(ready: &[&'a Tracked], criteria: &Criteria<'_>, now: Instant) -> Vec<&'a Tracked> {
+    let is_allowed = |it: &Tracked| criteria.rule.allows(&it.entry.version);
+    let is_untried = |it: &Tracked| !criteria.tried.contains(&it.entry.id);
+    let select = |predicate: &dyn Fn(&Tracked) -> bool| -> Vec<&'a Tracked> {
+        ready.iter().copied().filter(|it| it.admits(now) && predicate(it)).collect()
+    };
+    // A new version gets no requests as long as its rollout order may still be on the way, unless
+    // the rule already follows from an order.
+    let is_order_known =
+        |it: &Tracked| *criteria.rule != Rule::Any || it.is_established_version(now);
+    // A version whose endpoints are throttled still exists: no other version replaces it.
+    let is_throttled = |it: &Tracked| !it.admits(now) && is_allowed(it) && is_order_known(it);
+    let has_throttled = ready.iter().any(|it| is_throttled(it));
+    let is_usable = |it: &Tracked| is_allowed(it) && (is_order_known(it) || !has_throttled);
+    let preferences: [&dyn Fn(&Tracked) -> bool; 4] = [
+        &|it| is_allowed(it) && is_order_known(it) && is_untried(it) && !it.is_ejected(now),
+        &|it| is_usable(it) && is_untried(it) && !it.is_ejected(now),
+        &|it| is_usable(it) && is_untried(it),
+        &|it| is_usable(it),
+    ];
+    for predicate in preferences {
+        let matching = select(predicate);
+        if !matching.is_empty() {
+            return matching;
+        }
+    }
+    // No endpoint runs an allowed version. Once the rollout has begun to move requests to the
+    // target version or away from it, any other version is better than a refusal.
+    match criteria.rule {
+        Rule::Only(_) => select(&|it| is_untried(it)),
+        // No other version is left, so the rollout is over, even if this node has not received that
+        // state yet.
+        Rule::Not(_) if !has_throttled => select(&|it| is_untried(it) && !it.is_ejected(now)),
+        Rule::Not(_) | Rule::Any => Vec::new(),
+    }
+}
+
+fn expected_wait(
+    endpoint: &Tracked,
+    criteria: &Criteria<'_>,
+    remote_queue: Duration,
+    now: Instant,
+) -> Duration {
+    let outstanding = endpoint.estimated_requests(now);
+    if let Some(model) = criteria.model {
+        return queue_delay(endpoint, criteria, remote_queue)
+            + model.latency.coefficients.delay_per_concurrent_request() * outstanding;
+    }
+    // One millisecond per outstanding request prefers the less loaded of endpoints with free slots.
+    let slots = endpoint.entry.slots.max(1);
+    let waiting = (outstanding + 1).saturating_sub(slots);
+    DEFAULT_PROCESSING_TIME * waiting / slots + Duration::from_millis(1) * outstanding
+}
+
+/// The time that queued work delays the request.
+fn queue_delay(endpoint: &Tracked, criteria: &Criteria<'_>, remote_queue: Duration) -> Duration {
+    let waiting = endpoint.pending + remote_queue;
+    // Engines serve small models first, so requests to them only wait for the prefill that is in
+    // progress, which is taken to be an eighth of the queued work.
+    let is_small_model = criteria
+        .model
+        .is_some_and(|it| it.relative_price < cascade::LARGE_MODEL_MIN_RELATIVE_PRICE);
+    if is_small_model { waiting / 8 } else { waiting }
+}
+
+fn locality(gateway: &Gateway, endpoint: &Tracked) -> Locality {
+    if endpoint.entry.domain == gateway.settings.domain {
+        Locality::SameDomain
+    } else {
+        Locality::DifferentDomain
+    }
+}
+
+/// The hash of the model and of the shared prompt prefix, which determines the preferred endpoint.
+pub fn prefix_hash(prompt_prefix_hash: Option<u64>, model: &str) -> Option<u64> {
+    prompt_prefix_hash.map(|it| hash::pair(it, hash::bytes(model.as_bytes())))
+}
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -1,7 +1,8 @@
-//! An answer that is a stream of events, passed on as they come.
+//! Responses that are streams of events, forwarded as they arrive.
 //!
-//! If the endpoint breaks off or goes silent, another one goes on after the last whole event, as
-//! far as the route allows that. The caller sees one answer, with the head of the first endpoint.
+//! If the endpoint disconnects or stalls, another endpoint continues after the last complete event,
+//! as far as the route allows. The caller sees a single response, with the head from the first
+//! endpoint.
 
 use std::time::{Duration, Instant};
 
@@ -12,56 +13,59 @@
 use hyper::body::Frame;
 
 use crate::{
-    attempt::{Cause, Open},
+    attempt::{Cause, Exchange},
     directory::Outcome,
-    job::{self, End, Job},
+    job::{self, Job, Summary},
     refusal::Refusal,
     splitter::Splitter,
 };
 
-/// An endpoint that lets this many times the longest pause go by without an event has stopped:
-/// the answer is late already, and callers leave soon after.
-const SILENT_PAUSES: u32 = 2;
-/// The least time after which an endpoint counts as silent, as it may read other prompts between.
-const MIN_SILENCE: Duration = Duration::from_millis(1_500);
+/// The time without an event after which an endpoint counts as stalled, as a multiple of the
+/// route's `max_event_gap`. By then the stream is late already, and callers cancel soon after.
+const IDLE_TIMEOUT_GAP_FACTOR: u32 = 2;
+/// The shortest time after which an endpoint counts as stalled, since it may prefill other prompts
+/// between two events.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a stream ends before its end.
+/// Why a stream is aborted.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream broke off: {}", .0.reason.name())]
-struct Broken(Refusal);
+#[error("stream aborted: {}", .0.reason.name())]
+struct Aborted(Refusal);
 
-/// A stream on its way to its caller. Dropping it tells the endpoint to stop.
+/// A stream that is forwarded to its caller. Dropping it closes the connection, upon which the
+/// endpoint stops.
 #[derive(Debug)]
 struct Relay {
     job: Job,
-    open: Option<Open>,
+    exchange: Option<Exchange>,
     splitter: Splitter,
     status: u16,
-    first: Duration,
-    /// How many events came from the present endpoint, and since when.
-    events: u32,
-    since: Instant,
-    /// When the stream last got on, by an event that its caller doesn't have yet.
-    got_on: Instant,
-    /// How many events the caller got in all, and when the last of them, after the request came.
-    passed_on: u32,
-    last_event: Duration,
+    first_byte_after: Duration,
+    /// The number of events received from the current endpoint, and when its response began.
+    n_events: u32,
+    started_at: Instant,
+    /// When the last event arrived that was new to the caller.
+    last_progress_at: Instant,
+    /// The number of events forwarded to the caller in total, and the time from the request's
+    /// arrival to the last of them.
+    n_forwarded: u32,
+    last_event_after: Duration,
     is_done: bool,
 }
 
-/// The body of an answer that has begun.
-pub fn body(job: Job, open: Open) -> Body {
+/// The response body that continues `exchange`.
+pub fn body(job: Job, exchange: Exchange) -> Body {
     let relay = Relay {
-        status: open.reply.status.as_u16(),
-        first: job.gateway.now().saturating_duration_since(job.ask.since),
-        events: 0,
-        since: job.gateway.now(),
-        got_on: job.gateway.now(),
+        status: exchange.reply.status.as_u16(),
+        first_byte_after: job.gateway.now().saturating_duration_since(job.request.received_at),
+        n_events: 0,
+        started_at: job.gateway.now(),
+        last_progress_at: job.gateway.now(),
         job,
-        open: Some(open),
+        exchange: Some(exchange),
         splitter: Splitter::default(),
-        passed_on: 0,
-        last_event: Duration::ZERO,
+        n_forwarded: 0,
+        last_event_after: Duration::ZERO,
         is_done: false,
     };
     let frames = stream::unfold(relay, |mut relay| async move {
@@ -70,8 +74,9 @@
         }
         let next = relay.next().await.transpose()?;
         if next.is_err() {
-            // A connection writes what it holds while it waits for more; an error closes it at once, and
-            // the events just before it would be lost.
+            // The HTTP server flushes a connection while it waits for the next frame, whereas an
+            // error closes the connection at once; without this yield, the events just before the
+            // error would be lost.
             future::yield_now().await;
         }
         let frame = next.map(Frame::data).map_err(|e| Box::new(e) as curranthook_http::body::Error);
@@ -81,136 +86,146 @@
 }
 
 impl Relay {
-    /// The next whole events; none at the end.
-    async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    /// The next complete events; `None` at the end of the stream.
+    async fn next(&mut self) -> Result<Option<Bytes>, Aborted> {
         loop {
-            if self.open.is_none() {
-                self.open = Some(self.resume().await?);
+            if self.exchange.is_none() {
+                self.exchange = Some(self.resume().await?);
                 let now = self.job.gateway.now();
-                (self.events, self.since, self.got_on) = (0, now, now);
+                (self.n_events, self.started_at, self.last_progress_at) = (0, now, now);
             }
-            let cause = match self.read().await {
-                Read::Events(bytes) => return Ok(Some(bytes)),
-                Read::Part => continue,
-                Read::End => {
-                    let took = self.job.gateway.now().saturating_duration_since(self.since);
-                    let version = self.open.as_ref().map_or("", |it| it.lease.version.as_str());
-                    self.job.streamed(version, self.events, took);
-                    self.end(job::WHOLE, Outcome::Answered);
+            let cause = match self.read_events().await {
+                Progress::Events(bytes) => return Ok(Some(bytes)),
+                Progress::Partial => continue,
+                Progress::End => {
+                    let elapsed = self.job.gateway.now().saturating_duration_since(self.started_at);
+                    let version = self.exchange.as_ref().map_or("", |it| it.lease.version.as_str());
+                    self.job.record_stream(version, self.n_events, elapsed);
+                    self.end(job::OUTCOME_WHOLE, Outcome::Answered);
                     return Ok(None);
                 }
-                Read::Failed(cause) => cause,
+                Progress::Failed(cause) => cause,
             };
             self.splitter.clear();
-            self.leave(cause).await?;
+            self.on_endpoint_failure(cause).await?;
         }
     }
 
-    async fn read(&mut self) -> Read {
-        let limit = self.job.time_left().min(self.silence_left());
-        let Some(open) = self.open.as_mut() else { return Read::Failed(Cause::Cut) };
-        match timeout::run(limit, open.body.frame()).await {
+    async fn read_events(&mut self) -> Progress {
+        let time_limit = self.job.time_left().min(self.idle_time_left());
+        let Some(exchange) = self.exchange.as_mut() else {
+            return Progress::Failed(Cause::Disconnected);
+        };
+        match timeout::run(time_limit, exchange.body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                let Ok(data) = frame.into_data() else { return Read::Part };
+                let Ok(data) = frame.into_data() else { return Progress::Partial };
                 match self.splitter.push(&data) {
                     Some(events) => {
-                        self.events += events.count;
-                        self.passed_on += events.count;
+                        self.n_events += events.count;
+                        self.n_forwarded += events.count;
                         let now = self.job.gateway.now();
-                        self.last_event = now.saturating_duration_since(self.job.ask.since);
-                        // Comments that keep a connection open bring the caller nothing.
-                        if events.last_id.is_some() || self.job.last_event.is_none() {
-                            self.got_on = now;
+                        self.last_event_after =
+                            now.saturating_duration_since(self.job.request.received_at);
+                        // Comments that only keep the connection alive are no progress for the
+                        // caller.
+                        if events.last_id.is_some() || self.job.last_event_id.is_none() {
+                            self.last_progress_at = now;
                         }
-                        self.job.last_event = events.last_id.or(self.job.last_event);
-                        Read::Events(events.bytes)
+                        self.job.last_event_id = events.last_id.or(self.job.last_event_id);
+                        Progress::Events(events.bytes)
                     }
-                    None => Read::Part,
+                    None => Progress::Partial,
                 }
             }
-            Ok(None) if self.splitter.is_empty() => Read::End,
-            Ok(None | Some(Err(_))) => Read::Failed(Cause::Cut),
-            Err(timeout::Elapsed) => Read::Failed(Cause::Timeout),
+            Ok(None) if self.splitter.is_empty() => Progress::End,
+            Ok(None | Some(Err(_))) => Progress::Failed(Cause::Disconnected),
+            Err(timeout::Elapsed) => Progress::Failed(Cause::Timeout),
         }
     }
 
-    /// The endpoint failed: leaves it, and ends the answer if no other may go on.
-    async fn leave(&mut self, cause: Cause) -> Result<(), Broken> {
-        let Some(open) = self.open.take() else { return Ok(()) };
-        let id = open.lease.id.clone();
-        open.close(Outcome::Unreachable);
-        // Silence within the time that is left is no end of the time.
+    /// Closes the exchange with the failed endpoint, and aborts the stream if no other endpoint may
+    /// continue it.
+    async fn on_endpoint_failure(&mut self, cause: Cause) -> Result<(), Aborted> {
+        let Some(exchange) = self.exchange.take() else { return Ok(()) };
+        let id = exchange.lease.id.clone();
+        exchange.close(Outcome::ConnectionLost);
+        // A stall before the deadline is a failure of the endpoint, not a timeout of the request.
         let cause = match cause {
-            Cause::Timeout if !self.job.time_left().is_zero() => Cause::Cut,
+            Cause::Timeout if !self.job.time_left().is_zero() => Cause::Disconnected,
             other => other,
         };
-        if let Err(refusal) = self.job.broke_off(&id, cause).await {
-            return Err(self.broken(refusal));
+        if let Err(refusal) = self.job.on_response_failed(&id, cause).await {
+            return Err(self.abort(refusal));
         }
         Ok(())
     }
 
-    async fn resume(&mut self) -> Result<Open, Broken> {
-        match self.job.open().await {
-            Ok(open) if open.reply.status.is_success() => Ok(open),
-            Ok(open) => {
-                open.close(Outcome::Failed);
+    async fn resume(&mut self) -> Result<Exchange, Aborted> {
+        match self.job.execute().await {
+            Ok(exchange) if exchange.reply.status.is_success() => Ok(exchange),
+            Ok(exchange) => {
+                exchange.close(Outcome::Failed);
                 let refusal = self.job.refusal(crate::refusal::Reason::EndpointFailed);
-                Err(self.broken(refusal))
+                Err(self.abort(refusal))
             }
-            Err(refusal) => Err(self.broken(refusal)),
+            Err(refusal) => Err(self.abort(refusal)),
         }
     }
 
-    fn broken(&mut self, refusal: Refusal) -> Broken {
-        self.job.gateway.metrics.refused(refusal.reason);
-        self.end("broke_off", Outcome::Dropped);
-        Broken(refusal)
+    fn abort(&mut self, refusal: Refusal) -> Aborted {
+        self.job.gateway.metrics.record_refusal(refusal.reason);
+        self.end("broke_off", Outcome::Abandoned);
+        Aborted(refusal)
     }
 
-    fn end(&mut self, outcome: &'static str, of_endpoint: Outcome) {
+    fn end(&mut self, outcome: &'static str, endpoint_outcome: Outcome) {
         self.is_done = true;
-        let open = self.open.take();
-        let endpoint = open.as_ref().map(|it| it.lease.id.clone());
+        let exchange = self.exchange.take();
+        let endpoint = exchange.as_ref().map(|it| it.lease.id.clone());
         let endpoint = endpoint.as_ref().map_or("", |it| it.as_str());
-        self.job.ended(&End {
+        self.job.record_end(&Summary {
             status: self.status,
             outcome,
             endpoint,
-            first_byte: self.first,
-            events: self.passed_on,
-            last_event: self.last_event,
+            first_byte_after: self.first_byte_after,
+            n_events: self.n_forwarded,
+            last_event_after: self.last_event_after,
         });
-        match (open, of_endpoint) {
-            (Some(open), Outcome::Answered) => {
-                open.finish(&self.job.gateway, self.job.route.repeat, of_endpoint);
+        match (exchange, endpoint_outcome) {
+            (Some(exchange), Outcome::Answered) => {
+                exchange.finish(&self.job.gateway, self.job.route.retry_policy, endpoint_outcome);
             }
-            (Some(open), _) => open.close(of_endpoint),
+            (Some(exchange), _) => exchange.close(endpoint_outcome),
             (None, _) => {}
         }
     }
 
-    /// How long the endpoint may still take for the next event. Bytes that make none don't count: an
-    /// endpoint that trickles them would hold its caller until the time is up.
-    fn silence_left(&self) -> Duration {
-        let pause = self.job.route.gap.unwrap_or_default();
-        let silence = pause.saturating_mul(SILENT_PAUSES).max(MIN_SILENCE);
-        silence.saturating_sub(self.job.gateway.now().saturating_duration_since(self.got_on))
+    /// How long the endpoint may still take for the next event. Bytes that complete no event do not
+    /// count: an endpoint that trickles them would keep its caller waiting until the deadline.
+    fn idle_time_left(&self) -> Duration {
+        let gap = self.job.route.max_event_gap.unwrap_or_default();
+        let idle_timeout = gap.saturating_mul(IDLE_TIMEOUT_GAP_FACTOR).max(MIN_IDLE_TIMEOUT);
+        idle_timeout
+            .saturating_sub(self.job.gateway.now().saturating_duration_since(self.last_progress_at))
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.is_done {
-            self.end("caller_left", Outcome::Dropped);
+            self.end("caller_left", Outcome::Abandoned);
         }
     }
 }
 
-/// What came.
-enum Read {
+/// The result of reading from an endpoint.
+enum Progress {
+    /// Complete events to forward.
     Events(Bytes),
-    Part,
+    /// Bytes that complete no event, or a frame without data.
+    Partial,
+    /// The end of the stream, at an event boundary.
     End,
+    /// The endpoint disconnected or stalled, or the deadline passed.
     Failed(Cause),
 }
--- a/crates/curranthook_gateway/src/unary.rs
+++ b/crates/curranthook_gateway/src/unary.rs
@@ -1,7 +1,7 @@
-//! An answer that is read whole before its caller gets any of it.
+//! Responses that are read completely before the caller receives any of them.
 //!
-//! A short answer that breaks off can then be asked for again, where the route allows that, and
-//! what the caller gets is never cut.
+//! If a short response breaks off, the request can then be retried where the route allows it, and
+//! the caller never receives a truncated response.
 
 use bytes::Bytes;
 use curranthook_http::{body, timeout};
@@ -10,49 +10,51 @@
 use crate::{
     attempt::Cause,
     directory::Outcome,
-    job::{End, Job, WHOLE},
+    job::{Job, OUTCOME_WHOLE, Summary},
     refusal::{Reason, Refusal},
 };
 
-/// The largest answer that is read whole, in bytes.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+/// The size limit of a response that is read completely.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads the answer to `job`.
+/// Makes attempts at `job` until a response has been read completely.
 pub async fn read(job: &mut Job) -> Result<(Parts, Bytes), Refusal> {
     loop {
-        let mut open = job.open().await?;
-        let id = open.lease.id.clone();
-        let first = job.gateway.now().saturating_duration_since(job.ask.since);
-        let limit = job.time_left();
-        let cause = match timeout::run(limit, body::read_mut(&mut open.body, MAX_ANSWER)).await {
-            Ok(Ok(bytes)) => {
-                let head = open.head.clone();
-                let status = head.status;
-                let is_error = status.is_server_error();
-                let outcome = if is_error { Outcome::Failed } else { Outcome::Answered };
-                open.finish(&job.gateway, job.route.repeat, outcome);
-                job.ended(&End {
-                    status: status.as_u16(),
-                    outcome: WHOLE,
-                    endpoint: id.as_str(),
-                    first_byte: first,
-                    ..End::default()
-                });
-                return Ok((head, bytes));
-            }
-            Ok(Err(body::ReadError::TooLarge { .. })) => {
-                open.close(Outcome::Dropped);
-                return Err(job.refusal(Reason::EndpointFailed));
-            }
-            Ok(Err(body::ReadError::Broken(_))) => {
-                open.close(Outcome::Failed);
-                Cause::Cut
-            }
-            Err(timeout::Elapsed) => {
-                open.close(Outcome::Dropped);
-                Cause::Timeout
-            }
-        };
-        job.broke_off(&id, cause).await?;
+        let mut exchange = job.execute().await?;
+        let id = exchange.lease.id.clone();
+        let first_byte_after = job.gateway.now().saturating_duration_since(job.request.received_at);
+        let time_left = job.time_left();
+        let cause =
+            match timeout::run(time_left, body::read_mut(&mut exchange.body, MAX_BODY_BYTES)).await
+            {
+                Ok(Ok(bytes)) => {
+                    let head = exchange.head.clone();
+                    let status = head.status;
+                    let is_error = status.is_server_error();
+                    let outcome = if is_error { Outcome::Failed } else { Outcome::Answered };
+                    exchange.finish(&job.gateway, job.route.retry_policy, outcome);
+                    job.record_end(&Summary {
+                        status: status.as_u16(),
+                        outcome: OUTCOME_WHOLE,
+                        endpoint: id.as_str(),
+                        first_byte_after,
+                        ..Summary::default()
+                    });
+                    return Ok((head, bytes));
+                }
+                Ok(Err(body::ReadError::TooLarge { .. })) => {
+                    exchange.close(Outcome::Abandoned);
+                    return Err(job.refusal(Reason::EndpointFailed));
+                }
+                Ok(Err(body::ReadError::Broken(_))) => {
+                    exchange.close(Outcome::Failed);
+                    Cause::Disconnected
+                }
+                Err(timeout::Elapsed) => {
+                    exchange.close(Outcome::Abandoned);
+                    Cause::Timeout
+                }
+            };
+        job.on_response_failed(&id, cause).await?;
     }
 }
--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -1,9 +1,9 @@
-//! What nodes expect of engines, held against what comes true.
+//! Latency estimates, compared with simulated engines.
 
 use std::time::Duration;
 
 use curranthook_gateway::{
-    pace::{First, Pace, Paces},
+    latency::{Estimate, Estimator, FirstEvent},
     prefill::{Filter, Prompt},
 };
 use rand::{Rng, RngExt, SeedableRng};
@@ -11,83 +11,97 @@
 use rand_pcg::Pcg64;
 use yare::parameterized;
 
-/// An engine's true speed; nodes aren't told.
+/// The true speed of an engine, which nodes do not know.
 #[derive(Debug, Clone, Copy)]
 struct Engine {
-    /// Milliseconds for a thousand tokens, and for a million pairs of them.
-    per_thousand: f64,
-    per_million_pairs: f64,
-    /// Milliseconds to a first event besides, and for each request that runs.
-    constant: f64,
-    per_running: f64,
-    /// The part of first events that wait for a prompt that was sent after them.
-    overtaken: f64,
+    /// The prefill time of a thousand tokens, and of a million token pairs.
+    ms_per_thousand_tokens: f64,
+    ms_per_million_pairs: f64,
+    /// The constant time to a first event, and the delay that each concurrent request adds.
+    base_ms: f64,
+    ms_per_running: f64,
+    /// The share of first events that are delayed by a prompt that was sent after them.
+    overtaken_share: f64,
 }
 
-/// The largest model of three deployments that differ in all of this.
+/// The largest models of three deployments, which differ in prefill speed.
 const FAST: Engine = Engine {
-    per_thousand: 33.0,
-    per_million_pairs: 1.05,
-    constant: 130.0,
-    per_running: 4.0,
-    overtaken: 0.1,
+    ms_per_thousand_tokens: 33.0,
+    ms_per_million_pairs: 1.05,
+    base_ms: 130.0,
+    ms_per_running: 4.0,
+    overtaken_share: 0.1,
 };
-const SLOW: Engine = Engine { per_thousand: 90.0, per_million_pairs: 0.2, ..FAST };
-const STEEP: Engine = Engine { per_thousand: 15.0, per_million_pairs: 3.0, ..FAST };
+const SLOW: Engine = Engine { ms_per_thousand_tokens: 90.0, ms_per_million_pairs: 0.2, ..FAST };
+const QUADRATIC: Engine =
+    Engine { ms_per_thousand_tokens: 15.0, ms_per_million_pairs: 3.0, ..FAST };
 
 impl Engine {
-    fn first(&self, prompt: Prompt, busy: u32, rng: &mut impl Rng) -> Duration {
-        let (read, kept) = (prompt.read as f64, prompt.kept as f64);
-        let pairs = read * (kept + read / 2.0) / 1e6;
-        let fixed = self.constant + self.per_running * f64::from(busy);
-        let own = fixed + self.per_thousand * read / 1e3 + self.per_million_pairs * pairs;
-        let other = match rng.random_bool(self.overtaken) {
+    fn time_to_first_event(
+        &self,
+        prompt: Prompt,
+        outstanding: u32,
+        rng: &mut impl Rng,
+    ) -> Duration {
+        let (uncached, cached) = (prompt.uncached as f64, prompt.cached as f64);
+        let pairs = uncached * (cached + uncached / 2.0) / 1e6;
+        let fixed_ms = self.base_ms + self.ms_per_running * f64::from(outstanding);
+        let unloaded_ms = fixed_ms
+            + self.ms_per_thousand_tokens * uncached / 1e3
+            + self.ms_per_million_pairs * pairs;
+        let overtaking_ms = match rng.random_bool(self.overtaken_share) {
             true => Exp::new(1.0 / 400.0).unwrap().sample(rng),
             false => 0.0,
         };
-        Duration::from_secs_f64((own * rng.random_range(0.9..1.1) + other) / 1e3)
+        Duration::from_secs_f64((unloaded_ms * rng.random_range(0.9..1.1) + overtaking_ms) / 1e3)
     }
 }
 
-/// Prompts as callers send them: most of some thousand tokens, a few of fifty thousand.
+/// A typical prompt: mostly some thousand tokens, in a few cases fifty thousand.
 fn prompt(rng: &mut impl Rng) -> Prompt {
-    let own: f64 = LogNormal::new(8.3, 0.9).unwrap().sample(rng);
-    let shared = rng.random_range(1_000..9_000);
-    let kept = if rng.random_bool(0.4) { shared } else { 0 };
-    Prompt::new(shared + own.min(54_000.0) as u64, kept)
+    let own_tokens: f64 = LogNormal::new(8.3, 0.9).unwrap().sample(rng);
+    let prefix_tokens = rng.random_range(1_000..9_000);
+    let cached = if rng.random_bool(0.4) { prefix_tokens } else { 0 };
+    Prompt::new(prefix_tokens + own_tokens.min(54_000.0) as u64, cached)
 }
 
-fn learned(engine: Engine, n: usize, rng: &mut impl Rng) -> Pace {
-    let mut paces = Paces::default();
-    for _ in 0..n {
-        let (prompt, busy) = (prompt(rng), rng.random_range(0..8));
-        let waited = Duration::from_millis(rng.random_range(0..4) * 100);
-        let took = waited + engine.first(prompt, busy, rng);
-        paces.began("engines", "large", 1.0, First { prompt, busy, waited, took });
+fn trained_estimate(engine: Engine, n_answers: usize, rng: &mut impl Rng) -> Estimate {
+    let mut estimator = Estimator::default();
+    for _ in 0..n_answers {
+        let (prompt, outstanding) = (prompt(rng), rng.random_range(0..8));
+        let queue_delay = Duration::from_millis(rng.random_range(0..4) * 100);
+        let elapsed = queue_delay + engine.time_to_first_event(prompt, outstanding, rng);
+        estimator.record_first_event(
+            "engines",
+            "large",
+            1.0,
+            FirstEvent { prompt, outstanding, queue_delay, elapsed },
+        );
     }
-    paces.of("engines", "large", 1.0)
+    estimator.estimate("engines", "large", 1.0)
 }
 
-/// Engines differ from site to site, and long prompts take more than their share, since each token
-/// attends to all before it. With fixed figures of another site, first events of the longest prompts
-/// are expected a second too early or too late; their callers then get a poor answer of a small model
-/// though the largest had time, or wait for one that comes late. After some dozens of answers, nodes
-/// expect them within a fifth at the median and a half at the ninetieth percentile.
+/// Engines differ between sites, and long prompts take disproportionately long, since each token
+/// attends to all tokens before it. With fixed figures from another site, first events of the
+/// longest prompts are expected a second too early or too late; their callers then get a
+/// low-quality answer of a small model although the largest had time, or wait for an answer that
+/// comes late. After some dozens of answers, the error is below a fifth at the median and below a
+/// half at the ninetieth percentile.
 #[parameterized(
     fast = { FAST, 1 },
-    fast_again = { FAST, 2 },
+    fast_other_seed = { FAST, 2 },
     slow = { SLOW, 3 },
-    steep = { STEEP, 4 },
+    quadratic = { QUADRATIC, 4 },
 )]
-fn first_events_are_expected_when_they_come(engine: Engine, seed: u64) {
+fn estimates_of_first_events_are_accurate(engine: Engine, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let pace = learned(engine, 60, &mut rng);
+    let estimate = trained_estimate(engine, 60, &mut rng);
     let mut errors: Vec<f64> = (0..1_000)
         .map(|_| {
-            let (prompt, busy) = (prompt(&mut rng), rng.random_range(0..8));
-            let took = engine.first(prompt, busy, &mut rng);
-            let expected = pace.first(prompt, busy, Duration::ZERO);
-            took.abs_diff(expected).as_secs_f64() / took.as_secs_f64()
+            let (prompt, outstanding) = (prompt(&mut rng), rng.random_range(0..8));
+            let elapsed = engine.time_to_first_event(prompt, outstanding, &mut rng);
+            let expected = estimate.time_to_first_event(prompt, outstanding, Duration::ZERO);
+            elapsed.abs_diff(expected).as_secs_f64() / elapsed.as_secs_f64()
         })
         .collect();
     errors.sort_by(f64::total_cmp);
@@ -95,44 +109,45 @@
     assert!(median < 0.2 && p90 < 0.5, "off by {median:.2} at the median, {p90:.2} at p90");
 }
 
-/// The longest prompts are the fewest, and it's they that a wrong estimate serves badly.
-#[parameterized(fast = { FAST, 5 }, slow = { SLOW, 6 }, steep = { STEEP, 7 })]
-fn the_longest_prompts_are_expected_right(engine: Engine, seed: u64) {
+/// The longest prompts are the rarest, and a wrong estimate does the most harm to them.
+#[parameterized(fast = { FAST, 5 }, slow = { SLOW, 6 }, quadratic = { QUADRATIC, 7 })]
+fn estimates_for_the_longest_prompts_are_accurate(engine: Engine, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let pace = learned(engine, 120, &mut rng);
-    let calm = Engine { overtaken: 0.0, ..engine };
+    let estimate = trained_estimate(engine, 120, &mut rng);
+    let never_overtaken = Engine { overtaken_share: 0.0, ..engine };
     let longest = Prompt::new(50_000, 0);
-    let took = calm.first(longest, 3, &mut rng);
-    let expected = pace.first(longest, 3, Duration::ZERO);
-    assert!(took.abs_diff(expected) < took / 4, "{took:?}, expected {expected:?}");
+    let elapsed = never_overtaken.time_to_first_event(longest, 3, &mut rng);
+    let expected = estimate.time_to_first_event(longest, 3, Duration::ZERO);
+    assert!(elapsed.abs_diff(expected) < elapsed / 4, "{elapsed:?}, expected {expected:?}");
 }
 
-/// A caller claims a prompt of a billion tokens and is answered at once. If that were believed,
-/// reading would seem to take no time at all, and all queues would look empty.
+/// A caller claims a prompt of a billion tokens and is answered at once. If the estimate used that
+/// claim, prefill would seem to take no time, and all queues would look empty.
 #[test]
-fn false_claims_teach_nothing() {
+fn implausible_prompt_sizes_are_ignored() {
     let mut filter = Filter::new(1.0);
-    let (honest, took) = (Prompt::new(20_000, 0), Duration::from_secs(1));
-    (0..50).for_each(|_| filter.learn(honest, 0, Duration::ZERO, took));
-    let before = filter.speed();
-    let lie = Prompt::new(1_000_000_000, 0);
-    (0..50).for_each(|_| filter.learn(lie, 0, Duration::ZERO, Duration::from_millis(50)));
-    assert_eq!(filter.speed(), before);
+    let (plausible, elapsed) = (Prompt::new(20_000, 0), Duration::from_secs(1));
+    (0..50).for_each(|_| filter.update(plausible, 0, Duration::ZERO, elapsed));
+    let before = filter.coefficients();
+    let implausible = Prompt::new(1_000_000_000, 0);
+    (0..50).for_each(|_| filter.update(implausible, 0, Duration::ZERO, Duration::from_millis(50)));
+    assert_eq!(filter.coefficients(), before);
 }
 
-/// Engines are replaced by ones of half the speed. What nodes expect follows within some dozens of
+/// Engines are replaced by engines of half the speed. The estimate follows within some dozens of
 /// answers.
 #[test]
-fn slower_engines_are_noticed() {
+fn estimates_follow_a_change_of_engine_speed() {
     let mut filter = Filter::new(1.0);
     let prompt = Prompt::new(20_000, 0);
     let mut rng = Pcg64::seed_from_u64(8);
-    for speed in [1, 2] {
+    for slowdown in [1, 2] {
         for _ in 0..150 {
-            let took = Duration::from_secs_f64(rng.random_range(0.9..1.1)) * speed;
-            filter.learn(prompt, 0, Duration::ZERO, took);
+            let elapsed = Duration::from_secs_f64(rng.random_range(0.9..1.1)) * slowdown;
+            filter.update(prompt, 0, Duration::ZERO, elapsed);
         }
-        let expected = filter.speed().first(prompt, 0).as_secs_f64() / f64::from(speed);
-        assert!((0.85..1.15).contains(&expected), "{expected} at {speed}");
+        let expected = filter.coefficients().time_to_first_event(prompt, 0).as_secs_f64()
+            / f64::from(slowdown);
+        assert!((0.85..1.15).contains(&expected), "{expected} at {slowdown}");
     }
 }
--- a/crates/curranthook_gateway/tests/support/mod.rs
+++ b/crates/curranthook_gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of endpoints have in common.
+//! Helpers shared by the tests of endpoints.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -9,8 +9,8 @@
 
 use curranthook_gateway::entry::{Entry, State};
 
-/// The entry of an endpoint that started at `born` and stays in slow start for `warm_in`.
-pub fn entry(born: u64, warm_in: Duration) -> Entry {
+/// The entry of an endpoint that started at `started_ms` and stays in slow start for `slow_start`.
+pub fn entry(started_ms: u64, slow_start: Duration) -> Entry {
     Entry {
         id: "e-1".into(),
         service: "models".to_owned(),
@@ -19,12 +19,12 @@
         version: "v1".to_owned(),
         slots: 8,
         state: State::Ready,
-        warm_in,
-        born: Some(born),
+        slow_start,
+        started_ms: Some(started_ms),
     }
 }
 
-/// The most arrivals in any span of that length.
+/// The largest number of arrivals in any window of `length`.
 pub fn most_in_window(mut arrivals: Vec<Instant>, length: Duration) -> usize {
     arrivals.sort();
     let (mut window, mut most) = (VecDeque::new(), 0);
