--- a/crates/curranthook_gateway/src/cascade.rs
+++ b/crates/curranthook_gateway/src/cascade.rs
@@ -15,18 +15,19 @@
 const CONFIDENCE_MIDPOINT: f64 = 50.0;
 const CONFIDENCE_SCALE: f64 = 10.0;
 /// The cost of an answer of the largest model as a share of the answer's value: engine time, and
-/// the added wait of other requests.
+/// the delay it causes to other requests.
 pub const LARGE_MODEL_COST: f64 = 0.45;
-/// The uncertainty of a forecast as a share of the time limit that it is compared with.
+/// The spread of the logistic curve that models a forecast's uncertainty, as a share of the time
+/// limit that the forecast is compared with.
 const FORECAST_RELATIVE_SPREAD: f64 = 0.2;
 
 /// The expected timing and cost of a model's answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
     /// The time from the request's arrival to the first event.
-    pub first_event: Duration,
+    pub time_to_first_event: Duration,
     /// The time from the request's arrival to the last event.
-    pub last_event: Duration,
+    pub time_to_last_event: Duration,
     /// The cost of the answer as a share of its value.
     pub cost: f64,
 }
@@ -44,9 +45,10 @@
     /// The expected value of a good answer, given how likely it is to arrive on time, late or not
     /// at all.
     fn value(&self, targets: &Targets) -> f64 {
-        let on_time = probability(self.first_event, targets.objective);
-        let completes = probability(self.last_event, targets.deadline);
-        completes * (on_time + (1.0 - on_time) * LATE_VALUE) - self.cost
+        let on_time_probability = probability(self.time_to_first_event, targets.objective);
+        let completion_probability = probability(self.time_to_last_event, targets.deadline);
+        completion_probability * (on_time_probability + (1.0 - on_time_probability) * LATE_VALUE)
+            - self.cost
     }
 }
 
@@ -68,9 +70,9 @@
 /// # use curranthook_gateway::cascade::{self, Targets, Forecast};
 /// let s = Duration::from_secs;
 /// let targets = Targets { objective: s(2), deadline: s(15) };
-/// let small = Forecast { first_event: s(0), last_event: s(1), cost: 0.01 };
-/// let idle = Forecast { first_event: s(1), last_event: s(3), cost: 0.1 };
-/// let busy = Forecast { first_event: s(6), last_event: s(20), cost: 0.1 };
+/// let small = Forecast { time_to_first_event: s(0), time_to_last_event: s(1), cost: 0.01 };
+/// let idle = Forecast { time_to_first_event: s(1), time_to_last_event: s(3), cost: 0.1 };
+/// let busy = Forecast { time_to_first_event: s(6), time_to_last_event: s(20), cost: 0.1 };
 /// assert!(cascade::should_escalate(10, &small, &idle, &targets));
 /// assert!(!cascade::should_escalate(90, &small, &idle, &targets));
 /// assert!(!cascade::should_escalate(10, &small, &busy, &targets));
@@ -88,10 +90,10 @@
     small_value < large.value(targets)
 }
 
-/// The number of priority ranks. Requests to large models come this many ranks after those to
-/// small models.
+/// The number of priority ranks. Requests to large models rank this far behind those to small
+/// models.
 const N_RANKS: u8 = 4;
-/// The relative price from which a model counts as large: prefill takes long there.
+/// The relative price from which a model counts as large, which means that its prefill takes long.
 pub const LARGE_MODEL_MIN_RELATIVE_PRICE: f64 = 0.5;
 
 /// The priority of a request at its engine; 0 is served first. `rank` comes from the route or the
--- a/crates/curranthook_gateway/src/prefill.rs
+++ b/crates/curranthook_gateway/src/prefill.rs
@@ -1,9 +1,9 @@
 //! Estimates a model's time to the first event, learned from observed first events.
 //!
 //! The time grows with the number of prefilled tokens, with the number of token pairs that attend
-//! to each other (for the longest prompts these take as much time again) and with the number of
-//! concurrent requests. The rates differ between deployments and models, so a Kalman filter tracks
-//! them from a prior, request by request.
+//! to each other (for the longest prompts the pairs take as much time as the tokens) and with the
+//! number of concurrent requests. The rates differ between deployments and models, so a Kalman
+//! filter tracks them from a prior, request by request.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     prior_variance: SVector<f64, N_TERMS>,
 }
 
-/// The coefficients that a [`Filter`] estimates, in seconds per unit.
+/// The coefficients that a [`Filter`] estimates, in seconds per one of [`UNITS`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Coefficients([f64; N_TERMS]);
 
@@ -78,7 +78,7 @@
     /// let prompt = Prompt::new(10_000, 0);
     /// let elapsed = Duration::from_millis(300);
     /// (0..50).for_each(|_| filter.update(prompt, 0, Duration::ZERO, elapsed));
-    /// let expected = filter.coefficients().first_event(prompt, 0);
+    /// let expected = filter.coefficients().time_to_first_event(prompt, 0);
     /// assert!(expected.abs_diff(elapsed) < Duration::from_millis(10), "{expected:?}");
     /// ```
     pub fn new(relative_price: f64) -> Self {
@@ -116,14 +116,15 @@
         let error = elapsed.as_secs_f64() - queue_delay.as_secs_f64() - expected;
         let gain = gain / variance;
         self.coefficients += gain * error.clamp(-max_error, max_error);
-        // More tokens, pairs or requests never make an engine faster. An estimate below zero
-        // belongs to another term, which the next observations correct.
+        // More tokens, pairs or requests never make an engine faster. A negative coefficient makes
+        // up for another one that is too large; it is set to zero, and later observations correct
+        // the other one.
         self.coefficients.rows_mut(1, N_TERMS - 1).apply(|it| *it = it.max(0.0));
         self.covariance -= gain * (terms.transpose() * self.covariance);
-        for it in 0..N_TERMS {
-            let recovery = VARIANCE_RECOVERY * self.prior_variance[it];
-            self.covariance[(it, it)] =
-                (self.covariance[(it, it)] + recovery).min(self.prior_variance[it]);
+        for index in 0..N_TERMS {
+            let recovery = VARIANCE_RECOVERY * self.prior_variance[index];
+            self.covariance[(index, index)] =
+                (self.covariance[(index, index)] + recovery).min(self.prior_variance[index]);
         }
     }
 }
@@ -135,15 +136,14 @@
         saturating_seconds(self.0[1] * uncached + self.0[2] * pairs)
     }
 
-    /// The time to the first event, after the engine has prefilled everything that was queued
-    /// ahead.
-    pub fn first_event(&self, prompt: Prompt, outstanding: u32) -> Duration {
+    /// The time to the first event, without the time for prompts that are queued ahead.
+    pub fn time_to_first_event(&self, prompt: Prompt, outstanding: u32) -> Duration {
         let delay = self.0[0] + self.0[3] * f64::from(outstanding) / UNITS.2;
         self.prefill_time(prompt) + saturating_seconds(delay)
     }
 
     /// The delay that each concurrent request adds to the first event of another one.
-    pub fn delay_per_running(&self) -> Duration {
+    pub fn delay_per_concurrent_request(&self) -> Duration {
         saturating_seconds(self.0[3] / UNITS.2)
     }
 }
@@ -155,8 +155,8 @@
 
 /// Converts seconds to a duration, clamped to 1e6 s (about eleven days). Callers may claim prompts
 /// and answers of any length, for which the result may be NaN or exceed what a `Duration` can hold.
-pub(crate) fn saturating_seconds(it: f64) -> Duration {
+pub(crate) fn saturating_seconds(seconds: f64) -> Duration {
     const MAX_SECONDS: f64 = 1e6;
-    let it = if it.is_nan() { 0.0 } else { it.clamp(0.0, MAX_SECONDS) };
-    Duration::from_secs_f64(it)
+    let seconds = if seconds.is_nan() { 0.0 } else { seconds.clamp(0.0, MAX_SECONDS) };
+    Duration::from_secs_f64(seconds)
 }
--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Plain strategies that ours are measured against.
+//! Simple strategies, as baselines for comparison.
 
 use std::time::{Duration, Instant};
 
@@ -15,17 +15,17 @@
 
 pub use crate::baseline::{least_outstanding::LeastOutstanding, round_robin::RoundRobin};
 
-/// The names that [`strategy`] knows.
+/// The names accepted by [`strategy`].
 pub const STRATEGIES: [&str; 4] = ["curranthook", "cheapest", "best", "static-cascade"];
-/// The names that [`balance`] knows.
+/// The names accepted by [`balancer`].
 pub const BALANCERS: [&str; 3] = ["curranthook", "round-robin", "least-outstanding"];
 
-/// A way to choose versions.
+/// A strategy for selecting versions.
 pub trait Strategy: std::fmt::Debug + Send {
-    /// Chooses the versions for one request.
+    /// Selects the versions for one request.
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason>;
 
-    /// Takes in the rating of an answer.
+    /// Records the rating of an answer.
     fn record_rating(
         &mut self,
         _kind: &kind::Id,
@@ -35,7 +35,7 @@
     ) {
     }
 
-    /// Takes in the rating of a cascade's second answer.
+    /// Records the rating of a cascade's second answer.
     fn record_second_rating(
         &mut self,
         _kind: &kind::Id,
@@ -46,18 +46,18 @@
     ) {
     }
 
-    /// Takes in how long a whole answer took.
+    /// Records how long a complete answer took.
     fn record_duration(&mut self, _version: &version::Id, _took: Duration, _tokens: u64) {}
 
-    /// Takes in what all other nodes together have gathered.
+    /// Merges the totals gathered by all other nodes.
     fn merge(&mut self, _kind: &kind::Id, _version: &version::Id, _ratings: Counts) {}
 
-    /// Whether enough is known of a version that only samples of its answers need be rated.
+    /// Whether a version has enough ratings that rating only a sample of its answers suffices.
     fn is_converged(&self, _kind: &kind::Id, _version: &version::Id) -> bool {
         true
     }
 
-    /// The ratings that this node gathered itself.
+    /// The ratings gathered by this node.
     fn counts(&self) -> Vec<crate::choice::Tally> {
         Vec::new()
     }
@@ -107,27 +107,27 @@
     }
 }
 
-/// Always the cheapest allowed version.
+/// Always selects the cheapest allowed version.
 #[derive(Debug, Default)]
 pub struct Cheapest;
 
-/// Always the allowed version with the highest claimed quality.
+/// Always selects the allowed version with the highest claimed quality.
 #[derive(Debug, Default)]
 pub struct Best;
 
-/// Always the cheapest, with the best behind it.
+/// Always selects the cheapest version, with the best one as second stage.
 #[derive(Debug, Default)]
 pub struct StaticCascade;
 
 impl Strategy for Cheapest {
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(cheapest(request)?))
+        Ok(single_version(cheapest(request)?))
     }
 }
 
 impl Strategy for Best {
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
-        Ok(direct(best(request)?))
+        Ok(single_version(best(request)?))
     }
 }
 
@@ -135,13 +135,14 @@
     fn plan(&mut self, request: &Request<'_>) -> Result<Plan, refusal::Reason> {
         let (first, second) = (cheapest(request)?, best(request)?);
         if first.id == second.id || request.rater == Rater::Down {
-            return Ok(direct(second));
+            return Ok(single_version(second));
         }
-        Ok(Plan { second: Some(second.id.clone()), reason: Reason::Fixed, ..direct(first) })
+        Ok(Plan { second: Some(second.id.clone()), reason: Reason::Fixed, ..single_version(first) })
     }
 }
 
-/// The strategy of a name, one of [`STRATEGIES`].
+/// Returns the strategy with the given name, one of [`STRATEGIES`].
+///
 ///
 /// ```
 /// # use curranthook_policy::baseline;
@@ -158,35 +159,35 @@
     }
 }
 
-/// A way to pick endpoints.
+/// A load balancer: a strategy for selecting endpoints.
 pub trait Balancer: std::fmt::Debug + Send {
     /// Sets the endpoints.
     fn set_members(&mut self, members: Vec<Member>);
-    /// Picks an endpoint.
+    /// Selects an endpoint.
     fn select(
         &mut self,
         affinity: Option<u64>,
         exclude: &[endpoint::Id],
         now: Instant,
     ) -> Result<Selection, Unavailable>;
-    /// A request was sent to an endpoint.
+    /// Records that a request was sent to an endpoint.
     fn started(&mut self, id: &endpoint::Id, now: Instant);
-    /// An answer began.
+    /// Records the first byte of an answer.
     fn answer_started(&mut self, _id: &endpoint::Id, _first_byte: Duration, _now: Instant) {}
-    /// A request at an endpoint ended.
+    /// Records that a request at an endpoint ended.
     fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, now: Instant);
-    /// An endpoint is leaving.
+    /// Marks an endpoint as leaving.
     fn set_leaving(&mut self, id: &endpoint::Id);
-    /// An endpoint is no longer leaving.
+    /// Clears the leaving mark of an endpoint.
     fn clear_leaving(&mut self, id: &endpoint::Id);
 
-    /// An endpoint reported its load.
+    /// Records the load reported by an endpoint.
     fn report_load(&mut self, _id: &endpoint::Id, _load: u64, _now: Instant) {}
 
     /// How long to wait for an endpoint's first byte.
     fn first_byte_timeout(&self, _id: &endpoint::Id) -> Duration {
-        const FIXED: Duration = Duration::from_secs(2);
-        FIXED
+        const FIXED_TIMEOUT: Duration = Duration::from_secs(2);
+        FIXED_TIMEOUT
     }
 }
 
@@ -233,15 +234,16 @@
     }
 }
 
-/// The balance of a name, one of [`BALANCERS`].
+/// Returns the load balancer with the given name, one of [`BALANCERS`].
+///
 ///
 /// ```
 /// # use curranthook_policy::baseline;
 /// assert!(baseline::balancer("round-robin", "zone-a".into(), 1).is_some());
 /// ```
-pub fn balancer(name: &str, local: domain::Id, seed: u64) -> Option<Box<dyn Balancer>> {
+pub fn balancer(name: &str, local_domain: domain::Id, seed: u64) -> Option<Box<dyn Balancer>> {
     match name {
-        "curranthook" => Some(Box::new(Pool::new(local, seed))),
+        "curranthook" => Some(Box::new(Pool::new(local_domain, seed))),
         "round-robin" => Some(Box::new(RoundRobin::default())),
         "least-outstanding" => Some(Box::new(LeastOutstanding::default())),
         _ => None,
@@ -259,6 +261,6 @@
     request.candidates.iter().max_by(by_quality).ok_or(refusal::Reason::NotAllowed)
 }
 
-fn direct(candidate: &Candidate<'_>) -> Plan {
+fn single_version(candidate: &Candidate<'_>) -> Plan {
     Plan { first: candidate.id.clone(), second: None, sample: Sample::Skip, reason: Reason::Fixed }
 }
--- a/crates/curranthook_policy/src/endpoint/window.rs
+++ b/crates/curranthook_policy/src/endpoint/window.rs
@@ -1,60 +1,61 @@
-//! How many of this node's requests an endpoint takes at once.
+//! A limit on this node's concurrent requests at an endpoint.
 //!
-//! An endpoint's places are shared by nodes that don't know of each other. If each fills them
-//! all, requests wait in the endpoint's own queue, where they can't be refused, reordered or
-//! sent elsewhere. So each node lowers its own part while the endpoint reports more than it can
-//! run, and raises it while there is room: additive increase, multiplicative decrease, which
-//! makes parts equal.
+//! The slots of an endpoint are shared by nodes that don't know of each other. If each node filled
+//! all of them, requests would wait in the endpoint's own queue, where they can't be refused,
+//! reordered or sent elsewhere. So each node lowers its limit while the endpoint reports more
+//! requests than it can run, and raises it while there are free slots. Additive increase and
+//! multiplicative decrease make the limits of the nodes converge to equal shares.
 
 use std::time::{Duration, Instant};
 
-/// An endpoint may hold this much more than it can run, so that a place that gets free is filled
-/// at once.
-const FULL: f64 = 1.5;
-/// What a report of free places adds.
-const STEP: f64 = 0.2;
-/// The least that one decrease leaves.
-const LEAST_KEPT: f64 = 0.5;
-/// Reports lag, so the effect of a decrease takes this long to show.
-const PAUSE: Duration = Duration::from_millis(250);
-
-/// This node's part of an endpoint's places.
+/// The load, relative to the slots, above which the limit is decreased. It is above 1 so that a
+/// slot that becomes free is filled at once.
+const OVERLOAD_FACTOR: f64 = 1.5;
+/// The increase of the limit for each report of free slots.
+const INCREASE_STEP: f64 = 0.2;
+/// The smallest factor by which one decrease multiplies the limit.
+const MIN_DECREASE_FACTOR: f64 = 0.5;
+/// The shortest time between two decreases: load reports lag, so the effect of a decrease takes
+/// this long to show.
+const DECREASE_INTERVAL: Duration = Duration::from_millis(250);
+
+/// This node's limit of concurrent requests at an endpoint.
 #[derive(Debug)]
 pub(crate) struct Window {
-    places: f64,
-    decreased: Option<Instant>,
+    limit: f64,
+    last_decrease: Option<Instant>,
 }
 
 impl Window {
-    /// All places, as long as nothing speaks against it.
+    /// Starts with all slots, until a report lowers the limit.
     pub(crate) fn new(slots: f64) -> Self {
-        Self { places: slots, decreased: None }
+        Self { limit: slots, last_decrease: None }
     }
 
-    pub(crate) fn has_room(&self, in_flight: usize) -> bool {
-        in_flight as f64 + 1.0 <= self.places.max(1.0)
+    pub(crate) fn has_capacity(&self, in_flight: usize) -> bool {
+        in_flight as f64 + 1.0 <= self.limit.max(1.0)
     }
 
-    /// Takes in how many requests the endpoint holds, of all nodes.
-    pub(crate) fn report(&mut self, load: f64, slots: f64, now: Instant) {
+    /// Records how many requests the endpoint holds, from all nodes.
+    pub(crate) fn record_load(&mut self, load: f64, slots: f64, now: Instant) {
         if load < slots {
-            self.places = (self.places + STEP).min(slots);
-        } else if slots * FULL < load {
-            self.decrease((slots * FULL / load).max(LEAST_KEPT), now);
+            self.limit = (self.limit + INCREASE_STEP).min(slots);
+        } else if slots * OVERLOAD_FACTOR < load {
+            self.decrease((slots * OVERLOAD_FACTOR / load).max(MIN_DECREASE_FACTOR), now);
         }
     }
 
-    /// The endpoint refused a request because it is full.
-    pub(crate) fn refused(&mut self, now: Instant) {
-        self.decrease(LEAST_KEPT, now);
+    /// Records that the endpoint refused a request because it is full.
+    pub(crate) fn record_refusal(&mut self, now: Instant) {
+        self.decrease(MIN_DECREASE_FACTOR, now);
     }
 
     fn decrease(&mut self, factor: f64, now: Instant) {
-        let is_early = |at: Instant| now.saturating_duration_since(at) < PAUSE;
-        if self.decreased.is_some_and(is_early) {
+        let is_early = |at: Instant| now.saturating_duration_since(at) < DECREASE_INTERVAL;
+        if self.last_decrease.is_some_and(is_early) {
             return;
         }
-        self.places = (self.places * factor).max(1.0);
-        self.decreased = Some(now);
+        self.limit = (self.limit * factor).max(1.0);
+        self.last_decrease = Some(now);
     }
 }
--- a/crates/curranthook_steward/src/order.rs
+++ b/crates/curranthook_steward/src/order.rs
@@ -1,11 +1,12 @@
-//! Tells engines which versions to serve.
+//! Orders to engines to load and unload versions.
 //!
-//! This is the second line of defence for a withdrawn version: a router that is cut off from
-//! the platform and from all peers can't know of the withdrawal, but an engine that has
-//! unloaded the version refuses it all the same.
+//! This is the second line of defence for a withdrawn version: a router that is cut off from the
+//! platform and from all peers can't know of the withdrawal, but an engine that has unloaded the
+//! version refuses it anyway.
 //!
-//! What an engine serves is compared with what it should serve, and ordered until it holds. So
-//! an order that was lost, or undone by a late order of a former lease holder, is given again.
+//! The versions an engine serves are compared with those it should serve, and orders are sent until
+//! they match. So an order that was lost, or undone by a late order of a former lease holder, is
+//! sent again.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -14,33 +15,33 @@
 use curranthook_types::{endpoint, header, version};
 use serde::{Deserialize, Serialize};
 
-use crate::lease::EFFECT;
+use crate::lease::EFFECT_TIMEOUT;
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Order {
     /// What to do.
     pub action: Action,
-    /// With which version.
+    /// The version to load or unload.
     pub version: version::Id,
 }
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Serve the version.
+    /// Start serving the version.
     Load,
-    /// Serve it no more.
+    /// Stop serving the version.
     Unload,
 }
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The engine did it.
-    Obeyed,
-    /// The engine has seen a newer fencing number: the lease is lost.
+    /// The engine accepted the order: any response other than 409 Conflict.
+    Applied,
+    /// The engine has seen a higher fencing token, so the lease is lost.
     Stale,
 }
 
@@ -54,66 +55,71 @@
     id: version::Id,
 }
 
-/// The orders that would bring an engine from what it serves to what it should serve.
+/// The orders that bring an engine from the versions it serves to those it should serve.
+///
 ///
 /// ```
-/// # use curranthook_steward::order::{Action, missing};
+/// # use curranthook_steward::order::{Action, difference};
 /// let served = ["m@1".into(), "m@2".into()].into();
-/// let wanted = ["m@2".into()].into();
-/// let orders = missing(&served, &wanted);
+/// let desired = ["m@2".into()].into();
+/// let orders = difference(&served, &desired);
 /// assert_eq!((orders.len(), orders[0].action), (1, Action::Unload));
 /// ```
-pub fn missing(served: &BTreeSet<version::Id>, wanted: &BTreeSet<version::Id>) -> Vec<Order> {
+pub fn difference(served: &BTreeSet<version::Id>, desired: &BTreeSet<version::Id>) -> Vec<Order> {
     let order = |action, version: &version::Id| Order { action, version: version.clone() };
-    let unload = served.difference(wanted).map(|it| order(Action::Unload, it));
-    let load = wanted.difference(served).map(|it| order(Action::Load, it));
+    let unload = served.difference(desired).map(|it| order(Action::Unload, it));
+    let load = desired.difference(served).map(|it| order(Action::Load, it));
     unload.chain(load).collect()
 }
 
-/// What an engine should serve.
-pub fn wanted(document: &Document, endpoint: &Endpoint) -> BTreeSet<version::Id> {
+/// The versions that an engine should serve.
+pub fn desired(document: &Document, endpoint: &Endpoint) -> BTreeSet<version::Id> {
     endpoint.versions.difference(&document.withdrawn).cloned().collect()
 }
 
-/// Speaks with engines.
+/// Client for engines.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Client {
     pool: Arc<Pool>,
 }
 
-impl Desk {
-    /// A desk that takes its connections from `pool`.
+impl Client {
+    /// Creates a client that takes its connections from `pool`.
     pub fn new(pool: Arc<Pool>) -> Self {
         Self { pool }
     }
 
-    /// What an engine serves now.
-    pub async fn served(&self, endpoint: &Endpoint) -> anyhow::Result<BTreeSet<version::Id>> {
+    /// The versions that an engine serves now.
+    pub async fn list_served(&self, endpoint: &Endpoint) -> anyhow::Result<BTreeSet<version::Id>> {
         let res = Exchange::get(endpoint.address, "/v1/models").run(&self.pool).await?;
-        anyhow::ensure!(res.status().is_success(), "the engine answered {}", res.status());
+        anyhow::ensure!(
+            res.status().is_success(),
+            "engine returned {} for GET /v1/models",
+            res.status()
+        );
         let models: Models = serde_json::from_slice(res.body())?;
         Ok(models.data.into_iter().map(|it| it.id).collect())
     }
 
-    /// Gives one order. The lease must have more than [`EFFECT`] left when this is called.
-    pub async fn give(
+    /// Sends one order. The lease must have more than [`EFFECT_TIMEOUT`] left when this is called.
+    pub async fn send(
         &self,
         id: &endpoint::Id,
         endpoint: &Endpoint,
         order: &Order,
-        fencing: u64,
+        fencing_token: u64,
     ) -> Result<Outcome, exchange::Error> {
         let res = Exchange::post(endpoint.address, "/orders")
-            .with_header(header::FENCING, fencing.to_string())
+            .with_header(header::FENCING, fencing_token.to_string())
             .with_json(order)
-            .with_timeout(EFFECT)
+            .with_timeout(EFFECT_TIMEOUT)
             .run(&self.pool)
             .await?;
-        log::info!("{id}: {:?} {}: {}", order.action, order.version, res.status());
+        log::info!("order to engine {id}, {:?} {}: {}", order.action, order.version, res.status());
         Ok(if res.status() == http::StatusCode::CONFLICT {
             Outcome::Stale
         } else {
-            Outcome::Obeyed
+            Outcome::Applied
         })
     }
 }
