--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -18,7 +18,7 @@
     ask::Ask,
     dialect::{self, Execution, Outgoing, Reply, Seal},
     directory::Outcome,
-    document::Repeat,
+    document::RetryPolicy,
     event::Event,
     lease::{Completeness, Lease},
 };
@@ -105,7 +105,7 @@
 pub async fn run(
     gateway: &Arc<Gateway>,
     ask: &Ask,
-    repeat: Repeat,
+    retry_policy: RetryPolicy,
     mut lease: Lease,
     outgoing: &Outgoing<'_>,
 ) -> Result<Open, Failed> {
@@ -113,19 +113,19 @@
     // What can't be repeated is never trusted to a kept connection: the endpoint may be closing
     // it, or something between may have lost it, and nobody could tell whether it ran.
     let freshness =
-        if repeat.is_repeatable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
+        if retry_policy.is_retryable() { Freshness::Within(MAX_IDLE_AGE) } else { Freshness::New };
     let request = gateway.dialect.request(ask, outgoing);
     let mut conn = match gateway.pool.take(lease.addr, freshness).await {
         Ok(conn) => conn,
         Err(_nothing_sent) => {
-            lease.close(Outcome::NoConnection);
+            lease.close(Outcome::ConnectFailed);
             return Err(not_run(Cause::Connect));
         }
     };
-    if !repeat.is_repeatable()
+    if !retry_policy.is_retryable()
         && let Err(_nothing_sent) = conn.settle(SETTLE).await
     {
-        lease.close(Outcome::Unreachable);
+        lease.close(Outcome::ConnectionLost);
         return Err(not_run(Cause::Connect));
     }
     let limit = ask.time_left(gateway.now());
@@ -133,7 +133,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(e)) => return Err(broken(lease, &conn, &e, since(sent, gateway.now()))),
         Err(timeout::Elapsed) => {
-            lease.close(Outcome::Dropped);
+            lease.close(Outcome::Abandoned);
             return Err(may_have_run(Cause::Timeout));
         }
     };
@@ -169,16 +169,16 @@
 
 fn broken(lease: Lease, conn: &Connection, error: &client::Error, took: Duration) -> Failed {
     if error.is_unsent() {
-        lease.close(Outcome::Dropped);
+        lease.close(Outcome::Abandoned);
         return not_run(Cause::Stale);
     }
     if conn.is_reused() && took < AT_ONCE {
         // Closed in the moment of use, most likely; that says nothing against the endpoint. Later,
         // the endpoint had the request and lost its answer.
-        lease.close(Outcome::Dropped);
+        lease.close(Outcome::Abandoned);
         return may_have_run(Cause::Stale);
     }
-    lease.close(Outcome::Unreachable);
+    lease.close(Outcome::ConnectionLost);
     may_have_run(Cause::Cut)
 }
 
@@ -199,10 +199,10 @@
 fn outcome(cause: Cause) -> Outcome {
     match cause {
         Cause::Full => Outcome::Full,
-        Cause::Misdirected => Outcome::Gone,
-        Cause::Connect => Outcome::NoConnection,
-        Cause::Cut => Outcome::Unreachable,
-        Cause::Stale | Cause::Foreign | Cause::Timeout => Outcome::Dropped,
+        Cause::Misdirected => Outcome::AddressReused,
+        Cause::Connect => Outcome::ConnectFailed,
+        Cause::Cut => Outcome::ConnectionLost,
+        Cause::Stale | Cause::Foreign | Cause::Timeout => Outcome::Abandoned,
         Cause::Unsealed | Cause::Error => Outcome::Failed,
     }
 }
@@ -222,10 +222,11 @@
 impl Open {
     /// Takes the connection back into use if the endpoint keeps it, once the answer was read to
     /// its end.
-    pub fn finish(self, gateway: &Gateway, repeat: Repeat, outcome: Outcome) {
+    pub fn finish(self, gateway: &Gateway, retry_policy: RetryPolicy, outcome: Outcome) {
         if matches!(self.reply.connection, dialect::Connection::Kept(_)) {
             // Requests that can't be repeated leave connections behind and never take one of them.
-            let max_idle = if repeat.is_repeatable() { usize::MAX } else { self.lease.max_idle };
+            let max_idle =
+                if retry_policy.is_retryable() { usize::MAX } else { self.lease.max_idle };
             gateway.pool.put_within(self.conn, max_idle);
         }
         self.lease.close(outcome);
--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -12,7 +12,7 @@
 use curranthook_types::{domain, endpoint};
 
 use crate::{
-    advertised::{Advertised, Departed, Start},
+    advertised::{Advertised, Departed, Incarnation},
     dialect::Load,
     entry::Entry,
     rate_limit,
@@ -35,10 +35,10 @@
 pub trait Permits {
     /// To an endpoint in slow start.
     fn slow_start(&self, endpoint: u64) -> Option<Duration>;
-    /// To one that names a limit of `rate` requests a second, in the present turn.
-    fn limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
-    /// The present turn (see [`rate_limit::turn`]).
-    fn turn(&self) -> u64;
+    /// To one that names a limit of `rate` requests a second, in the present rotation.
+    fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
+    /// The present rotation (see [`rate_limit::rotation`]).
+    fn rotation(&self) -> u64;
 }
 
 /// The endpoints of all services.
@@ -69,34 +69,34 @@
     /// It was turned away, as the endpoint is full.
     Full,
     /// No connection to it could be opened.
-    NoConnection,
+    ConnectFailed,
     /// It broke off.
-    Unreachable,
+    ConnectionLost,
     /// The address belongs to another endpoint by now.
-    Gone,
+    AddressReused,
     /// The node dropped it.
-    Dropped,
+    Abandoned,
 }
 
 impl Directory {
     /// Takes in an entry.
-    pub fn set(&mut self, entry: Entry, now: Instant) {
+    pub fn upsert(&mut self, entry: Entry, now: Instant) {
         if self.drop_older(&entry, now) == Some(entry.id.clone()) {
             return;
         }
         let versions = self.versions.entry(entry.service.clone()).or_default();
         let from = if versions.is_empty() { now } else { now + UNKNOWN_VERSION };
-        let known_from = *versions.entry(entry.version.clone()).or_insert(from);
+        let established_at = *versions.entry(entry.version.clone()).or_insert(from);
         let (id, warm_in) = (entry.id.clone(), entry.warm_in);
         match self.endpoints.get_mut(&id) {
             // The same id after a restart is another endpoint: nothing known of it holds.
-            Some(it) if Start::of(&it.entry) == Start::of(&entry) => {
+            Some(it) if Incarnation::of(&it.entry) == Incarnation::of(&entry) => {
                 it.entry = entry;
                 it.missing = false;
             }
             _ => {
                 let advertised = self.departed.take(&entry, now);
-                self.endpoints.insert(id.clone(), Tracked::new(entry, advertised, known_from));
+                self.endpoints.insert(id.clone(), Tracked::new(entry, advertised, established_at));
             }
         }
         if let Some(it) = self.endpoints.get_mut(&id) {
@@ -155,12 +155,12 @@
     /// The store is back after it was away. Entries may have lapsed meanwhile though their
     /// endpoints live; dropping them at once would leave nobody to send to, so they're kept `until`
     /// then.
-    pub fn store_returned(&mut self, until: Instant) {
+    pub fn keep_missing_until(&mut self, until: Instant) {
         self.lapsing_until = Some(until);
     }
 
     /// Drops entries that lapsed and didn't come back in time.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn remove_lapsed(&mut self, now: Instant) {
         if self.lapsing_until.is_some_and(|until| until <= now) {
             self.lapsing_until = None;
             let missing = self.endpoints.extract_if(|_, it| it.missing);
@@ -188,7 +188,7 @@
     }
 
     /// The endpoints of a failure domain get work again.
-    pub fn readmit(&mut self, domain: &domain::Id) {
+    pub fn end_evacuation(&mut self, domain: &domain::Id) {
         self.evacuated.remove(domain);
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// One endpoint.
-    pub fn tracked(&self, id: &endpoint::Id) -> Option<&Tracked> {
+    pub fn get(&self, id: &endpoint::Id) -> Option<&Tracked> {
         self.endpoints.get(id)
     }
 
@@ -208,54 +208,54 @@
         for it in self.endpoints.values_mut().filter(|it| it.entry.service == service) {
             let slow_start = it.slow_start.as_mut();
             if let Some(slow_start) = slow_start.filter(|it| it.is_outdated(now)) {
-                slow_start.share.set_interval(permits.slow_start(it.seed), now);
+                slow_start.share.set_interval(permits.slow_start(it.id_hash), now);
             }
-            let (limit, turn) = (it.advertised.rate_limit.as_mut(), permits.turn());
-            if let Some(limit) = limit.filter(|it| it.is_outdated(turn, now)) {
-                limit.set_interval(permits.limited(it.seed, limit.rate), turn, now);
+            let (limit, rotation) = (it.advertised.rate_limit.as_mut(), permits.rotation());
+            if let Some(limit) = limit.filter(|it| it.is_outdated(rotation, now)) {
+                limit.set_interval(permits.rate_limited(it.id_hash, limit.rate), rotation, now);
             }
         }
     }
 
     /// Takes in what another node heard of an endpoint's limit. Returns whether that changes it.
-    pub fn reported_limit(&mut self, id: &endpoint::Id, notice: &rate_limit::Notice) -> bool {
+    pub fn apply_reported_limit(&mut self, id: &endpoint::Id, notice: &rate_limit::Notice) -> bool {
         self.endpoints.get_mut(id).is_some_and(|it| it.advertised.set_rate_limit(notice))
     }
 
     /// Takes in what an endpoint said of its limit. Returns whether that changes it.
     pub fn set_rate_limit(
         &mut self,
-        start: &Start,
+        incarnation: &Incarnation,
         notice: &rate_limit::Notice,
         now: Instant,
     ) -> bool {
-        self.advertised(start, now).is_some_and(|it| it.set_rate_limit(notice))
+        self.advertised(incarnation, now).is_some_and(|it| it.set_rate_limit(notice))
     }
 
     /// An endpoint said that it's leaving. Returns whether that's news.
-    pub fn set_leaving(&mut self, start: &Start, now: Instant) -> bool {
-        let known = self.advertised(start, now);
+    pub fn set_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
+        let known = self.advertised(incarnation, now);
         known.is_some_and(|it| !std::mem::replace(&mut it.is_leaving, true))
     }
 
     /// An endpoint wants no requests of this node for so long.
-    pub fn pause(&mut self, start: &Start, length: Duration, now: Instant) {
-        if let Some(it) = self.advertised(start, now) {
+    pub fn pause(&mut self, incarnation: &Incarnation, length: Duration, now: Instant) {
+        if let Some(it) = self.advertised(incarnation, now) {
             it.pause(length, now);
         }
     }
 
     /// What a start of an endpoint says of itself; none if there is another one under its id.
-    fn advertised(&mut self, start: &Start, now: Instant) -> Option<&mut Advertised> {
-        match self.endpoints.get_mut(&start.id) {
-            Some(it) if Start::of(&it.entry) == *start => Some(&mut it.advertised),
+    fn advertised(&mut self, incarnation: &Incarnation, now: Instant) -> Option<&mut Advertised> {
+        match self.endpoints.get_mut(&incarnation.id) {
+            Some(it) if Incarnation::of(&it.entry) == *incarnation => Some(&mut it.advertised),
             Some(_) => None,
-            None => self.departed.get_mut(start, now),
+            None => self.departed.get_mut(incarnation, now),
         }
     }
 
     /// A request goes to an endpoint.
-    pub fn started(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
+    pub fn request_sent(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.in_flight += 1;
             it.pending += work;
@@ -269,7 +269,13 @@
     }
 
     /// The first byte of its answer came.
-    pub fn began(&mut self, id: &endpoint::Id, work: Duration, load: Option<Load>, now: Instant) {
+    pub fn first_byte_received(
+        &mut self,
+        id: &endpoint::Id,
+        work: Duration,
+        load: Option<Load>,
+        now: Instant,
+    ) {
         self.last_answer = Some(now);
         if let Some(it) = self.endpoints.get_mut(id) {
             it.pending = it.pending.saturating_sub(work);
@@ -280,53 +286,59 @@
     }
 
     /// The request ended; `work` is what it still had pending.
-    pub fn finished(&mut self, id: &endpoint::Id, outcome: Outcome, work: Duration, now: Instant) {
+    pub fn request_ended(
+        &mut self,
+        id: &endpoint::Id,
+        outcome: Outcome,
+        work: Duration,
+        now: Instant,
+    ) {
         let Some(it) = self.endpoints.get_mut(id) else { return };
         it.in_flight = it.in_flight.saturating_sub(1);
         it.pending = it.pending.saturating_sub(work);
         let failed = match outcome {
             Outcome::Answered => {
                 it.pause = Duration::ZERO;
-                it.out_until = None;
+                it.ejected_until = None;
                 it.unreachable_since = None;
                 0.0
             }
             Outcome::Failed => 1.0,
-            Outcome::NoConnection => {
+            Outcome::ConnectFailed => {
                 it.failed(now);
                 it.unreachable_since = Some(now);
                 1.0
             }
-            Outcome::Unreachable => {
+            Outcome::ConnectionLost => {
                 it.failed(now);
                 1.0
             }
-            Outcome::Gone => {
+            Outcome::AddressReused => {
                 self.forget(id, now);
                 return;
             }
-            Outcome::Full | Outcome::Dropped => return,
+            Outcome::Full | Outcome::Abandoned => return,
         };
         it.failures += SMOOTHING * (failed - it.failures);
     }
 
     /// Whether a connection that fails is its endpoint's fault, as this node reaches others.
-    pub fn reaches_others(&self, now: Instant) -> bool {
+    pub fn has_recent_answer(&self, now: Instant) -> bool {
         self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < LINKS_EXPIRY)
     }
 
     /// Another node found that no connection to an endpoint can be opened.
-    pub fn reported_unreachable(&mut self, id: &endpoint::Id, now: Instant) {
+    pub fn report_unreachable(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.unreachable_since = Some(now);
-            it.avoid(now);
+            it.eject(now);
         }
     }
 
     /// Leaves an endpoint alone that others can't reach.
-    pub fn avoid(&mut self, id: &endpoint::Id, now: Instant) {
+    pub fn eject(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
-            it.avoid(now);
+            it.eject(now);
         }
     }
 
--- a/crates/curranthook_gateway/src/front.rs
+++ b/crates/curranthook_gateway/src/front.rs
@@ -12,7 +12,7 @@
     ask::Ask,
     document::Denied,
     event::Event,
-    gateway::Current,
+    gateway::Configuration,
     job::{End, Job, millis},
     refusal::{Ran, Reason, Refusal},
     starting, stream, unary,
@@ -65,7 +65,7 @@
             status: refusal.status.as_u16(),
             reason: refusal.reason.name(),
             retry_after_ms: refusal.retry_after.map(millis),
-            configuration: gateway.current.load().as_ref().map(|it| it.document.version),
+            configuration: gateway.configuration.load().as_ref().map(|it| it.document.version),
             in_flight: gateway.in_flight(),
         });
     }
@@ -83,7 +83,7 @@
             refuse(Reason::Invalid)
         })?;
         starting::wait(gateway, head.patience).await;
-        let Some(current) = gateway.current.load_full() else {
+        let Some(current) = gateway.configuration.load_full() else {
             return Err(starting::refusal(gateway));
         };
         // Before the body: whoever may not call at all isn't read any further.
@@ -97,7 +97,7 @@
             }
         };
         // Once more: a body may take its time, and the configuration may change meanwhile.
-        let current = gateway.current.load_full().unwrap_or(current);
+        let current = gateway.configuration.load_full().unwrap_or(current);
         let (route, account) = admit(&current, &head)?;
         let patience = head.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
         let priority = account.as_ref().and_then(|it| it.priority).unwrap_or(route.priority);
@@ -110,7 +110,7 @@
 }
 
 fn admit(
-    current: &Current,
+    current: &Configuration,
     head: &crate::ask::Head,
 ) -> Result<(Arc<crate::document::Route>, Option<crate::document::Account>), Refusal> {
     let admitted = current.document.admit(&head.host, head.uri.path(), head.key.as_deref());
@@ -126,7 +126,7 @@
 
 async fn answer(mut job: Job) -> Result<Response<Body>, Refusal> {
     let gateway = Arc::clone(&job.gateway);
-    let answered = if job.route.repeat.is_stream() {
+    let answered = if job.route.retry_policy.is_stream() {
         open_stream(job).await
     } else {
         match unary::read(&mut job).await {
@@ -154,7 +154,7 @@
     headers.remove(header::CONTENT_LENGTH);
     let status = open.reply.status;
     let took = job.gateway.now().saturating_duration_since(job.ask.since);
-    job.gateway.metrics.first_byte(took);
+    job.gateway.metrics.record_first_byte(took);
     Ok(respond(status, headers, stream::body(job, open)))
 }
 
@@ -167,7 +167,7 @@
 
 /// The answer that says why there is none.
 fn refuse(gateway: &Gateway, refusal: &Refusal) -> Response<Body> {
-    gateway.metrics.refused(refusal.reason);
+    gateway.metrics.record_refusal(refusal.reason);
     let text = serde_json::json!({ "error": refusal.reason.name() });
     let mut res = body::json(refusal.status.as_u16(), &text);
     gateway.dialect.refused(refusal, res.headers_mut());
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -17,9 +17,9 @@
     directory::Outcome,
     document::Route,
     event::Event,
-    gateway::{Current, InFlight},
+    gateway::{Configuration, InFlight},
     lease::Lease,
-    load_reports::{self, Heard},
+    load_reports::{self, PeerState},
     models::{Candidate, Models},
     offer::{self, Wanted, Wants},
     pace::{First, Pace},
@@ -83,7 +83,7 @@
     has_failed: bool,
     configuration: u64,
     /// What other nodes told while the next attempt was decided on.
-    heard: Option<Heard>,
+    heard: Option<PeerState>,
     _in_flight: InFlight,
 }
 
@@ -91,7 +91,7 @@
     /// A request that was let in.
     pub fn new(
         gateway: &Arc<Gateway>,
-        current: &Current,
+        current: &Configuration,
         ask: Ask,
         route: Arc<Route>,
         account: Option<account::Id>,
@@ -116,7 +116,7 @@
             has_failed: false,
             configuration: current.document.version,
             heard: None,
-            _in_flight: gateway.enter(),
+            _in_flight: gateway.track_request(),
             gateway: Arc::clone(gateway),
             ask,
             route,
@@ -198,12 +198,12 @@
 
     /// What other nodes tell of the endpoints that may take it; nothing in a small fleet, whose nodes
     /// have told already.
-    async fn hear(&self, wanted: &Wanted<'_>) -> Heard {
-        let mut heard = Heard::default();
+    async fn hear(&self, wanted: &Wanted<'_>) -> PeerState {
+        let mut heard = PeerState::default();
         for _ in 0..MAX_QUESTIONS {
             let shortlist = offer::shortlist(&self.gateway, wanted);
             if shortlist.is_empty() {
-                return Heard::default();
+                return PeerState::default();
             }
             heard = self.ask_others(shortlist, wanted.subject).await;
             if heard.unreachable.is_empty() {
@@ -211,7 +211,7 @@
             }
             let now = self.gateway.now();
             let mut directory = self.gateway.directory.lock();
-            heard.unreachable.iter().for_each(|it| directory.avoid(it, now));
+            heard.unreachable.iter().for_each(|it| directory.eject(it, now));
             // One that can be reached is enough.
             if heard.waiting.keys().any(|it| !heard.unreachable.contains(it)) {
                 break;
@@ -220,13 +220,13 @@
         heard
     }
 
-    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, subject: Option<u64>) -> Heard {
-        let mut heard = load_reports::ask(&self.gateway, shortlist, subject).await;
+    async fn ask_others(&self, shortlist: Vec<endpoint::Id>, subject: Option<u64>) -> PeerState {
+        let mut heard = load_reports::query(&self.gateway, shortlist, subject).await;
         let is_unheard = |it: &endpoint::Id| !heard.waiting.contains_key(it);
         let holders = heard.holders.iter().flatten();
         let unheard: Vec<_> = holders.filter(|it| is_unheard(it)).cloned().collect();
         if !unheard.is_empty() {
-            let of_holders = load_reports::ask(&self.gateway, unheard, None).await;
+            let of_holders = load_reports::query(&self.gateway, unheard, None).await;
             heard.waiting.extend(of_holders.waiting);
             heard.unreachable.extend(of_holders.unreachable);
         }
@@ -274,7 +274,7 @@
             left_ms: millis(outgoing.time_left),
             configuration: self.configuration,
         });
-        attempt::run(&self.gateway, &self.ask, self.route.repeat, lease, &outgoing).await
+        attempt::run(&self.gateway, &self.ask, self.route.retry_policy, lease, &outgoing).await
     }
 
     /// Whether the caller gets this answer; if not, another attempt follows.
@@ -283,11 +283,11 @@
         // A request that fails for a reason of its own fails again; it's evidence once.
         if !self.has_failed {
             let took = (!is_error).then_some(open.first_byte);
-            self.gateway.rollouts.lock().began(&self.service, version, self.kind(), took);
+            self.gateway.rollouts.lock().record_answer(&self.service, version, self.kind(), took);
         }
         self.has_failed |= is_error;
         if is_error {
-            if self.route.repeat.is_repeatable() && self.may_run_again("error") {
+            if self.route.retry_policy.is_retryable() && self.may_run_again("error") {
                 self.tried.push(open.lease.id.clone());
                 open.close(Outcome::Failed);
                 return None;
@@ -297,7 +297,7 @@
         if let Some(it) = self.models.current() {
             let lease = &open.lease;
             if let Some(expected) = lease.expected {
-                self.gateway.metrics.estimated(expected, open.first_byte);
+                self.gateway.metrics.record_estimate(expected, open.first_byte);
             }
             let first = First {
                 prompt: lease.prompt,
@@ -327,7 +327,7 @@
         }
         if let Some(each) = took.checked_div(events.saturating_sub(1)) {
             let mut rollouts = self.gateway.rollouts.lock();
-            rollouts.ended(&self.service, version, self.kind(), each);
+            rollouts.record_stream_end(&self.service, version, self.kind(), each);
         }
     }
 
@@ -368,7 +368,7 @@
             // Endpoints that ended while they ran it had another reason, then.
             self.gateway.poison.lock().release(self.ask.fingerprint);
         }
-        self.gateway.metrics.ended(outcome, took);
+        self.gateway.metrics.record_ended(outcome, took);
         self.gateway.log.write(&Event::Ended {
             request: &self.ask.head.id,
             route: &self.route.name,
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -6,7 +6,7 @@
 use crate::{
     cascade::{self, Aim, Outlook},
     event::Event,
-    load_reports::Heard,
+    load_reports::PeerState,
     models::Candidate,
     offer,
     rollouts::Rule,
@@ -15,12 +15,12 @@
 impl Job {
     /// Whether the largest model is asked in place of the one that has begun.
     pub(super) async fn escalates(&mut self, confidence: Option<u8>) -> bool {
-        let can_repeat = self.route.repeat.is_repeatable() && self.last_event.is_none();
+        let can_repeat = self.route.retry_policy.is_retryable() && self.last_event.is_none();
         let Some(confidence) = confidence.filter(|_| can_repeat) else { return false };
         let Some(large) = self.models.larger() else { return false };
         let rule = self.gateway.rollouts.lock().rule(&self.service, self.session());
         // Work of other nodes only delays the larger model, so most answers are kept without asking.
-        if self.better(confidence, &rule, &Heard::default()).is_none() {
+        if self.better(confidence, &rule, &PeerState::default()).is_none() {
             return false;
         }
         let heard = self.hear(&self.wanted(&rule, Some(large))).await;
@@ -42,11 +42,11 @@
     }
 
     /// What is to be expected of the largest model, if that is better than the answer that has begun.
-    fn better(&self, confidence: u8, rule: &Rule, heard: &Heard) -> Option<Outlook> {
+    fn better(&self, confidence: u8, rule: &Rule, heard: &PeerState) -> Option<Outlook> {
         let (small, large) = (self.models.current()?, self.models.larger()?);
         let elapsed = self.gateway.now().saturating_duration_since(self.ask.since);
         let aim = Aim {
-            objective: self.route.objective,
+            objective: self.route.latency_target,
             deadline: self.ask.deadline.saturating_duration_since(self.ask.since),
         };
         let first = elapsed + self.first_event(rule, large, heard)?;
@@ -57,7 +57,7 @@
 
     /// When the first event of `model` is likely to come, at the endpoint that it would get now; none if
     /// there is no endpoint for it.
-    fn first_event(&self, rule: &Rule, model: &Candidate, heard: &Heard) -> Option<Duration> {
+    fn first_event(&self, rule: &Rule, model: &Candidate, heard: &PeerState) -> Option<Duration> {
         let wanted = self.wanted(rule, Some(model));
         let directory = self.gateway.directory.lock();
         let offer = offer::best(&self.gateway, &directory, &wanted, heard)?;
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -50,7 +50,7 @@
         if MAX_REJECTIONS <= self.rejections || is_spent {
             return Next::Respond(self.refusal(reason).with_retry_after(RETRY_FULL));
         }
-        self.gateway.metrics.retried(failed.cause.name());
+        self.gateway.metrics.record_retry(failed.cause.name());
         Next::Retry
     }
 
@@ -69,7 +69,7 @@
         if self.gateway.poison.lock().is_poison(self.ask.fingerprint, now) {
             return Next::Respond(self.refusal(Reason::Poison));
         }
-        if !self.route.repeat.is_repeatable() || !self.may_run_again(failed.cause.name()) {
+        if !self.route.retry_policy.is_retryable() || !self.may_run_again(failed.cause.name()) {
             return Next::Respond(self.refusal(Reason::EndpointFailed));
         }
         Next::Retry
@@ -90,13 +90,13 @@
             self.not_repeated("budget");
             return false;
         }
-        self.gateway.metrics.retried(why);
+        self.gateway.metrics.record_retry(why);
         true
     }
 
     /// Charges the request with the end of `endpoint`, if that no longer takes connections.
     async fn charge(&self, endpoint: &endpoint::Id) {
-        let addr = self.gateway.directory.lock().tracked(endpoint).map(|it| it.entry.addr);
+        let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
         let connect = self.gateway.pool.take(addr, Freshness::New);
         if let Ok(Ok(conn)) = timeout::run(ALIVE_TIMEOUT, connect).await {
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -6,14 +6,14 @@
 
 use crate::{
     Gateway,
-    advertised::Start,
+    advertised::Incarnation,
     affinity::Read,
     connections,
     dialect::{Load, Reply},
     directory::Outcome,
     entry::State,
     event::Event,
-    load_reports::Heard,
+    load_reports::PeerState,
     offer::{self, Offer, Wanted},
     prefill::Prompt,
     rate_limit,
@@ -56,10 +56,10 @@
 
 impl Lease {
     /// A place at the best endpoint for a request, if there is one (see [`offer::best`]).
-    pub fn take(gateway: &Arc<Gateway>, wanted: &Wanted<'_>, heard: &Heard) -> Option<Self> {
+    pub fn take(gateway: &Arc<Gateway>, wanted: &Wanted<'_>, heard: &PeerState) -> Option<Self> {
         let now = gateway.now();
         let mut directory = gateway.directory.lock();
-        directory.sweep(now);
+        directory.remove_lapsed(now);
         offer::renew_permits(gateway, &mut directory, wanted.service, now);
         let offer = offer::best(gateway, &directory, wanted, heard)?;
         let Offer { prompt, busy, waited, .. } = offer;
@@ -67,14 +67,14 @@
         let expected = pace.map(|it| offer.first_event(&it));
         let pending = pace.map_or(Duration::ZERO, |it| it.speed.prefill(prompt));
         let entry = offer.endpoint.entry.clone();
-        directory.started(&entry.id, pending, now);
+        directory.request_sent(&entry.id, pending, now);
         if let Some(subject) = wanted.subject {
             gateway.affinity.lock().read(subject, &entry.id, now);
             if let Some(reports) = gateway.load_reports.get() {
-                reports.read(Read { subject, endpoint: entry.id.clone() });
+                reports.queue_read(Read { subject, endpoint: entry.id.clone() });
             }
         }
-        gateway.waiting_changed.wake();
+        gateway.pending_work_changed.wake();
         let max_connections = gateway.service(wanted.service, |it| it.max_connections);
         let max_idle = max_connections.map(|it| connections::max_idle(it, gateway.n_nodes()));
         Some(Self {
@@ -89,28 +89,28 @@
             expected,
             max_idle: max_idle.unwrap_or(usize::MAX),
             pending,
-            outcome: Outcome::Dropped,
+            outcome: Outcome::Abandoned,
         })
     }
 
     /// Takes in what the endpoint says of itself in an answer.
     pub fn record_advertised(&self, reply: &Reply, completeness: Completeness) {
-        let start = Start { id: self.id.clone(), addr: self.addr, born: self.born };
+        let incarnation = Incarnation { id: self.id.clone(), addr: self.addr, born: self.born };
         let (endpoint, now) = (self.id.as_str(), self.gateway.now());
         let at = self.gateway.store_time().unwrap_or_default();
         let notice = rate_limit::Notice { rate: reply.rate_limit, at };
         let mut directory = self.gateway.directory.lock();
-        if reply.state == State::Leaving && directory.set_leaving(&start, now) {
+        if reply.state == State::Leaving && directory.set_leaving(&incarnation, now) {
             self.gateway.log.write(&Event::Leaving { endpoint, from: "answer" });
         }
         if let Some(length) = reply.pause {
-            directory.pause(&start, length, now);
+            directory.pause(&incarnation, length, now);
             let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
             self.gateway.log.write(&Event::Paused { endpoint, length_ms });
         }
         // An answer that went wrong may lack what its endpoint says in all others.
         let tells_limit = completeness == Completeness::Whole || notice.rate.is_some();
-        let is_news = tells_limit && directory.set_rate_limit(&start, &notice, now);
+        let is_news = tells_limit && directory.set_rate_limit(&incarnation, &notice, now);
         drop(directory);
         if is_news {
             self.tell_rate_limit(notice);
@@ -121,8 +121,8 @@
         let (endpoint, rate) = (self.id.as_str(), notice.rate);
         self.gateway.log.write(&Event::RateLimit { endpoint, rate, from: "answer" });
         if let Some(reports) = self.gateway.load_reports.get() {
-            reports.limit(&self.id, notice);
-            self.gateway.waiting_changed.wake();
+            reports.queue_limit(&self.id, notice);
+            self.gateway.pending_work_changed.wake();
         }
     }
 
@@ -130,8 +130,8 @@
     pub fn began(&mut self, load: Option<Load>) {
         let now = self.gateway.now();
         let pending = std::mem::take(&mut self.pending);
-        self.gateway.directory.lock().began(&self.id, pending, load, now);
-        self.gateway.waiting_changed.wake();
+        self.gateway.directory.lock().first_byte_received(&self.id, pending, load, now);
+        self.gateway.pending_work_changed.wake();
     }
 
     /// Gives it back.
@@ -144,14 +144,14 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut directory = self.gateway.directory.lock();
-        directory.finished(&self.id, self.outcome, self.pending, now);
-        let is_lost = matches!(self.outcome, Outcome::NoConnection | Outcome::Gone);
+        directory.request_ended(&self.id, self.outcome, self.pending, now);
+        let is_lost = matches!(self.outcome, Outcome::ConnectFailed | Outcome::AddressReused);
         if is_lost
-            && directory.reaches_others(now)
+            && directory.has_recent_answer(now)
             && let Some(reports) = self.gateway.load_reports.get()
         {
-            reports.unreachable(self.id.clone());
-            self.gateway.waiting_changed.wake();
+            reports.queue_unreachable(self.id.clone());
+            self.gateway.pending_work_changed.wake();
         }
     }
 }
--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -23,9 +23,9 @@
 use crate::{
     Gateway,
     event::Event,
+    fleet_writer,
     front::Front,
-    lead,
-    load_reports::{self, Reports},
+    load_reports::{self, Socket},
     peers,
     settings::Settings,
     store::Table,
@@ -121,7 +121,7 @@
     }
     tasks(&gateway);
     if let Some(socket) = listeners.reports {
-        let reports = Arc::new(Reports::new(socket));
+        let reports = Arc::new(Socket::new(socket));
         let reports = Arc::clone(gateway.load_reports.get_or_init(|| reports));
         gateway.ex.spawn(load_reports::run(Arc::clone(&gateway), reports)).detach();
     }
@@ -186,7 +186,7 @@
         let task = watch::run(Arc::clone(gateway), table, Arc::clone(&shared));
         gateway.ex.spawn(task).detach();
     }
-    gateway.ex.spawn(lead::run(Arc::clone(gateway))).detach();
+    gateway.ex.spawn(fleet_writer::run(Arc::clone(gateway))).detach();
 }
 
 fn bind(addr: SocketAddr) -> Result<Server, Error> {
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -138,7 +138,7 @@
     async fn leave(&mut self, cause: Cause) -> Result<(), Broken> {
         let Some(open) = self.open.take() else { return Ok(()) };
         let id = open.lease.id.clone();
-        open.close(Outcome::Unreachable);
+        open.close(Outcome::ConnectionLost);
         // Silence within the time that is left is no end of the time.
         let cause = match cause {
             Cause::Timeout if !self.job.time_left().is_zero() => Cause::Cut,
@@ -163,8 +163,8 @@
     }
 
     fn broken(&mut self, refusal: Refusal) -> Broken {
-        self.job.gateway.metrics.refused(refusal.reason);
-        self.end("broke_off", Outcome::Dropped);
+        self.job.gateway.metrics.record_refusal(refusal.reason);
+        self.end("broke_off", Outcome::Abandoned);
         Broken(refusal)
     }
 
@@ -183,7 +183,7 @@
         });
         match (open, of_endpoint) {
             (Some(open), Outcome::Answered) => {
-                open.finish(&self.job.gateway, self.job.route.repeat, of_endpoint);
+                open.finish(&self.job.gateway, self.job.route.retry_policy, of_endpoint);
             }
             (Some(open), _) => open.close(of_endpoint),
             (None, _) => {}
@@ -193,7 +193,7 @@
     /// How long the endpoint may still take for the next event. Bytes that make none don't count: an
     /// endpoint that trickles them would hold its caller until the time is up.
     fn silence_left(&self) -> Duration {
-        let pause = self.job.route.gap.unwrap_or_default();
+        let pause = self.job.route.max_event_gap.unwrap_or_default();
         let silence = pause.saturating_mul(SILENT_PAUSES).max(MIN_SILENCE);
         silence.saturating_sub(self.job.gateway.now().saturating_duration_since(self.got_on))
     }
@@ -202,7 +202,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.is_done {
-            self.end("caller_left", Outcome::Dropped);
+            self.end("caller_left", Outcome::Abandoned);
         }
     }
 }
--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -34,7 +34,7 @@
 /// How long calls for other rows wait there. A call whose answer is lost hangs for that long.
 const WAIT_RELAYED: Duration = Duration::from_secs(5);
 /// How long all nodes wait before their first reads when the fleet starts for the first time. By then each
-/// has written its address ([`crate::lead`]), and most find a parent instead of reading the store.
+/// has written its address ([`crate::fleet_writer`]), and most find a parent instead of reading the store.
 const FIRST_START_PAUSE: Duration = Duration::from_secs(1);
 /// How long a node that starts waits for the rows of the other nodes, among which it finds a parent.
 const MEMBERS_LIMIT: Duration = Duration::from_millis(100);
@@ -80,7 +80,7 @@
         Timer::after(FIRST_START_PAUSE).await;
     }
     if table != Table::Fleet {
-        gateway.members_known(MEMBERS_LIMIT).await;
+        gateway.wait_for_members(MEMBERS_LIMIT).await;
     }
     let mut watch = Watch {
         gateway,
@@ -245,7 +245,7 @@
                 why: name(self.table),
             });
             let until = self.gateway.outage.lock().returned(self.gateway.now());
-            self.gateway.directory.lock().store_returned(until);
+            self.gateway.directory.lock().keep_missing_until(until);
         }
         // After a single failure too: calls for other rows may have failed more often.
         if self.table == Table::Operator && 0 < self.failures {
@@ -286,10 +286,10 @@
         }
         if self.table == Table::Operator {
             peers::ask(&self.gateway).await;
-        } else if self.gateway.current.load().is_none() {
+        } else if self.gateway.configuration.load().is_none() {
             // Any rows that are applied may be the configuration.
-            let applied = self.gateway.changed.wait();
-            if self.gateway.current.load().is_none() {
+            let applied = self.gateway.rows_changed.wait();
+            if self.gateway.configuration.load().is_none() {
                 return pause_unless(applied, UNREAD_BACKOFF).await;
             }
         } else if self.is_away {
@@ -325,7 +325,7 @@
         Some((since, wait)) => store.changes(table, since, wait).await,
         None => store.all(table).await,
     };
-    gateway.metrics.store_call(table, &result);
+    gateway.metrics.record_store_call(table, &result);
     if result.is_ok() && table == Table::Operator {
         let now = gateway.now();
         gateway.mirror.lock().confirm(now);
