--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -17,24 +17,24 @@
 
 use crate::{
     affinity::Affinity,
-    budget::Budget,
     dialect::Dialect,
     directory::Directory,
     document::{Document, Service},
     event::Log,
     fleet,
+    latency::Estimator,
     load_owners::Owners,
     load_reports::Socket,
     load_table::LoadTable,
     metrics::Metrics,
     mirror::Mirror,
     outage::Outage,
-    pace::Paces,
-    returns::Returns,
+    retry_budget::Budget,
+    retry_schedule::Reservations,
     rollouts::Rollouts,
     settings::Settings,
     signal::Signal,
-    starting::Waiting,
+    startup::Waiters,
     steps::Schedule,
     store::{Decoder, Rev, Store, Table},
     unknown_headers::UnknownHeaders,
@@ -94,11 +94,11 @@
     /// Where prompts were read.
     pub affinity: Mutex<Affinity>,
     /// How fast models are.
-    pub paces: Mutex<Paces>,
+    pub latency_estimator: Mutex<Estimator>,
     /// Repeats.
-    pub budget: Mutex<Budget>,
+    pub retry_budget: Mutex<Budget>,
     /// When refused callers may come back.
-    pub returns: Mutex<Returns>,
+    pub retry_schedule: Mutex<Reservations>,
     /// Requests that end endpoints.
     pub poison: Mutex<Register>,
     /// Roll-outs.
@@ -122,7 +122,7 @@
     /// What endpoints said that nobody reads.
     pub unknown_headers: Mutex<UnknownHeaders>,
     /// Requests that wait for the first configuration.
-    pub starting: Waiting,
+    pub startup_waiters: Waiters,
     /// When the process started.
     pub started: Instant,
     stopping: AtomicBool,
@@ -158,7 +158,7 @@
         Arc::new(Self {
             pool,
             rollouts: Mutex::new(Rollouts::new(Schedule::new(settings.max_exposure))),
-            budget: Mutex::new(Budget::new(settings.retries)),
+            retry_budget: Mutex::new(Budget::new(settings.retries)),
             poison: Mutex::new(Register::new(POISON_CAPACITY)),
             ex,
             clock,
@@ -170,9 +170,9 @@
             metrics: Metrics::default(),
             configuration: ArcSwapOption::empty(),
             directory: Mutex::default(),
-            returns: Mutex::default(),
+            retry_schedule: Mutex::default(),
             affinity: Mutex::default(),
-            paces: Mutex::default(),
+            latency_estimator: Mutex::default(),
             mirror: Mutex::default(),
             outage: Mutex::default(),
             load_table: Mutex::default(),
@@ -182,7 +182,7 @@
             rows_changed: Signal::default(),
             peers: Mutex::default(),
             unknown_headers: Mutex::default(),
-            starting: Waiting::default(),
+            startup_waiters: Waiters::default(),
             started,
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
@@ -214,7 +214,7 @@
         let read = async {
             loop {
                 let changed = self.rows_changed.wait();
-                if self.mirror.lock().knows(Table::Fleet) {
+                if self.mirror.lock().has_read(Table::Fleet) {
                     return;
                 }
                 changed.await;
@@ -230,7 +230,7 @@
 
     /// Whether it knows all that it needs to serve requests.
     pub fn is_serving(&self) -> bool {
-        self.configuration.load().is_some() && self.mirror.lock().is_read()
+        self.configuration.load().is_some() && self.mirror.lock().has_read_all()
     }
 
     /// Whether it was told to stop.
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -3,27 +3,32 @@
 use std::time::{Duration, Instant};
 
 use curranthook_gateway::{
-    budget::{Bound, Budget},
-    cascade::{self, Aim, Outlook},
-    place::{self, Candidate, Distance, Holders, Work},
+    cascade::{self, Forecast, Targets},
+    placement::{self, CacheHolders, Candidate, Locality, Task},
+    retry_budget::{Budget, Limit},
     splitter::Splitter,
-    starting::{self, Waiting},
+    startup::{self, Waiters},
 };
 use yare::parameterized;
 
-fn idle(seed: u64) -> Candidate {
+fn idle(id_hash: u64) -> Candidate {
     Candidate {
-        seed,
+        id_hash,
         wait: Duration::ZERO,
-        failures: 0.0,
-        distance: Distance::Near,
-        holds_parts: false,
+        failure_rate: 0.0,
+        locality: Locality::SameDomain,
+        has_prefix_cached: false,
     }
 }
 
-fn work(subject: u64, shared_ms: u64) -> Work {
-    let shared = Duration::from_millis(shared_ms);
-    Work { subject: Some(subject), shared, holders: Holders::Guessed, salt: subject }
+fn task(prefix_hash: u64, prefill_ms: u64) -> Task {
+    let prefix_prefill = Duration::from_millis(prefill_ms);
+    Task {
+        prefix_hash: Some(prefix_hash),
+        prefix_prefill,
+        holders: CacheHolders::Guessed,
+        salt: prefix_hash,
+    }
 }
 
 /// Two nodes that see the same endpoints in another order send the same parts to the same one.
@@ -31,9 +36,9 @@
 fn nodes_agree_on_homes_without_a_message() {
     let ours: Vec<_> = (1..=12).map(idle).collect();
     let theirs: Vec<_> = ours.iter().rev().copied().collect();
-    for subject in 0..200 {
-        let work = work(subject, 300);
-        let at = |all: &[Candidate]| all[place::choose(all, &work).unwrap()].seed;
+    for prefix_hash in 0..200 {
+        let task = task(prefix_hash, 300);
+        let at = |all: &[Candidate]| all[placement::choose(all, &task).unwrap()].id_hash;
         assert_eq!(at(&ours), at(&theirs));
     }
 }
@@ -43,25 +48,25 @@
 #[test]
 fn parts_are_sent_where_they_are_known_to_be() {
     let mut all: Vec<_> = (1..=12).map(idle).collect();
-    let guessed = work(7, 600);
-    let home = place::choose(&all, &guessed).unwrap();
+    let guessed = task(7, 600);
+    let home = placement::choose(&all, &guessed).unwrap();
     all[home].wait = Duration::from_millis(300);
-    assert_eq!(place::choose(&all, &guessed), Some(home));
-    let known = Work { holders: Holders::Known, ..guessed };
-    assert_ne!(place::choose(&all, &known), Some(home));
+    assert_eq!(placement::choose(&all, &guessed), Some(home));
+    let known = Task { holders: CacheHolders::Known, ..guessed };
+    assert_ne!(placement::choose(&all, &known), Some(home));
     let other = (home + 5) % all.len();
-    all[other].holds_parts = true;
-    assert_eq!(place::choose(&all, &known), Some(other));
+    all[other].has_prefix_cached = true;
+    assert_eq!(placement::choose(&all, &known), Some(other));
 }
 
 /// One endpoint of twelve goes. Only what had its home there moves; the rest is still found.
 #[test]
 fn the_loss_of_an_endpoint_moves_only_its_own() {
     let all: Vec<_> = (1..=12).map(idle).collect();
-    let moved = (0..1_200).filter(|subject| {
-        let work = work(*subject, 300);
-        let before = all[place::choose(&all, &work).unwrap()].seed;
-        let after = all[..11][place::choose(&all[..11], &work).unwrap()].seed;
+    let moved = (0..1_200).filter(|prefix_hash| {
+        let task = task(*prefix_hash, 300);
+        let before = all[placement::choose(&all, &task).unwrap()].id_hash;
+        let after = all[..11][placement::choose(&all[..11], &task).unwrap()].id_hash;
         before != after
     });
     let moved = moved.count();
@@ -73,12 +78,12 @@
 #[test]
 fn a_busy_home_is_passed_over() {
     let mut all: Vec<_> = (1..=4).map(idle).collect();
-    let work = work(7, 300);
-    let home = place::choose(&all, &work).unwrap();
+    let task = task(7, 300);
+    let home = placement::choose(&all, &task).unwrap();
     all[home].wait = Duration::from_millis(200);
-    assert_eq!(place::choose(&all, &work), Some(home), "waiting is shorter than reading");
+    assert_eq!(placement::choose(&all, &task), Some(home), "waiting is shorter than reading");
     all[home].wait = Duration::from_millis(400);
-    assert_ne!(place::choose(&all, &work), Some(home));
+    assert_ne!(placement::choose(&all, &task), Some(home));
 }
 
 /// An endpoint fails most requests while its health check is good. Callers would see it in one
@@ -86,11 +91,11 @@
 #[test]
 fn a_failing_endpoint_is_left_alone() {
     let mut all: Vec<_> = (1..=4).map(idle).collect();
-    all[2].failures = 0.6;
+    all[2].failure_rate = 0.6;
     for salt in 0..100 {
-        let holders = Holders::Guessed;
-        let work = Work { subject: None, shared: Duration::ZERO, holders, salt };
-        assert_ne!(place::choose(&all, &work), Some(2));
+        let holders = CacheHolders::Guessed;
+        let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt };
+        assert_ne!(placement::choose(&all, &task), Some(2));
     }
 }
 
@@ -107,34 +112,37 @@
 )]
 fn a_larger_model_is_asked_if_it_helps(confidence: u8, first: u64, last: u64, expected: bool) {
     let ms = Duration::from_millis;
-    let aim = Aim { objective: ms(2_000), deadline: ms(15_000) };
-    let small = Outlook { first: ms(100), last: ms(900), price: 0.0 };
-    let large = Outlook { first: ms(first), last: ms(last), price: cascade::LARGE_PRICE };
-    assert_eq!(cascade::escalates(confidence, &small, &large, &aim), expected);
+    let targets = Targets { objective: ms(2_000), deadline: ms(15_000) };
+    let small = Forecast { first_event: ms(100), last_event: ms(900), cost: 0.0 };
+    let large =
+        Forecast { first_event: ms(first), last_event: ms(last), cost: cascade::LARGE_MODEL_COST };
+    assert_eq!(cascade::should_escalate(confidence, &small, &large, &targets), expected);
 }
 
 /// All endpoints fail for a while, and every request would be sent again and again. The nodes of
 /// a fleet together stay within the bound, in any span of its length.
 #[test]
 fn a_fleet_keeps_the_bound_on_repeats() {
-    let bound = Bound { ratio: 0.9, slack: 52.0, window: Duration::from_secs(10) };
+    let limit = Limit { ratio: 0.9, slack: 52.0, window: Duration::from_secs(10) };
     let (start, n_nodes) = (Instant::now(), 6);
-    let mut nodes: Vec<_> = (0..n_nodes).map(|_| Budget::new(bound)).collect();
-    let mut repeats = Vec::new();
-    let mut asked = 0;
+    let mut nodes: Vec<_> = (0..n_nodes).map(|_| Budget::new(limit)).collect();
+    let mut retries = Vec::new();
+    let mut requests = 0;
     for tick in 0..400_u64 {
         let now = start + Duration::from_millis(tick * 50);
         for node in &mut nodes {
-            node.asked("models", now);
-            asked += 1;
-            (0..3).filter(|_| node.spend("models", n_nodes, now)).for_each(|_| repeats.push(now));
+            node.record_request("models", now);
+            requests += 1;
+            (0..3)
+                .filter(|_| node.try_spend("models", n_nodes, now))
+                .for_each(|_| retries.push(now));
         }
     }
-    let per_window = f64::from(asked) / 2.0;
+    let requests_per_window = f64::from(requests) / 2.0;
     for from in (0..200).map(|it| start + Duration::from_millis(it * 50)) {
-        let inside = |at: &&Instant| from <= **at && **at < from + bound.window;
-        let n = repeats.iter().filter(inside).count() as f64;
-        assert!(n <= bound.ratio * per_window + bound.slack, "{n} repeats in a window");
+        let inside = |at: &&Instant| from <= **at && **at < from + limit.window;
+        let n = retries.iter().filter(inside).count() as f64;
+        assert!(n <= limit.ratio * requests_per_window + limit.slack, "{n} retries in a window");
     }
 }
 
@@ -142,12 +150,12 @@
 /// the others hear at once when to come back, until one of those that wait is answered or leaves.
 #[test]
 fn only_so_many_requests_wait_for_a_configuration() {
-    let waiting = Waiting::default();
-    let mut places: Vec<_> = (0..2_000).filter_map(|_| waiting.enter()).collect();
-    assert_eq!(places.len(), starting::MAX_WAITING);
-    assert!(waiting.enter().is_none());
-    places.pop();
-    assert!(waiting.enter().is_some(), "a place that was left is free again");
+    let waiters = Waiters::default();
+    let mut slots: Vec<_> = (0..2_000).filter_map(|_| waiters.try_enter()).collect();
+    assert_eq!(slots.len(), startup::MAX_WAITERS);
+    assert!(waiters.try_enter().is_none());
+    slots.pop();
+    assert!(waiters.try_enter().is_some(), "a place that was left is free again");
 }
 
 /// Bytes come in pieces of any size. What is passed on is the same, whole events only, and what
