--- a/crates/curranthook_gateway/src/advertised.rs
+++ b/crates/curranthook_gateway/src/advertised.rs
@@ -1,7 +1,7 @@
 //! State that an endpoint reports about itself in its answers: its rate limit, pauses, and whether
 //! it is leaving.
 //!
-//! An endpoint may report it before its entry in the store is updated, or while the store is
+//! A report may arrive before the endpoint's entry in the store is updated, or while the store is
 //! unavailable. It stays valid for the lifetime of the endpoint, even if the entry is removed and
 //! added again.
 
@@ -30,29 +30,29 @@
 /// What an endpoint has reported about itself.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Advertised {
-    /// The rate limit that it reports, if any.
+    /// The endpoint's rate limit, if it reports one.
     pub rate_limit: Option<RateLimit>,
     /// The store's time at the newest report of whether a rate limit applies. Older reports are
     /// ignored.
     rate_limit_at: Duration,
-    /// Whether it is leaving. An endpoint never withdraws this.
+    /// Whether the endpoint is leaving. A report of that is never withdrawn.
     pub is_leaving: bool,
-    /// The time until which it wants no requests from this node.
+    /// When the pause ends that the endpoint last asked this node for.
     paused_until: Option<Instant>,
 }
 
 impl Advertised {
-    /// Whether there is nothing worth caching.
+    /// Whether the endpoint has reported nothing.
     fn is_empty(&self) -> bool {
         self.rate_limit.is_none() && !self.is_leaving && self.paused_until.is_none()
     }
 
-    /// Whether this node may send it a request now.
+    /// Whether this node may send the endpoint a request now.
     pub fn admits(&self, now: Instant) -> bool {
         self.paused_until(now).is_none() && self.rate_limit.is_none_or(|it| it.admits(now))
     }
 
-    /// The time until which it wants no requests from this node, if that is in the future.
+    /// When the current pause ends; none if there is no pause.
     pub fn paused_until(&self, now: Instant) -> Option<Instant> {
         self.paused_until.filter(|until| now < *until)
     }
@@ -72,8 +72,8 @@
         self.paused_until = self.paused_until.max(Some(now + length.min(MAX_PAUSE)));
     }
 
-    /// Applies a report about its rate limit, unless it is older than the last one. Returns whether
-    /// the rate changed.
+    /// Applies a report about the endpoint's rate limit, unless a newer one has been applied.
+    /// Returns whether the rate changed.
     pub fn set_rate_limit(&mut self, notice: &Notice) -> bool {
         if notice.at < self.rate_limit_at {
             return false;
@@ -91,14 +91,15 @@
     }
 }
 
-/// One run of an endpoint. An endpoint that restarts under the same id is a different one.
+/// One run of an endpoint's process. After a restart under the same id, it is a different
+/// incarnation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Incarnation {
     /// The endpoint's id.
     pub id: endpoint::Id,
-    /// The address it listens on.
+    /// The address that the endpoint listens on.
     pub addr: SocketAddr,
-    /// When it started, in milliseconds since the Unix epoch.
+    /// When the process started, in milliseconds since the Unix epoch.
     pub started_ms: Option<u64>,
 }
 
