--- a/crates/curranthook_gateway/src/apply.rs
+++ b/crates/curranthook_gateway/src/apply.rs
@@ -34,8 +34,8 @@
         let n = gateway.directory.lock().len();
         gateway.metrics.endpoints.set(i64::try_from(n).unwrap_or(i64::MAX));
     }
-    // Signalled last, because the tasks that wake read the state changed above. The first read of a
-    // table counts even if the table is empty, since requests may be waiting for it.
+    // Signalled last, because the woken tasks read the state changed above. A snapshot is signalled
+    // even if it changes nothing: requests may be waiting for the first read of an empty table.
     if !changed.is_empty() || is_snapshot {
         gateway.rows_changed.wake();
     }
