--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -36,10 +36,10 @@
 /// between two requests, or none if the node may send no requests. Endpoints are identified by the
 /// hash of their id.
 pub trait Permits {
-    /// The interval for an endpoint in slow start.
+    /// The minimum interval between two requests to an endpoint in slow start.
     fn slow_start(&self, endpoint: u64) -> Option<Duration>;
-    /// The interval for an endpoint that limits all nodes to `rate` requests per second, in the
-    /// current rotation.
+    /// The minimum interval between two requests to an endpoint that limits all nodes to `rate`
+    /// requests per second, in the current rotation.
     fn rate_limited(&self, endpoint: u64, rate: f64) -> Option<Duration>;
     /// The number of the current rotation (see [`rate_limit::rotation`]).
     fn rotation(&self) -> u64;
@@ -60,27 +60,27 @@
     evacuated: HashSet<domain::Id>,
     /// When any endpoint last answered.
     last_answer: Option<Instant>,
-    /// Until when removed entries are kept, because they may have lapsed while the store was
-    /// unavailable.
+    /// Until when endpoints whose entries were removed are kept, because the entries may have
+    /// lapsed while the store was unavailable.
     missing_kept_until: Option<Instant>,
 }
 
 /// How a request to an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint answered.
+    /// The endpoint answered, and not with a server error.
     Answered,
-    /// The endpoint itself failed the request.
+    /// The endpoint answered with a server error, or its answer was incomplete or invalid.
     Failed,
     /// The endpoint refused the request because it is at capacity.
     Full,
     /// No connection to the endpoint could be opened.
     ConnectFailed,
-    /// The connection broke off.
+    /// The connection was lost before the answer was complete.
     ConnectionLost,
     /// The address now belongs to another endpoint.
     AddressReused,
-    /// This node gave the request up; that says nothing about the endpoint.
+    /// This node stopped the request, for reasons that are no evidence about the endpoint.
     Abandoned,
 }
 
@@ -131,8 +131,8 @@
         Some(older)
     }
 
-    /// Handles the removal of an entry: drops the endpoint, or marks it as missing while removed
-    /// entries are being kept.
+    /// Handles the removal of an entry: removes the endpoint, or marks it as missing during the
+    /// time set by [`Directory::keep_missing_until`].
     pub fn remove(&mut self, id: &endpoint::Id, now: Instant) {
         let keeps_missing = self.missing_kept_until.is_some_and(|until| now < until);
         match self.endpoints.get_mut(id) {
@@ -162,13 +162,13 @@
     }
 
     /// Called when the store is available again after an outage. Entries of live endpoints may have
-    /// lapsed during it. Dropping them at once could leave no endpoint to send requests to, so
-    /// removed entries are kept `until` then.
+    /// lapsed during it. Removing these endpoints at once could leave none to send requests to, so
+    /// they are kept until `until`.
     pub fn keep_missing_until(&mut self, until: Instant) {
         self.missing_kept_until = Some(until);
     }
 
-    /// Removes endpoints whose entries lapsed and did not come back in time.
+    /// Removes the endpoints marked as missing, if the time for which they are kept is over.
     pub fn remove_lapsed(&mut self, now: Instant) {
         if self.missing_kept_until.is_some_and(|until| until <= now) {
             self.missing_kept_until = None;
@@ -201,7 +201,7 @@
         self.evacuated.remove(domain);
     }
 
-    /// All endpoints.
+    /// All known endpoints, including those that accept no requests.
     pub fn all(&self) -> impl Iterator<Item = &Tracked> {
         self.endpoints.values()
     }
@@ -211,8 +211,8 @@
         self.endpoints.get(id)
     }
 
-    /// Recomputes this node's permits for the endpoints of a service whose rate all nodes share,
-    /// where they are outdated.
+    /// Recomputes this node's outdated permits for those endpoints of a service that bound the rate
+    /// of all nodes together.
     pub fn renew_permits(&mut self, service: &str, permits: &impl Permits, now: Instant) {
         for it in self.endpoints.values_mut().filter(|it| it.entry.service == service) {
             let slow_start = it.slow_start.as_mut();
@@ -264,8 +264,8 @@
         }
     }
 
-    /// Records that a request is being sent; `work` is the expected prefill time that stays pending
-    /// until the first byte.
+    /// Records that a request is being sent. `work` is its expected prefill time, which counts as
+    /// pending until the first byte of the answer.
     pub fn request_sent(&mut self, id: &endpoint::Id, work: Duration, now: Instant) {
         if let Some(it) = self.endpoints.get_mut(id) {
             it.in_flight += 1;
@@ -296,7 +296,8 @@
         }
     }
 
-    /// Records the end of a request; `work` is what was still pending for it.
+    /// Records the end of a request. `work` is the part of its expected prefill time that was still
+    /// pending.
     pub fn request_ended(
         &mut self,
         id: &endpoint::Id,
@@ -333,7 +334,7 @@
         it.failures += FAILURE_SMOOTHING * (failed - it.failures);
     }
 
-    /// Whether any endpoint answered recently, so that this node's own links work and a failed
+    /// Whether any endpoint answered recently. If so, this node's own links work, and a failed
     /// connection is the endpoint's fault.
     pub fn has_recent_answer(&self, now: Instant) -> bool {
         self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < RECENT_ANSWER)
