--- a/crates/curranthook_gateway/src/directory/tracked.rs
+++ b/crates/curranthook_gateway/src/directory/tracked.rs
@@ -1,4 +1,4 @@
-//! One endpoint as a node sees it.
+//! The state that a node tracks for one endpoint.
 
 use std::time::{Duration, Instant};
 
@@ -12,14 +12,14 @@
     slow_start::SlowStart,
 };
 
-/// How long an unreachable endpoint is ejected after its first failure; doubles with each further
-/// one.
+/// How long an unreachable endpoint is ejected, that is, gets no requests, after its first failure.
+/// Doubles with each further failure.
 const FIRST_EJECTION: Duration = Duration::from_millis(400);
 /// The longest ejection; about the time an endpoint takes to restart.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 /// The maximum age of a load reported by an endpoint.
 const LOAD_EXPIRY: Duration = Duration::from_secs(1);
-/// How long an endpoint counts as unreachable; after that a node tries it again.
+/// How long an endpoint counts as unreachable. After that, a node sends it requests again.
 const UNREACHABLE_EXPIRY: Duration = Duration::from_secs(1);
 /// The upper limit applied to the slow start time in an entry.
 const MAX_SLOW_START: Duration = Duration::from_secs(600);
@@ -29,28 +29,30 @@
 pub struct Tracked {
     /// The newest entry.
     pub entry: Entry,
-    /// The hash of its id.
+    /// The hash of the endpoint's id.
     pub id_hash: u64,
-    /// The number of requests this node has in flight there.
+    /// The number of this node's requests in flight at the endpoint.
     pub in_flight: u32,
     /// The expected prefill time of those requests that have no first byte yet.
     pub pending: Duration,
     /// The moving average of the share of requests that failed.
     pub failures: f64,
-    /// The load that it last reported, when, and how many requests this node had in flight then.
+    /// The load that the endpoint last reported, when it did, and how many requests this node had
+    /// in flight there at that time.
     pub(super) load: Option<(Load, Instant, u32)>,
     /// The length of its last ejection; zero after an answer.
     pub(super) ejection_time: Duration,
     pub(super) ejected_until: Option<Instant>,
     /// When this node, or another that reported it, last failed to open a connection.
     pub(super) unreachable_since: Option<Instant>,
-    /// The slow start, if it is in one.
+    /// The slow start, if the endpoint is in one.
     pub(super) slow_start: Option<SlowStart>,
-    /// What it reports about itself.
+    /// The state that the endpoint reports about itself.
     pub(super) advertised: Advertised,
-    /// Whether its entry was removed and is being kept for now.
+    /// Whether the entry was removed, and the endpoint is kept only because the entry may have
+    /// lapsed during a store outage.
     pub(super) is_missing: bool,
-    /// When its version counts as established and gets requests without an order.
+    /// When the endpoint's version counts as established and gets requests without a rollout order.
     pub(super) established_at: Instant,
 }
 
@@ -73,12 +75,12 @@
         }
     }
 
-    /// Whether it accepts new requests, by its entry and by its own reports.
+    /// Whether the endpoint accepts new requests according to its entry and its own reports.
     pub fn is_ready(&self) -> bool {
         self.entry.state == State::Ready && !self.advertised.is_leaving
     }
 
-    /// Whether it is ejected after failures.
+    /// Whether the endpoint is ejected after failures.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
@@ -89,13 +91,14 @@
         since.is_some_and(|at| now.saturating_duration_since(at) < UNREACHABLE_EXPIRY)
     }
 
-    /// Whether its version has been in use for a while or is the only one.
+    /// Whether the endpoint's version is established: known for some seconds, or the first one of
+    /// its service.
     pub fn is_established_version(&self, now: Instant) -> bool {
         self.established_at <= now
     }
 
-    /// Estimates the number of requests it has: the load it reported, corrected by the change since
-    /// then in the requests of this node.
+    /// Estimates the number of requests at the endpoint: the load that it last reported, corrected
+    /// by the change since then in this node's own requests.
     pub fn estimated_requests(&self, now: Instant) -> u32 {
         match self.load {
             Some((load, at, in_flight_then)) if now.saturating_duration_since(at) < LOAD_EXPIRY => {
@@ -106,15 +109,15 @@
         }
     }
 
-    /// Whether this node may send it a request now. Always true, except in slow start, under a rate
-    /// limit, or during a pause.
+    /// Whether this node may send the endpoint a request now. Always true, except in slow start,
+    /// under a rate limit, or during a pause.
     pub fn admits(&self, now: Instant) -> bool {
         let is_blocked_by_slow_start = self.slow_start.is_some_and(|it| !it.admits(now));
         !is_blocked_by_slow_start && self.advertised.admits(now)
     }
 
-    /// The requests per second that it accepts from all nodes, if that is bounded and this node may
-    /// send none now. `slow_start_rate` is the rate of endpoints in slow start.
+    /// The requests per second that the endpoint accepts from all nodes, if they are bounded and
+    /// this node may send none now. `slow_start_rate` is the rate of endpoints in slow start.
     pub fn throttled_rate(&self, slow_start_rate: Option<f64>, now: Instant) -> Option<f64> {
         let limited = self
             .advertised
@@ -125,12 +128,12 @@
         limited.into_iter().chain(slow_start).reduce(f64::min)
     }
 
-    /// The time until which it wants no requests from this node, if that is in the future.
+    /// When the pause ends that the endpoint asked this node for; none if there is no pause.
     pub fn paused_until(&self, now: Instant) -> Option<Instant> {
         self.advertised.paused_until(now)
     }
 
-    /// Applies the remaining slow start time from its entry; zero ends the slow start.
+    /// Applies the remaining slow start time from the entry; zero ends the slow start.
     pub(super) fn set_slow_start(&mut self, remaining: Duration, now: Instant) {
         let end = now + remaining.min(MAX_SLOW_START);
         match &mut self.slow_start {
