--- a/crates/curranthook_gateway/src/document.rs
+++ b/crates/curranthook_gateway/src/document.rs
@@ -30,12 +30,12 @@
     pub host: String,
     /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// Whether its requests may be sent again.
+    /// Whether the route's requests may be retried.
     pub retry_policy: RetryPolicy,
     /// The maximum time until a caller has the whole answer.
     pub timeout: Duration,
-    /// The latency up to which an answer earns its full score. For a stream, the latency of the
-    /// first event.
+    /// The latency up to which an answer has its full value for the caller; a slower one has less.
+    /// For a stream, the latency of the first event.
     pub latency_target: Duration,
     /// The maximum gap between two events for a stream to be on time.
     pub max_event_gap: Option<Duration>,
@@ -43,11 +43,11 @@
     pub priority: u8,
     /// The models that may answer, the smallest first; empty if the caller names the model.
     pub models: Vec<String>,
-    /// The services that receive its requests, with their weights.
+    /// The services that receive the route's requests, with their weights.
     pub split: Vec<Share>,
     /// The maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
-    /// Who may call it.
+    /// Who may call the route.
     pub access: Access,
 }
 
@@ -94,7 +94,7 @@
     Keyed,
 }
 
-/// A service that endpoints belong to.
+/// A service, which is run by one or more endpoints.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Service {
     /// The models that its endpoints run, with the cost of each per thousand generated tokens;
@@ -136,9 +136,9 @@
 /// Why a request was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// No route matches its host and path.
+    /// No route matches the request's host and path.
     NoRoute,
-    /// No account has its key.
+    /// No account has the request's key, or the request has no key.
     UnknownKey,
 }
 
@@ -155,7 +155,7 @@
         Self { version, routes: by_host, services, accounts: None, limits: Limits::default() }
     }
 
-    /// Sets the accounts, by key. Without accounts, no route requires a key.
+    /// Sets the client accounts, by key. Without accounts, no route requires a key.
     pub fn with_accounts(self, accounts: HashMap<String, Account>) -> Self {
         Self { accounts: Some(accounts), ..self }
     }
@@ -177,7 +177,8 @@
         self.routes.get(host)?.iter().find(|it| path.starts_with(&it.prefix))
     }
 
-    /// The route of a request and the calling account; no account on a public route.
+    /// The route of a request and the account of its caller. The account is none on a public route,
+    /// or if the configuration has no accounts.
     pub fn admit(
         &self,
         host: &str,
