--- a/crates/curranthook_gateway/src/event.rs
+++ b/crates/curranthook_gateway/src/event.rs
@@ -1,7 +1,7 @@
 //! The log of a node's decisions, one line of JSON per event.
 //!
-//! A separate thread writes the lines from a bounded queue. If the log is read too slowly, lines
-//! are dropped and counted; requests never wait for the log.
+//! A separate thread writes the lines from a bounded queue. If the reader of the log is too slow,
+//! lines are dropped and counted. Requests never wait for the log.
 
 use std::{
     io::Write,
@@ -18,7 +18,7 @@
 use curranthook_types::Clock;
 use serde::Serialize;
 
-/// The maximum number of queued lines; about one second's worth on a busy node.
+/// The maximum number of queued lines. A busy node logs about that many in a second.
 const QUEUE_CAPACITY: usize = 2_048;
 
 /// A decision that affected a request, or a change of the node's state.
@@ -42,7 +42,7 @@
     Reloaded { changed: &'a str },
     /// A new configuration is in force.
     Configuration { version: u64, before: u64, routes: usize, rev: u64, from: &'a str },
-    /// A row could not be decoded.
+    /// A row of the store could not be decoded.
     RowRejected { table: &'a str, why: &'a str },
     /// The store, or a parent that relays its rows, failed or is available again.
     Dependency { name: &'a str, state: &'a str, why: &'a str },
@@ -61,7 +61,7 @@
     RateLimit { endpoint: &'a str, rate: Option<f64>, from: &'a str },
     /// An endpoint reports that it is leaving.
     Leaving { endpoint: &'a str, from: &'a str },
-    /// An endpoint that refused a request wants no requests from this node for a while.
+    /// An endpoint refused a request and asked this node to send it none for some time.
     Paused { endpoint: &'a str, length_ms: u64 },
     /// The evacuation of a failure domain was ordered or ended.
     Evacuation { domain: &'a str, state: &'a str, rev: u64, from: &'a str },
@@ -112,7 +112,7 @@
         endpoint: &'a str,
         attempts: u32,
         first_byte_ms: u64,
-        /// The number of stream events passed on, and the time of the last one.
+        /// The number of stream events forwarded to the caller, and the time of the last one.
         events: u32,
         last_event_ms: u64,
         took_ms: u64,
@@ -134,7 +134,7 @@
     },
     /// A request was blamed for the failure of an endpoint.
     PoisonCharged { request: &'a str, endpoint: &'a str },
-    /// Lines were dropped since the last line written.
+    /// Log lines were dropped since the last line that was written.
     LinesDropped { count: u64 },
 }
 
@@ -208,7 +208,7 @@
             text.push_str(&more);
             text.push('\n');
         }
-        // The log cannot be written, and there is no other place to report that.
-        let _lost = out.write_all(text.as_bytes()).and_then(|()| out.flush());
+        // An error is ignored: a log that cannot be written cannot report that either.
+        let _ignored = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     }
 }
