--- a/crates/curranthook_gateway/src/fleet.rs
+++ b/crates/curranthook_gateway/src/fleet.rs
@@ -21,7 +21,7 @@
     Node(&'a str),
     /// The current step of a service's rollout.
     Step(&'a str),
-    /// A node's evidence about a rollout, by service and node.
+    /// A node's evidence about a rollout; the fields are the service and the node.
     Evidence(&'a str, &'a str),
     /// The requests that a node blames for endpoint failures.
     Poison(&'a str),
@@ -69,7 +69,7 @@
     /// The address for load reports. Its name in the row is `notices`, for compatibility.
     #[serde(default, rename = "notices")]
     pub reports: Option<SocketAddr>,
-    /// The failure domain.
+    /// The node's failure domain; none if the row does not contain it.
     #[serde(default)]
     pub domain: Option<domain::Id>,
     /// The capacity for relaying rows to other nodes, in Mbit/s.
@@ -77,10 +77,10 @@
     pub capacity: f64,
 }
 
-/// A node's evidence about a rollout.
+/// A node's evidence about a rollout, as stored in its row.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Observation {
-    /// The revision of the order.
+    /// The revision of the rollout order, which identifies the rollout.
     pub order: Rev,
     /// The evidence.
     pub evidence: Evidence,
@@ -142,7 +142,8 @@
     Ok(())
 }
 
-/// Applies the known rows of a service's rollout again.
+/// Applies the known rows of a service's rollout again, after an order that they belong to was
+/// received.
 pub fn reapply_rows(gateway: &Arc<Gateway>, service: &str) {
     let rows = gateway.mirror.lock().batch(Table::Fleet).rows;
     for it in rows {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Logs the state of a rollout.
+/// Logs the phase of a rollout and the evidence about its versions.
 pub fn log_rollout(gateway: &Gateway, it: &crate::rollouts::Rollout, outcome: &str) {
     let evidence = it.evidence();
     gateway.log.write(&Event::RollOut {
