--- a/crates/curranthook_gateway/src/fleet_writer.rs
+++ b/crates/curranthook_gateway/src/fleet_writer.rs
@@ -1,5 +1,5 @@
-//! Writes this node's rows for the other nodes: its address, rollout steps that are due, its
-//! evidence about a new version, and the requests it blames for endpoint failures.
+//! Writes the rows that other nodes read from this one: its addresses, rollout steps that are due,
+//! its evidence about a new version, and the requests that it blames for endpoint failures.
 
 use std::{
     cmp::Reverse,
@@ -21,14 +21,14 @@
     store::{Commit, Committed, Error, Progress, Report, Rev, Table},
 };
 
-/// How often the node checks what has to be written.
+/// How often the node checks which rows have to be written.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// The delay between the nodes' attempts to write a step, so that the first one writes it and the
 /// others see that it is written.
 const STEP_STAGGER: Duration = Duration::from_millis(200);
 /// The highest rank with a delay of its own; nodes of a higher rank share this one.
 const MAX_RANK: usize = 8;
-/// The delay before a step whose write failed is tried again.
+/// The delay before a failed write of a step is retried.
 const STEP_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// The minimum interval between two writes of evidence about a new version.
 const EVIDENCE_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -36,25 +36,24 @@
 /// second.
 const INTERVAL_PER_NODE: Duration = Duration::from_millis(25);
 /// The minimum interval between two writes of blamed requests. A request that brought down three
-/// endpoints must be known to all nodes within the three seconds for which a node counts as in
-/// touch.
+/// endpoints must be known to all connected nodes within three seconds, the time for which a node
+/// counts as connected after its last contact.
 const POISON_INTERVAL: Duration = Duration::from_millis(500);
 /// The maximum number of blamed requests in a row. At 150 bytes each, they take a sixth of the
 /// maximum row size.
 const MAX_POISON_ENTRIES: usize = 64;
-/// How many nodes write evidence that contains only good answers. A few nodes see enough of these;
-/// bad answers are written by all.
+/// The maximum number of nodes that write evidence which contains only good answers. A few nodes
+/// receive enough of these; evidence with bad answers is written by all nodes.
 const MAX_GOOD_EVIDENCE_WRITERS: u32 = 6;
-/// How long a starting node waits for the fleet rows, to see whether its address is already in
-/// them.
+/// How long a starting node waits for the fleet rows, which may already contain its addresses.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(500);
-/// The span over which the nodes of a fleet that starts for the first time spread these writes. The
-/// store rejects more than a few hundred per second.
+/// The span over which the nodes of a fleet that starts for the first time spread the writes of
+/// their addresses. The store rejects more than a few hundred writes per second.
 const ANNOUNCE_SPREAD: Duration = Duration::from_millis(900);
-/// The delay before a failed write of the node's own address is tried again.
+/// The delay before a failed write of the node's own addresses is retried.
 const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Writes what is due, for the lifetime of the process.
+/// Writes the rows that are due, for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>) {
     let mut writer = Writer {
         gateway,
@@ -96,7 +95,7 @@
             self.gateway.wait_for_members(MEMBERS_TIMEOUT).await;
         }
         loop {
-            // Nothing to do if an earlier process of this node wrote the same row.
+            // No write is needed if an earlier process of this node wrote the same row.
             let known = self.gateway.mirror.lock().row(Table::Fleet, &key).cloned();
             if known.is_some_and(|it| it.value.as_deref() == Some(&value[..])) {
                 return;
@@ -237,7 +236,8 @@
         self.written_poison = (n_failures, Some(now));
     }
 
-    /// The interval at which this node may write rows that every node writes.
+    /// The minimum interval between two writes of a row that every node writes: `min`, or longer in
+    /// a large fleet.
     fn write_interval(&self, min: Duration) -> Duration {
         let n_nodes = u32::try_from(self.gateway.n_nodes()).unwrap_or(u32::MAX);
         min.max(INTERVAL_PER_NODE.saturating_mul(n_nodes))
