--- a/crates/curranthook_gateway/src/gateway.rs
+++ b/crates/curranthook_gateway/src/gateway.rs
@@ -66,7 +66,7 @@
     pub log: Log,
 }
 
-/// One node.
+/// The shared state of one node.
 #[derive(Debug)]
 pub struct Gateway {
     /// The executor.
@@ -91,21 +91,21 @@
     pub configuration: ArcSwapOption<Configuration>,
     /// The known endpoints.
     pub directory: Mutex<Directory>,
-    /// The endpoints where shared prompt parts were prefilled.
+    /// Which endpoints have prefilled which shared prompt parts.
     pub affinity: Mutex<Affinity>,
     /// The observed speed of models.
     pub latency_estimator: Mutex<Estimator>,
     /// The budget for retries.
     pub retry_budget: Mutex<Budget>,
-    /// When refused callers are told to come back.
+    /// The retry times that were given to refused callers.
     pub retry_schedule: Mutex<Reservations>,
     /// Requests that are blamed for endpoint failures.
     pub poison: Mutex<Register>,
-    /// The rollouts.
+    /// The rollouts of all services.
     pub rollouts: Mutex<Rollouts>,
     /// A copy of the store's rows.
     pub mirror: Mutex<Mirror>,
-    /// Whether a store outage affects all nodes or only this one.
+    /// Tracks whether a store outage affects all nodes or only this one.
     pub outage: Mutex<Outage>,
     /// Work that other nodes have pending at endpoints.
     pub load_table: Mutex<LoadTable>,
@@ -149,7 +149,7 @@
 }
 
 impl Gateway {
-    /// Creates a node without any knowledge of the fleet or a configuration.
+    /// Creates a node that has read no rows yet.
     pub fn new(parts: Parts, settings: Settings) -> Arc<Self> {
         let Parts { ex, clock, dialect, decoder, store, log } = parts;
         let started = clock.now();
