--- a/crates/curranthook_gateway/src/load_owners.rs
+++ b/crates/curranthook_gateway/src/load_owners.rs
@@ -1,11 +1,11 @@
 //! Assigns to each endpoint the node that collects its load information.
 //!
 //! In a large fleet, the nodes cannot broadcast their pending work to all others: with 71 nodes,
-//! each would receive 700 reports per second. Instead each endpoint has an owner, a node that is
-//! told of all work pending there, and the other nodes query it before they send more. Rendezvous
-//! hashing over the known nodes yields the same owner on all of them without a message. If they
-//! disagree, or an owner is lost, a node places a request by its own knowledge; nothing else
-//! depends on the owner.
+//! each would receive 700 reports per second. Instead, each endpoint has an owner: a node that
+//! receives the reports of all work pending there, and that the other nodes query before they send
+//! more. Every node computes the owner by rendezvous hashing over the known nodes, without a
+//! message. If nodes disagree on the owner, or it is lost, they place requests by what they
+//! observed themselves; nothing else depends on the owner.
 
 use std::{
     collections::HashMap,
@@ -19,13 +19,13 @@
 /// Up to this many nodes, each one broadcasts its pending work to all others, and there are no
 /// owners.
 const MAX_BROADCAST_NODES: usize = 12;
-/// How many successive queries an owner may leave unanswered before it is skipped. A single one may
-/// be lost or late.
+/// The number of successive unanswered queries after which an owner is skipped. A single query or
+/// answer may be lost or late.
 const MAX_UNANSWERED: u32 = 3;
 /// How long an owner is skipped after too many unanswered queries; about the time of a restart.
 const SKIP_TIME: Duration = Duration::from_secs(4);
 
-/// Whether a fleet of that size uses load owners.
+/// Whether a fleet of `n_nodes` uses load owners.
 ///
 /// ```
 /// # use curranthook_gateway::load_owners;
