--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -1,9 +1,9 @@
-//! Datagrams by which nodes tell each other about their pending work at engines.
+//! Datagrams through which nodes exchange the amount of work that they have pending at engines.
 //!
 //! In a small fleet, each node reports its pending work to all others. In a large one, it reports
 //! only to the [`load_owners`] of the endpoints concerned, and queries the owners of a few
-//! candidates before it places a request. The next report makes up for a lost one. An unanswered
-//! query costs 15 ms, and the request is then placed by the node's own knowledge.
+//! candidates before it places a request. A lost report is replaced by the next one. An unanswered
+//! query costs 15 ms, and the request is then placed by what the node observed itself.
 //!
 //! [`load_owners`]: crate::load_owners
 
@@ -34,20 +34,24 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 /// The minimum interval between two rounds of reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// The minimum pending work to report; less is shorter than the round trip to an engine.
+/// The minimum pending work at an endpoint that is reported. Less work than this takes less time
+/// than the round trip to an engine.
 const MIN_REPORTED_WORK: Duration = Duration::from_millis(10);
-/// The maximum size of a datagram, in bytes. What does not fit is not reported.
+/// The maximum size of a datagram, in bytes. The limits below keep messages within this size; what
+/// exceeds them is not reported.
 const MAX_DATAGRAM: usize = 1_400;
 /// The maximum number of endpoints in a report, so that it fits into a datagram.
 const MAX_REPORTED_ENDPOINTS: usize = 32;
 
-/// The maximum number of prompts sent for prefill in a report, beside the endpoints.
+/// The maximum number of prompts sent for prefill in a report, in addition to the endpoints with
+/// pending work.
 const MAX_REPORTED_PREFILLS: usize = 8;
 
-/// The maximum number of unreachable endpoints in a report, beside the others.
+/// The maximum number of unreachable endpoints in a report, in addition to the endpoints with
+/// pending work.
 const MAX_REPORTED_UNREACHABLE: usize = 8;
 
-/// Work pending at endpoints, as its expected prefill time.
+/// The work pending at each endpoint, as its expected prefill time.
 type PendingWork = HashMap<endpoint::Id, Duration>;
 
 /// A message between nodes.
@@ -55,16 +59,17 @@
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Message {
-    /// The work that `node` has pending; replaces its previous report.
+    /// The work that `node` has pending at endpoints; replaces its previous report.
     #[serde(rename = "notice")]
     Report {
         node: String,
+        /// The pending work.
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
         waiting: PendingWork,
-        /// The prompts it sent for prefill since then.
+        /// The prompts that `node` sent for prefill since its previous report.
         #[serde(default, rename = "reads")]
         prefills: Vec<Record>,
-        /// The endpoints to which it could not open a connection since then.
+        /// The endpoints to which `node` could not open a connection since its previous report.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
     },
@@ -75,7 +80,7 @@
         id: u64,
         node: String,
         endpoints: Vec<endpoint::Id>,
-        /// Also asks which endpoints have prefilled this prompt prefix: the hash of the model and the
+        /// The prompt prefix whose holders are requested, if any: the hash of the model and the
         /// shared prompt parts.
         #[serde(default, rename = "subject")]
         prefix_hash: Option<u64>,
@@ -83,18 +88,19 @@
     /// The answer to a question.
     Answer {
         id: u64,
+        /// The pending work.
         #[serde_as(as = "HashMap<_, DurationMilliSeconds<u64>>")]
         waiting: PendingWork,
-        /// The endpoints that have prefilled the prompt prefix, if that was asked.
+        /// The endpoints that have prefilled the prompt prefix, if the question contains one.
         #[serde(default)]
         holders: Option<Vec<endpoint::Id>>,
-        /// Those of the given endpoints that are unreachable.
+        /// Those of the endpoints in the question that are unreachable.
         #[serde(default)]
         unreachable: Vec<endpoint::Id>,
     },
 }
 
-/// What other nodes know that matters for placing a request.
+/// What other nodes know about the candidate endpoints of a request.
 #[derive(Debug, Clone, Default)]
 pub struct PeerState {
     /// The work that they have pending at each of the given endpoints.
@@ -113,7 +119,8 @@
     }
 }
 
-/// The datagram socket, the queries that await an answer, and what is queued for the next report.
+/// The datagram socket, the queries that await an answer, and the items that are queued for the
+/// next report.
 #[derive(Debug)]
 pub struct Socket {
     socket: Async<UdpSocket>,
@@ -140,7 +147,7 @@
         }
     }
 
-    /// Queues the information that prompt parts were sent for prefill, for the next report.
+    /// Queues a prompt that was sent for prefill, to be included in the next report.
     pub fn queue_prefill(&self, record: Record) {
         let mut prefills = self.prefills.lock();
         if prefills.len() < MAX_REPORTED_PREFILLS {
@@ -148,15 +155,17 @@
         }
     }
 
-    /// Queues an endpoint to which no connection could be opened, for the next report.
+    /// Queues an endpoint to which no connection could be opened, to be included in the next
+    /// report.
     pub fn queue_unreachable(&self, endpoint: endpoint::Id) {
-        let mut all = self.unreachable.lock();
-        if all.len() < MAX_REPORTED_UNREACHABLE && !all.contains(&endpoint) {
-            all.push(endpoint);
+        let mut unreachable = self.unreachable.lock();
+        if unreachable.len() < MAX_REPORTED_UNREACHABLE && !unreachable.contains(&endpoint) {
+            unreachable.push(endpoint);
         }
     }
 
-    /// Queues what an endpoint reported about its rate limit, to be sent soon.
+    /// Queues an endpoint's report about its rate limit, to be sent to other nodes in the next
+    /// round.
     pub fn queue_limit(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
         self.limits.push(endpoint, notice);
     }
@@ -182,11 +191,12 @@
     }
 }
 
-/// Waits until there may be something to report. Nodes that were told of pending work are told
-/// again after a while.
+/// Waits until this node's pending work changes or limits are queued, but at most for
+/// [`REPORT_INTERVAL`] if the last reports contained pending work.
 async fn wait_for_changes(gateway: &Gateway, reports: &Socket, reported_to: &HashSet<SocketAddr>) {
     let changed = gateway.pending_work_changed.wait();
-    // The signal has no effect while reports are being sent, so limits may have been queued since.
+    // Limits that were queued while reports were being sent woke no task, so the queue is checked
+    // here.
     if !reports.limits.is_empty() {
         return;
     }
@@ -238,15 +248,16 @@
         }
         Message::Answer { id, waiting, holders, unreachable } => {
             let query = reports.open_queries.lock().remove(&id);
-            // The query may have timed out already.
-            let _late =
+            // The send fails if the query has already timed out.
+            let _ignored =
                 query.map(|it| it.try_send((id, PeerState { waiting, holders, unreachable })));
         }
     }
 }
 
-/// The work that all nodes except `requester` have pending at `endpoints`, and the endpoints
-/// that have prefilled the prompt prefix, as far as this node was told.
+/// What this node knows from its own requests and from received reports: the work that all nodes
+/// except `requester` have pending at `endpoints`, which of these are unreachable, and the
+/// endpoints that have prefilled the prompt prefix.
 fn local_state(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
@@ -256,12 +267,12 @@
     let holders = prefix_hash.map(|it| gateway.affinity.lock().holders(it, gateway.now()));
     let (directory, load_table, now) =
         (gateway.directory.lock(), gateway.load_table.lock(), gateway.now());
-    let own = &gateway.settings.node;
+    let own_name = &gateway.settings.node;
     let waiting = |id: &endpoint::Id| {
         let others_work = load_table.waiting(id, requester, now);
         let own_work = directory.get(id).map_or(Duration::ZERO, |it| it.pending);
         // A node does not send reports to itself, so only other requesters get its own work added.
-        if own == requester { others_work } else { others_work + own_work }
+        if own_name == requester { others_work } else { others_work + own_work }
     };
     let is_unreachable =
         |id: &&endpoint::Id| directory.get(id).is_some_and(|it| it.is_unreachable(now));
@@ -271,8 +282,8 @@
 }
 
 /// Reports this node's pending work: to all nodes, or to the owners of the endpoints. Returns the
-/// nodes that were told of any work. Nodes in `previous` that have no work to be told of any more
-/// get an empty report.
+/// nodes whose report contained pending work. Nodes in `previous` for which there is nothing to
+/// report any more get an empty report, which replaces their last one.
 async fn send_reports(
     gateway: &Gateway,
     reports: &Socket,
@@ -280,8 +291,8 @@
 ) -> HashSet<SocketAddr> {
     let waiting: PendingWork = {
         let directory = gateway.directory.lock();
-        let all = directory.all().filter(|it| MIN_REPORTED_WORK <= it.pending);
-        all.map(|it| (it.entry.id.clone(), it.pending)).take(MAX_REPORTED_ENDPOINTS).collect()
+        let busy = directory.all().filter(|it| MIN_REPORTED_WORK <= it.pending);
+        busy.map(|it| (it.entry.id.clone(), it.pending)).take(MAX_REPORTED_ENDPOINTS).collect()
     };
     let prefills = std::mem::take(&mut *reports.prefills.lock());
     let unreachable = std::mem::take(&mut *reports.unreachable.lock());
@@ -308,31 +319,32 @@
     unreachable: Vec<endpoint::Id>,
 }
 
-/// Splits `all` into the report for each node.
-fn reports_by_node(gateway: &Gateway, all: Report) -> HashMap<SocketAddr, Report> {
-    let own = gateway.settings.reports;
+/// Splits `report` into the reports to send to each node.
+fn reports_by_node(gateway: &Gateway, report: Report) -> HashMap<SocketAddr, Report> {
+    let own_addr = gateway.settings.reports;
     let peers = gateway.peers.lock();
     if !load_owners::are_used(peers.len()) {
-        let others = peers.values().filter_map(|it| it.reports).filter(|it| Some(*it) != own);
-        return others.map(|addr| (addr, all.clone())).collect();
+        let others = peers.values().filter_map(|it| it.reports).filter(|it| Some(*it) != own_addr);
+        return others.map(|addr| (addr, report.clone())).collect();
     }
     drop(peers);
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
     let mut reports_by_node: HashMap<SocketAddr, Report> = HashMap::new();
-    for (id, work) in all.waiting {
-        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
+    for (id, work) in report.waiting {
+        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own_addr);
         if let Some(addr) = owner {
             reports_by_node.entry(addr).or_default().waiting.insert(id, work);
         }
     }
-    for id in all.unreachable {
-        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own);
+    for id in report.unreachable {
+        let owner = owners.owner_of(&id, now).filter(|it| Some(*it) != own_addr);
         if let Some(addr) = owner {
             reports_by_node.entry(addr).or_default().unreachable.push(id);
         }
     }
-    for record in all.prefills {
-        let owner = owners.owner_of_hash(record.prefix_hash, now).filter(|it| Some(*it) != own);
+    for record in report.prefills {
+        let owner =
+            owners.owner_of_hash(record.prefix_hash, now).filter(|it| Some(*it) != own_addr);
         if let Some(addr) = owner {
             reports_by_node.entry(addr).or_default().prefills.push(record);
         }
