--- a/crates/curranthook_gateway/src/load_reports/limits.rs
+++ b/crates/curranthook_gateway/src/load_reports/limits.rs
@@ -1,4 +1,4 @@
-//! How nodes pass on the rate limits that endpoints report.
+//! Distributes the rate limits that endpoints report to all nodes, by gossip in a large fleet.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,46 +13,46 @@
 
 /// The maximum number of limits in a datagram.
 const MAX_LIMITS_PER_DATAGRAM: usize = 16;
-/// The maximum number of limits queued for sending. A node that misses some learns of them when it
-/// next sends requests to the endpoint in a later rotation of the permits.
+/// The maximum number of limits queued for sending. A node that misses a limit learns of it from
+/// the endpoint, when it holds a permit in a later rotation.
 const MAX_LIMITS_QUEUED: usize = 256;
 
-/// The number of nodes to which a node of a large fleet passes on a limit. Each of them does the
-/// same, so that nearly all nodes of a fleet of thousands have it within a few rounds.
+/// The number of random nodes to which a node of a large fleet forwards a limit. Each of them does
+/// the same, so that a limit reaches nearly all nodes of a fleet of thousands within a few rounds.
 const GOSSIP_FANOUT: usize = 8;
 
-/// What an endpoint reported about its rate limit.
+/// An endpoint's report about its rate limit, as sent between nodes.
 #[serde_as]
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct Limit {
     endpoint: endpoint::Id,
-    /// The requests per second that it accepts; none if it reports no limit.
+    /// The requests per second that the endpoint accepts; none if it reports no limit.
     rate: Option<f64>,
-    /// When it reported that, by the store's clock.
+    /// When the endpoint made the report, by the store's clock.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     at: Duration,
 }
 
-/// Limits that have been received and not yet passed on.
+/// Limits that have been received and not been forwarded yet.
 #[derive(Debug, Default)]
 pub(super) struct Queue(Mutex<Vec<Limit>>);
 
 impl Queue {
-    /// Adds a report of an endpoint; replaces an earlier one.
+    /// Adds an endpoint's report, in place of an earlier one. Drops it if the queue is full.
     pub(super) fn push(&self, endpoint: &endpoint::Id, notice: rate_limit::Notice) {
         let rate_limit::Notice { rate, at } = notice;
-        let mut all = self.0.lock();
-        all.retain(|it| it.endpoint != *endpoint);
-        if all.len() < MAX_LIMITS_QUEUED {
-            all.push(Limit { endpoint: endpoint.clone(), rate, at });
+        let mut limits = self.0.lock();
+        limits.retain(|it| it.endpoint != *endpoint);
+        if limits.len() < MAX_LIMITS_QUEUED {
+            limits.push(Limit { endpoint: endpoint.clone(), rate, at });
         }
     }
 
     /// Removes and returns up to `n` limits, the oldest first.
     fn take(&self, n: usize) -> Vec<Limit> {
-        let mut all = self.0.lock();
-        let n = all.len().min(n);
-        all.drain(..n).collect()
+        let mut limits = self.0.lock();
+        let n = limits.len().min(n);
+        limits.drain(..n).collect()
     }
 
     /// Whether the queue is empty.
@@ -61,7 +61,7 @@
     }
 }
 
-/// Applies a limit received from another node, and passes it on if it is new.
+/// Applies a limit received from another node, and forwards it if it changes the known rate.
 pub(super) fn receive(gateway: &Gateway, reports: &Socket, limit: &Limit) {
     let notice = rate_limit::Notice { rate: limit.rate, at: limit.at };
     if !gateway.directory.lock().apply_reported_limit(&limit.endpoint, &notice) {
@@ -69,7 +69,7 @@
     }
     let endpoint = limit.endpoint.as_str();
     gateway.log.write(&Event::RateLimit { endpoint, rate: limit.rate, from: "peer" });
-    // In a small fleet, the node that received it from the endpoint sent it to all others.
+    // In a small fleet, the node that received the limit from the endpoint sent it to all others.
     if load_owners::are_used(gateway.n_nodes()) {
         reports.queue_limit(&limit.endpoint, notice);
         gateway.pending_work_changed.wake();
@@ -83,10 +83,10 @@
     if limits.is_empty() {
         return;
     }
-    let own = gateway.settings.reports;
+    let own_addr = gateway.settings.reports;
     let others: Vec<SocketAddr> = {
         let peers = gateway.peers.lock();
-        let others = peers.values().filter_map(|it| it.reports).filter(|it| Some(*it) != own);
+        let others = peers.values().filter_map(|it| it.reports).filter(|it| Some(*it) != own_addr);
         match load_owners::are_used(peers.len()) {
             true => others.sample(&mut rand::rng(), GOSSIP_FANOUT),
             false => others.collect(),
