--- a/crates/curranthook_gateway/src/load_reports/queries.rs
+++ b/crates/curranthook_gateway/src/load_reports/queries.rs
@@ -9,14 +9,14 @@
 use super::{Message, PeerState, Socket, local_state};
 use crate::Gateway;
 
-/// The timeout for an owner's answer: a few trips between failure domains and the processing time
-/// on a small node. A request waits for it, so it is kept small compared to the second that callers
-/// wait.
+/// The timeout for an owner's answer: a few network delays between failure domains, and the
+/// processing time on a small node. The request is not sent before, so the timeout is small
+/// compared to the second that callers wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Queries the owners of `endpoints` for the work that other nodes have pending there, and the owner
-/// of `prefix_hash`, the hash of the model and the shared prompt parts, for where these were
-/// prefilled. The result contains what they answer in time.
+/// Queries the owners of `endpoints` for the work that other nodes have pending there, and the
+/// owner of `prefix_hash`, the hash of the model and the shared prompt parts, for the endpoints
+/// that have prefilled them. Returns the answers that arrive within `ANSWER_TIMEOUT`.
 pub async fn query(
     gateway: &Gateway,
     endpoints: Vec<endpoint::Id>,
@@ -25,8 +25,9 @@
     let Some(reports) = gateway.load_reports.get() else { return PeerState::default() };
     let settings = &gateway.settings;
     let mut by_owner = by_owner(gateway, endpoints, prefix_hash);
-    let own = settings.reports.and_then(|own| by_owner.remove(&own)).unwrap_or_default();
-    let mut state = local_state(gateway, own.endpoints, own.prefix_hash, &settings.node);
+    let own_query = settings.reports.and_then(|addr| by_owner.remove(&addr)).unwrap_or_default();
+    let mut state =
+        local_state(gateway, own_query.endpoints, own_query.prefix_hash, &settings.node);
     let queries = Queries::send(gateway, reports, by_owner).await;
     state.extend(queries.answers().await);
     state
@@ -45,16 +46,16 @@
     prefix_hash: Option<u64>,
 ) -> HashMap<SocketAddr, Query> {
     let (owners, now) = (gateway.load_owners.lock(), gateway.now());
-    let mut all: HashMap<SocketAddr, Query> = HashMap::new();
+    let mut queries: HashMap<SocketAddr, Query> = HashMap::new();
     for id in endpoints {
         if let Some(addr) = owners.owner_of(&id, now) {
-            all.entry(addr).or_default().endpoints.push(id);
+            queries.entry(addr).or_default().endpoints.push(id);
         }
     }
     if let Some(addr) = prefix_hash.and_then(|it| owners.owner_of_hash(it, now)) {
-        all.entry(addr).or_default().prefix_hash = prefix_hash;
+        queries.entry(addr).or_default().prefix_hash = prefix_hash;
     }
-    all
+    queries
 }
 
 /// Queries that have been sent and not all answered.
@@ -85,7 +86,7 @@
         Self { gateway, reports, open, answers }
     }
 
-    /// Collects the answers that arrive in time.
+    /// Collects the answers that arrive within `ANSWER_TIMEOUT`.
     async fn answers(mut self) -> PeerState {
         let mut state = PeerState::default();
         let gather = async {
@@ -104,7 +105,7 @@
         state
     }
 
-    /// Records the queries that were not answered.
+    /// Records the timeouts of the queries that are still open.
     fn record_timeouts(self) {
         for addr in self.open.values() {
             self.gateway.load_owners.lock().record_timeout(*addr, self.gateway.now());
