--- a/crates/curranthook_gateway/src/load_table.rs
+++ b/crates/curranthook_gateway/src/load_table.rs
@@ -1,8 +1,8 @@
 //! Work that other nodes have sent to engines and that has not begun yet.
 //!
-//! An engine prefills prompts one after another, some of them for seconds, and a node does not see
-//! the prompts that others send. So each node reports its pending work at each endpoint (see
-//! [`load_reports`]). This table holds the reports received from other nodes.
+//! An engine prefills prompts one after another, and a prompt may take seconds. A node does not see
+//! the prompts that other nodes send, so each node reports its pending work at each endpoint (see
+//! [`load_reports`]). This table contains the reports received from other nodes.
 //!
 //! [`load_reports`]: crate::load_reports
 
@@ -13,7 +13,8 @@
 
 use curranthook_types::endpoint;
 
-/// How long a report is valid.
+/// How long a report is valid after it was received. A node with pending work repeats its report
+/// more often.
 const EXPIRY: Duration = Duration::from_millis(800);
 
 /// The last report of each node.
