--- a/crates/curranthook_gateway/src/outage.rs
+++ b/crates/curranthook_gateway/src/outage.rs
@@ -1,10 +1,11 @@
-//! Tells whether an outage of the store affects all nodes or only this one.
+//! Determines whether an outage of the store affects all nodes or only this one.
 //!
 //! While the store is unavailable, endpoints cannot renew their entries, and even the entries of
 //! live endpoints lapse. So removed entries are kept for a short time after the outage. A node that
-//! alone lost its connection must not keep them: the store served the others meanwhile, the
-//! endpoints it removed are gone, and they would get requests seconds after they had left. The
-//! peers tell how long ago the store answered them.
+//! was the only one to lose its connection must not keep them: the store served the other nodes
+//! meanwhile, so the endpoints whose entries it removed are really gone and would get requests
+//! seconds after they had left. To tell the two cases apart, peers report how long ago the store
+//! answered them.
 
 use std::time::{Duration, Instant};
 
@@ -20,8 +21,8 @@
 pub struct Outage {
     /// When this node lost contact with the store; none if it has contact.
     lost_at: Option<Instant>,
-    /// The latest span in which the store answered some node without a long gap: since when, and
-    /// the last answer.
+    /// The latest span in which the store answered some node without a gap of `MAX_ANSWER_GAP`: the
+    /// first and the last answer.
     served_span: Option<(Instant, Instant)>,
 }
 
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Records that a call of this node succeeded again. Returns until when entries that lapsed may
-    /// still be missing.
+    /// Records that a call of this node succeeded again. Returns until when entries that lapsed in
+    /// the outage may not have been added again.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -68,7 +69,7 @@
         self.served_span = Some((since, last.max(at)));
     }
 
-    /// The span in which the store has been answering, if that still held at `now`.
+    /// The span in which the store has been answering, unless its last answer is too old at `now`.
     fn current_span(&self, now: Instant) -> Option<(Instant, Instant)> {
         self.served_span.filter(|(_, last)| now.saturating_duration_since(*last) < MAX_ANSWER_GAP)
     }
