--- a/crates/curranthook_gateway/src/peers.rs
+++ b/crates/curranthook_gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! Queries between nodes for rows of the store. In a large fleet, nodes query their parents; any
-//! node queries its peers while the store does not answer it.
+//! Queries between nodes for rows of the store. In a large fleet, nodes query their parents. In any
+//! fleet, a node queries its peers while it gets no answer from the store.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -25,9 +25,9 @@
 
 /// The path at which a node answers queries for rows.
 const PATH: &str = "/rows";
-/// The number of random peers queried at a time while the store is unavailable.
+/// The number of random peers that are queried in one poll while the store is unavailable.
 const PEERS_PER_POLL: usize = 2;
-/// The timeout for a peer's answer, in addition to the wait that the query asks for.
+/// The timeout for a peer's reply, in addition to the wait in the query.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A query for rows.
@@ -35,12 +35,13 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Query {
     table: Table,
-    /// The revision up to which the sender has all changes; all rows are returned if there is none.
+    /// The revision up to which the sender has all changes. Without one, all rows are returned.
     since: Option<Rev>,
-    /// How long to wait for a change.
+    /// The maximum time to wait for a change before replying.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     wait: Duration,
-    /// The maximum time since the peer last heard from the store; any time if there is none.
+    /// The maximum time since the store's last answer that reached the peer; unlimited if there is
+    /// none. Only children set this.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     max_age: Option<Duration>,
 }
@@ -50,10 +51,10 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Reply {
     batch: Batch,
-    /// How long ago the peer last heard from the store.
+    /// The time since the store's last answer that reached the peer; none before the first.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     age: Option<Duration>,
-    /// The store's clock.
+    /// The store's clock, if the peer knows it.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     now: Option<Duration>,
 }
@@ -91,9 +92,9 @@
 }
 
 impl Server {
-    /// Waits until there are changes to return, the wait is over, or this node itself has not heard
-    /// from the store for too long. The sender then asks elsewhere, so that a relay that is cut off
-    /// does not keep changes from the others.
+    /// Waits until there are changes to return, the wait is over, or this node's own rows are older
+    /// than the query's `max_age`. In the last case, the sender queries another node. Otherwise, a
+    /// relay that lost its connections would delay changes for its children.
     async fn answer(&self, query: &Query) -> Result<Reply, ChangesError> {
         let end = self.gateway.now() + query.wait;
         loop {
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Whether a child asks for a table that this node is about to read for the first time itself.
-    /// This happens because the nodes of a fleet start together.
+    /// Whether a child queries a table that this node has not read yet itself. This happens when
+    /// the nodes of a fleet start at the same time.
     fn awaits_first_read(&self, query: &Query) -> bool {
         let is_child = query.max_age.is_some();
         is_child && query.since.is_none() && !self.gateway.mirror.lock().has_read(query.table)
@@ -183,7 +184,7 @@
     Ok(Batch { now: reply.now, ..reply.batch })
 }
 
-/// Applies the rows that some peers know, after the store did not answer.
+/// Applies the rows of some random peers, after a call to the store failed.
 pub async fn poll_peers(gateway: &Arc<Gateway>) {
     let own = gateway.settings.peers;
     let addrs: Vec<SocketAddr> = {
