--- a/crates/curranthook_gateway/src/permit.rs
+++ b/crates/curranthook_gateway/src/permit.rs
@@ -1,8 +1,9 @@
-//! Splits the rate that one endpoint accepts from all nodes of a fleet.
+//! Splits the request rate that one endpoint accepts from the whole fleet among its nodes.
 //!
-//! No node sees what the others send. So a few nodes hold a permit for a part of the rate each, and
-//! the others skip the endpoint. Rendezvous hashing tells all nodes who holds the permits, without
-//! a message. The part of a node that is lost or cut off stays unused.
+//! No node sees the requests that the others send. So a few nodes hold a permit each for a part of
+//! the rate, and the others do not use the endpoint. Every node computes the holders by rendezvous
+//! hashing, without a message. The part of a node that has crashed or lost its connections stays
+//! unused.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +16,7 @@
 /// send it `rate` requests per second; none if the node may send no requests. Nodes and endpoints
 /// are given as hashes.
 ///
-/// Prevents many nodes from choosing the same idle endpoint at once.
+/// Without permits, many nodes would choose the same idle endpoint at once.
 ///
 /// ```
 /// # use curranthook_gateway::permit;
@@ -31,13 +32,13 @@
     (rank < n_holders).then_some(interval)
 }
 
-/// What this node may send to an endpoint, and what it has sent.
+/// This node's share of an endpoint's rate: its permit, and when its next request is due.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Share {
     permit: Option<Permit>,
-    /// When the next request is due; any time if there is none.
+    /// When the next request is due; none if it may be sent at any time.
     due: Option<Instant>,
-    /// How many requests may be sent before they are due.
+    /// The number of requests that may be sent before they are due.
     burst: u32,
 }
 
@@ -93,7 +94,7 @@
         self.due = Some(due + self.interval().unwrap_or_default());
     }
 
-    /// Allows no requests before `until`.
+    /// Delays the next request until `until`, even if a burst is allowed.
     pub fn defer(&mut self, until: Instant) {
         let ahead = self.interval().unwrap_or_default() * self.burst;
         self.due = self.due.max(Some(until + ahead));
