--- a/crates/curranthook_gateway/src/rate_limit.rs
+++ b/crates/curranthook_gateway/src/rate_limit.rs
@@ -1,8 +1,9 @@
-//! The rate limit that an endpoint reports in its answers: what it accepts from all nodes together.
+//! The rate limit that an endpoint reports in its answers: the requests per second that it accepts
+//! from all nodes together.
 //!
 //! The fleet shares the rate by [`permit`]. The holders of the permits rotate, so that each node
-//! sends a request now and then and learns whether the endpoint still reports a limit. A node that
-//! learns of a change tells others (see [`load_reports`](crate::load_reports)).
+//! sends the endpoint some requests and learns from the answers whether it still reports a limit. A
+//! node that learns of a change informs others (see [`load_reports`](crate::load_reports)).
 
 use std::time::{Duration, Instant};
 
@@ -10,25 +11,25 @@
 
 use crate::permit::{self, Share};
 
-/// How long the same nodes hold the permits of an endpoint.
+/// The time after which the permits of an endpoint rotate to other nodes.
 const ROTATION_PERIOD: Duration = Duration::from_secs(4);
 /// The share of the rate that is granted. The rest covers requests that are sent before they are
 /// due, and nodes that do not know of each other yet.
 const GRANTED_SHARE: f64 = 0.85;
-/// How many requests a node may send before they are due. Requests arrive at random. One that could
-/// not be sent on arrival would be refused or add to the load of other endpoints, while permits
-/// stay unused.
+/// The number of requests that a node may send before they are due. Requests arrive at random
+/// times. Without a burst, a request that arrives a little early would be refused or add to the
+/// load of other endpoints, while permits stay unused.
 const MAX_BURST: u32 = 1;
-/// The minimum rate that is granted, in requests per second. Some node has to keep checking whether
-/// an endpoint that accepts nothing still does so.
+/// The minimum rate that is granted, in requests per second. It provides probes of an endpoint that
+/// reports a limit of zero, so that the end of the limit is detected.
 const MIN_GRANTED_RATE: f64 = 0.25;
 
-/// What an endpoint reported about its rate limit.
+/// An endpoint's report about its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Notice {
-    /// The requests per second that it accepts; none if it reports no limit.
+    /// The requests per second that the endpoint accepts; none if it reports no limit.
     pub rate: Option<f64>,
-    /// When it reported that, by the store's clock.
+    /// When the endpoint made the report, by the store's clock.
     pub at: Duration,
 }
 
@@ -45,7 +46,8 @@
 /// send it `rate` requests per second; none if the node holds no permit in this rotation. Nodes and
 /// endpoints are given as hashes.
 ///
-/// Prevents each node from sending an overloaded endpoint as much as it accepts from all of them.
+/// Without permits, each node would send an overloaded endpoint as much as it accepts from all
+/// nodes together.
 ///
 /// ```
 /// # use curranthook_gateway::rate_limit;
@@ -77,7 +79,7 @@
     (rate * GRANTED_SHARE).max(MIN_GRANTED_RATE)
 }
 
-/// The number of the rotation at a time of the store's clock.
+/// The number of the rotation at `time` of the store's clock.
 pub fn rotation(time: Duration) -> u64 {
     time.as_secs() / ROTATION_PERIOD.as_secs()
 }
@@ -104,7 +106,7 @@
         Self { rate, rotation: None, ..self }
     }
 
-    /// Whether the permit has to be recomputed.
+    /// Whether the permit has to be recomputed: it has expired, or `rotation` is another one.
     pub fn is_outdated(&self, rotation: u64, now: Instant) -> bool {
         self.rotation != Some(rotation) || self.share.is_outdated(now)
     }
