--- a/crates/curranthook_gateway/src/relays.rs
+++ b/crates/curranthook_gateway/src/relays.rs
@@ -3,8 +3,8 @@
 //! The store limits and charges for calls, so one node, the root, watches it for the fleet. In a
 //! large fleet, the root has relays below it, about as many as each relay has leaves: the square
 //! root of the number of nodes. Every node derives the tree from the nodes' rows. The tree only
-//! determines whom to ask first: replies carry the age of their information, and a node whose
-//! parents are lost or out of date watches the store itself.
+//! determines which node to query first. Replies contain the age of their information, and a node
+//! whose parents are unavailable or out of date watches the store itself.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,19 +15,20 @@
 const MAX_NODES_WITHOUT_TREE: usize = 12;
 /// Up to this many nodes, there are no relays and all other nodes wait at the root.
 const MAX_NODES_WITHOUT_RELAYS: usize = 24;
-/// How many nodes can act as the root, including the root itself.
+/// The number of nodes that can act as the root, including the root itself.
 const ROOT_CANDIDATES: usize = 3;
-/// A node counts as strong from this ratio of the largest capacity on.
+/// A node counts as strong if its capacity is at least this ratio of the largest one.
 const STRONG_CAPACITY_RATIO: f64 = 0.5;
 /// The maximum number of leaves of a strong relay, as a multiple of the number in an even tree.
 const MAX_LEAVES_RATIO: usize = 4;
-/// How many relays a leaf may ask.
+/// The number of relays that are parents of a leaf.
 const RELAYS_PER_LEAF: usize = 3;
-/// The maximum time since a root last heard from the store. Together with the change to another
-/// parent, this lets a configuration take effect within two seconds.
+/// The maximum age of a root's information, that is, the time since the store's last answer to it.
+/// A child of an older root changes to another parent; even then, a configuration takes effect
+/// within two seconds.
 const ROOT_MAX_AGE: Duration = Duration::from_millis(1_400);
-/// The maximum time since a relay last heard from the store. It hears from its root only at
-/// intervals.
+/// The maximum age of a relay's information. It is longer than a root's, because a relay receives
+/// answers from its root only at intervals.
 pub const RELAY_MAX_AGE: Duration = Duration::from_millis(2_200);
 
 /// A node of the fleet.
@@ -41,12 +42,12 @@
     pub domain: Option<&'a domain::Id>,
 }
 
-/// A node at which another one waits for changes.
+/// A node that another node queries for changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Parent<'a> {
     /// The node's name.
     pub name: &'a str,
-    /// The maximum age of its information.
+    /// The maximum age of the parent's information.
     pub max_age: Duration,
 }
 
@@ -73,7 +74,7 @@
         return Vec::new();
     }
     let ranked = rank_nodes(nodes);
-    // A starting node is not in the list until it has read its own row.
+    // A starting node is not among `nodes` until it has read its own row.
     let rank = ranked.iter().position(|it| it.name == node).unwrap_or(nodes.len());
     let relays = &ranked[1..=n_relays(nodes)];
     if rank <= relays.len() || nodes.len() <= MAX_NODES_WITHOUT_RELAYS {
@@ -114,13 +115,13 @@
     hash::bytes(node.name.as_bytes())
 }
 
-/// Whether a fleet of that size uses the tree.
+/// Whether a fleet of `n_nodes` uses the tree.
 pub fn are_used(n_nodes: usize) -> bool {
     MAX_NODES_WITHOUT_TREE < n_nodes
 }
 
 /// The number of relays: the square root of the number of nodes, but no weak nodes if the strong
-/// ones can carry all leaves. A relay on a weak link would delay its own callers whenever many rows
+/// ones can serve all leaves. A relay on a weak link would delay its own callers whenever many rows
 /// change.
 fn n_relays(nodes: &[Node<'_>]) -> usize {
     let floor = nodes.len().isqrt();
