--- a/crates/curranthook_gateway/src/rollouts.rs
+++ b/crates/curranthook_gateway/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! The rollouts in progress, as a node knows them.
+//! The rollouts, according to the rows that a node has read and the answers that it has seen.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -24,7 +24,7 @@
     baseline: HashMap<(String, usize, Part), f64>,
 }
 
-/// A class of answers that take about the same time.
+/// A class of answers whose times can be compared: those of one route and model.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind<'a> {
     /// The route's name.
@@ -43,7 +43,7 @@
 /// The rollout of one service.
 #[derive(Debug, Clone)]
 pub struct Rollout {
-    /// The order.
+    /// The operator's order.
     pub order: Order,
     /// The revision of the order, which identifies it.
     pub order_rev: Rev,
@@ -92,7 +92,7 @@
 }
 
 impl Rollouts {
-    /// Starts without any rollouts; all will follow `schedule`.
+    /// Creates an empty set of rollouts, all of which will follow `schedule`.
     pub fn new(schedule: Schedule) -> Self {
         Self { schedule, services: HashMap::new(), baseline: HashMap::new() }
     }
@@ -146,19 +146,20 @@
         self.services.values().filter(|it| !it.phase().is_final())
     }
 
-    /// The rollout of a service.
+    /// The newest rollout of a service, if any.
     pub fn get(&self, service: &str) -> Option<&Rollout> {
         self.services.get(service)
     }
 
-    /// The versions for a request. All requests of a session have the same `session`, so that they
-    /// stay on one version as the new version's share grows.
+    /// The versions that a request may be sent to. All requests of a session have the same
+    /// `session`, so that they stay on one version as the new version's share grows.
     pub fn rule(&self, service: &str, session: u64) -> Rule {
         let Some(it) = self.services.get(service) else { return Rule::Any };
         let target = &it.order.target;
         let position = hash::unit(hash::pair(hash::bytes(target.as_bytes()), session));
-        // The fleet takes time to write a step, even more so while the store is unavailable. A node
-        // with evidence of a bad version stops using it without waiting for the step.
+        // Until the rollback is written and read by all nodes, some time passes, and more while the
+        // store is unavailable. A node with evidence of a bad version stops using it without
+        // waiting for that step.
         let is_suspect = !it.phase().is_final() && it.evidence().is_bad();
         if !is_suspect && position < self.schedule.share(it.phase()) {
             Rule::Only(target.clone())
@@ -222,7 +223,7 @@
         (log - baseline).exp()
     }
 
-    /// The counters for a version, unless the rollout is waiting or finished.
+    /// The counters of this node for a version; none if the rollout is waiting or finished.
     fn counts(&mut self, service: &str, version: &str) -> Option<&mut Counts> {
         let it = self.services.get_mut(service)?;
         if it.phase().is_final() || it.phase() == Phase::Waiting {
