--- a/crates/curranthook_gateway/src/serve.rs
+++ b/crates/curranthook_gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a node, and stops it without cutting off requests.
+//! Starts a node, and shuts it down gracefully.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -37,11 +37,11 @@
 const STOP_DELAY: Duration = Duration::from_millis(2_600);
 /// The part of the grace period that is reserved for exiting before the process is killed.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
-/// How often the settings are reloaded, as they may change without a signal.
+/// How often the settings are reloaded without a signal, as they may change without one.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// How often a draining node checks whether its last requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a caller's connection may be idle. Callers keep theirs open for less.
+/// How long a caller's connection may be idle. Callers close theirs earlier than that.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a node cannot start.
@@ -60,9 +60,10 @@
     Signals(#[from] std::io::Error),
 }
 
-/// Reloads the settings while the node runs.
+/// The source of the settings, from which they are reloaded while the node runs.
 pub trait Reload: Send {
-    /// Reads the settings again and returns a description of what changed.
+    /// Reads the settings again. Returns a description of the changes, which is empty if there are
+    /// none.
     fn reload(&mut self) -> Result<String, String>;
 }
 
@@ -77,7 +78,8 @@
 }
 
 impl Listeners {
-    /// Binds the addresses in `settings` and replaces them by the actual ones, with the real ports.
+    /// Binds the addresses in `settings`, and replaces them by the bound ones, in which port 0 has
+    /// become the assigned port.
     pub fn bind(settings: &mut Settings) -> Result<Self, Error> {
         let limits = Limits { head_timeout: CALLER_IDLE_TIMEOUT, ..Limits::default() };
         let it = Self {
@@ -96,7 +98,7 @@
     }
 }
 
-/// Runs a node until it is told to stop.
+/// Runs a node until a signal to stop arrives, then drains its requests.
 pub async fn run(
     gateway: Arc<Gateway>,
     listeners: Listeners,
@@ -134,7 +136,7 @@
     trigger.set();
     drain(&gateway, limit.saturating_sub(STOP_DELAY)).await;
     gateway.log.write(&Event::Stopped { in_flight: gateway.in_flight() });
-    // The log's thread collects lines for a moment before it writes them.
+    // Gives the log's thread time to write the last lines, which it collects for up to 50 ms.
     Timer::after(DRAIN_POLL_INTERVAL * 2).await;
     drop(served);
     Ok(())
