--- a/crates/curranthook_gateway/src/settings.rs
+++ b/crates/curranthook_gateway/src/settings.rs
@@ -13,22 +13,23 @@
     pub node: String,
     /// The node's failure domain.
     pub domain: domain::Id,
-    /// The address for callers.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
     /// The address for the load balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// The address for queries from other nodes.
+    /// The address for queries for rows from other nodes.
     pub peers: Option<SocketAddr>,
     /// The UDP address for load reports from other nodes.
     pub reports: Option<SocketAddr>,
-    /// The capacity for traffic other than its own callers', in Mbit/s of its link. Nodes with more
-    /// capacity read the store for the others.
+    /// The part of the node's link that is available for traffic other than its own callers', in
+    /// Mbit/s. Nodes with a larger capacity read the store for the others.
     pub capacity: f64,
     /// The address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Some other nodes, for starting while the store is unavailable. They may be out of date.
+    /// The addresses of some other nodes, for a start while the store is unavailable. The list may
+    /// be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// The bound on retries.
+    /// The retry budget's limit.
     pub retries: retry_budget::Limit,
     /// The maximum share of a service's requests that a bad version may receive during its rollout.
     pub max_exposure: f64,
