--- a/crates/curranthook_gateway/src/slow_start.rs
+++ b/crates/curranthook_gateway/src/slow_start.rs
@@ -1,8 +1,8 @@
 //! The slow start of an endpoint.
 //!
 //! An endpoint that has just started crashes under the load of a warm one. It also looks idle, so
-//! every node would choose it. The rate it accepts is therefore a bound on the whole fleet, which
-//! shares it by [`permit`](crate::permit).
+//! every node would choose it. Its accepted rate therefore bounds the requests of the whole fleet,
+//! whose nodes share the rate by [`permit`](crate::permit).
 
 use std::time::Instant;
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SlowStart {
     until: Instant,
-    /// What this node may send during the slow start.
+    /// This node's share of the rate during the slow start.
     pub share: Share,
 }
 
@@ -46,12 +46,12 @@
         Self { until, share: Share::default() }
     }
 
-    /// Changes when it ends.
+    /// Changes the end of the slow start.
     pub fn set_end(&mut self, until: Instant) {
         self.until = until;
     }
 
-    /// Whether it has ended, so that the endpoint accepts any load.
+    /// Whether the slow start has ended, so that the endpoint accepts the load of a warm one.
     pub fn is_over(&self, now: Instant) -> bool {
         self.until <= now
     }
