--- a/crates/curranthook_gateway/src/steps.rs
+++ b/crates/curranthook_gateway/src/steps.rs
@@ -2,8 +2,8 @@
 //! long.
 //!
 //! There is no leader. The state of a rollout is one row of the store. A node that finds a step due
-//! replaces the row on condition that it is unchanged. So each step is taken once, and a node that
-//! was frozen or cut off cannot undo one.
+//! replaces the row on condition that it is unchanged. So each step is written once, and a node
+//! that was suspended or had lost its connections cannot undo one.
 
 use std::time::Duration;
 
@@ -13,30 +13,30 @@
 
 /// The schedule of a rollout within the time limit of its order.
 ///
-/// Some versions turn out bad under a load that they only get in full use, or show no fault at all
-/// before that. So the schedule itself keeps the requests that a version receives before it is
-/// known to be good within the bound: for most of the time the version gets few requests, and
-/// shortly before the end it gets all of them. It gets none in the first half of the time, because
-/// running sessions would have to change their version early.
+/// Some versions fail only under the load of all requests, and show no fault under less. So the
+/// schedule itself bounds the requests that a version receives before it is known to be good: for
+/// most of the time the version gets few requests, and shortly before the end it gets all of them.
+/// It gets none in the first half of the time, because running sessions would have to change their
+/// version early.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Schedule {
     /// The maximum share of a service's requests that a bad version may receive in total.
     max_exposure: f64,
 }
 
-/// The part of the time limit that remains when the old version is given up, in units of the bound.
-/// It covers an order that is received late, a step whose node is lost, and a lost write. The
-/// requests in this span count towards the bound, too.
+/// The part of the time limit that remains when the rollout is completed, as a multiple of
+/// `max_exposure`. It is the reserve for an order that is received late, a step whose node crashes,
+/// and a lost write. The requests in this span count towards the exposure, too.
 const FINAL_SPAN: f64 = 0.33;
-/// The part of the time limit during which all requests go to the new version before that, in units
-/// of the bound. Most answers of the old version end during this span.
+/// The part of the time limit for which [`Phase::Full`] lasts before that, as a multiple of
+/// `max_exposure`. Most of the old version's answers end during this span.
 const FULL_SPAN: f64 = 0.45;
-/// Before that, the share of requests that go to the new version, in units of the bound, and the
-/// part of the time limit for which they do.
+/// For [`Phase::Partial`]: the share of requests that go to the new version, as a multiple of
+/// `max_exposure`, and the part of the time limit for which the phase lasts.
 const PARTIAL_SHARE_AND_SPAN: (f64, f64) = (1.2, 0.08);
-/// The same for the first requests to the new version. A few requests for a long time are preferred
-/// to many for a short time: a failing version is found before time runs short, even if the store
-/// becomes unavailable meanwhile. All phases together stay within the bound.
+/// The same for [`Phase::Canary`]. A few requests for a long time are preferred to many for a short
+/// time: a failing version is detected early, even if the store becomes unavailable meanwhile. All
+/// phases together stay within `max_exposure`.
 const CANARY_SHARE_AND_SPAN: (f64, f64) = (0.3, 0.26);
 
 impl Schedule {
@@ -52,7 +52,7 @@
         Self { max_exposure }
     }
 
-    /// The share of sessions on the new version.
+    /// The share of sessions whose requests go to the new version in `phase`.
     pub fn share(&self, phase: Phase) -> f64 {
         match phase {
             Phase::Waiting | Phase::RolledBack => 0.0,
@@ -86,9 +86,9 @@
     }
 }
 
-/// The minimum number of answers of the new version before its share grows to partial, and before
-/// it gets all requests. A service without models at 16 requests per second sees four answers in
-/// its first phase. If five were required, its good versions would be completed too late.
+/// The minimum number of the new version's answers before [`Phase::Partial`], and before the later
+/// phases. A service without models at 16 requests per second gets four answers in the canary
+/// phase. If five were required, good versions of it would be completed too late.
 const MIN_ANSWERS: (u64, u64) = (3, 8);
 /// The minimum number of bad answers that count as evidence against a version; fewer may be chance.
 const MIN_BAD: u64 = 3;
@@ -107,13 +107,13 @@
     Waiting,
     /// A few requests go to the new version.
     Canary,
-    /// A larger share of the requests goes to the new version.
+    /// A larger share of the requests goes to the new version than in [`Phase::Canary`].
     Partial,
     /// All requests go to the new version.
     Full,
-    /// The old version is no longer needed.
+    /// All requests go to the new version, and the old one may be shut down.
     Completed,
-    /// The new version was given up.
+    /// The new version was found to be bad, and all requests go to the old one.
     RolledBack,
 }
 
@@ -128,11 +128,11 @@
 #[serde_with::serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// The revision of the order that it carries out.
+    /// The revision of the order that this rollout executes.
     pub order: Rev,
-    /// The new version.
+    /// The new version's name.
     pub target: String,
-    /// The phase.
+    /// The current phase.
     pub phase: Phase,
     /// When the rollout began, by the store's clock.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
@@ -142,7 +142,8 @@
     pub since: Duration,
 }
 
-/// How long answers took compared to the baseline: sums over the natural logarithms of the ratios.
+/// Statistics of how long answers took compared to the baseline: the count, the sum and the sum of
+/// squares of the natural logarithms of the ratios.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delay {
     n: f64,
@@ -188,40 +189,42 @@
     }
 }
 
-/// Smaller ratios are raised to this: an answer that is even faster does not count as better.
+/// The minimum ratio that is recorded. Smaller ones are raised to it: an answer that is even faster
+/// does not count as better.
 const MIN_RATIO: f64 = 0.1;
-/// The minimum variance assumed for a version's ratios, so that a few equal ones prove nothing.
+/// The minimum variance assumed for the logarithms of a version's ratios, so that a few equal
+/// ratios do not count as significant.
 const MIN_VARIANCE: f64 = 0.25;
 /// The minimum number of answers of each version for a comparison.
 const MIN_SAMPLES: f64 = 8.0;
 /// By how many standard errors two versions must differ; by chance, this happens once in a few
 /// thousand checks.
 const SIGNIFICANT_SIGMAS: f64 = 3.3;
-/// By which factor a new version's first events may be slower. Its engines start without the cached
-/// prompts of the old ones and have to prefill all of them again.
+/// The maximum ratio of a new version's time to the first event to the old version's. Its engines
+/// start without the cached prompts of the old ones and have to prefill all of them again.
 const MAX_FIRST_SLOWDOWN: f64 = 3.0;
-/// By which factor the time between its events may be longer. A recent start does not change this
-/// time.
+/// The maximum ratio of a new version's time between events to the old version's. It is smaller
+/// because a recent start does not affect this time.
 const MAX_GAP_SLOWDOWN: f64 = 1.3;
 
-/// The factors by which a version's first events, and the gaps between its events, may seem slower
-/// before it gets all requests. At that time, good versions were at factors of 0.4 to 1.2 and 0.4
-/// to 1.0, because their engines have less to do. A version whose answers take a few times as long
-/// was at 1.6 to 1.8 and 1.3 to 1.5.
+/// The ratios of a version's times to the first event, and between events, above which its share of
+/// requests does not grow, even if the difference is not significant. Just before the full phase,
+/// good versions were measured at ratios of 0.4 to 1.2 and 0.4 to 1.0, because their engines have
+/// less to do. A version whose answers take a few times as long was at 1.6 to 1.8 and 1.3 to 1.5.
 const DOUBTFUL_SLOWDOWNS: (f64, f64) = (1.5, 1.25);
 
 /// Counters of a version's answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// The number of answers.
+    /// The number of answers, including bad ones.
     pub answers: u64,
     /// The number of failures. Slow answers are not included: under a disturbance that slows both
     /// versions, the old version's slow answers would hide the new version's failures.
     pub bad: u64,
-    /// The time to the first byte.
+    /// The time to the first byte, compared to the baseline.
     #[serde(default)]
     pub first: Delay,
-    /// The time between events.
+    /// The time between stream events, compared to the baseline.
     #[serde(default)]
     pub rest: Delay,
 }
@@ -272,15 +275,15 @@
     }
 
     /// Whether there are enough answers, and the new version's share of bad ones is not clearly
-    /// above the old version's. For a while, a version may be neither good nor bad.
+    /// above the old version's. A version with little evidence is neither good nor bad.
     fn seems_good(self, min_answers: u64) -> bool {
         let (excess, error) = self.bad_share_excess();
         let seems_reliable = excess < MIN_BAD_EXCESS || excess < MAX_DOUBTFUL_SIGMAS * error;
         min_answers <= self.new.answers && seems_reliable && !self.seems_slow()
     }
 
-    /// Whether the new version seems slower, even if not significantly so. Too few answers to
-    /// compare are ignored.
+    /// Whether the new version seems slower, even if not significantly so. Times with fewer than
+    /// `MIN_SAMPLES` answers of either version are not compared.
     fn seems_slow(self) -> bool {
         let is_enough = |new: Delay, old: Delay| MIN_SAMPLES <= new.n && MIN_SAMPLES <= old.n;
         (is_enough(self.new.first, self.old.first)
@@ -327,7 +330,8 @@
     }
 }
 
-/// The next phase if it is due, or none to stay in the current one. `now` is the store's clock.
+/// The next phase if it is due; none if the rollout stays in the current one. `now` is the store's
+/// clock.
 pub fn due(
     schedule: &Schedule,
     order: &Order,
@@ -349,10 +353,10 @@
         Phase::Completed | Phase::RolledBack => return None,
     };
     let elapsed = now.saturating_sub(step.began).as_secs_f64() / order.time_limit.as_secs_f64();
-    let is_backed = match next {
+    let is_supported = match next {
         Phase::Partial => evidence.seems_good(MIN_ANSWERS.0),
         Phase::Full | Phase::Completed => evidence.seems_good(MIN_ANSWERS.1),
         _ => true,
     };
-    (schedule.start_of(next) <= elapsed && is_backed).then_some(next)
+    (schedule.start_of(next) <= elapsed && is_supported).then_some(next)
 }
