--- a/crates/curranthook_gateway/src/store.rs
+++ b/crates/curranthook_gateway/src/store.rs
@@ -10,10 +10,10 @@
 /// The future of a call to the store.
 pub type Answer<'a, T> = std::pin::Pin<Box<dyn Future<Output = Result<T, Error>> + Send + 'a>>;
 
-/// Why a call to the store failed.
+/// Why a call to the store, or to a peer in its place, failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The store refused the call or could not be reached; nothing was done.
+    /// The store rejected the call or could not be reached; a write had no effect.
     #[error("the store is unavailable: {0}")]
     Down(String),
     /// No answer arrived; a write may have taken effect, or may still do so.
@@ -25,7 +25,8 @@
     /// A peer that was queried instead of the store is itself out of date.
     #[error("peer {0} has no recent answer from the store")]
     Stale(SocketAddr),
-    /// The requested changes are no longer available; all rows have to be read again.
+    /// The store's history no longer goes back to the requested revision; all rows have to be read
+    /// again.
     #[error("the store no longer keeps the requested changes")]
     Compacted,
 }
@@ -74,7 +75,7 @@
     pub rows: Vec<Row>,
     /// The revision up to which all changes are included.
     pub rev: Rev,
-    /// The store's monotonic clock, if it was given.
+    /// The store's monotonic clock, if the answer contained it.
     pub now: Option<Duration>,
 }
 
@@ -83,8 +84,8 @@
 pub struct Commit<'a> {
     /// The row's key.
     pub key: &'a str,
-    /// The revision that the row must have, or [`Rev`] 0 if it must not exist. None for no
-    /// condition.
+    /// The revision that the row must have, or [`Rev`] 0 if it must not exist; none for an
+    /// unconditional write.
     pub expected: Option<Rev>,
     /// The new value.
     pub value: &'a [u8],
@@ -119,7 +120,7 @@
 pub enum Committed {
     /// The write took effect at this revision.
     Done(Rev),
-    /// The condition did not hold; nothing was changed.
+    /// The row does not have the expected revision; nothing was changed.
     Conflict,
 }
 
