--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -1,5 +1,5 @@
-//! Tasks that watch the tables of the store, at a parent or at the store itself, and through peers
-//! while the store is unavailable.
+//! Tasks that keep a node's copy of the store's tables up to date: by long polling a parent or the
+//! store itself, and by polling random peers while the store is unavailable.
 
 mod parents;
 
@@ -23,22 +23,25 @@
 pub use self::parents::Shared;
 use self::parents::{Parent, Role, are_relays_stale, role_and_parents, role_changed};
 
-/// How long a call for the operators' rows waits for a change in a fleet without relays. The call
-/// also detects that the store is unavailable, so the wait is short. A lost answer delays a
+/// How long a long poll of the operators' rows waits for a change in a fleet without relays. The
+/// call also detects that the store is unavailable, so the wait is short. A lost answer delays a
 /// configuration by no more than this.
-const WAIT_OPERATOR: Duration = Duration::from_secs(3);
-/// How long calls for other rows wait in such a fleet. Each call is charged for.
-const WAIT: Duration = Duration::from_secs(15);
-/// How long calls for the operators' rows wait at the root of a fleet and at parents. Their answers
-/// tell how old the information in all tables is.
-const WAIT_RELAYED_OPERATOR: Duration = Duration::from_millis(700);
-/// How long calls for other rows wait there. A call whose answer is lost hangs for that long.
-const WAIT_RELAYED: Duration = Duration::from_secs(5);
+const OPERATOR_POLL_WAIT: Duration = Duration::from_secs(3);
+/// How long long polls of other rows wait in such a fleet. The store charges for each call, so the
+/// wait is long.
+const POLL_WAIT: Duration = Duration::from_secs(15);
+/// How long long polls of the operators' rows wait in a fleet with relays, at the store and at
+/// parents. Their answers also determine the age of the rows of all tables, so the wait is short.
+const RELAYED_OPERATOR_POLL_WAIT: Duration = Duration::from_millis(700);
+/// How long long polls of other rows wait in such a fleet. A call whose answer is lost hangs for
+/// that long.
+const RELAYED_POLL_WAIT: Duration = Duration::from_secs(5);
 /// How long all nodes wait before their first reads when the fleet starts for the first time. By
 /// then, each has written its address ([`crate::fleet_writer`]), and most find a parent instead of
 /// reading the store.
 const FIRST_START_PAUSE: Duration = Duration::from_secs(1);
-/// How long a starting node waits for the rows of the other nodes, which tell it its parents.
+/// How long a starting node waits for the rows of the other nodes, from which it determines its
+/// parents.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long a parent may take to return all rows to a starting node, which then reads them from the
 /// store.
@@ -47,39 +50,42 @@
 /// rows change in quick succession: when many endpoints start, each waiting call would be answered
 /// once per endpoint. With the pause, all nodes together make at most 80 calls per second for a
 /// table.
-const PAUSE_PER_NODE: Duration = Duration::from_millis(12);
+const CHANGE_PAUSE_PER_NODE: Duration = Duration::from_millis(12);
 /// The minimum and maximum of that pause. The maximum is half of the time within which a leaving
 /// endpoint must stop getting new requests.
-const PAUSE_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
-/// The pause after a change at a root.
-const PAUSE_ROOT: Duration = Duration::from_millis(250);
+const CHANGE_PAUSE_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(1));
+/// The pause at a root after a change of endpoint rows.
+const ROOT_CHANGE_PAUSE: Duration = Duration::from_millis(250);
 /// The pause at a root after a change of fleet rows, which are not subject to a time limit.
-const PAUSE_ROOT_FLEET: Duration = Duration::from_millis(500);
-/// The pause of a node that waits at a parent. A relay on a weak link that answered its children
-/// more often while many endpoints are replaced would have no capacity left for its own callers.
-const PAUSE_CHILD: Duration = Duration::from_millis(400);
-/// The pause after a first failure.
+const ROOT_FLEET_CHANGE_PAUSE: Duration = Duration::from_millis(500);
+/// The pause after a change that a node received from a parent. A relay on a weak link that
+/// answered its children more often while many endpoints are replaced would have no capacity left
+/// for its own callers.
+const CHILD_CHANGE_PAUSE: Duration = Duration::from_millis(400);
+/// The pause after the first failure; doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_millis(150);
 /// How long calls for rows other than the operators' are delayed while the store is unavailable. An
 /// endpoint that starts to leave right after the outage must get no new requests two seconds later.
 const OUTAGE_BACKOFF: Duration = Duration::from_secs(1);
 /// The same for a node without a configuration, which cannot use those rows yet.
 const NO_CONFIGURATION_BACKOFF: Duration = Duration::from_secs(3);
-/// A node with parents calls an unavailable store itself once in this many tries.
+/// While its parents have failed and the store is unavailable, a node with parents calls the store
+/// in one of this many attempts.
 const STORE_CALL_PERIOD: u32 = 4;
-/// The average number of leaves that call the store at a time when all their relays are out of
+/// The average number of leaves that call the store in an attempt, while all relays are out of
 /// date.
 const MAX_LEAVES_AT_STORE: f64 = 8.0;
 /// The maximum pause between calls to an unavailable store.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// The same for a node without a configuration, which cannot serve any requests.
+/// The maximum pause for a node without a configuration, which cannot serve any requests.
 const MAX_BACKOFF_NO_CONFIGURATION: Duration = Duration::from_millis(300);
 /// How long to wait for the first call for the configuration before another one is made in
 /// parallel. A call made while the store does not answer hangs until its own timeout, even if the
 /// store recovers long before that. A slow store still answers the earlier call.
 const FIRST_CALL_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Watches one table for the lifetime of the process.
+/// Keeps one table up to date for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>, table: Table, shared: Arc<Shared>) {
     if gateway.settings.is_first_start {
         Timer::after(FIRST_START_PAUSE).await;
@@ -91,7 +97,7 @@
         gateway,
         table,
         shared,
-        since: None,
+        known_rev: None,
         failures: 0,
         is_store_lost: false,
         first_calls: Vec::new(),
@@ -106,7 +112,7 @@
     table: Table,
     shared: Arc<Shared>,
     /// The revision up to which the rows are known; none if all rows have to be read.
-    since: Option<Rev>,
+    known_rev: Option<Rev>,
     failures: u32,
     is_store_lost: bool,
     /// First calls for the configuration that have not been answered yet.
@@ -136,13 +142,13 @@
         let Some(result) = result else { return };
         match result {
             Ok(update) => self.apply(update).await,
-            Err(Error::Compacted) => self.since = None,
+            Err(Error::Compacted) => self.known_rev = None,
             Err(e) => self.record_failure(&e).await,
         }
     }
 
-    /// Calls a parent or the store. None if the call was cancelled, because the store came back
-    /// from an outage or the parent failed meanwhile.
+    /// Calls a parent or the store. None if the call was cancelled, because an outage of the store
+    /// ended or the parent failed meanwhile.
     async fn call(&mut self) -> Option<Result<Update, Error>> {
         let (role, parents) = role_and_parents(&self.gateway, &self.shared);
         for parent in parents {
@@ -153,10 +159,10 @@
         }
         if role == Role::Child && !self.should_call_store() {
             return Some(Err(Error::Down(
-                "no parent has heard from the store recently".to_owned(),
+                "no parent has a recent answer from the store".to_owned(),
             )));
         }
-        let (is_snapshot, result) = match self.since {
+        let (is_snapshot, result) = match self.known_rev {
             None => (true, self.read_all().await?),
             Some(since) => (false, self.read_changes(since, role).await?),
         };
@@ -174,21 +180,23 @@
         !are_relays_stale(&self.gateway, &self.shared) || rand::random::<f64>() < share
     }
 
-    /// Waits at a parent. None if the parent failed meanwhile, as noticed by another table's call.
+    /// Queries a parent. None if a call for another table found meanwhile that the parent has
+    /// failed.
     async fn call_parent(&mut self, parent: &Parent) -> Option<Result<Update, Error>> {
         let (gateway, shared, table) = (&self.gateway, &self.shared, self.table);
         let (addr, max_age) = (parent.addr, parent.max_age);
-        let wait = if table == Table::Operator { WAIT_RELAYED_OPERATOR } else { WAIT_RELAYED };
+        let wait =
+            if table == Table::Operator { RELAYED_OPERATOR_POLL_WAIT } else { RELAYED_POLL_WAIT };
         let update = |batch, is_snapshot| Update { batch, origin: Origin::Parent, is_snapshot };
         let snapshot = async {
             let call = peers::snapshot(gateway, addr, table, SNAPSHOT_TIMEOUT, max_age);
             let batch = timeout::run(SNAPSHOT_TIMEOUT, call).await;
             batch.unwrap_or_else(|e| Err(Error::Lost(e.to_string()))).map(|it| update(it, true))
         };
-        let Some(since) = self.since else { return Some(snapshot.await) };
+        let Some(since) = self.known_rev else { return Some(snapshot.await) };
         let call = async {
             match peers::changes(gateway, addr, table, since, wait, max_age).await {
-                // The parent began to watch the table after `since`.
+                // The parent's history of the table begins after `since`.
                 Err(Error::Compacted) => Some(snapshot.await),
                 other => Some(other.map(|it| update(it, false))),
             }
@@ -210,10 +218,10 @@
             // A call that waits would hang for its whole wait at a store that still does not
             // answer, and a configuration written right after the outage would arrive too late.
             _ if 0 < self.failures => Duration::ZERO,
-            (Role::Single, Table::Operator) => WAIT_OPERATOR,
-            (Role::Single, _) => WAIT,
-            (_, Table::Operator) => WAIT_RELAYED_OPERATOR,
-            _ => WAIT_RELAYED,
+            (Role::Single, Table::Operator) => OPERATOR_POLL_WAIT,
+            (Role::Single, _) => POLL_WAIT,
+            (_, Table::Operator) => RELAYED_OPERATOR_POLL_WAIT,
+            _ => RELAYED_POLL_WAIT,
         };
         let call = call_store(&self.gateway, self.table, Some((since, wait)));
         let call = unless_store_recovered(&self.shared, call);
@@ -255,12 +263,13 @@
             let until = self.gateway.outage.lock().record_recovery(self.gateway.now());
             self.gateway.directory.lock().keep_missing_until(until);
         }
-        // Even after a single failure, because calls for other tables may have failed more often.
+        // Signalled even after a single failure, because calls for other tables may have failed
+        // more often and be waiting.
         if self.table == Table::Operator && 0 < self.failures {
             self.shared.store_recovered.wake();
         }
         self.failures = 0;
-        self.since = Some(batch.rev);
+        self.known_rev = Some(batch.rev);
         let is_empty = batch.rows.is_empty();
         apply::batch(&self.gateway, self.table, batch, is_snapshot, "store");
         if self.table != Table::Operator && !is_empty {
@@ -271,12 +280,14 @@
     fn pause_after_change(&self, origin: Origin) -> Duration {
         let n_nodes = self.gateway.n_nodes();
         match (origin, self.table) {
-            (Origin::Parent, _) => PAUSE_CHILD,
-            (_, Table::Fleet) if relays::are_used(n_nodes) => PAUSE_ROOT_FLEET,
-            _ if relays::are_used(n_nodes) => PAUSE_ROOT,
+            (Origin::Parent, _) => CHILD_CHANGE_PAUSE,
+            (_, Table::Fleet) if relays::are_used(n_nodes) => ROOT_FLEET_CHANGE_PAUSE,
+            _ if relays::are_used(n_nodes) => ROOT_CHANGE_PAUSE,
             _ => {
                 let n_nodes = u32::try_from(n_nodes).unwrap_or(u32::MAX);
-                PAUSE_PER_NODE.saturating_mul(n_nodes).clamp(PAUSE_BOUNDS.0, PAUSE_BOUNDS.1)
+                CHANGE_PAUSE_PER_NODE
+                    .saturating_mul(n_nodes)
+                    .clamp(CHANGE_PAUSE_BOUNDS.0, CHANGE_PAUSE_BOUNDS.1)
             }
         }
     }
@@ -295,24 +306,25 @@
         if self.table == Table::Operator {
             peers::poll_peers(&self.gateway).await;
         } else if self.gateway.configuration.load().is_none() {
-            // Any applied rows may contain the configuration.
+            // Any rows that are applied may contain the configuration, so a change ends the pause.
             let applied = self.gateway.rows_changed.wait();
             if self.gateway.configuration.load().is_none() {
                 return pause_or(applied, NO_CONFIGURATION_BACKOFF).await;
             }
         } else if self.is_store_lost {
-            // A single retrying task is enough to detect the end of the outage: the one for the
-            // operators' table.
+            // The task for the operators' table detects the end of the outage; the others wait for
+            // its signal.
             return pause_or(self.shared.store_recovered.wait(), OUTAGE_BACKOFF).await;
         }
         let max_pause =
-            if self.since.is_some() { MAX_BACKOFF } else { MAX_BACKOFF_NO_CONFIGURATION };
+            if self.known_rev.is_some() { MAX_BACKOFF } else { MAX_BACKOFF_NO_CONFIGURATION };
         let pause = (FIRST_BACKOFF * 2_u32.saturating_pow(self.failures.min(6) - 1)).min(max_pause);
         Timer::after(jitter(pause)).await;
     }
 }
 
-/// Runs a call to the store. None if the store came back from an outage meanwhile.
+/// Runs a call to the store. None if an outage of the store ended meanwhile: a call made during the
+/// outage may hang.
 async fn unless_store_recovered(
     shared: &Shared,
     call: impl Future<Output = Result<Batch, Error>>,
