--- a/crates/curranthook_gateway/tests/advertised.rs
+++ b/crates/curranthook_gateway/tests/advertised.rs
@@ -1,4 +1,5 @@
-//! State that endpoints report about themselves while their entries are removed and added again.
+//! Reports of endpoints about their own state, received while their entries are removed and added
+//! again.
 
 mod support;
 
@@ -15,10 +16,10 @@
     directory.ready("models").next().is_some()
 }
 
-/// Guards against losing a report that arrives after the endpoint's entry was removed, when the
-/// entry is then added again.
+/// An endpoint reports that it is leaving after its entry was removed. Guards against sending it
+/// requests when the entry is added again.
 #[test]
-fn a_report_received_after_its_entry_was_removed_still_applies() {
+fn a_leaving_report_survives_the_removal_of_the_entry() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry(1, WARM), now);
     directory.remove(&"e-1".into(), now);
@@ -27,10 +28,10 @@
     assert!(!has_ready_endpoint(&directory));
 }
 
-/// Guards against a report of one incarnation of an endpoint that stops requests to the next one,
-/// in whatever order the two are observed.
+/// Guards against applying a report of one incarnation of an endpoint to the next one, whichever of
+/// the two is observed first.
 #[test]
-fn a_report_applies_to_one_incarnation_only() {
+fn a_leaving_report_does_not_apply_to_the_next_incarnation() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     directory.upsert(entry(1, WARM), now);
     assert!(directory.set_leaving(&Incarnation::of(&entry(1, WARM)), now));
