--- a/crates/curranthook_gateway/tests/log.rs
+++ b/crates/curranthook_gateway/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log never delays a request.
+//! The event log: it never delays a request, and each line is a JSON object.
 
 use std::{
     io::{self, Write},
@@ -34,8 +34,8 @@
     }
 }
 
-/// The reader of the log stalls. Requests go on as fast as before; lines that do not fit into the
-/// queue are dropped, and the next line that fits reports how many.
+/// The reader of the log stalls. Guards against requests that wait for the log. Lines that do not
+/// fit into the queue are dropped, and the next line that fits reports how many.
 #[test]
 fn a_stalled_reader_drops_lines_without_delaying_requests() {
     let (tx, resume) = channel();
@@ -61,7 +61,7 @@
     assert!(lines < 5_000, "the queue is bounded: {lines} lines of 20,000 were kept");
 }
 
-/// Each line is one JSON object with time, node and event, whatever its fields contain.
+/// Guards against fields with quotes or line breaks that make a line invalid JSON, or split it.
 #[test]
 fn each_line_is_one_json_object() {
     let text: Arc<Mutex<Vec<u8>>> = Arc::default();
