--- a/crates/curranthook_gateway/tests/rate_limits.rs
+++ b/crates/curranthook_gateway/tests/rate_limits.rs
@@ -17,19 +17,19 @@
 
 /// The remaining slow start time of a warm endpoint.
 const WARM: Duration = Duration::ZERO;
-/// The simulated time.
+/// The simulated time span of each case.
 const DURATION: Duration = Duration::from_secs(32);
 /// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
-/// The span in which requests are counted.
+/// The length of the windows in which arrived requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How many requests beyond 1.5 times the rate may arrive in a window.
+/// The number of requests that may arrive in a window in addition to 1.5 times the rate.
 const EXTRA_REQUESTS: f64 = 5.0;
 /// The maximum delay of a request on its way to the endpoint.
 const MAX_DELAY: Duration = Duration::from_millis(60);
 /// The maximum difference between the nodes' readings of the store's clock.
 const MAX_SKEW: Duration = Duration::from_millis(30);
-/// The share of other nodes that each node does not know of.
+/// The share of the other nodes that each node does not know yet.
 const UNKNOWN_SHARE: f64 = 0.05;
 
 /// The requests that arrived at an endpoint.
@@ -40,8 +40,8 @@
     mean: f64,
 }
 
-/// Simulates a fleet of `n_nodes` that gets `demand` requests per second after `starts_at`, all
-/// suited to the same endpoint.
+/// Simulates a fleet of `n_nodes` that receives `demand` requests per second from `starts_at` on,
+/// all of which could be sent to the same endpoint.
 fn arrivals(rate: f64, n_nodes: usize, demand: f64, starts_at: Duration, seed: u64) -> Arrivals {
     let (mut rng, start) = (Pcg64::seed_from_u64(seed), Instant::now());
     let seeds: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
@@ -82,8 +82,8 @@
     Arrivals { most: most_in_window(arrived, WINDOW), mean }
 }
 
-/// Guards against each node sending an overloaded endpoint as much as it accepts from all of them,
-/// and against withholding requests that it would accept.
+/// Guards against each node sending an overloaded endpoint as much as it accepts from all nodes
+/// together, and against refusing requests that the endpoint would accept.
 #[parameterized(
     one_node = { 1.0, 1, 20.0 },
     small = { 1.0, 6, 60.0 },
@@ -103,8 +103,8 @@
     }
 }
 
-/// Guards against permits that stay unused while requests are refused because they arrive at
-/// random.
+/// Requests arrive at random times. Guards against refusing those that arrive a little early, while
+/// permits stay unused.
 #[test]
 fn few_requests_per_node_use_most_of_the_rate() {
     for seed in 0..5 {
@@ -113,9 +113,9 @@
     }
 }
 
-/// Guards against permits that stay unused for a while and are then used by all nodes at once.
+/// Guards against all nodes sending a burst of requests at once after their permits were unused.
 #[parameterized(small = { 1.0, 6, 60.0 }, large = { 1.0, 89, 500.0 }, fast = { 12.0, 89, 500.0 })]
-fn a_burst_after_a_pause_stays_within_the_rate(rate: f64, n_nodes: usize, demand: f64) {
+fn requests_after_an_idle_time_stay_within_the_rate(rate: f64, n_nodes: usize, demand: f64) {
     for seed in 0..3 {
         let it = arrivals(rate, n_nodes, demand, DURATION / 2, seed);
         let allowed = rate * 1.5 * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
@@ -123,8 +123,8 @@
     }
 }
 
-/// Guards against nodes that never learn whether an endpoint still reports a limit, and against
-/// callers of such a node, whose requests it would never be permitted to send.
+/// Guards against nodes that never get a permit. Such a node could never send its callers'
+/// requests, nor learn whether the endpoint still reports a limit.
 #[parameterized(small = { 1.0, 6 }, large = { 8.0, 89 })]
 fn each_node_holds_permits_about_equally_often(rate: f64, n_nodes: usize) {
     const N_ROTATIONS: u64 = 600;
@@ -139,7 +139,8 @@
     assert!(all.iter().all(|it| mean / 2 <= *it && *it <= mean * 2), "{all:?}, {mean} on average");
 }
 
-/// Guards against an endpoint that accepts nothing for now and is never tried again.
+/// An endpoint reports a limit of zero. Guards against sending it no requests at all, so that the
+/// end of the limit is never detected.
 #[test]
 fn an_endpoint_that_accepts_nothing_is_still_probed() {
     for seed in 0..5 {
@@ -171,7 +172,7 @@
     directory.get(&"e-1".into()).unwrap().admits(now)
 }
 
-/// Guards against a delayed report that restores a limit that was withdrawn, or ends one that is in
+/// Guards against a delayed report that restores a withdrawn limit, or withdraws one that is in
 /// force.
 #[test]
 fn an_outdated_report_is_ignored() {
