--- a/crates/curranthook_gateway/tests/relays.rs
+++ b/crates/curranthook_gateway/tests/relays.rs
@@ -1,4 +1,4 @@
-//! The tree through which changes reach the nodes of a large fleet.
+//! The tree of relays through which changes reach the nodes of a large fleet.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -52,8 +52,8 @@
     }
 }
 
-/// Guards against a node on a weak link that serves hundreds of others and has no capacity left for
-/// its callers.
+/// Guards against a node on a weak link that serves hundreds of others, which leaves no capacity
+/// for its callers.
 #[parameterized(
     flat = { 18, 5 },
     medium = { 62, 3 },
@@ -77,8 +77,8 @@
     assert!(serving.iter().all(is_large), "{serving:?}");
 }
 
-/// Guards against traffic between failure domains, which is charged for: a node asks its parent
-/// more than once per second.
+/// Guards against the cost of traffic between failure domains: a node queries its parent more than
+/// once per second.
 #[test]
 fn leaves_have_parents_in_their_own_failure_domain() {
     let fleet = Fleet::new(295, 5);
@@ -95,9 +95,9 @@
     assert!(250 < n_leaves, "{n_leaves} leaves");
 }
 
-/// A failure domain is lost for good, and the rows of its nodes remain. All other nodes must find a
-/// parent or watch the store. If all roots were in that domain, every relay would watch the store
-/// from then on.
+/// A failure domain is lost permanently, and the rows of its nodes remain. All other nodes must
+/// have an available parent or watch the store. If all roots were in that domain, every relay would
+/// watch the store from then on.
 #[parameterized(medium = { 62, 3 }, large = { 295, 5 })]
 fn a_root_remains_after_the_loss_of_a_failure_domain(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
@@ -113,24 +113,24 @@
     }
 }
 
-/// An added node is not in the list until it has read its own row. If it took itself for the root
-/// until then, each added node would read all tables from the store.
+/// A new node is not among the known nodes until it has read its own row. Guards against new nodes
+/// that act as the root until then, and each read all tables from the store.
 #[parameterized(flat = { 18, 5 }, large = { 295, 5 })]
 fn a_node_that_is_not_listed_yet_has_parents(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
     assert!(!relays::parents("node-new", &fleet.nodes()).is_empty());
 }
 
-/// A node of the simulation: its rows, and which of its connections work.
+/// A node of the simulation: its copy of the rows, and which of its connections work.
 struct ModelNode {
     mirror: Mirror,
     reaches_store: bool,
     reaches_parents: bool,
 }
 
-/// Nodes lose the store and each other in any order, for any time, and wait at parents that may be
-/// cut off themselves. A node that considered its rows fresh while changes were missing would serve
-/// an outdated configuration, and pass it on to others.
+/// Nodes lose their connections to the store and to their parents at random, and query parents that
+/// may have lost theirs. Guards against a node that considers its rows fresh while changes are
+/// missing: it would use an outdated configuration, and return it to its children.
 #[test]
 fn no_node_considers_outdated_rows_fresh() {
     const MAX_AGE: Duration = Duration::from_millis(2_200);
@@ -174,7 +174,7 @@
     }
 }
 
-/// Lets a node ask its parents in order, and then the store.
+/// Polls the parents of `node` in order, and then the store, until one of them answers.
 fn poll(
     nodes: &mut [ModelNode],
     node: usize,
@@ -204,7 +204,8 @@
     }
 }
 
-/// Guards against relays on weak links, whose own callers wait while many rows change.
+/// Guards against relays on weak links, whose own callers would be delayed whenever many rows
+/// change.
 #[test]
 fn weak_nodes_are_not_parents_if_strong_ones_suffice() {
     let names: Vec<_> = (0..81).map(|it| format!("node-{it}")).collect();
