--- a/crates/curranthook_gateway/tests/slow_start.rs
+++ b/crates/curranthook_gateway/tests/slow_start.rs
@@ -16,16 +16,17 @@
 
 use self::support::{entry, most_in_window};
 
-/// The simulated time.
+/// The simulated time span of each case.
 const DURATION: Duration = Duration::from_secs(20);
 /// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
 /// The maximum delay of a request on its way to the endpoint.
 const MAX_DELAY: Duration = Duration::from_millis(60);
-/// The share of other nodes that each node does not know of.
+/// The share of the other nodes that each node does not know yet.
 const UNKNOWN_SHARE: f64 = 0.05;
 
-/// The maximum number of requests in any second, and the average requests per second.
+/// Simulates a fleet of `n_nodes` with unlimited demand. Returns the maximum number of requests
+/// that arrive in any second, and the average requests per second.
 fn arrivals(rate: f64, n_nodes: usize, seed: u64) -> (usize, f64) {
     let (mut rng, start) = (Pcg64::seed_from_u64(seed), Instant::now());
     let seeds: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
@@ -56,8 +57,8 @@
     (most_in_window(arrived, Duration::from_secs(1)), mean)
 }
 
-/// Guards against crashing an endpoint that has just started, when all nodes send it as much as a
-/// warm one accepts, and against withholding requests that it would accept.
+/// Guards against overloading an endpoint that has just started with as many requests from each
+/// node as a warm one accepts, and against refusing requests that it would accept.
 #[parameterized(
     one_node = { 8.4, 1 },
     small = { 8.4, 6 },
@@ -75,7 +76,7 @@
     }
 }
 
-/// The permits of a node that may send nothing.
+/// The permits of a node that may send no requests.
 struct NoPermits;
 
 impl Permits for NoPermits {
@@ -97,7 +98,8 @@
     directory.get(&"e-1".into()).is_some_and(|it: &Tracked| it.admits(now))
 }
 
-/// Guards against missing that an endpoint turns cold while in use, or restarts under the same id.
+/// Guards against sending an endpoint the load of a warm one when its entry says that it is cold:
+/// because its slow start began while it was in use, or because it restarted under the same id.
 #[parameterized(in_use = { 1 }, restarted = { 2 })]
 fn an_endpoint_whose_entry_turns_cold_is_in_slow_start(started_ms: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -109,7 +111,7 @@
     assert!(admits(&mut directory, now + remaining));
 }
 
-/// Guards against keeping an endpoint in slow start after its entry says that it is warm.
+/// Guards against an endpoint that stays in slow start although its entry says that it is warm.
 #[test]
 fn a_warm_endpoint_leaves_slow_start() {
     let (mut directory, now) = (Directory::default(), Instant::now());
