--- a/crates/curranthook_gateway/tests/steps.rs
+++ b/crates/curranthook_gateway/tests/steps.rs
@@ -29,17 +29,20 @@
     delay
 }
 
-/// A version whose faults do not show before it is in full use is completed. Until the end of the
-/// time limit it must receive no more requests than the bound allows, because a fault that shows
-/// late would otherwise affect many callers.
+/// A version shows no fault until it gets all requests, so its rollout is completed. Guards against
+/// a late fault that affects many callers: until the end of the time limit, the version must
+/// receive no more than the allowed share of requests.
 #[parameterized(
     short = { 12, 0.15 },
     typical = { 24, 0.15 },
     large_fleet = { 24, 0.0975 },
     long = { 600, 0.05 },
 )]
-fn a_seemingly_good_version_stays_within_the_bound(seconds: u64, bound: f64) {
-    let (schedule, order) = (Schedule::new(bound), order(Duration::from_secs(seconds)));
+fn a_version_with_undetected_faults_stays_within_the_exposure_bound(
+    seconds: u64,
+    max_exposure: f64,
+) {
+    let (schedule, order) = (Schedule::new(max_exposure), order(Duration::from_secs(seconds)));
     let evidence = Evidence { new: counts(100, 0), old: counts(1_000, 0) };
     let mut current = step(Phase::Waiting, Duration::ZERO);
     let (mut share_received, mut early_share) = (0.0, 0.0);
@@ -55,13 +58,13 @@
         }
     }
     assert_eq!(current.phase, Phase::Completed, "completed in time");
-    assert!(share_received <= bound, "{share_received} of all requests went to it");
-    assert!(schedule.exposure() < bound);
+    assert!(share_received <= max_exposure, "{share_received} of all requests went to it");
+    assert!(schedule.exposure() < max_exposure);
     assert_eq!(early_share, 0.0, "sessions keep their version in the first half");
 }
 
-/// Half of a version's answers take eight times as long as the baseline. Single answers vary that
-/// much anyway, so only all of them together are evidence.
+/// Half of a version's answers take eight times as long as the baseline. Single answers of a good
+/// version vary as much, so only the statistics of all answers are evidence.
 #[test]
 fn a_slow_version_is_detected() {
     let baseline_ratios = || (0..200).map(|it| [0.4, 0.7, 1.0, 1.5, 2.5][it % 5]);
@@ -85,7 +88,7 @@
     assert!(!Evidence { new, old }.is_bad());
 }
 
-/// Nodes are killed during a rollout, and the old version's answers are late, too. The slowdown of
+/// Nodes are killed during a rollout, so the answers of both versions are late. The slowdown of
 /// both versions must not hide that half of the new version's answers are failures.
 #[test]
 fn failures_are_detected_during_a_general_slowdown() {
@@ -95,8 +98,8 @@
     assert!(Evidence { new, old }.is_bad());
 }
 
-/// A service without models fails one lookup in seven, whichever version runs it. By chance, a new
-/// version gets a few more of them at first.
+/// A service without models fails one lookup in seven, whichever version runs it. Guards against a
+/// rollback because a new version gets a few more of these by chance.
 #[test]
 fn failures_of_both_versions_are_not_evidence() {
     let old = counts(97, 10);
@@ -105,7 +108,7 @@
     assert!(Evidence { new: counts(22, 14), old: counts(52, 7) }.is_bad());
 }
 
-/// A node that was frozen comes back with an old step. No step follows a final phase.
+/// A node that was suspended resumes with an old step. No step follows a final phase.
 #[parameterized(completed = { Phase::Completed }, rolled_back = { Phase::RolledBack })]
 fn no_step_follows_a_final_phase(phase: Phase) {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
@@ -115,8 +118,8 @@
 }
 
 /// Nodes are cut off during a rollout, so few answers are known. The version fails half of its
-/// requests, but the known failures are too few to give it up. If it got all requests on that
-/// evidence, half of all requests would fail for seconds.
+/// requests, but the known failures are too few for a rollback. Guards against sending it all
+/// requests on that evidence: half of them would fail for seconds.
 #[test]
 fn a_doubtful_version_does_not_advance() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
@@ -133,7 +136,8 @@
 }
 
 /// A service without models has few requests, so few answers are known when the first phase ends.
-/// Its version must advance in time anyway, or operators would see a good rollout reported late.
+/// Guards against a good version that advances too late, so that the completion of its rollout is
+/// reported after the time limit.
 #[test]
 fn a_version_of_a_service_with_few_requests_advances_in_time() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
@@ -143,9 +147,9 @@
     assert_eq!(steps::due(&schedule, &order, &canary, evidence, at), Some(Phase::Partial));
 }
 
-/// Only one node sees that the new version fails. It stops sending requests to it at once, in
-/// whatever phase the fleet is; the store may be unavailable, and the other nodes may not have evidence
-/// the failures yet.
+/// Only one node has evidence that the new version fails. It must stop sending requests to the
+/// version at once, whatever the current phase is: the store may be unavailable, and the other
+/// nodes may not have seen the failures yet.
 #[test]
 fn a_node_that_sees_failures_stops_without_waiting_for_a_step() {
     let mut rollouts = Rollouts::new(Schedule::new(0.15));
@@ -165,7 +169,8 @@
 }
 
 /// A version fails for one kind of request only, so few of its answers are failures, while the old
-/// version has none. If it were accepted as good, it would keep failing that kind for all callers.
+/// version has none. Guards against completing its rollout: the version would fail that kind of
+/// request for all callers.
 #[test]
 fn failures_of_one_kind_of_request_are_detected() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
@@ -176,14 +181,14 @@
     let doubtful = Evidence { new: counts(11, 1), old: counts(120, 0) };
     assert!(!doubtful.is_bad());
     assert_eq!(steps::due(&schedule, &order, &canary, doubtful, late), None);
-    // One failure among very many answers is no reason to wait.
+    // One failure among very many answers must not delay the rollout.
     let fine = Evidence { new: counts(90, 1), old: counts(900, 2) };
     assert_eq!(steps::due(&schedule, &order, &canary, fine, late), Some(Phase::Partial));
 }
 
-/// Half of a version's answers take a few times as long. Few of them have ended when the version
-/// could get all requests, and the slow ones end last, so the known ones seem only somewhat slow:
-/// not enough to give the version up, but too much to send it all requests.
+/// Half of a version's answers take a few times as long. Few answers have ended when the version
+/// could get all requests, and the slow ones end last, so the known ones are only somewhat slow:
+/// not enough for a rollback, but too much to send the version all requests.
 #[test]
 fn a_seemingly_slow_version_does_not_advance() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(17)));
