--- a/crates/curranthook_gateway/src/steps.rs
+++ b/crates/curranthook_gateway/src/steps.rs
@@ -28,8 +28,8 @@
 /// `max_exposure`. It is the reserve for an order that is received late, a step whose node crashes,
 /// and a lost write. The requests in this span count towards the exposure, too.
 const FINAL_SPAN: f64 = 0.33;
-/// The part of the time limit for which [`Phase::Full`] lasts before that, as a multiple of
-/// `max_exposure`. Most of the old version's answers end during this span.
+/// The part of the time limit for which [`Phase::Full`] lasts, as a multiple of `max_exposure`.
+/// Most of the old version's answers end during this span.
 const FULL_SPAN: f64 = 0.45;
 /// For [`Phase::Partial`]: the share of requests that go to the new version, as a multiple of
 /// `max_exposure`, and the part of the time limit for which the phase lasts.
@@ -183,9 +183,9 @@
         if self.n < MIN_SAMPLES || others.n < MIN_SAMPLES {
             return false;
         }
-        let shift = self.mean() - others.mean();
+        let difference = self.mean() - others.mean();
         let error = (self.squared_error() + others.squared_error()).sqrt();
-        factor.ln() < shift && SIGNIFICANT_SIGMAS * error < shift
+        factor.ln() < difference && SIGNIFICANT_SIGMAS * error < difference
     }
 }
 
@@ -285,10 +285,10 @@
     /// Whether the new version seems slower, even if not significantly so. Times with fewer than
     /// `MIN_SAMPLES` answers of either version are not compared.
     fn seems_slow(self) -> bool {
-        let is_enough = |new: Delay, old: Delay| MIN_SAMPLES <= new.n && MIN_SAMPLES <= old.n;
-        (is_enough(self.new.first, self.old.first)
+        let is_comparable = |new: Delay, old: Delay| MIN_SAMPLES <= new.n && MIN_SAMPLES <= old.n;
+        (is_comparable(self.new.first, self.old.first)
             && DOUBTFUL_SLOWDOWNS.0 < self.first_event_slowdown())
-            || (is_enough(self.new.rest, self.old.rest)
+            || (is_comparable(self.new.rest, self.old.rest)
                 && DOUBTFUL_SLOWDOWNS.1 < self.event_gap_slowdown())
     }
 
