--- a/crates/curranthook_gateway/src/rollouts.rs
+++ b/crates/curranthook_gateway/src/rollouts.rs
@@ -208,19 +208,19 @@
         part: Part,
         took: Duration,
     ) -> f64 {
-        let log = (took.as_secs_f64() * 1e3 + TIME_OFFSET_MS).ln();
+        let log_ms = (took.as_secs_f64() * 1e3 + TIME_OFFSET_MS).ln();
         let is_target = self.services.get(service).is_some_and(|it| it.order.target == version);
         let key = (kind.route.to_owned(), kind.model, part);
         let baseline = match is_target {
-            true => self.baseline.get(&key).copied().unwrap_or(log),
+            true => self.baseline.get(&key).copied().unwrap_or(log_ms),
             false => {
-                let it = self.baseline.entry(key).or_insert(log);
+                let it = self.baseline.entry(key).or_insert(log_ms);
                 let before = *it;
-                *it += BASELINE_SMOOTHING * (log - before);
+                *it += BASELINE_SMOOTHING * (log_ms - before);
                 before
             }
         };
-        (log - baseline).exp()
+        (log_ms - baseline).exp()
     }
 
     /// The counters of this node for a version; none if the rollout is waiting or finished.
