--- a/crates/curranthook_gateway/src/directory.rs
+++ b/crates/curranthook_gateway/src/directory.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Removes an endpoint. The state it reported is cached in case its entry comes back.
+    /// Removes an endpoint. The state that it reported is cached, in case its entry is added again.
     fn remove_tracked(&mut self, id: &endpoint::Id, now: Instant) {
         if let Some(it) = self.endpoints.remove(id) {
             self.advertised_cache.insert(&it.entry, it.advertised, now);
@@ -308,7 +308,7 @@
         let Some(it) = self.endpoints.get_mut(id) else { return };
         it.in_flight = it.in_flight.saturating_sub(1);
         it.pending = it.pending.saturating_sub(work);
-        let failed = match outcome {
+        let failure = match outcome {
             Outcome::Answered => {
                 it.ejection_time = Duration::ZERO;
                 it.ejected_until = None;
@@ -331,7 +331,7 @@
             }
             Outcome::Full | Outcome::Abandoned => return,
         };
-        it.failures += FAILURE_SMOOTHING * (failed - it.failures);
+        it.failures += FAILURE_SMOOTHING * (failure - it.failures);
     }
 
     /// Whether any endpoint answered recently. If so, this node's own links work, and a failed
