--- a/crates/curranthook_gateway/src/load_table.rs
+++ b/crates/curranthook_gateway/src/load_table.rs
@@ -25,8 +25,8 @@
 
 impl LoadTable {
     /// Stores the report of `node`, in place of its previous one.
-    pub fn update(&mut self, node: String, waiting: HashMap<endpoint::Id, Duration>, now: Instant) {
-        self.nodes.insert(node, (now, waiting));
+    pub fn update(&mut self, node: String, pending: HashMap<endpoint::Id, Duration>, now: Instant) {
+        self.nodes.insert(node, (now, pending));
     }
 
     /// The work pending at an endpoint, except that of `requester`, which knows its own.
@@ -44,6 +44,6 @@
     pub fn waiting(&self, endpoint: &endpoint::Id, requester: &str, now: Instant) -> Duration {
         let others = self.nodes.iter().filter(|(node, _)| *node != requester);
         let fresh = others.filter(|(_, (at, _))| now.saturating_duration_since(*at) < EXPIRY);
-        fresh.filter_map(|(_, (_, waiting))| waiting.get(endpoint)).sum()
+        fresh.filter_map(|(_, (_, pending))| pending.get(endpoint)).sum()
     }
 }
