--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -195,8 +195,8 @@
 /// [`REPORT_INTERVAL`] if the last reports contained pending work.
 async fn wait_for_changes(gateway: &Gateway, reports: &Socket, reported_to: &HashSet<SocketAddr>) {
     let changed = gateway.pending_work_changed.wait();
-    // Limits that were queued while reports were being sent woke no task, so the queue is checked
-    // here.
+    // This task misses a signal that arrives while it is sending reports, so limits that were
+    // queued meanwhile are checked here.
     if !reports.limits.is_empty() {
         return;
     }
@@ -268,7 +268,7 @@
     let (directory, load_table, now) =
         (gateway.directory.lock(), gateway.load_table.lock(), gateway.now());
     let own_name = &gateway.settings.node;
-    let waiting = |id: &endpoint::Id| {
+    let pending_work = |id: &endpoint::Id| {
         let others_work = load_table.waiting(id, requester, now);
         let own_work = directory.get(id).map_or(Duration::ZERO, |it| it.pending);
         // A node does not send reports to itself, so only other requesters get its own work added.
@@ -277,7 +277,7 @@
     let is_unreachable =
         |id: &&endpoint::Id| directory.get(id).is_some_and(|it| it.is_unreachable(now));
     let unreachable = endpoints.iter().filter(is_unreachable).cloned().collect();
-    let waiting = endpoints.into_iter().map(|id| (id.clone(), waiting(&id))).collect();
+    let waiting = endpoints.into_iter().map(|id| (id.clone(), pending_work(&id))).collect();
     PeerState { waiting, holders, unreachable }
 }
 
