--- a/crates/curranthook_gateway/src/watch.rs
+++ b/crates/curranthook_gateway/src/watch.rs
@@ -27,14 +27,14 @@
 /// call also detects that the store is unavailable, so the wait is short. A lost answer delays a
 /// configuration by no more than this.
 const OPERATOR_POLL_WAIT: Duration = Duration::from_secs(3);
-/// How long long polls of other rows wait in such a fleet. The store charges for each call, so the
-/// wait is long.
+/// How long a long poll of other rows waits in a fleet without relays. The store charges for each
+/// call, so the wait is long.
 const POLL_WAIT: Duration = Duration::from_secs(15);
-/// How long long polls of the operators' rows wait in a fleet with relays, at the store and at
-/// parents. Their answers also determine the age of the rows of all tables, so the wait is short.
+/// How long a long poll of the operators' rows waits in a fleet with relays, at the store or at a
+/// parent. The answer also determines the age of the rows of all tables, so the wait is short.
 const RELAYED_OPERATOR_POLL_WAIT: Duration = Duration::from_millis(700);
-/// How long long polls of other rows wait in such a fleet. A call whose answer is lost hangs for
-/// that long.
+/// How long a long poll of other rows waits in a fleet with relays. A call whose answer is lost
+/// hangs for that long.
 const RELAYED_POLL_WAIT: Duration = Duration::from_secs(5);
 /// How long all nodes wait before their first reads when the fleet starts for the first time. By
 /// then, each has written its address ([`crate::fleet_writer`]), and most find a parent instead of
@@ -43,8 +43,8 @@
 /// How long a starting node waits for the rows of the other nodes, from which it determines its
 /// parents.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long a parent may take to return all rows to a starting node, which then reads them from the
-/// store.
+/// The timeout for a parent's reply with all rows of a table to a starting node, which otherwise
+/// reads them from the store.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(200);
 /// The pause after a change of endpoint or fleet rows, per node of a fleet without relays. Such
 /// rows change in quick succession: when many endpoints start, each waiting call would be answered
@@ -68,7 +68,7 @@
 /// How long calls for rows other than the operators' are delayed while the store is unavailable. An
 /// endpoint that starts to leave right after the outage must get no new requests two seconds later.
 const OUTAGE_BACKOFF: Duration = Duration::from_secs(1);
-/// The same for a node without a configuration, which cannot use those rows yet.
+/// The delay of those calls at a node without a configuration, which cannot use the rows yet.
 const NO_CONFIGURATION_BACKOFF: Duration = Duration::from_secs(3);
 /// While its parents have failed and the store is unavailable, a node with parents calls the store
 /// in one of this many attempts.
