--- a/crates/curranthook_gateway/tests/steps.rs
+++ b/crates/curranthook_gateway/tests/steps.rs
@@ -117,9 +117,9 @@
     assert_eq!(steps::due(&schedule, &order, &step(phase, Duration::ZERO), bad, late), None);
 }
 
-/// Nodes are cut off during a rollout, so few answers are known. The version fails half of its
-/// requests, but the known failures are too few for a rollback. Guards against sending it all
-/// requests on that evidence: half of them would fail for seconds.
+/// Nodes lose their connections during a rollout, so few answers are known. The version fails half
+/// of its requests, but the known failures are too few for a rollback. Guards against sending it
+/// all requests on that evidence: half of them would fail for seconds.
 #[test]
 fn a_doubtful_version_does_not_advance() {
     let (schedule, order) = (Schedule::new(0.15), order(Duration::from_secs(24)));
