--- a/crates/curranthook_gateway/tests/relays.rs
+++ b/crates/curranthook_gateway/tests/relays.rs
@@ -77,8 +77,8 @@
     assert!(serving.iter().all(is_large), "{serving:?}");
 }
 
-/// Guards against the cost of traffic between failure domains: a node queries its parent more than
-/// once per second.
+/// Traffic between failure domains is charged for, and a node queries its parent more than once per
+/// second. Guards against leaves whose parent is in another domain.
 #[test]
 fn leaves_have_parents_in_their_own_failure_domain() {
     let fleet = Fleet::new(295, 5);
@@ -144,18 +144,18 @@
         let mut nodes: Vec<_> = parents.iter().map(|_| new()).collect();
         let start = Instant::now();
         // The time at which each revision was written.
-        let mut written = vec![start];
+        let mut write_times = vec![start];
         for step in 0..400_u32 {
             let now = start + STEP * step;
             if rng.random_bool(0.1) {
-                written.push(now);
+                write_times.push(now);
             }
             for _ in 0..nodes.len() / 4 {
                 let it = rng.random_range(0..nodes.len());
                 match rng.random_range(0..12) {
                     0 => nodes[it].reaches_store ^= true,
                     1 => nodes[it].reaches_parents ^= true,
-                    _ => poll(&mut nodes, it, &parents[it], &written, now),
+                    _ => poll(&mut nodes, it, &parents[it], &write_times, now),
                 }
             }
             for (name, it) in fleet.names.iter().zip(&nodes) {
@@ -163,7 +163,7 @@
                     continue;
                 }
                 let known = usize::try_from(it.mirror.rev(Table::Operator).0).unwrap();
-                let missing = written.get(known).is_some_and(|at| MAX_AGE < now - *at);
+                let missing = write_times.get(known).is_some_and(|at| MAX_AGE < now - *at);
                 assert!(
                     !missing,
                     "seed {seed}: {name} misses revision {known} after {:?}",
@@ -179,7 +179,7 @@
     nodes: &mut [ModelNode],
     node: usize,
     parents: &[(usize, Duration)],
-    written: &[Instant],
+    write_times: &[Instant],
     now: Instant,
 ) {
     for (parent, max_age) in parents.iter().filter(|_| nodes[node].reaches_parents) {
@@ -195,7 +195,7 @@
     }
     let ModelNode { mirror, reaches_store, .. } = &mut nodes[node];
     if *reaches_store {
-        let rev = Rev(written.len() as u64);
+        let rev = Rev(write_times.len() as u64);
         let row = Row { key: "config".to_owned(), rev, value: Some(Vec::new()) };
         mirror.merge(Table::Operator, Batch { rows: vec![row], rev, now: None });
         mirror.record_answer(now);
