--- a/crates/curranthook_gateway/tests/rate_limits.rs
+++ b/crates/curranthook_gateway/tests/rate_limits.rs
@@ -35,7 +35,7 @@
 /// The requests that arrived at an endpoint.
 struct Arrivals {
     /// The maximum number of requests in any window.
-    most: usize,
+    max_in_window: usize,
     /// The average requests per second.
     mean: f64,
 }
@@ -44,15 +44,15 @@
 /// all of which could be sent to the same endpoint.
 fn arrivals(rate: f64, n_nodes: usize, demand: f64, starts_at: Duration, seed: u64) -> Arrivals {
     let (mut rng, start) = (Pcg64::seed_from_u64(seed), Instant::now());
-    let seeds: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
-    let known: Vec<Vec<u64>> = seeds
+    let node_hashes: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
+    let known: Vec<Vec<u64>> = node_hashes
         .iter()
         .map(|own| {
             let is_known = |it: &&u64| own == *it || UNKNOWN_SHARE <= rng.random();
-            seeds.iter().filter(is_known).copied().collect()
+            node_hashes.iter().filter(is_known).copied().collect()
         })
         .collect();
-    let skews: Vec<Duration> = seeds.iter().map(|_| MAX_SKEW.mul_f64(rng.random())).collect();
+    let skews: Vec<Duration> = node_hashes.iter().map(|_| MAX_SKEW.mul_f64(rng.random())).collect();
     let mut limits = vec![RateLimit::new(rate); n_nodes];
     let mut arrived = Vec::new();
     let mut due = 0.0;
@@ -68,7 +68,7 @@
             let limit = &mut limits[index];
             if limit.is_outdated(rotation, now) {
                 let interval =
-                    rate_limit::interval(rate, seed, rotation, seeds[index], &known[index]);
+                    rate_limit::interval(rate, seed, rotation, node_hashes[index], &known[index]);
                 limit.set_interval(interval, rotation, now);
             }
             if limit.admits(now) {
@@ -79,7 +79,7 @@
         elapsed += STEP;
     }
     let mean = arrived.len() as f64 / DURATION.as_secs_f64();
-    Arrivals { most: most_in_window(arrived, WINDOW), mean }
+    Arrivals { max_in_window: most_in_window(arrived, WINDOW), mean }
 }
 
 /// Guards against each node sending an overloaded endpoint as much as it accepts from all nodes
@@ -97,7 +97,11 @@
     for seed in 0..3 {
         let it = arrivals(rate, n_nodes, demand, Duration::ZERO, seed);
         let allowed = rate * 1.5 * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
-        assert!(it.most as f64 <= allowed, "{} in a window, {allowed} allowed", it.most);
+        assert!(
+            it.max_in_window as f64 <= allowed,
+            "{} in a window, {allowed} allowed",
+            it.max_in_window
+        );
         assert!(rate * 0.4 < it.mean, "only {} of {rate} requests per second", it.mean);
         assert!(it.mean <= rate, "{} of {rate} requests per second", it.mean);
     }
@@ -119,7 +123,11 @@
     for seed in 0..3 {
         let it = arrivals(rate, n_nodes, demand, DURATION / 2, seed);
         let allowed = rate * 1.5 * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
-        assert!(it.most as f64 <= allowed, "{} in a window, {allowed} allowed", it.most);
+        assert!(
+            it.max_in_window as f64 <= allowed,
+            "{} in a window, {allowed} allowed",
+            it.max_in_window
+        );
     }
 }
 
@@ -134,9 +142,12 @@
             |rotation: &u64| rate_limit::interval(rate, 7, *rotation, node, &nodes).is_some();
         (0..N_ROTATIONS).filter(holds).count()
     };
-    let all: Vec<usize> = nodes.iter().map(|it| n_permits(*it)).collect();
-    let mean = all.iter().sum::<usize>() / n_nodes;
-    assert!(all.iter().all(|it| mean / 2 <= *it && *it <= mean * 2), "{all:?}, {mean} on average");
+    let permit_counts: Vec<usize> = nodes.iter().map(|it| n_permits(*it)).collect();
+    let mean = permit_counts.iter().sum::<usize>() / n_nodes;
+    assert!(
+        permit_counts.iter().all(|it| mean / 2 <= *it && *it <= mean * 2),
+        "{permit_counts:?}, {mean} on average"
+    );
 }
 
 /// An endpoint reports a limit of zero. Guards against sending it no requests at all, so that the
@@ -146,7 +157,7 @@
     for seed in 0..5 {
         let it = arrivals(0.0, 6, 60.0, Duration::ZERO, seed);
         assert!(0.1 < it.mean && it.mean < 0.5, "{} requests per second", it.mean);
-        assert!(it.most <= 3, "{} requests in a window", it.most);
+        assert!(it.max_in_window <= 3, "{} requests in a window", it.max_in_window);
     }
 }
 
