--- a/crates/curranthook_gateway/tests/slow_start.rs
+++ b/crates/curranthook_gateway/tests/slow_start.rs
@@ -29,12 +29,12 @@
 /// that arrive in any second, and the average requests per second.
 fn arrivals(rate: f64, n_nodes: usize, seed: u64) -> (usize, f64) {
     let (mut rng, start) = (Pcg64::seed_from_u64(seed), Instant::now());
-    let seeds: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
+    let node_hashes: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
     let end = start + DURATION;
-    let mut nodes: Vec<SlowStart> = seeds
+    let mut nodes: Vec<SlowStart> = node_hashes
         .iter()
         .map(|own| {
-            let known = seeds.iter().filter(|it| own == *it || UNKNOWN_SHARE <= rng.random());
+            let known = node_hashes.iter().filter(|it| own == *it || UNKNOWN_SHARE <= rng.random());
             let known: Vec<u64> = known.copied().collect();
             let mut it = SlowStart::new(end);
             it.share.set_interval(
@@ -70,8 +70,11 @@
 )]
 fn the_fleet_stays_within_the_rate_of_a_slow_start(rate: f64, n_nodes: usize) {
     for seed in 0..5 {
-        let (most, mean) = arrivals(rate, n_nodes, seed);
-        assert!(most as f64 <= rate * 1.5 + 5.0, "{most} requests in a second of {rate}");
+        let (max_per_second, mean) = arrivals(rate, n_nodes, seed);
+        assert!(
+            max_per_second as f64 <= rate * 1.5 + 5.0,
+            "{max_per_second} requests in a second of {rate}"
+        );
         assert!(rate * 0.5 < mean, "only {mean} of {rate} requests per second");
     }
 }
