--- a/crates/curranthook_gateway/src/load_reports.rs
+++ b/crates/curranthook_gateway/src/load_reports.rs
@@ -37,8 +37,8 @@
 /// The minimum pending work at an endpoint that is reported. Less work than this takes less time
 /// than the round trip to an engine.
 const MIN_REPORTED_WORK: Duration = Duration::from_millis(10);
-/// The maximum size of a datagram, in bytes. The limits below keep messages within this size; what
-/// exceeds them is not reported.
+/// The maximum size of a datagram, in bytes; a longer one is truncated on receipt and rejected as
+/// malformed. The limits below bound the contents of a report. What exceeds them is not reported.
 const MAX_DATAGRAM: usize = 1_400;
 /// The maximum number of endpoints in a report, so that it fits into a datagram.
 const MAX_REPORTED_ENDPOINTS: usize = 32;
