--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Placement, cascade, retry budget and event splitting, tested without a network.
+//! Tests of placement, escalation, the retry budget, startup and event splitting, without a
+//! network.
 
 use std::time::{Duration, Instant};
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// Two nodes that list the same endpoints in different orders send the same prefix to the same
+/// Two nodes that list the same endpoints in different orders must send the same prefix to the same
 /// endpoint.
 #[test]
 fn nodes_prefer_the_same_endpoint_without_coordination() {
@@ -46,8 +47,9 @@
     }
 }
 
-/// A prefix that has not been processed yet goes to an idle endpoint rather than to its busy
-/// preferred endpoint, and to the endpoint that processed it, wherever that is.
+/// If it is known which endpoints have a prefix cached, a prefix that none has cached is placed at
+/// an idle endpoint rather than at its busy preferred one, and a cached prefix at the endpoint that
+/// has it.
 #[test]
 fn known_cache_holders_take_precedence() {
     let mut endpoints: Vec<_> = (1..=12).map(idle).collect();
@@ -62,8 +64,8 @@
     assert_eq!(placement::choose(&endpoints, &known), Some(other));
 }
 
-/// One of twelve endpoints is lost. Only prefixes that preferred it move; all others stay where
-/// they are cached.
+/// One of twelve endpoints is lost. Only prefixes that preferred the lost endpoint may move; all
+/// others stay at the endpoint that has them cached.
 #[test]
 fn losing_an_endpoint_moves_only_its_own_prefixes() {
     let endpoints: Vec<_> = (1..=12).map(idle).collect();
@@ -77,8 +79,8 @@
     assert!((60..150).contains(&moved), "{moved} of 1200, a twelfth is 100");
 }
 
-/// Many requests share one prefix at the same time. Once waiting at its preferred endpoint takes
-/// longer than processing the prefix elsewhere, other endpoints take requests.
+/// Many requests share one prefix at the same time. Once waiting at the prefix's preferred endpoint
+/// takes longer than processing the prefix elsewhere, other endpoints get requests.
 #[test]
 fn a_busy_preferred_endpoint_is_skipped() {
     let mut endpoints: Vec<_> = (1..=4).map(idle).collect();
@@ -94,8 +96,8 @@
     assert_ne!(placement::choose(&endpoints, &task), Some(preferred));
 }
 
-/// An endpoint fails most requests while its health check passes, which callers would see in one of
-/// four requests. It gets none as long as other endpoints are available.
+/// One of four endpoints fails most requests while its health check passes, so up to one in four
+/// requests would fail. The endpoint gets no requests as long as others are available.
 #[test]
 fn a_failing_endpoint_is_avoided() {
     let mut endpoints: Vec<_> = (1..=4).map(idle).collect();
@@ -163,8 +165,8 @@
 }
 
 /// Thousands of requests arrive at a node that has no configuration. Only a limited number may wait
-/// in its memory; others are refused at once, until one of the waiting requests is answered or
-/// canceled.
+/// in the node's memory. All others are refused at once with a `Retry-After`, until a waiting
+/// request is answered or canceled.
 #[test]
 fn the_number_of_requests_waiting_for_a_configuration_is_limited() {
     let waiters = Waiters::default();
@@ -175,8 +177,8 @@
     assert!(waiters.try_enter().is_some(), "a released slot is free again");
 }
 
-/// Bytes arrive in chunks of any size. The forwarded bytes are the same and consist of complete
-/// events, and the beginning of the next event stays buffered.
+/// The bytes of a stream arrive in chunks of any size. For each size, the same complete events must
+/// be forwarded, and the beginning of the next event must stay buffered.
 #[test]
 fn events_do_not_depend_on_chunk_boundaries() {
     let text: Vec<u8> =
