--- a/crates/curranthook_gateway/tests/deployment_independence.rs
+++ b/crates/curranthook_gateway/tests/deployment_independence.rs
@@ -1,4 +1,5 @@
-//! Decisions must not depend on a particular deployment, neither on its names nor on its figures.
+//! Checks that decisions do not depend on a particular deployment, neither on its names nor on its
+//! speed.
 
 use std::{fs, path::Path, time::Duration};
 
@@ -29,7 +30,8 @@
     "quiet-",
 ];
 
-/// A rule that depends on a deployment's name works for that deployment and fails for the next one.
+/// Guards against a rule that depends on a deployment's names: it would work for that deployment
+/// and fail for others.
 #[test]
 fn decision_code_contains_no_deployment_names() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -40,7 +42,7 @@
             let is_code = |line: &&str| !line.trim_start().starts_with("//");
             let code = text.lines().filter(is_code).collect::<Vec<_>>().join("\n").to_lowercase();
             let found: Vec<_> = DEPLOYMENT_WORDS.iter().filter(|it| code.contains(**it)).collect();
-            assert!(found.is_empty(), "{} knows {found:?}", path.display());
+            assert!(found.is_empty(), "{} contains {found:?}", path.display());
         });
     }
     assert!(20 < n_files, "only {n_files} sources were read");
