--- a/crates/curranthook_gateway/tests/estimates.rs
+++ b/crates/curranthook_gateway/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! Latency estimates, compared with simulated engines.
+//! Tests of latency estimates against simulated engines.
 
 use std::time::Duration;
 
@@ -11,13 +11,14 @@
 use rand_pcg::Pcg64;
 use yare::parameterized;
 
-/// The true speed of an engine, which nodes do not know.
+/// The true speed of a simulated engine, which the estimator does not know.
 #[derive(Debug, Clone, Copy)]
 struct Engine {
-    /// The prefill time of a thousand tokens, and of a million token pairs.
+    /// The prefill time per thousand tokens, and per million token pairs.
     ms_per_thousand_tokens: f64,
     ms_per_million_pairs: f64,
-    /// The constant time to a first event, and the delay that each concurrent request adds.
+    /// The constant part of the time to the first event, and the delay that each concurrent request
+    /// adds.
     base_ms: f64,
     ms_per_running: f64,
     /// The share of first events that are delayed by a prompt that was sent after them.
