--- a/crates/curranthook_gateway/tests/node_state.rs
+++ b/crates/curranthook_gateway/tests/node_state.rs
@@ -1,4 +1,4 @@
-//! What a node derives from the store's rows and from the behavior of endpoints.
+//! Tests of the state that a node derives from the store's rows and from the behavior of endpoints.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A peer with older rows answers a query. Newer rows are not replaced by older ones.
+/// A peer that is behind answers a query with older rows. They must not replace newer ones.
 #[test]
 fn older_rows_are_ignored() {
     let mut mirror = Mirror::default();
@@ -44,8 +44,9 @@
     assert_eq!(mirror.rev(Table::Operator), Rev(9));
 }
 
-/// An endpoint's row is removed while a child is not connected. The next query of the child reports
-/// the removal; otherwise the child would send requests to an endpoint that has left.
+/// An endpoint's row is removed while a child node is not connected. The answer to the child's next
+/// query must contain the removal; otherwise the child would send requests to an endpoint that has
+/// left.
 #[test]
 fn removed_rows_are_reported_to_children() {
     let mut mirror = Mirror::default();
@@ -62,8 +63,8 @@
     assert_eq!(changes.rows, [row("e-2", 8, None)]);
 }
 
-/// A parent that started after its child has never seen the rows that were removed before. It
-/// reports that its history is incomplete, and the child reads everything.
+/// A parent node that started after its child has never seen the rows that were removed earlier.
+/// The parent must report that its history is incomplete, so that the child reads the whole table.
 #[test]
 fn a_parent_without_the_history_reports_it() {
     let mut mirror = Mirror::default();
@@ -73,8 +74,8 @@
     assert!(mirror.changes(Table::Fleet, Rev(9)).is_ok());
 }
 
-/// The first endpoint of a new version is listed before the rollout order for the version is known.
-/// It gets no requests until the order arrives or a time has passed.
+/// The first endpoint of a new version is listed before the rollout order for the version has
+/// arrived. The endpoint must get no requests until the order arrives or some seconds have passed.
 #[test]
 fn a_version_without_a_rollout_order_is_held_back() {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -92,8 +93,8 @@
     );
 }
 
-/// An endpoint cannot be reached. It is ejected for a time that grows with each failure, and an
-/// answer ends the ejection.
+/// An endpoint cannot be reached. The time for which the endpoint is ejected doubles with each
+/// failure up to 4 s, and an answer ends the ejection.
 #[test]
 fn the_ejection_time_doubles_with_each_failure() {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -113,8 +114,8 @@
     assert!(!directory.get(&id).unwrap().is_ejected(now));
 }
 
-/// An endpoint restarts under its former id. What was known of its predecessor does not apply to
-/// it.
+/// An endpoint restarts under its former id. What was known of the former incarnation must not
+/// apply to the new one.
 #[test]
 fn a_restarted_endpoint_starts_with_a_clean_state() {
     let (mut directory, now) = (Directory::default(), Instant::now());
