--- a/crates/curranthook_gateway/tests/shared_engines.rs
+++ b/crates/curranthook_gateway/tests/shared_engines.rs
@@ -15,14 +15,14 @@
 const REQUESTS_PER_SECOND: f64 = 130.0;
 /// The prefill time of a shared prefix, and of a request's own part of the prompt.
 const PREFILL: (Duration, Duration) = (Duration::from_millis(600), Duration::from_millis(150));
-/// Prefixes of which some are requested more often than others.
+/// A small set of prefixes, some of which are requested more often than others.
 const PREFIXES: Prefixes = Prefixes { n: 225, skew: 2.0 };
-/// Prefixes of which most are requested only a few times.
+/// A large set of prefixes, most of which are requested only a few times.
 const MANY_PREFIXES: Prefixes = Prefixes { n: 4_000, skew: 1.0 };
 /// The target time to the first event.
 const FIRST_EVENT_TARGET: Duration = Duration::from_secs(2);
 const SIMULATED_TIME: Duration = Duration::from_secs(40);
-/// The number of candidates about which owners are queried.
+/// The number of candidates whose load is queried from the nodes that own it.
 const SHORTLIST_LEN: usize = 4;
 
 /// The number of prefixes, and how much more often the first are requested than the last.
@@ -32,7 +32,7 @@
     skew: f64,
 }
 
-/// The times to the first events of a simulation.
+/// The times to the first events in a simulation.
 #[derive(Debug, Clone, Copy)]
 struct Latency {
     /// The share of first events after the target time.
@@ -52,17 +52,18 @@
     All,
 }
 
-/// An engine that prefills one prompt after another and keeps the prefixes cached.
+/// An engine that prefills one prompt after another and caches all prefixes.
 #[derive(Debug, Clone, Default)]
 struct Engine {
-    /// For each request that waits or is in prefill: when its first event comes, and the node that
+    /// For each request that waits or is in prefill: the time of its first event, and the node that
     /// sent it.
     prefills: Vec<(Duration, usize)>,
     cached_prefixes: HashSet<u64>,
 }
 
 impl Engine {
-    /// How long the work of those nodes for which `is_visible` holds takes from `now` on.
+    /// The time from `now` until the engine completes the work of all nodes for which `is_visible`
+    /// returns true.
     fn wait(&self, now: Duration, is_visible: impl Fn(usize) -> bool) -> Duration {
         let visible = self.prefills.iter().filter(|(_, node)| is_visible(*node));
         let ends = visible.map(|(end, _)| end.saturating_sub(now));
@@ -80,7 +81,7 @@
     }
 }
 
-/// Simulates requests for [`SIMULATED_TIME`].
+/// Simulates requests over [`SIMULATED_TIME`].
 fn simulate(
     visibility: Visibility,
     holders: CacheHolders,
@@ -125,9 +126,9 @@
 
 /// Seventy nodes send prompts to 140 engines, each to the engine that its prefix prefers. Engines
 /// that popular prefixes prefer have a queue that no single node sees, while most engines are idle;
-/// callers wait for seconds. A node that queries the owners of a few candidates does nearly as well
-/// as one that sees all load. Late first events: 6 in 100 with a node's own knowledge alone, none
-/// with queries.
+/// callers wait for seconds. A node that queries the load owners of a few candidates does nearly as
+/// well as one that knows all load. Share of late first events: 6 in 100 if a node knows only its
+/// own load, none if it queries others.
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_3 = { 3 })]
 fn querying_a_shortlist_avoids_hidden_queues(seed: u64) {
     let late_share =
@@ -137,16 +138,22 @@
         late_share(Visibility::Shortlist),
         late_share(Visibility::All),
     );
-    assert!(shortlisted < own / 5.0, "late: {own} without, {shortlisted} with answers");
-    assert!(shortlisted < all + 0.02, "late: {shortlisted} with answers, {all} with all in sight");
+    assert!(shortlisted < own / 5.0, "late: {own} without, {shortlisted} with queries");
+    assert!(
+        shortlisted < all + 0.02,
+        "late: {shortlisted} with queries, {all} with all load known"
+    );
 }
 
-/// Most prompts have a prefix that no engine has processed yet. A node that assumes the preferred
-/// engine to have it cached makes callers wait there for other prompts while engines are idle, and
-/// does not find the engine that did process the prefix elsewhere.
+/// Most prompts have a prefix that no engine has processed yet. A node that assumes such a prefix
+/// to be cached at its preferred engine queues requests there while other engines are idle, and
+/// overlooks an engine that did process the prefix.
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_3 = { 3 })]
 fn sharing_cache_locations_reduces_latency(seed: u64) {
     let mean = |holders| simulate(Visibility::Shortlist, holders, MANY_PREFIXES, seed).mean;
     let (guessed, known) = (mean(CacheHolders::Guessed), mean(CacheHolders::Known));
-    assert!(known < guessed.mul_f64(0.95), "first events after {known:?}, {guessed:?} by guess");
+    assert!(
+        known < guessed.mul_f64(0.95),
+        "mean first event: {known:?} with reports, {guessed:?} without"
+    );
 }
