--- a/crates/curranthook_gateway/tests/support/mod.rs
+++ b/crates/curranthook_gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by the tests of endpoints.
+//! Helpers shared by several tests.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
