--- a/crates/curranthook_gateway/src/attempt.rs
+++ b/crates/curranthook_gateway/src/attempt.rs
@@ -49,7 +49,7 @@
     /// The body of the response, not yet read.
     pub body: Incoming,
     /// The time from sending the request to the head of the response.
-    pub first_byte: Duration,
+    pub time_to_first_byte: Duration,
 }
 
 /// Why an attempt yielded no response for the caller.
@@ -153,8 +153,8 @@
         return Err(failure);
     }
     gateway.pool.answered(&conn);
-    let first_byte = elapsed(sent_at, gateway.now());
-    Ok(Exchange { lease, conn, reply, head, body, first_byte })
+    let time_to_first_byte = elapsed(sent_at, gateway.now());
+    Ok(Exchange { lease, conn, reply, head, body, time_to_first_byte })
 }
 
 fn log_unknown_headers(gateway: &Gateway, id: &endpoint::Id, head: &Parts) {
--- a/crates/curranthook_gateway/src/entry.rs
+++ b/crates/curranthook_gateway/src/entry.rs
@@ -12,8 +12,8 @@
     pub id: endpoint::Id,
     /// The service that the endpoint belongs to.
     pub service: String,
-    /// The address that the endpoint listens at. Another endpoint may use the address once this one
-    /// is gone.
+    /// The address that the endpoint listens at. Another endpoint may use the same address after
+    /// this one has ended.
     pub addr: SocketAddr,
     /// The failure domain of the endpoint.
     pub domain: domain::Id,
--- a/crates/curranthook_gateway/src/job.rs
+++ b/crates/curranthook_gateway/src/job.rs
@@ -174,8 +174,8 @@
     }
 
     async fn acquire_lease(&mut self) -> Result<Lease, Refusal> {
-        let session = self.session_hash();
-        let rule = self.gateway.rollouts.lock().rule(&self.service, session);
+        let session_hash = self.session_hash();
+        let rule = self.gateway.rollouts.lock().rule(&self.service, session_hash);
         let peer_state = self.peer_state.take();
         let criteria = self.criteria(&rule, self.models.current());
         let peer_state = match peer_state {
@@ -283,7 +283,7 @@
             model: model.unwrap_or_default(),
             attempt: self.n_attempts,
             busy: lease.outstanding,
-            expected_ms: lease.expected_first_event.map(millis),
+            expected_ms: lease.expected_time_to_first_event.map(millis),
             resumed_after: self.last_event_id,
             left_ms: millis(outgoing.time_left),
             configuration: self.configuration_version,
@@ -298,12 +298,12 @@
         // A request that itself causes errors fails in each attempt. After its first error, its
         // responses no longer count as evidence about versions.
         if !self.has_errored {
-            let first_byte = (!is_error).then_some(exchange.first_byte);
+            let time_to_first_byte = (!is_error).then_some(exchange.time_to_first_byte);
             self.gateway.rollouts.lock().record_answer(
                 &self.service,
                 version,
                 self.kind(),
-                first_byte,
+                time_to_first_byte,
             );
         }
         self.has_errored |= is_error;
@@ -317,14 +317,14 @@
         }
         if let Some(it) = self.models.current() {
             let lease = &exchange.lease;
-            if let Some(expected) = lease.expected_first_event {
-                self.gateway.metrics.record_estimate(expected, exchange.first_byte);
+            if let Some(expected) = lease.expected_time_to_first_event {
+                self.gateway.metrics.record_estimate(expected, exchange.time_to_first_byte);
             }
             let first_event = FirstEvent {
                 prompt: lease.prompt,
                 outstanding: lease.outstanding,
                 queue_delay: lease.queue_delay,
-                elapsed: exchange.first_byte,
+                elapsed: exchange.time_to_first_byte,
             };
             let mut estimator = self.gateway.latency_estimator.lock();
             estimator.record_first_event(&self.service, &it.name, it.relative_price, first_event);
--- a/crates/curranthook_gateway/src/job/escalation.rs
+++ b/crates/curranthook_gateway/src/job/escalation.rs
@@ -76,8 +76,7 @@
         let n_events = self.models.event_count(self.request.output_tokens());
         Forecast {
             time_to_first_event,
-            time_to_last_event: time_to_first_event
-                + self.latency(model).remaining_events(n_events),
+            time_to_last_event: time_to_first_event + self.latency(model).time_for_events(n_events),
             cost,
         }
     }
--- a/crates/curranthook_gateway/src/latency.rs
+++ b/crates/curranthook_gateway/src/latency.rs
@@ -52,8 +52,8 @@
         self.coefficients.time_to_first_event(prompt, outstanding) + queue_delay
     }
 
-    /// The expected time of `n_events` after the first.
-    pub fn remaining_events(&self, n_events: u64) -> Duration {
+    /// The expected time from the first event to the last of `n_events` more.
+    pub fn time_for_events(&self, n_events: u64) -> Duration {
         prefill::saturating_seconds(self.event_interval_s * n_events as f64)
     }
 }
--- a/crates/curranthook_gateway/src/lease.rs
+++ b/crates/curranthook_gateway/src/lease.rs
@@ -37,7 +37,7 @@
     /// The prefill time of the work that was queued ahead of the request.
     pub queue_delay: Duration,
     /// The expected time to the first event; `None` for a service without models.
-    pub expected_first_event: Option<Duration>,
+    pub expected_time_to_first_event: Option<Duration>,
     /// How many idle connections this node may keep to the endpoint.
     pub max_idle: usize,
     /// When the endpoint started, in milliseconds of the wall clock; identifies its incarnation.
@@ -71,7 +71,7 @@
         let choice = selection::best(gateway, &directory, criteria, peer_state)?;
         let Choice { prompt, outstanding, queue_delay, .. } = choice;
         let latency = criteria.model.map(|it| it.latency);
-        let expected_first_event = latency.map(|it| choice.time_to_first_event(&it));
+        let expected_time_to_first_event = latency.map(|it| choice.time_to_first_event(&it));
         let pending_prefill =
             latency.map_or(Duration::ZERO, |it| it.coefficients.prefill_time(prompt));
         let entry = choice.endpoint.entry.clone();
@@ -94,7 +94,7 @@
             outstanding,
             prompt,
             queue_delay,
-            expected_first_event,
+            expected_time_to_first_event,
             max_idle: max_idle.unwrap_or(usize::MAX),
             pending_prefill,
             outcome: Outcome::Abandoned,
--- a/crates/curranthook_gateway/src/mirror.rs
+++ b/crates/curranthook_gateway/src/mirror.rs
@@ -1,4 +1,5 @@
-//! The node's copy of the store's rows, from which it answers peers that cannot reach the store.
+//! The node's copy of the store's rows, from which it answers queries of peers that cannot reach
+//! the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
--- a/crates/curranthook_gateway/src/models.rs
+++ b/crates/curranthook_gateway/src/models.rs
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The model that attempts currently use.
+    /// The model of the current attempt.
     pub fn current(&self) -> Option<&Candidate> {
         self.candidates.get(self.current_index)
     }
 
-    /// The index of the model that attempts currently use.
+    /// The index of the model of the current attempt.
     pub fn index(&self) -> usize {
         self.current_index
     }
--- a/crates/curranthook_gateway/src/refusal.rs
+++ b/crates/curranthook_gateway/src/refusal.rs
@@ -72,7 +72,7 @@
     pub retry_after: Option<Duration>,
 }
 
-/// Whether an endpoint may have started to run a request.
+/// Whether an endpoint may have started to run a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Started {
     /// No endpoint has started the request.
--- a/crates/curranthook_gateway/src/request.rs
+++ b/crates/curranthook_gateway/src/request.rs
@@ -139,7 +139,7 @@
     truncated
 }
 
-/// The hash of a part's id.
+/// The hash of the id of a prompt part.
 pub fn part_hash(id: &str) -> u64 {
     hash::bytes(id.as_bytes())
 }
--- a/crates/curranthook_gateway/src/retry_budget.rs
+++ b/crates/curranthook_gateway/src/retry_budget.rs
@@ -64,8 +64,8 @@
         let counters = &self.services[service];
         let requests: f64 = counters.iter().map(|it| it.requests).sum();
         let retries: f64 = counters.iter().map(|it| it.retries).sum();
-        let allowed = USABLE_SHARE * (ratio * requests + slack / n_nodes.max(1) as f64);
-        if allowed < retries + 1.0 {
+        let allowed_retries = USABLE_SHARE * (ratio * requests + slack / n_nodes.max(1) as f64);
+        if allowed_retries < retries + 1.0 {
             return false;
         }
         self.counter(service, now).retries += 1.0;
--- a/crates/curranthook_gateway/src/startup.rs
+++ b/crates/curranthook_gateway/src/startup.rs
@@ -40,7 +40,7 @@
 /// lose it by coming back too early, so the estimate errs on the long side.
 const RETRY_AFTER_FACTOR: u32 = 2;
 
-/// The number of requests that wait.
+/// The number of requests that wait for the first configuration.
 #[derive(Debug, Default)]
 pub struct Waiters(AtomicUsize);
 
@@ -57,9 +57,9 @@
     /// assert!(waiters.try_enter().is_some());
     /// ```
     pub fn try_enter(&self) -> Option<Slot<'_>> {
-        let before = self.0.fetch_add(1, Ordering::Relaxed);
+        let n_already_waiting = self.0.fetch_add(1, Ordering::Relaxed);
         let slot = Slot(self);
-        (before < MAX_WAITERS).then_some(slot)
+        (n_already_waiting < MAX_WAITERS).then_some(slot)
     }
 }
 
--- a/crates/curranthook_gateway/src/stream.rs
+++ b/crates/curranthook_gateway/src/stream.rs
@@ -53,7 +53,8 @@
     is_done: bool,
 }
 
-/// The response body that continues `exchange`.
+/// The body of the response to the caller: forwards the body of `exchange` and, if its endpoint
+/// fails, of the exchanges that resume it.
 pub fn body(job: Job, exchange: Exchange) -> Body {
     let relay = Relay {
         status: exchange.reply.status.as_u16(),
--- a/crates/curranthook_gateway/tests/shared_engines.rs
+++ b/crates/curranthook_gateway/tests/shared_engines.rs
@@ -90,7 +90,8 @@
 ) -> Latency {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut engines = vec![Engine::default(); N_ENGINES];
-    let (mut now, mut n_late, mut n_all, mut sum) = (Duration::ZERO, 0, 0, Duration::ZERO);
+    let (mut now, mut n_late, mut n_requests, mut total_latency) =
+        (Duration::ZERO, 0, 0, Duration::ZERO);
     while now < SIMULATED_TIME {
         now += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / REQUESTS_PER_SECOND);
         let node = rng.random_range(0..N_NODES);
@@ -104,24 +105,27 @@
             has_prefix_cached: holders == CacheHolders::Known
                 && engines[index].cached_prefixes.contains(&prefix),
         };
-        let all = |sees_all_work| {
+        let all_candidates = |sees_all_work| {
             (0..N_ENGINES).map(|it| candidate(it, sees_all_work)).collect::<Vec<_>>()
         };
         let index = match visibility {
-            Visibility::Own => placement::choose(&all(false), &task).unwrap(),
-            Visibility::All => placement::choose(&all(true), &task).unwrap(),
+            Visibility::Own => placement::choose(&all_candidates(false), &task).unwrap(),
+            Visibility::All => placement::choose(&all_candidates(true), &task).unwrap(),
             Visibility::Shortlist => {
-                let best = placement::best(&all(false), &task, SHORTLIST_LEN);
+                let best = placement::best(&all_candidates(false), &task, SHORTLIST_LEN);
                 let shortlist: Vec<_> = best.iter().map(|it| candidate(*it, true)).collect();
                 best[placement::choose(&shortlist, &task).unwrap()]
             }
         };
         let time_to_first_event = engines[index].prefill(prefix, node, now) - now;
-        n_all += 1;
+        n_requests += 1;
         n_late += u32::from(FIRST_EVENT_TARGET < time_to_first_event);
-        sum += time_to_first_event;
+        total_latency += time_to_first_event;
+    }
+    Latency {
+        late_share: f64::from(n_late) / f64::from(n_requests),
+        mean: total_latency / n_requests,
     }
-    Latency { late_share: f64::from(n_late) / f64::from(n_all), mean: sum / n_all }
 }
 
 /// Seventy nodes send prompts to 140 engines, each to the engine that its prefix prefers. Engines
