--- a/crates/curranthook_gateway/src/prefill.rs
+++ b/crates/curranthook_gateway/src/prefill.rs
@@ -63,7 +63,7 @@
     prior_variance: SVector<f64, N_TERMS>,
 }
 
-/// The coefficients that a [`Filter`] estimates, in seconds per one of [`UNITS`].
+/// The coefficients that a [`Filter`] estimates, in seconds per unit of each term.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Coefficients([f64; N_TERMS]);
 
