--- a/crates/curranthook_gateway/src/refusal.rs
+++ b/crates/curranthook_gateway/src/refusal.rs
@@ -29,7 +29,7 @@
     Poison,
     /// The deadline passed before the request was sent.
     Expired,
-    /// The deadline passed after the request was sent.
+    /// The deadline passed before a response could be forwarded, also before the first attempt.
     Timeout,
     /// The endpoint failed after the request was sent.
     EndpointFailed,
