--- a/crates/curranthook_gateway/src/entry.rs
+++ b/crates/curranthook_gateway/src/entry.rs
@@ -4,16 +4,16 @@
 
 use curranthook_types::{domain, endpoint};
 
-/// The list's entry of an endpoint. Each start of an endpoint creates a new entry, mostly under a
-/// new id.
+/// An endpoint's entry in the platform's list. Each start of an endpoint creates a new entry,
+/// usually with a new id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The endpoint's id.
     pub id: endpoint::Id,
     /// The service that the endpoint belongs to.
     pub service: String,
-    /// The address that the endpoint listens at. Another endpoint may use the address once this one
-    /// is gone.
+    /// The address that the endpoint listens at. Another endpoint may use the same address after
+    /// this one has ended.
     pub addr: SocketAddr,
     /// The failure domain of the endpoint.
     pub domain: domain::Id,
--- a/crates/curranthook_gateway/src/job/retry.rs
+++ b/crates/curranthook_gateway/src/job/retry.rs
@@ -14,7 +14,7 @@
     refusal::{Reason, Refusal, Started},
 };
 
-/// How many attempts of a request may be rejected by endpoints that did not run it.
+/// The number of attempts that end without running the request, after which the request is refused.
 const MAX_REJECTIONS: u32 = 5;
 /// The `Retry-After` while all endpoints are full: about the time in which they complete some
 /// requests.
@@ -23,21 +23,25 @@
 /// connections.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What follows a failed attempt.
-pub(super) enum Next {
-    /// Another attempt.
+/// The decision after a failed attempt.
+pub(super) enum Decision {
+    /// Another attempt is made.
     Retry,
-    /// This refusal is sent to the caller.
+    /// No further attempt is made, and this refusal is sent to the caller.
     Respond(Refusal),
 }
 
 impl Job {
-    /// Handles a failed attempt at `endpoint`.
-    pub(super) async fn on_failure(&mut self, endpoint: &endpoint::Id, failure: &Failure) -> Next {
+    /// Decides what follows a failed attempt at `endpoint`.
+    pub(super) async fn on_failure(
+        &mut self,
+        endpoint: &endpoint::Id,
+        failure: &Failure,
+    ) -> Decision {
         if failure.execution == Execution::MayHaveRun {
             self.n_runs += 1;
             self.started = Started::Maybe;
-            return self.on_possible_run(endpoint, failure).await;
+            return self.on_ambiguous_failure(endpoint, failure).await;
         }
         self.n_rejections += 1;
         if failure.cause != Cause::StaleConnection {
@@ -50,38 +54,39 @@
         let reached_endpoint = matches!(failure.cause, Cause::Full | Cause::Misdirected);
         let is_budget_spent = reached_endpoint && !self.try_spend(failure.cause.name());
         if MAX_REJECTIONS <= self.n_rejections || is_budget_spent {
-            return Next::Respond(self.refusal(reason).with_retry_after(RETRY_AFTER_FULL));
+            return Decision::Respond(self.refusal(reason).with_retry_after(RETRY_AFTER_FULL));
         }
         self.gateway.metrics.record_retry(failure.cause.name());
-        Next::Retry
+        Decision::Retry
     }
 
-    /// Handles a failed attempt at `endpoint` that may have run the request.
-    pub(super) async fn on_possible_run(
+    /// Decides what follows a failed attempt at `endpoint` that may have run the request.
+    pub(super) async fn on_ambiguous_failure(
         &mut self,
         endpoint: &endpoint::Id,
         failure: &Failure,
-    ) -> Next {
+    ) -> Decision {
         if failure.cause == Cause::Disconnected {
-            self.charge_poison(endpoint).await;
+            self.attribute_crash(endpoint).await;
         }
         if failure.cause != Cause::StaleConnection {
             self.tried_endpoints.push(endpoint.clone());
         }
         if failure.cause == Cause::Timeout {
-            return Next::Respond(self.refusal(Reason::Timeout));
+            return Decision::Respond(self.refusal(Reason::Timeout));
         }
         let now = self.gateway.now();
         if self.gateway.poison.lock().is_poison(self.request.fingerprint, now) {
-            return Next::Respond(self.refusal(Reason::Poison));
+            return Decision::Respond(self.refusal(Reason::Poison));
         }
         if !self.route.retry_policy.is_retryable() || !self.try_rerun(failure.cause.name()) {
-            return Next::Respond(self.refusal(Reason::EndpointFailed));
+            return Decision::Respond(self.refusal(Reason::EndpointFailed));
         }
-        Next::Retry
+        Decision::Retry
     }
 
-    /// Takes one run from the budget; returns whether the request may run once more.
+    /// Takes one retry from the budget, unless the request has used up its attempts. Returns
+    /// whether the request may run once more.
     pub(super) fn try_rerun(&mut self, why: &'static str) -> bool {
         if self.route.max_attempts <= self.n_runs {
             self.log_not_repeated("attempts");
@@ -100,8 +105,9 @@
         true
     }
 
-    /// Charges the request with the crash of `endpoint`, if that no longer accepts connections.
-    async fn charge_poison(&self, endpoint: &endpoint::Id) {
+    /// Attributes the crash of `endpoint` to the request, if the endpoint no longer accepts
+    /// connections.
+    async fn attribute_crash(&self, endpoint: &endpoint::Id) {
         let addr = self.gateway.directory.lock().get(endpoint).map(|it| it.entry.addr);
         let Some(addr) = addr else { return };
         let connect = self.gateway.pool.take(addr, Freshness::New);
--- a/crates/curranthook_gateway/src/latency.rs
+++ b/crates/curranthook_gateway/src/latency.rs
@@ -4,8 +4,8 @@
 
 use crate::prefill::{self, Coefficients, Filter, Prompt};
 
-/// The weight of a new observation in the moving average.
-const SMOOTHING: f64 = 0.1;
+/// The weight of a new observation in the moving average of event intervals, from 0 to 1.
+const SMOOTHING_FACTOR: f64 = 0.1;
 
 /// The latency estimates of all models.
 #[derive(Debug, Default)]
@@ -28,14 +28,14 @@
     event_interval_s: f64,
 }
 
-/// An observed first event.
+/// An observation of the time to a first event.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstEvent {
     /// The prompt of the request.
     pub prompt: Prompt,
     /// The number of concurrent requests at the endpoint.
     pub outstanding: u32,
-    /// The prefill work that was queued ahead of the request.
+    /// The prefill time of the work that was queued ahead of the request.
     pub queue_delay: Duration,
     /// The time from sending the request to its first event.
     pub elapsed: Duration,
@@ -43,12 +43,17 @@
 
 impl Estimate {
     /// The expected time to the first event of a request that is sent now.
-    pub fn first_event(&self, prompt: Prompt, outstanding: u32, queue_delay: Duration) -> Duration {
-        self.coefficients.first_event(prompt, outstanding) + queue_delay
+    pub fn time_to_first_event(
+        &self,
+        prompt: Prompt,
+        outstanding: u32,
+        queue_delay: Duration,
+    ) -> Duration {
+        self.coefficients.time_to_first_event(prompt, outstanding) + queue_delay
     }
 
-    /// The expected time of `n_events` after the first.
-    pub fn remaining_events(&self, n_events: u64) -> Duration {
+    /// The expected time from the first event to the last of `n_events` more.
+    pub fn time_for_events(&self, n_events: u64) -> Duration {
         prefill::saturating_seconds(self.event_interval_s * n_events as f64)
     }
 }
@@ -62,9 +67,12 @@
     /// # use curranthook_gateway::{latency::{FirstEvent, Estimator}, prefill::Prompt};
     /// let (mut estimator, prompt) = (Estimator::default(), Prompt::new(8_000, 0));
     /// let queue_delay = Duration::from_millis(500);
-    /// let first = FirstEvent { prompt, outstanding: 3, queue_delay, elapsed: Duration::from_secs(1) };
+    /// let elapsed = Duration::from_secs(1);
+    /// let first = FirstEvent { prompt, outstanding: 3, queue_delay, elapsed };
     /// (0..50).for_each(|_| estimator.record_first_event("engines", "large", 1.0, first));
-    /// let idle = estimator.estimate("engines", "large", 1.0).first_event(prompt, 3, Duration::ZERO);
+    /// let idle = estimator
+    ///     .estimate("engines", "large", 1.0)
+    ///     .time_to_first_event(prompt, 3, Duration::ZERO);
     /// assert!(idle.abs_diff(Duration::from_millis(500)) < Duration::from_millis(20), "{idle:?}");
     /// ```
     pub fn estimate(&self, service: &str, model: &str, relative_price: f64) -> Estimate {
@@ -81,7 +89,7 @@
         }
     }
 
-    /// Records a first event.
+    /// Updates the estimate for `model` with the time to a first event.
     pub fn record_first_event(
         &mut self,
         service: &str,
@@ -89,7 +97,7 @@
         relative_price: f64,
         event: FirstEvent,
     ) {
-        let it = self.entry(service, model, relative_price);
+        let it = self.model_mut(service, model, relative_price);
         it.filter.update(event.prompt, event.outstanding, event.queue_delay, event.elapsed);
     }
 
@@ -104,13 +112,16 @@
     ) {
         if 1 < n_events {
             let interval = elapsed.as_secs_f64() / f64::from(n_events - 1);
-            let mean =
-                self.entry(service, model, relative_price).event_interval_s.get_or_insert(interval);
-            *mean += SMOOTHING * (interval - *mean);
+            let mean = self
+                .model_mut(service, model, relative_price)
+                .event_interval_s
+                .get_or_insert(interval);
+            *mean += SMOOTHING_FACTOR * (interval - *mean);
         }
     }
 
-    fn entry(&mut self, service: &str, model: &str, relative_price: f64) -> &mut Model {
+    /// The state of `model`, created from the prior on first use.
+    fn model_mut(&mut self, service: &str, model: &str, relative_price: f64) -> &mut Model {
         let new = || Model { filter: Filter::new(relative_price), event_interval_s: None };
         self.models.entry((service.to_owned(), model.to_owned())).or_insert_with(new)
     }
--- a/crates/curranthook_gateway/src/retry_budget.rs
+++ b/crates/curranthook_gateway/src/retry_budget.rs
@@ -1,11 +1,12 @@
-//! Limits how many requests may be retried, per service.
+//! Limits the number of retries per service.
 
 use std::{
     collections::{HashMap, VecDeque},
     time::{Duration, Instant},
 };
 
-/// The fleet-wide limit on retries, of which each node uses its share.
+/// The limit on the retries of a whole fleet. Retries per request apply at each node to its own
+/// requests; the additional ones are divided among the nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     /// Retries allowed per request.
@@ -19,7 +20,7 @@
 /// The share of the limit that is used. The rest covers requests that cross the edges of the window
 /// and nodes that do not know of each other yet.
 const USABLE_SHARE: f64 = 0.8;
-/// The time span that one counter of the window covers.
+/// The time span that one counter of the sliding window covers.
 const COUNTER_SPAN: Duration = Duration::from_millis(500);
 
 /// The retry budget of a node.
@@ -63,14 +64,15 @@
         let counters = &self.services[service];
         let requests: f64 = counters.iter().map(|it| it.requests).sum();
         let retries: f64 = counters.iter().map(|it| it.retries).sum();
-        let allowed = USABLE_SHARE * (ratio * requests + slack / n_nodes.max(1) as f64);
-        if allowed < retries + 1.0 {
+        let allowed_retries = USABLE_SHARE * (ratio * requests + slack / n_nodes.max(1) as f64);
+        if allowed_retries < retries + 1.0 {
             return false;
         }
         self.counter(service, now).retries += 1.0;
         true
     }
 
+    /// The current counter of `service`. Drops counters that have left the window.
     fn counter(&mut self, service: &str, now: Instant) -> &mut Counter {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), VecDeque::new());
--- a/crates/curranthook_gateway/tests/decisions.rs
+++ b/crates/curranthook_gateway/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Placement, cascade, retry budget and event splitting, tested without a network.
+//! Tests of placement, escalation, the retry budget, startup and event splitting, without a
+//! network.
 
 use std::time::{Duration, Instant};
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// Two nodes that list the same endpoints in different orders send the same prefix to the same
+/// Two nodes that list the same endpoints in different orders must send the same prefix to the same
 /// endpoint.
 #[test]
 fn nodes_prefer_the_same_endpoint_without_coordination() {
@@ -39,65 +40,72 @@
     let reversed: Vec<_> = endpoints.iter().rev().copied().collect();
     for prefix_hash in 0..200 {
         let task = task(prefix_hash, 300);
-        let at = |all: &[Candidate]| all[placement::choose(all, &task).unwrap()].id_hash;
-        assert_eq!(at(&endpoints), at(&reversed));
+        let preferred_id = |candidates: &[Candidate]| {
+            candidates[placement::choose(candidates, &task).unwrap()].id_hash
+        };
+        assert_eq!(preferred_id(&endpoints), preferred_id(&reversed));
     }
 }
 
-/// A prefix that has not been processed yet goes to an idle endpoint rather than to its busy
-/// preferred endpoint, and to the endpoint that processed it, wherever that is.
+/// If it is known which endpoints have a prefix cached, a prefix that none has cached is placed at
+/// an idle endpoint rather than at its busy preferred one, and a cached prefix at the endpoint that
+/// has it.
 #[test]
 fn known_cache_holders_take_precedence() {
-    let mut all: Vec<_> = (1..=12).map(idle).collect();
+    let mut endpoints: Vec<_> = (1..=12).map(idle).collect();
     let guessed = task(7, 600);
-    let preferred = placement::choose(&all, &guessed).unwrap();
-    all[preferred].wait = Duration::from_millis(300);
-    assert_eq!(placement::choose(&all, &guessed), Some(preferred));
+    let preferred = placement::choose(&endpoints, &guessed).unwrap();
+    endpoints[preferred].wait = Duration::from_millis(300);
+    assert_eq!(placement::choose(&endpoints, &guessed), Some(preferred));
     let known = Task { holders: CacheHolders::Known, ..guessed };
-    assert_ne!(placement::choose(&all, &known), Some(preferred));
-    let other = (preferred + 5) % all.len();
-    all[other].has_prefix_cached = true;
-    assert_eq!(placement::choose(&all, &known), Some(other));
+    assert_ne!(placement::choose(&endpoints, &known), Some(preferred));
+    let other = (preferred + 5) % endpoints.len();
+    endpoints[other].has_prefix_cached = true;
+    assert_eq!(placement::choose(&endpoints, &known), Some(other));
 }
 
-/// One of twelve endpoints is lost. Only prefixes that preferred it move; all others stay where
-/// they are cached.
+/// One of twelve endpoints is lost. Only prefixes that preferred the lost endpoint may move; all
+/// others stay at the endpoint that has them cached.
 #[test]
 fn losing_an_endpoint_moves_only_its_own_prefixes() {
-    let all: Vec<_> = (1..=12).map(idle).collect();
+    let endpoints: Vec<_> = (1..=12).map(idle).collect();
     let moved = (0..1_200).filter(|prefix_hash| {
         let task = task(*prefix_hash, 300);
-        let before = all[placement::choose(&all, &task).unwrap()].id_hash;
-        let after = all[..11][placement::choose(&all[..11], &task).unwrap()].id_hash;
+        let before = endpoints[placement::choose(&endpoints, &task).unwrap()].id_hash;
+        let after = endpoints[..11][placement::choose(&endpoints[..11], &task).unwrap()].id_hash;
         before != after
     });
     let moved = moved.count();
     assert!((60..150).contains(&moved), "{moved} of 1200, a twelfth is 100");
 }
 
-/// Many requests share one prefix at the same time. Once waiting at its preferred endpoint takes
-/// longer than processing the prefix elsewhere, other endpoints take requests.
+/// Many requests share one prefix at the same time. Once waiting at the prefix's preferred endpoint
+/// takes longer than processing the prefix elsewhere, other endpoints get requests.
 #[test]
 fn a_busy_preferred_endpoint_is_skipped() {
-    let mut all: Vec<_> = (1..=4).map(idle).collect();
+    let mut endpoints: Vec<_> = (1..=4).map(idle).collect();
     let task = task(7, 300);
-    let preferred = placement::choose(&all, &task).unwrap();
-    all[preferred].wait = Duration::from_millis(200);
-    assert_eq!(placement::choose(&all, &task), Some(preferred), "waiting is shorter than prefill");
-    all[preferred].wait = Duration::from_millis(400);
-    assert_ne!(placement::choose(&all, &task), Some(preferred));
+    let preferred = placement::choose(&endpoints, &task).unwrap();
+    endpoints[preferred].wait = Duration::from_millis(200);
+    assert_eq!(
+        placement::choose(&endpoints, &task),
+        Some(preferred),
+        "waiting is shorter than prefill"
+    );
+    endpoints[preferred].wait = Duration::from_millis(400);
+    assert_ne!(placement::choose(&endpoints, &task), Some(preferred));
 }
 
-/// An endpoint fails most requests while its health check passes, which callers would see in one of
-/// four requests. It gets none as long as other endpoints are available.
+/// One of four endpoints fails most requests while its health check passes, so up to one in four
+/// requests would fail. The endpoint gets no requests as long as others are available.
 #[test]
 fn a_failing_endpoint_is_avoided() {
-    let mut all: Vec<_> = (1..=4).map(idle).collect();
-    all[2].failure_rate = 0.6;
+    let mut endpoints: Vec<_> = (1..=4).map(idle).collect();
+    endpoints[2].failure_rate = 0.6;
     for salt in 0..100 {
         let holders = CacheHolders::Guessed;
         let task = Task { prefix_hash: None, prefix_prefill: Duration::ZERO, holders, salt };
-        assert_ne!(placement::choose(&all, &task), Some(2));
+        assert_ne!(placement::choose(&endpoints, &task), Some(2));
     }
 }
 
@@ -114,16 +122,16 @@
 )]
 fn escalation_requires_a_better_expected_answer(
     confidence: u8,
-    first_event_ms: u64,
-    last_event_ms: u64,
+    time_to_first_event_ms: u64,
+    time_to_last_event_ms: u64,
     expected: bool,
 ) {
     let ms = Duration::from_millis;
     let targets = Targets { objective: ms(2_000), deadline: ms(15_000) };
-    let small = Forecast { first_event: ms(100), last_event: ms(900), cost: 0.0 };
+    let small = Forecast { time_to_first_event: ms(100), time_to_last_event: ms(900), cost: 0.0 };
     let large = Forecast {
-        first_event: ms(first_event_ms),
-        last_event: ms(last_event_ms),
+        time_to_first_event: ms(time_to_first_event_ms),
+        time_to_last_event: ms(time_to_last_event_ms),
         cost: cascade::LARGE_MODEL_COST,
     };
     assert_eq!(cascade::should_escalate(confidence, &small, &large, &targets), expected);
@@ -157,8 +165,8 @@
 }
 
 /// Thousands of requests arrive at a node that has no configuration. Only a limited number may wait
-/// in its memory; others are refused at once, until one of the waiting requests is answered or
-/// canceled.
+/// in the node's memory. All others are refused at once with a `Retry-After`, until a waiting
+/// request is answered or canceled.
 #[test]
 fn the_number_of_requests_waiting_for_a_configuration_is_limited() {
     let waiters = Waiters::default();
@@ -169,8 +177,8 @@
     assert!(waiters.try_enter().is_some(), "a released slot is free again");
 }
 
-/// Bytes arrive in chunks of any size. The forwarded bytes are the same and consist of complete
-/// events, and the beginning of the next event stays buffered.
+/// The bytes of a stream arrive in chunks of any size. For each size, the same complete events must
+/// be forwarded, and the beginning of the next event must stay buffered.
 #[test]
 fn events_do_not_depend_on_chunk_boundaries() {
     let text: Vec<u8> =
