--- a/crates/curranthook_gateway/src/load_table.rs
+++ b/crates/curranthook_gateway/src/load_table.rs
@@ -1,8 +1,8 @@
 //! Work that other nodes have sent to engines and that has not begun yet.
 //!
-//! An engine prefills prompts one after another, some of them for seconds, and a node does not see
-//! the prompts that others send. So each node reports its pending work at each endpoint (see
-//! [`load_reports`]). This table holds the reports received from other nodes.
+//! An engine prefills prompts one after another, and a prompt may take seconds. A node does not see
+//! the prompts that other nodes send, so each node reports its pending work at each endpoint (see
+//! [`load_reports`]). This table contains the reports received from other nodes.
 //!
 //! [`load_reports`]: crate::load_reports
 
@@ -13,7 +13,8 @@
 
 use curranthook_types::endpoint;
 
-/// How long a report is valid.
+/// How long a report is valid after it was received. A node with pending work repeats its report
+/// more often.
 const EXPIRY: Duration = Duration::from_millis(800);
 
 /// The last report of each node.
@@ -24,8 +25,8 @@
 
 impl LoadTable {
     /// Stores the report of `node`, in place of its previous one.
-    pub fn update(&mut self, node: String, waiting: HashMap<endpoint::Id, Duration>, now: Instant) {
-        self.nodes.insert(node, (now, waiting));
+    pub fn update(&mut self, node: String, pending: HashMap<endpoint::Id, Duration>, now: Instant) {
+        self.nodes.insert(node, (now, pending));
     }
 
     /// The work pending at an endpoint, except that of `requester`, which knows its own.
@@ -43,6 +44,6 @@
     pub fn waiting(&self, endpoint: &endpoint::Id, requester: &str, now: Instant) -> Duration {
         let others = self.nodes.iter().filter(|(node, _)| *node != requester);
         let fresh = others.filter(|(_, (at, _))| now.saturating_duration_since(*at) < EXPIRY);
-        fresh.filter_map(|(_, (_, waiting))| waiting.get(endpoint)).sum()
+        fresh.filter_map(|(_, (_, pending))| pending.get(endpoint)).sum()
     }
 }
--- a/crates/curranthook_gateway/src/refusal.rs
+++ b/crates/curranthook_gateway/src/refusal.rs
@@ -29,7 +29,7 @@
     Poison,
     /// The deadline passed before the request was sent.
     Expired,
-    /// The deadline passed after the request was sent.
+    /// The deadline passed before a response could be forwarded, also before the first attempt.
     Timeout,
     /// The endpoint failed after the request was sent.
     EndpointFailed,
@@ -72,7 +72,7 @@
     pub retry_after: Option<Duration>,
 }
 
-/// Whether an endpoint may have started to run a request.
+/// Whether an endpoint may have started to run a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Started {
     /// No endpoint has started the request.
--- a/crates/curranthook_gateway/tests/relays.rs
+++ b/crates/curranthook_gateway/tests/relays.rs
@@ -1,4 +1,4 @@
-//! The tree through which changes reach the nodes of a large fleet.
+//! The tree of relays through which changes reach the nodes of a large fleet.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -52,8 +52,8 @@
     }
 }
 
-/// Guards against a node on a weak link that serves hundreds of others and has no capacity left for
-/// its callers.
+/// Guards against a node on a weak link that serves hundreds of others, which leaves no capacity
+/// for its callers.
 #[parameterized(
     flat = { 18, 5 },
     medium = { 62, 3 },
@@ -77,8 +77,8 @@
     assert!(serving.iter().all(is_large), "{serving:?}");
 }
 
-/// Guards against traffic between failure domains, which is charged for: a node asks its parent
-/// more than once per second.
+/// Traffic between failure domains is charged for, and a node queries its parent more than once per
+/// second. Guards against leaves whose parent is in another domain.
 #[test]
 fn leaves_have_parents_in_their_own_failure_domain() {
     let fleet = Fleet::new(295, 5);
@@ -95,9 +95,9 @@
     assert!(250 < n_leaves, "{n_leaves} leaves");
 }
 
-/// A failure domain is lost for good, and the rows of its nodes remain. All other nodes must find a
-/// parent or watch the store. If all roots were in that domain, every relay would watch the store
-/// from then on.
+/// A failure domain is lost permanently, and the rows of its nodes remain. All other nodes must
+/// have an available parent or watch the store. If all roots were in that domain, every relay would
+/// watch the store from then on.
 #[parameterized(medium = { 62, 3 }, large = { 295, 5 })]
 fn a_root_remains_after_the_loss_of_a_failure_domain(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
@@ -113,24 +113,24 @@
     }
 }
 
-/// An added node is not in the list until it has read its own row. If it took itself for the root
-/// until then, each added node would read all tables from the store.
+/// A new node is not among the known nodes until it has read its own row. Guards against new nodes
+/// that act as the root until then, and each read all tables from the store.
 #[parameterized(flat = { 18, 5 }, large = { 295, 5 })]
 fn a_node_that_is_not_listed_yet_has_parents(n_nodes: usize, n_domains: usize) {
     let fleet = Fleet::new(n_nodes, n_domains);
     assert!(!relays::parents("node-new", &fleet.nodes()).is_empty());
 }
 
-/// A node of the simulation: its rows, and which of its connections work.
+/// A node of the simulation: its copy of the rows, and which of its connections work.
 struct ModelNode {
     mirror: Mirror,
     reaches_store: bool,
     reaches_parents: bool,
 }
 
-/// Nodes lose the store and each other in any order, for any time, and wait at parents that may be
-/// cut off themselves. A node that considered its rows fresh while changes were missing would serve
-/// an outdated configuration, and pass it on to others.
+/// Nodes lose their connections to the store and to their parents at random, and query parents that
+/// may have lost theirs. Guards against a node that considers its rows fresh while changes are
+/// missing: it would use an outdated configuration, and return it to its children.
 #[test]
 fn no_node_considers_outdated_rows_fresh() {
     const MAX_AGE: Duration = Duration::from_millis(2_200);
@@ -144,18 +144,18 @@
         let mut nodes: Vec<_> = parents.iter().map(|_| new()).collect();
         let start = Instant::now();
         // The time at which each revision was written.
-        let mut written = vec![start];
+        let mut write_times = vec![start];
         for step in 0..400_u32 {
             let now = start + STEP * step;
             if rng.random_bool(0.1) {
-                written.push(now);
+                write_times.push(now);
             }
             for _ in 0..nodes.len() / 4 {
                 let it = rng.random_range(0..nodes.len());
                 match rng.random_range(0..12) {
                     0 => nodes[it].reaches_store ^= true,
                     1 => nodes[it].reaches_parents ^= true,
-                    _ => poll(&mut nodes, it, &parents[it], &written, now),
+                    _ => poll(&mut nodes, it, &parents[it], &write_times, now),
                 }
             }
             for (name, it) in fleet.names.iter().zip(&nodes) {
@@ -163,7 +163,7 @@
                     continue;
                 }
                 let known = usize::try_from(it.mirror.rev(Table::Operator).0).unwrap();
-                let missing = written.get(known).is_some_and(|at| MAX_AGE < now - *at);
+                let missing = write_times.get(known).is_some_and(|at| MAX_AGE < now - *at);
                 assert!(
                     !missing,
                     "seed {seed}: {name} misses revision {known} after {:?}",
@@ -174,12 +174,12 @@
     }
 }
 
-/// Lets a node ask its parents in order, and then the store.
+/// Polls the parents of `node` in order, and then the store, until one of them answers.
 fn poll(
     nodes: &mut [ModelNode],
     node: usize,
     parents: &[(usize, Duration)],
-    written: &[Instant],
+    write_times: &[Instant],
     now: Instant,
 ) {
     for (parent, max_age) in parents.iter().filter(|_| nodes[node].reaches_parents) {
@@ -195,7 +195,7 @@
     }
     let ModelNode { mirror, reaches_store, .. } = &mut nodes[node];
     if *reaches_store {
-        let rev = Rev(written.len() as u64);
+        let rev = Rev(write_times.len() as u64);
         let row = Row { key: "config".to_owned(), rev, value: Some(Vec::new()) };
         mirror.merge(Table::Operator, Batch { rows: vec![row], rev, now: None });
         mirror.record_answer(now);
@@ -204,7 +204,8 @@
     }
 }
 
-/// Guards against relays on weak links, whose own callers wait while many rows change.
+/// Guards against relays on weak links, whose own callers would be delayed whenever many rows
+/// change.
 #[test]
 fn weak_nodes_are_not_parents_if_strong_ones_suffice() {
     let names: Vec<_> = (0..81).map(|it| format!("node-{it}")).collect();
--- a/crates/curranthook_gateway/tests/slow_start.rs
+++ b/crates/curranthook_gateway/tests/slow_start.rs
@@ -16,24 +16,25 @@
 
 use self::support::{entry, most_in_window};
 
-/// The simulated time.
+/// The simulated time span of each case.
 const DURATION: Duration = Duration::from_secs(20);
 /// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
 /// The maximum delay of a request on its way to the endpoint.
 const MAX_DELAY: Duration = Duration::from_millis(60);
-/// The share of other nodes that each node does not know of.
+/// The share of the other nodes that each node does not know yet.
 const UNKNOWN_SHARE: f64 = 0.05;
 
-/// The maximum number of requests in any second, and the average requests per second.
+/// Simulates a fleet of `n_nodes` with unlimited demand. Returns the maximum number of requests
+/// that arrive in any second, and the average requests per second.
 fn arrivals(rate: f64, n_nodes: usize, seed: u64) -> (usize, f64) {
     let (mut rng, start) = (Pcg64::seed_from_u64(seed), Instant::now());
-    let seeds: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
+    let node_hashes: Vec<u64> = (0..n_nodes).map(|it| hash::bytes(&it.to_le_bytes())).collect();
     let end = start + DURATION;
-    let mut nodes: Vec<SlowStart> = seeds
+    let mut nodes: Vec<SlowStart> = node_hashes
         .iter()
         .map(|own| {
-            let known = seeds.iter().filter(|it| own == *it || UNKNOWN_SHARE <= rng.random());
+            let known = node_hashes.iter().filter(|it| own == *it || UNKNOWN_SHARE <= rng.random());
             let known: Vec<u64> = known.copied().collect();
             let mut it = SlowStart::new(end);
             it.share.set_interval(
@@ -56,8 +57,8 @@
     (most_in_window(arrived, Duration::from_secs(1)), mean)
 }
 
-/// Guards against crashing an endpoint that has just started, when all nodes send it as much as a
-/// warm one accepts, and against withholding requests that it would accept.
+/// Guards against overloading an endpoint that has just started with as many requests from each
+/// node as a warm one accepts, and against refusing requests that it would accept.
 #[parameterized(
     one_node = { 8.4, 1 },
     small = { 8.4, 6 },
@@ -69,13 +70,16 @@
 )]
 fn the_fleet_stays_within_the_rate_of_a_slow_start(rate: f64, n_nodes: usize) {
     for seed in 0..5 {
-        let (most, mean) = arrivals(rate, n_nodes, seed);
-        assert!(most as f64 <= rate * 1.5 + 5.0, "{most} requests in a second of {rate}");
+        let (max_per_second, mean) = arrivals(rate, n_nodes, seed);
+        assert!(
+            max_per_second as f64 <= rate * 1.5 + 5.0,
+            "{max_per_second} requests in a second of {rate}"
+        );
         assert!(rate * 0.5 < mean, "only {mean} of {rate} requests per second");
     }
 }
 
-/// The permits of a node that may send nothing.
+/// The permits of a node that may send no requests.
 struct NoPermits;
 
 impl Permits for NoPermits {
@@ -97,7 +101,8 @@
     directory.get(&"e-1".into()).is_some_and(|it: &Tracked| it.admits(now))
 }
 
-/// Guards against missing that an endpoint turns cold while in use, or restarts under the same id.
+/// Guards against sending an endpoint the load of a warm one when its entry says that it is cold:
+/// because its slow start began while it was in use, or because it restarted under the same id.
 #[parameterized(in_use = { 1 }, restarted = { 2 })]
 fn an_endpoint_whose_entry_turns_cold_is_in_slow_start(started_ms: u64) {
     let (mut directory, now) = (Directory::default(), Instant::now());
@@ -109,7 +114,7 @@
     assert!(admits(&mut directory, now + remaining));
 }
 
-/// Guards against keeping an endpoint in slow start after its entry says that it is warm.
+/// Guards against an endpoint that stays in slow start although its entry says that it is warm.
 #[test]
 fn a_warm_endpoint_leaves_slow_start() {
     let (mut directory, now) = (Directory::default(), Instant::now());
