--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -36,7 +36,8 @@
     stall, version_health,
 };
 
-/// How long a claim waits for the platform before the caller is told that it is down.
+/// The time limit for one request to the platform's table, for claims and session pins. During an
+/// outage, callers wait no longer than this for each request before they are refused.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 /// The largest request from another node, in bytes.
 const MAX_PEER_BODY_BYTES: usize = 16 * 1024 * 1024;
@@ -107,7 +108,7 @@
     router.node.leave().await;
     stop_peers.set();
     peer_task.await;
-    log::info!("shutdown complete");
+    log::info!("ended");
     Ok(())
 }
 
