--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -1,7 +1,7 @@
 //! An HTTP/1.1 client that knows whether request bytes may have been sent.
 //!
-//! A middlebox can lose track of an open connection: that connection stays silent for good while
-//! new ones work, and the only sign is that responses stop arriving. Therefore a connection on
+//! A middlebox can lose the state of an open connection: its packets are then dropped without an
+//! error while new connections work, and the only sign is that responses stop arriving. Therefore a connection on
 //! which anything failed is closed and never reused, and callers can require a connection that is
 //! new or was recently used.
 
@@ -44,11 +44,11 @@
 /// Which connections may be used for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// An idle one, however long it has been idle.
+    /// A pooled connection that has been idle for at most `MAX_IDLE_AGE`, or a new one.
     Any,
-    /// An idle one that was last used less than this long ago.
+    /// A pooled connection that was last used less than this long ago, or a new one.
     Within(Duration),
-    /// Only a new one.
+    /// Only a new connection.
     New,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether the host answered that nothing listens on the port.
+    /// Whether the host refused the connection because no process listens on the port.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect { kind: io::ErrorKind::ConnectionRefused, .. })
     }
@@ -166,7 +166,8 @@
     /// Whether keep-alive probes are sent.
     probing: Probing,
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
-    /// By address, when the newly opened connection that last got a response was opened.
+    /// For each address, the time at which a connection to it was opened that then received a
+    /// response to its first request. The last such response sets the time.
     last_responsive_opened_at: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
@@ -231,7 +232,7 @@
         connections.drain(..n_excess);
     }
 
-    /// Closes the idle connections to `addr`, because one connection to it was found to be silent.
+    /// Closes the idle connections to `addr`, to be called after a connection to it timed out.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.lock().remove(&addr);
     }
@@ -244,7 +245,7 @@
     }
 
     /// Whether a connection to `addr` that was opened after `since` has received a response. A
-    /// request that was sent at `since` and still has no response is probably on a silent
+    /// request that was sent at `since` and still has no response is probably on an unresponsive
     /// connection.
     pub fn has_newer_working_connection(&self, addr: SocketAddr, since: Instant) -> bool {
         self.last_responsive_opened_at.lock().get(&addr).is_some_and(|opened| since < *opened)
