--- a/crates/curranthook_http/src/exchange.rs
+++ b/crates/curranthook_http/src/exchange.rs
@@ -55,11 +55,11 @@
 pub struct Exchange {
     /// The address to connect to.
     pub addr: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     pub method: http::Method,
-    /// Path and query.
+    /// The path and query.
     pub path: String,
-    /// Headers.
+    /// The headers, besides `Host`.
     pub headers: Vec<(&'static str, String)>,
     /// The body, empty for none.
     pub body: Bytes,
@@ -135,8 +135,8 @@
         let (time_limit, addr) = (self.timeout, self.addr);
         let result = timeout::run(time_limit, self.send(pool)).await;
         result.unwrap_or_else(|timeout::Elapsed| {
-            // Whatever silenced this connection may also have silenced the idle ones to the same
-            // address. If they stayed in the pool, each would cost a later request its whole time
+            // The idle connections to the same address may be unresponsive for the same reason. If
+            // they stayed in the pool, each could make a later request wait for its whole time
             // limit.
             pool.close_idle(addr);
             Err(Error::Timeout(time_limit))
