--- a/crates/curranthook_http/tests/idle.rs
+++ b/crates/curranthook_http/tests/idle.rs
@@ -1,4 +1,4 @@
-//! Limits on the idle connections that a pool keeps.
+//! Too many idle connections in a pool would use up the connection limit of an endpoint.
 
 use std::{
     io::{ErrorKind, Read},
@@ -19,7 +19,8 @@
     matches!(read, Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut))
 }
 
-/// Guards against idle connections that use up the connection limit of an endpoint.
+/// Guards against a pool that exceeds its limit, or closes the connections used most recently. An
+/// endpoint whose connection limit is used up by idle connections rejects new ones.
 #[test]
 fn the_oldest_idle_connections_are_closed() {
     const MAX_IDLE: usize = 2;
