--- a/crates/curranthook_http/tests/liveness.rs
+++ b/crates/curranthook_http/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Keep-alive probes on connections that wait for a response.
+//! Without keep-alive probes, a request to a host that lost power hangs until its time limit.
 
 use std::{fs, net::TcpListener, sync::Arc, time::Duration};
 
