--- a/crates/curranthook_http/tests/runtime.rs
+++ b/crates/curranthook_http/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! The threads of the executor.
+//! A panicking task must not end the executor thread that it runs on.
 
 use std::time::Duration;
 
