--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -19,7 +19,7 @@
 
 use crate::{Router, dispatch::Lease};
 
-/// How long the endpoint of a broken connection gets to come back before it is checked. If it
+/// The delay after a connection broke before its endpoint is checked, so that it can recover. If it
 /// refuses connections then, it counts as dead.
 const DEATH_CHECK_DELAY: Duration = Duration::from_millis(30);
 
@@ -41,7 +41,7 @@
     pub lease: Lease,
     /// The connection, which is reused only after a response without errors.
     pub conn: Connection,
-    /// The time from the start of the attempt to the first sign of the response.
+    /// The time from the start of the attempt to the first byte of the response.
     pub time_to_first_byte: Duration,
 }
 
@@ -215,12 +215,12 @@
 
     /// Takes a retry from the budget for a second attempt; `false` if there is none left.
     ///
-    /// When many connections go silent at once, each request on one of them needs a second attempt,
-    /// which is more than a node's retry budget allows. If a newer connection has received a
-    /// response in the meantime, the endpoint is healthy and only the connection is silent; then
-    /// the second attempt does not use the budget.
+    /// When many connections become unresponsive at once, each request on one of them needs a second
+    /// attempt, which is more than a node's retry budget allows. If a newer connection to the same
+    /// endpoint has received a response in the meantime, the endpoint is healthy and only the
+    /// connection is unresponsive; then the second attempt does not use the budget.
     pub fn spend_retry(&self, router: &Router) -> bool {
-        // The idle connections to the same address may be silent too.
+        // The idle connections to the same address may be unresponsive too.
         router.pool.close_idle(self.addr);
         let reason = retry::Reason::SlowFirstByte;
         let is_silent = router.pool.has_newer_working_connection(self.addr, self.started);
@@ -232,8 +232,8 @@
     }
 }
 
-/// Charges the request with the death of the endpoint on which its connection broke, if that
-/// endpoint is dead.
+/// Checks the endpoint of a broken connection. If it is dead, counts its death against the request,
+/// so that a request that repeatedly crashes endpoints is refused.
 pub async fn charge_if_dead(router: &Router, fingerprint: [u8; 16], endpoint: &endpoint::Id) {
     let Ok(snapshot) = router.snapshot() else { return };
     let Some(addr) = snapshot.config().endpoints.get(endpoint).map(|it| it.address) else {
@@ -250,7 +250,8 @@
 ///
 /// A connection also breaks when the network is cut. Only a host whose endpoint process died
 /// refuses a new connection; if the network is down, the connection attempt times out. Without this
-/// distinction, a cut cable would make every affected request look like one that kills endpoints.
+/// distinction, a network failure would make every affected request look like one that crashes
+/// endpoints.
 async fn is_dead(pool: &Pool, addr: SocketAddr) -> bool {
     match pool.take(addr, Freshness::New).await {
         Ok(conn) => {
