--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -106,14 +106,15 @@
         n_tokens_sent: u64,
     ) -> Result<(), Refusal> {
         self.excluded.push(failure.endpoint.clone());
-        // An endpoint that has not started the request does not count as an attempt: it is excluded
-        // from further attempts, so there can be only as many of these as there are endpoints.
+        // A failure before the endpoint started the request does not count as an attempt: the
+        // endpoint is excluded from further attempts, so such failures are bounded by the number of
+        // endpoints.
         if failure.execution == Execution::Unknown {
             self.execution = Run::Unknown;
             self.n_attempts += 1;
         }
-        // A connection that closed or went silent says nothing about the version: otherwise a cut
-        // cable would look like a version that went bad. An engine's own error does count.
+        // A connection that closed or timed out is no evidence against the version: otherwise a
+        // network failure would look like a bad version. An error from the engine itself is.
         if failure.reason == RetryReason::ServerError && failure.execution == Execution::Unknown {
             self.router.record_failure(&self.chat.metadata.kind, version);
         }
@@ -154,7 +155,7 @@
         Refusal { not_run: self.execution, ..Refusal::not_run(code, message) }
     }
 
-    /// Closes the idle connections to an endpoint, because one connection to it went silent.
+    /// Closes the idle connections to an endpoint after one connection to it timed out.
     pub fn close_idle(&self, addr: std::net::SocketAddr) {
         self.router.pool.close_idle(addr);
     }
@@ -184,9 +185,9 @@
         let may_retry_excluded = self.execution == Run::Unknown && self.n_attempts < MAX_ATTEMPTS;
         if may_retry_excluded && !self.excluded.is_empty() && is_no_endpoint(&lease) {
             // Every endpoint was tried. A closed connection does not mean that the endpoint is
-            // gone, and trying it again is better than an incomplete response. Starting over counts
-            // as an attempt: an endpoint that is really gone would not use one up, because the
-            // request is not started there.
+            // gone, and trying it again is better than an incomplete response. Clearing the
+            // exclusions counts as an attempt itself, so that the loop ends: failing to connect to
+            // an endpoint that is really gone does not count as one.
             self.n_attempts += 1;
             self.excluded.clear();
             lease = self.lease_endpoint(version).await;
