--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -74,8 +74,9 @@
         let account = snapshot.account_settings(&chat.metadata.account);
         let sessions_may_move = account.is_some_and(|it| it.sessions_may_move);
         match selection::pinned_plan(snapshot, chat, version) {
-            // Both guarantees hold: the session keeps its version, and the withdrawn version gets
-            // no requests. Sessions are moved only for accounts that asked for it.
+            // By default the request is refused: a session keeps its version, and a withdrawn
+            // version gets no requests. Only accounts that opted in have their sessions moved to
+            // another version.
             Err(e) if e.code == Reason::PinnedWithdrawn && sessions_may_move => {}
             pinned => return pinned.map(|plan| (plan, Some(session.clone()))),
         }
