--- a/crates/curranthook_router/src/claim.rs
+++ b/crates/curranthook_router/src/claim.rs
@@ -22,29 +22,29 @@
 
 /// The table that holds the claims.
 pub const TABLE: &str = "claims";
-/// How often a claim is attempted, if responses of the platform are lost, before the caller is
-/// refused.
+/// The maximum number of attempts to insert a claim's row when responses of the platform are lost.
+/// After that the caller is refused.
 const MAX_CLAIM_ATTEMPTS: u32 = 3;
-/// The time limit for all these attempts together.
+/// The time limit for all attempts to insert a claim's row together.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The delay between two attempts.
+/// The delay between two attempts to insert a claim's row.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often storing an outcome or a release is attempted while the platform is down.
+/// The maximum number of attempts to store an outcome or a release while the platform is down.
 const MAX_BACKGROUND_ATTEMPTS: u32 = 600;
 /// The delay between two background attempts.
 const BACKGROUND_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How often the row of an unconfirmed claim is looked up in order to release it.
+/// The maximum number of lookups of an unconfirmed claim's row in order to release it.
 const MAX_CLEANUP_ATTEMPTS: u32 = 60;
 /// The largest response body that is stored for replays, in bytes.
 const MAX_STORED_BYTES: usize = 64 * 1024;
-/// When to retry while the platform is down.
+/// The `Retry-After` of a refusal while the platform is down.
 const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// The content of a claim's row.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The random id of the claim that holds the row.
+    /// The random id that the router generated for its claim.
     pub claim: String,
     /// SHA-256 of the call, to tell a repeat of the call from another call with the same key.
     #[serde_as(as = "Hex")]
@@ -74,7 +74,7 @@
     },
 }
 
-/// A claim that this router holds.
+/// A claim that this router acquired.
 #[derive(Debug)]
 pub struct Claim {
     table: Arc<dyn Table>,
@@ -137,7 +137,7 @@
     record: Record,
 }
 
-/// Why it is unknown who holds the row.
+/// Why it is unknown which router's claim is in the row.
 enum Unconfirmed {
     /// Nothing that this router sent can have been written.
     NotWritten(Error),
