--- a/crates/curranthook_router/src/completion.rs
+++ b/crates/curranthook_router/src/completion.rs
@@ -1,9 +1,9 @@
 //! One version's completion as an event stream that survives endpoint failures.
 //!
-//! An endpoint may die, or its connection may be cut or go silent in the middle of a completion.
-//! The completion is then resumed on another endpoint of the same version, after the tokens already
-//! received; versions are never mixed. A completion is complete only at its end marker: otherwise a
-//! connection that just closes would look like the end of a shorter completion.
+//! In the middle of a completion, its endpoint may crash, or the connection may close or stop
+//! delivering data. The completion is then resumed on another endpoint of the same version, after
+//! the tokens already received; versions are never mixed. Only the end marker ends a completion:
+//! otherwise a connection that closed early would look like the end of a shorter completion.
 
 use std::{fmt, time::Duration};
 
@@ -25,7 +25,8 @@
     events::{Events, StreamError},
 };
 
-/// How long a completion may be silent between two events before it is resumed elsewhere.
+/// The longest time between two events of a completion. After that, the completion is resumed on
+/// another endpoint.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The next item of a completion.
