--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -27,12 +27,12 @@
 /// become available although no request of this router ended, for example when a load report
 /// expires.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How many requests may be queued at one dispatcher until the configuration sets a limit.
+/// The queue capacity of a dispatcher, in requests, until the configuration sets one.
 const DEFAULT_QUEUE_CAPACITY: usize = 1_000;
-/// When to retry if there is no endpoint at all.
+/// The `Retry-After` of a refusal because there is no endpoint at all.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a dispatcher sends requests to.
+/// The version or service whose endpoints a dispatcher leases.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Target {
     /// A version of a model.
@@ -53,8 +53,8 @@
 }
 
 impl Dispatchers {
-    /// Creates a router's dispatchers, none at first. `balancer_name` names the strategy for
-    /// selecting endpoints, as [`baseline::balancer`] knows it.
+    /// Creates an empty set of dispatchers; [`update`](Self::update) adds them. `balancer_name` is
+    /// the name of the endpoint selection strategy, as defined by [`baseline::balancer`].
     pub fn new(
         clock: Arc<dyn Clock>,
         domain: domain::Id,
@@ -180,7 +180,7 @@
     }
 
     /// Leases an endpoint, after waiting in the queue if all are busy. A request that cannot be
-    /// served by its deadline is refused on arrival, not when the deadline comes.
+    /// served by its deadline is refused on arrival, not when the deadline expires.
     pub async fn acquire(self: &Arc<Self>, params: Params<'_>) -> Result<Lease, Refusal> {
         let mut queue_slot: Option<Receiver<()>> = None;
         loop {
@@ -227,7 +227,7 @@
     }
 
     /// Leases an endpoint for a hedged attempt in parallel with the one at `first`, if one is free
-    /// now: preferably another endpoint, else the same one, since only its connection may be silent.
+    /// now: preferably another endpoint, else the same one, since possibly only its connection is unresponsive.
     pub fn try_acquire_hedge(
         self: &Arc<Self>,
         params: Params<'_>,
@@ -277,8 +277,8 @@
         let mut inner = self.inner.lock();
         inner.balancer.finished(endpoint, outcome, now);
         inner.queue.record_service(now);
-        // The endpoint may have less capacity than before. A request notified now would lose its
-        // place in the queue without getting an endpoint.
+        // The endpoint may have less capacity than before. A request notified now would be
+        // removed from the queue without getting an endpoint.
         if inner.balancer.select(None, &[], now).is_err() {
             return;
         }
