--- a/crates/curranthook_router/src/hedge.rs
+++ b/crates/curranthook_router/src/hedge.rs
@@ -1,7 +1,7 @@
 //! Hedged requests: a second attempt in parallel with one that is unusually late.
 //!
-//! An open connection can go silent for good; the only sign is a late response. A second attempt on
-//! a new connection then succeeds long before the caller's deadline.
+//! An open connection can stop delivering data without being closed; the only sign is a late
+//! response. A second attempt on a new connection then succeeds long before the caller's deadline.
 
 use std::{pin::pin, time::Duration};
 
