--- a/crates/curranthook_router/src/leaving.rs
+++ b/crates/curranthook_router/src/leaving.rs
@@ -27,7 +27,7 @@
 pub async fn run(router: Arc<Router>, vms: Arc<dyn Vms>) {
     let listed = Mutex::default();
     // Both run concurrently: endpoints that are shutting down often do not respond, and waiting for
-    // them must not delay the news that another one is leaving.
+    // them must not delay the detection of another one that is leaving.
     future::zip(poll_vm_list(&router, &*vms, &listed), reinstate(&router, &listed)).await;
 }
 
