--- a/crates/curranthook_router/src/metrics.rs
+++ b/crates/curranthook_router/src/metrics.rs
@@ -19,7 +19,7 @@
 
 use crate::Router;
 
-/// How often the counters of the links to peers are sent.
+/// The interval at which the counters of the links to peers are sent.
 const LINK_COUNT_INTERVAL: Duration = Duration::from_secs(5);
 /// The prefix of all counter names sent to statsd.
 const PREFIX: &str = "curranthook.router";
@@ -58,7 +58,7 @@
 
     /// Increments the counter `name`.
     pub fn count(&self, name: &str) {
-        // A lost datagram costs one count and never fails a request.
+        // A lost datagram loses one count, but must never fail a request.
         let _best_effort = self.client.count(name, 1);
         let mut counts = self.counts.lock();
         match counts.get_mut(name) {
@@ -74,7 +74,7 @@
         let _best_effort = self.client.time(name, took);
     }
 
-    /// Sends the current value of a count that is kept elsewhere.
+    /// Sends `value` as a gauge. It is not included in [`counts`](Self::counts).
     pub fn gauge(&self, name: &str, value: u64) {
         let _best_effort = self.client.gauge(name, value);
     }
