--- a/crates/curranthook_router/src/parse.rs
+++ b/crates/curranthook_router/src/parse.rs
@@ -15,7 +15,7 @@
 
 /// The longest id that a caller may choose, in bytes.
 const MAX_ID_BYTES: usize = 200;
-/// The kind of work of a request without the kind header.
+/// The kind of a request that has no kind header.
 pub const DEFAULT_KIND: &str = "default";
 /// The length of a body's fingerprint, in bytes.
 const FINGERPRINT_BYTES: usize = 16;
@@ -27,7 +27,8 @@
     pub request: request::Id,
     /// The account that sent the request.
     pub account: account::Id,
-    /// The kind of work.
+    /// The kind of work that the caller declared, such as a task category. Quality targets,
+    /// priorities and ratings are separate for each kind.
     pub kind: kind::Id,
     /// The session, if the request belongs to one.
     pub session: Option<session::Id>,
@@ -35,8 +36,8 @@
     pub token: Option<String>,
     /// The deadline for the response.
     pub deadline: Instant,
-    /// The start of the body's SHA-256 hash, by which a body is recognized that, for example, took
-    /// down an endpoint before.
+    /// The first bytes of the body's SHA-256 hash. It identifies bodies that were seen before, for
+    /// example one during which an endpoint crashed.
     pub fingerprint: [u8; FINGERPRINT_BYTES],
 }
 
@@ -73,8 +74,8 @@
         Some(millis) => Duration::from_millis(header_number(header::DEADLINE_MS, millis)?),
         None => policy.default_deadline,
     };
-    // A caller whose connection went silent never sends the rest of the body. Without a time limit
-    // its request would wait forever, and so would a shutdown.
+    // If the caller's connection stops delivering data, the rest of the body never arrives. Without
+    // a time limit the request would wait forever, and so would a shutdown.
     let bytes = timeout::run(time_limit, read_body(incoming, policy.max_body)).await;
     let timed_out = |_| Refusal::not_run(Reason::Deadline, "the body didn't come in time");
     let bytes = bytes.map_err(timed_out)??;
