--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -1,7 +1,7 @@
 //! Session pinning: a session keeps the version it started on.
 //!
-//! The pin is sent to the caller as a signed token with each response, so any node can honour it
-//! even if everything else is down. For a caller that can only repeat a session id, the pin is a
+//! The pin is sent to the caller as a signed token with each response, so any node can verify it
+//! even if the platform and all other nodes are down. For a caller that can only repeat a session id, the pin is a
 //! row in the platform's table; the row is inserted conditionally, so if the first two requests of
 //! a session race on different nodes, both end up on one version.
 
@@ -19,9 +19,9 @@
 pub const TABLE: &str = "sessions";
 /// The session id with which a caller requests a new session.
 pub const NEW_SESSION: &str = "new";
-/// How many pins a node caches.
+/// The maximum number of pins in a node's cache.
 const MAX_CACHED_PINS: usize = 10_000;
-/// When to retry while the platform is down.
+/// The `Retry-After` of a refusal while the platform is down.
 const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What is known about a request's session before a version is selected.
@@ -133,7 +133,7 @@
         let version = version::Id::new(String::from_utf8_lossy(value));
         let mut cache = self.cache.lock();
         if MAX_CACHED_PINS <= cache.len() {
-            // The rows in the table still have all the pins.
+            // No pin is lost: all of them are stored in the platform's table.
             cache.clear();
         }
         cache.insert(row_key, version.clone());
