--- a/crates/curranthook_router/src/rating.rs
+++ b/crates/curranthook_router/src/rating.rs
@@ -12,9 +12,9 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// The rating, from 0 to 1, from which a response is good enough.
+/// The lowest rating, on a scale from 0 to 1, of a response that is good enough.
 pub const GOOD_RATING: f64 = 0.5;
-/// How long the service may take for a rating.
+/// The time limit for one request to the rating service.
 const RATING_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the service counts as down after a failure. While it does, no cascades are planned,
 /// since they wait for it.
@@ -47,8 +47,8 @@
         Self { pool, clock, failed_at: Mutex::default() }
     }
 
-    /// The service is up if its last rating succeeded, or if it failed long enough ago to be tried
-    /// again.
+    /// Whether the rating service counts as up. It does if the last request to it succeeded, or
+    /// failed at least `DOWN_PERIOD` ago. Without an address it counts as down.
     pub fn state(&self, addr: Option<SocketAddr>) -> choice::Rater {
         let is_down = |at: Instant| self.clock.now() < at + DOWN_PERIOD;
         if addr.is_none() || self.failed_at.lock().is_some_and(is_down) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Rates a response from 0 to 1; `None` if the service gives no rating now.
+    /// Rates a response from 0 to 1; `None` if the service fails or times out.
     pub async fn rate(
         &self,
         addr: SocketAddr,
