--- a/crates/curranthook_router/src/response.rs
+++ b/crates/curranthook_router/src/response.rs
@@ -6,8 +6,8 @@
 
 /// The HTTP response for `refusal`.
 ///
-/// It is sent immediately, without waiting for the deadline: a caller that learns early of a
-/// refusal can go elsewhere, or retry at the time it is told.
+/// It is sent immediately, without waiting for the deadline: a caller that is refused early can
+/// send the request elsewhere, or retry after the delay in the `Retry-After` header.
 ///
 /// # Panics
 ///
