--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -48,8 +48,8 @@
     Ok(served)
 }
 
-/// Keeps, for each model with a rollout in progress, only the version to which this request's `key`
-/// is routed.
+/// For each model with a rollout in progress, removes the version to which the rollout does not
+/// route the request with this key.
 pub fn apply_rollouts<'a>(
     snapshot: &Snapshot,
     mut versions: Vec<&'a version::Id>,
@@ -152,8 +152,9 @@
     if model != AUTO && model != version.model() && model != version.as_str() {
         return refused(Reason::NotAllowed, "the session is on another model");
     }
-    // Sampled by request id: a tenth of all responses (the default), rather than of all
-    // sessions, says more about a version than its first responses alone.
+    // The sample (a tenth by default) is drawn by request id, not by session, so that later
+    // responses of sessions are rated too. That says more about a version than ratings of first
+    // responses alone.
     let draw = stable_hash(chat.metadata.request.as_str()) as f64 / u64::MAX as f64;
     let is_rated = draw < snapshot.config().policy.rating_sample;
     Ok(Plan {
