--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -238,7 +238,7 @@
 #[derive(Debug, Default)]
 struct Attempts {
     excluded: Vec<endpoint::Id>,
-    /// How many of them may have been executed; only these count against the limit on attempts.
+    /// The number of failed attempts that the endpoint may have executed; only these count against the limit on attempts.
     n_maybe_executed: u32,
     execution: Option<Run>,
 }
