--- a/crates/curranthook_router/src/stall.rs
+++ b/crates/curranthook_router/src/stall.rs
@@ -1,8 +1,8 @@
 //! Detects that this process was paused, and refreshes its configuration before anything is sent.
 //!
 //! A VM can be paused for minutes without the process noticing. Its configuration is then out of
-//! date, and queued requests could be sent before the first poll or peer exchange brings a newer
-//! one: a version that was withdrawn in the meantime would get them. Therefore the first requests
+//! date, and queued requests could be sent before the first poll or peer exchange fetches a newer
+//! one: a version that was withdrawn in the meantime would receive them. Therefore the first requests
 //! after a pause wait until the platform or the peers have been queried.
 //!
 //! A node that is running but cut off from the network does not wait: its callers would get no
@@ -26,13 +26,13 @@
 
 use crate::Router;
 
-/// How often the process records that it is running.
+/// The interval at which the process records that it is running.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// A process that was paused for longer than this considers its configuration out of date. Shorter
 /// pauses, as on a busy machine, add less than this to the time that a configuration change takes
 /// anyway.
 const STALL_THRESHOLD: Duration = Duration::from_secs(2);
-/// How long requests wait for the newest configuration at most.
+/// The longest time that requests wait for the newest configuration after a pause.
 const REFRESH_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often to check whether the newest configuration has been applied.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
