--- a/crates/curranthook_router/src/status.rs
+++ b/crates/curranthook_router/src/status.rs
@@ -69,8 +69,8 @@
     router.current_snapshot.load().is_some() && !router.stopping.is_set() && !is_joining(router)
 }
 
-/// Whether it is too early to accept requests: if a VM is lost before it has met a peer, the bill
-/// lines of its first responses are lost with it.
+/// Whether it is too early to accept requests: bill lines are replicated to peers, so if a VM is
+/// lost before it has reached any peer, the bill lines of its first responses are lost with it.
 fn is_joining(router: &Router) -> bool {
     let age = router.clock.now().saturating_duration_since(router.started);
     age < JOIN_TIMEOUT && router.node.is_joining()
