--- a/crates/curranthook_router/src/version_health.rs
+++ b/crates/curranthook_router/src/version_health.rs
@@ -1,8 +1,9 @@
 //! Detects versions that produce bad responses.
 //!
 //! Each node tests the evidence that it has, its own and that received from other nodes. It
-//! immediately stops sending new requests to a suspect version, and the other nodes learn of the
-//! suspicion; withdrawing the version for good is up to the steward and the operators.
+//! immediately stops sending new requests to a suspect version, and the peer exchange
+//! spreads the suspicion to the other nodes. Withdrawing the version permanently is up to the
+//! steward and the operators.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
