--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -26,7 +26,7 @@
     pin::Pin,
     rating,
     router::InFlight,
-    selection::{self, Inputs},
+    selection::{self, StrategyInputs},
     snapshot::Snapshot,
     token,
 };
@@ -85,12 +85,12 @@
     let versions =
         selection::apply_rollouts(snapshot, versions, selection::rollout_key(chat, &pin));
     let versions = selection::without_suspects(versions, |it| router.node.suspects().contains(it));
-    let inputs = Inputs::new(snapshot, chat, &versions);
+    let inputs = StrategyInputs::new(snapshot, chat, &versions);
     let time_left = chat.metadata.time_left(router.clock.now());
     let rater = router.rater.state(snapshot.config().rater);
-    let refused = |code| Refusal::not_run(code, "no version can be chosen");
-    let ask = inputs.to_policy(chat, time_left, rater);
-    let plan = router.version_strategy.lock().plan(&ask).map_err(refused)?;
+    let refusal = |code| Refusal::not_run(code, "no version can be chosen");
+    let request = inputs.to_policy(chat, time_left, rater);
+    let plan = router.version_strategy.lock().plan(&request).map_err(refusal)?;
     match pin {
         Pin::None => Ok((plan, None)),
         Pin::New(session) => Ok((selection::without_cascade(plan), Some(session))),
@@ -188,37 +188,37 @@
         second: version::Id,
     ) -> Result<Response<Body>, Refusal> {
         self.stage = Stage::First;
-        let first_reply = match self.collect(Completion::new(first.clone())).await {
+        let first_response = match self.collect(Completion::new(first.clone())).await {
             Ok(collected) => Some(collected),
             Err(refusal) if is_final(&refusal) => return Err(refusal),
             Err(_) => None,
         };
-        let rating = match &first_reply {
+        let rating = match &first_response {
             Some(collected) => self.rate(collected).await,
             None => None,
         };
-        let first_reply = match (first_reply, rating) {
+        let first_response = match (first_response, rating) {
             (Some(it), Some(rating)) if rating::GOOD_RATING <= rating => {
                 return self.respond(it).await;
             }
-            (first_reply, _) => first_reply,
+            (first_response, _) => first_response,
         };
         // A response that could not be rated counts as not good enough: the account requires a
         // quality, and the more expensive version is the one known to provide it.
         self.router.metrics.count_retry(retry::Reason::Escalated);
         self.call.reset_attempts();
         self.started_at = self.router.clock.now();
-        match (self.collect(Completion::new(second)).await, first_reply) {
-            (Ok(second_reply), first_reply) => {
+        match (self.collect(Completion::new(second)).await, first_response) {
+            (Ok(second_response), first_response) => {
                 // If there was no first response, the second version handled an ordinary request.
-                self.stage = first_reply.map_or(Stage::Direct, |_| Stage::Second(first));
-                self.respond(second_reply).await
+                self.stage = first_response.map_or(Stage::Direct, |_| Stage::Second(first));
+                self.respond(second_response).await
             }
             // The second version cannot respond in time, or at all. The first response is complete
             // and allowed, so it is better than none.
-            (Err(_), Some(first_reply)) => {
+            (Err(_), Some(first_response)) => {
                 self.router.metrics.count("cascade.fell_back");
-                self.respond(first_reply).await
+                self.respond(first_response).await
             }
             (Err(refusal), None) => Err(refusal),
         }
--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -49,18 +49,18 @@
 }
 
 /// For each model with a rollout in progress, removes the version to which the rollout does not
-/// route the request with this key.
+/// route the request with this `rollout_key`.
 pub fn apply_rollouts<'a>(
     snapshot: &Snapshot,
     mut versions: Vec<&'a version::Id>,
-    key: u64,
+    rollout_key: u64,
 ) -> Vec<&'a version::Id> {
     for it in snapshot.document.rollouts.values() {
         let has_both = versions.contains(&&it.from) && versions.contains(&&it.to);
         if !has_both {
             continue;
         }
-        let chosen = rollout::route(it, key);
+        let chosen = rollout::route(it, rollout_key);
         let excluded = if *chosen == it.to { &it.from } else { &it.to };
         versions.retain(|id| *id != excluded);
     }
@@ -78,18 +78,18 @@
 
 /// The inputs of the version strategy, with owned lists.
 #[derive(Debug)]
-pub struct Inputs<'a> {
+pub struct StrategyInputs<'a> {
     /// The versions to choose from.
     pub candidates: Vec<Candidate<'a>>,
     /// The share of responses that must be good.
-    pub target: f64,
+    pub target_quality: f64,
     /// The estimated number of tokens in the prompt.
     pub prompt_tokens: u64,
     /// The estimated number of tokens in the response.
     pub expected_tokens: u64,
 }
 
-impl<'a> Inputs<'a> {
+impl<'a> StrategyInputs<'a> {
     /// Collects the inputs for selecting a version for `chat` among `versions`.
     pub fn new(snapshot: &'a Snapshot, chat: &Chat, versions: &[&'a version::Id]) -> Self {
         const DEFAULT_TARGET: f64 = 0.8;
@@ -107,7 +107,7 @@
         let bytes: usize = chat.body.messages.iter().map(|it| it.content.len()).sum();
         Self {
             candidates,
-            target: target.unwrap_or(DEFAULT_TARGET),
+            target_quality: target.unwrap_or(DEFAULT_TARGET),
             prompt_tokens: bytes as u64 / BYTES_PER_TOKEN,
             expected_tokens: chat.body.max_tokens.unwrap_or(EXPECTED_TOKENS).min(EXPECTED_TOKENS),
         }
@@ -123,7 +123,7 @@
         let in_session = chat.metadata.session.is_some() || chat.metadata.token.is_some();
         curranthook_policy::choice::Request {
             kind: &chat.metadata.kind,
-            target_quality: self.target,
+            target_quality: self.target_quality,
             candidates: &self.candidates,
             time_left,
             prompt_tokens: self.prompt_tokens,
@@ -178,11 +178,11 @@
 /// one, so that a session that is known only by its id gets the same version if it is looked up
 /// twice.
 pub fn rollout_key(chat: &Chat, pin: &Pin) -> u64 {
-    let text = match pin {
+    let id = match pin {
         Pin::New(id) | Pin::Unclaimed(id) | Pin::Pinned(id, _) => id.as_str(),
         Pin::None => chat.metadata.request.as_str(),
     };
-    stable_hash(text)
+    stable_hash(id)
 }
 
 /// A hash that is stable across processes and nodes.
