--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -193,7 +193,7 @@
             lease = self.lease_endpoint(version).await;
         }
         let lease = lease.map_err(|it| Refusal { not_run: self.execution, ..it })?;
-        stall::catch_up(&self.router).await;
+        stall::refresh_if_paused(&self.router).await;
         self.check_allowed(version)?;
         Ok(lease)
     }
@@ -235,7 +235,7 @@
         let primary = &Primary::new(&lease);
         let first = self.attempt(version, from_token, lease, Freshness::Within(MAX_REUSE_IDLE_AGE));
         let hedge = || async move {
-            stall::catch_up(&self.router).await;
+            stall::refresh_if_paused(&self.router).await;
             let lease = self.hedge_lease(version, primary)?;
             Some(self.attempt(version, from_token, lease, Freshness::New))
         };
--- a/crates/curranthook_router/src/stall.rs
+++ b/crates/curranthook_router/src/stall.rs
@@ -83,7 +83,7 @@
 }
 
 /// Refreshes the configuration if the process was paused; otherwise returns immediately.
-pub async fn catch_up(router: &Router) {
+pub async fn refresh_if_paused(router: &Router) {
     if !router.stall.tick() {
         return;
     }
