--- a/crates/curranthook_http/src/exchange.rs
+++ b/crates/curranthook_http/src/exchange.rs
@@ -72,14 +72,14 @@
 impl Exchange {
     /// A request without a body.
     pub fn new(addr: SocketAddr, method: http::Method, path: impl Into<String>) -> Self {
-        const TIMEOUT: Duration = Duration::from_secs(2);
+        const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
         Self {
             addr,
             method,
             path: path.into(),
             headers: Vec::new(),
             body: Bytes::new(),
-            timeout: TIMEOUT,
+            timeout: DEFAULT_TIMEOUT,
             freshness: Freshness::Within(Duration::from_secs(5)),
         }
     }
--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -223,8 +223,11 @@
         // The idle connections to the same address may be unresponsive too.
         router.pool.close_idle(self.addr);
         let reason = retry::Reason::SlowFirstByte;
-        let is_silent = router.pool.has_newer_working_connection(self.addr, self.started);
-        if !is_silent && router.retry_budget.lock().spend(reason, router.clock.now()).is_err() {
+        let is_endpoint_responsive =
+            router.pool.has_newer_working_connection(self.addr, self.started);
+        if !is_endpoint_responsive
+            && router.retry_budget.lock().spend(reason, router.clock.now()).is_err()
+        {
             return false;
         }
         router.metrics.count_retry(reason);
--- a/crates/curranthook_router/src/leaving.rs
+++ b/crates/curranthook_router/src/leaving.rs
@@ -25,13 +25,21 @@
 
 /// Polls the list and the leaving endpoints for as long as the process runs.
 pub async fn run(router: Arc<Router>, vms: Arc<dyn Vms>) {
-    let listed = Mutex::default();
+    let listed_as_leaving = Mutex::default();
     // Both run concurrently: endpoints that are shutting down often do not respond, and waiting for
     // them must not delay the detection of another one that is leaving.
-    future::zip(poll_vm_list(&router, &*vms, &listed), reinstate(&router, &listed)).await;
+    future::zip(
+        poll_vm_list(&router, &*vms, &listed_as_leaving),
+        reinstate(&router, &listed_as_leaving),
+    )
+    .await;
 }
 
-async fn poll_vm_list(router: &Router, vms: &dyn Vms, listed: &Mutex<HashSet<SocketAddr>>) {
+async fn poll_vm_list(
+    router: &Router,
+    vms: &dyn Vms,
+    listed_as_leaving: &Mutex<HashSet<SocketAddr>>,
+) {
     loop {
         // While the platform is down, its last list stays in effect.
         if let Ok(list) = vms.all().await {
@@ -41,7 +49,7 @@
                 .map(|it| it.address)
                 .collect();
             router.dispatchers.mark_leaving(&leaving);
-            *listed.lock() = leaving;
+            *listed_as_leaving.lock() = leaving;
         }
         Timer::after(POLL_INTERVAL).await;
     }
@@ -49,11 +57,11 @@
 
 /// Checks marked endpoints that the list does not show as leaving. This continues while the
 /// platform is down: otherwise endpoints that restart one by one would all end up unused.
-async fn reinstate(router: &Router, listed: &Mutex<HashSet<SocketAddr>>) {
+async fn reinstate(router: &Router, listed_as_leaving: &Mutex<HashSet<SocketAddr>>) {
     loop {
         Timer::after(POLL_INTERVAL).await;
         let mut marked = router.dispatchers.leaving();
-        marked.retain(|it| !listed.lock().contains(it));
+        marked.retain(|it| !listed_as_leaving.lock().contains(it));
         for addr in marked {
             let call = Exchange::get(addr, "/healthz").with_timeout(STATUS_TIMEOUT);
             let Ok(res) = call.run(&router.pool).await else { continue };
--- a/crates/curranthook_router/src/metrics.rs
+++ b/crates/curranthook_router/src/metrics.rs
@@ -70,8 +70,8 @@
     }
 
     /// Sends a duration as a timing metric.
-    pub fn time(&self, name: &str, took: Duration) {
-        let _best_effort = self.client.time(name, took);
+    pub fn time(&self, name: &str, duration: Duration) {
+        let _best_effort = self.client.time(name, duration);
     }
 
     /// Sends `value` as a gauge. It is not included in [`counts`](Self::counts).
--- a/crates/curranthook_router/src/parse.rs
+++ b/crates/curranthook_router/src/parse.rs
@@ -115,7 +115,7 @@
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let malformed =
-        |why: &str| Refusal::not_run(Reason::Malformed, format!("header {name}: {why}"));
+        |reason: &str| Refusal::not_run(Reason::Malformed, format!("header {name}: {reason}"));
     let value = value.to_str().map_err(|_| malformed("not plain ASCII"))?;
     let max = if name == header::SESSION_TOKEN { 4 * MAX_ID_BYTES } else { MAX_ID_BYTES };
     if value.is_empty() || max < value.len() {
--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -147,7 +147,7 @@
     keys: &[Key],
     now_millis: u64,
 ) -> Result<Pin, Refusal> {
-    let refused = |why: &str| Refusal::not_run(Reason::BadToken, why);
+    let refused = |reason: &str| Refusal::not_run(Reason::BadToken, reason);
     let claims = token::verify(text, keys, now_millis).map_err(|e| refused(&e.to_string()))?;
     if claims.account != metadata.account {
         return Err(refused("the session token belongs to another account"));
