--- a/crates/curranthook_http/src/body.rs
+++ b/crates/curranthook_http/src/body.rs
@@ -1,4 +1,4 @@
-//! Message bodies.
+//! Helpers to build and read the bodies of HTTP messages.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited, combinators::UnsyncBoxBody};
