--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -57,7 +57,7 @@
 /// Whether the connection closed during a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disconnect {
-    /// It closed in the middle of the request, as happens when the endpoint dies.
+    /// It closed in the middle of the request, as happens when the endpoint crashes.
     Closed,
     /// It did not close.
     None,
@@ -249,9 +249,9 @@
     }
 }
 
-/// Whether the endpoint at the address of a broken connection is gone.
+/// Whether no endpoint process listens at the address of a broken connection any more.
 ///
-/// A connection also breaks when the network is cut. Only a host whose endpoint process died
+/// A connection also breaks when the network fails. Only a host whose endpoint process died
 /// refuses a new connection; if the network is down, the connection attempt times out. Without this
 /// distinction, a network failure would make every affected request look like one that crashes
 /// endpoints.
