--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -273,7 +273,7 @@
         let line = self.cost.line(metadata, version, &*self.router.clock);
         self.router.node.poison().release(&metadata.fingerprint);
         // The line must survive the loss of this VM before the caller can know that it has the
-        // whole response: otherwise the work would go unbilled if the VM died in between.
+        // whole response: otherwise the work would not be billed if the VM failed in between.
         self.router.record_bill(line).await;
         self.router.metrics.count("answer.whole");
     }
