--- a/crates/curranthook_router/src/claim.rs
+++ b/crates/curranthook_router/src/claim.rs
@@ -20,7 +20,7 @@
 use serde_with::{base64::Base64, hex::Hex, serde_as};
 use sha2::{Digest, Sha256};
 
-/// The table that holds the claims.
+/// The name of the platform's table of claims.
 pub const TABLE: &str = "claims";
 /// The maximum number of attempts to insert a claim's row when responses of the platform are lost.
 /// After that the caller is refused.
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The router may be sending the call, or may have died while sending it.
+    /// The router may be sending the call, or may have crashed while sending it.
     Sending,
     /// The call was certainly not sent; the next caller may take the claim over.
     Released,
