--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -15,7 +15,7 @@
 
 use crate::{claim, parse::Metadata, token};
 
-/// The table that holds the pins of callers without tokens.
+/// The name of the platform's table of pins, for callers without tokens.
 pub const TABLE: &str = "sessions";
 /// The session id with which a caller requests a new session.
 pub const NEW_SESSION: &str = "new";
