--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -171,7 +171,7 @@
 
 /// Releases a claim in the background, without delaying the response.
 fn release_claim(router: &Router, claim: Claim) {
-    // If the router stopped before the release is stored, the claim would block the call for good,
+    // If the router stopped before the release is stored, the claim would block the call permanently,
     // although its caller was told that it was not executed.
     let guard = router.track_outcome();
     let release = async move {
