--- a/crates/curranthook_router/src/snapshot.rs
+++ b/crates/curranthook_router/src/snapshot.rs
@@ -9,9 +9,9 @@
 /// SHA-256 of an API key.
 type KeyHash = [u8; 32];
 
-/// One epoch of the configuration, as it applies to this site. A request uses the snapshot under
-/// which it was accepted for its account's settings, and loads the newest one whenever it is about
-/// to send something.
+/// One epoch of the configuration, as it applies to this site. A request reads its account's
+/// settings from the snapshot that was current when it was accepted; before anything is sent to an
+/// endpoint, permissions are checked against the newest one.
 #[derive(Debug)]
 pub struct Snapshot {
     /// The whole published configuration document.
