--- a/crates/curranthook_router/src/version_health.rs
+++ b/crates/curranthook_router/src/version_health.rs
@@ -19,8 +19,8 @@
 
 /// How often the evidence is tested.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The urgency from which evidence is exchanged immediately, without waiting for the next periodic
-/// exchange.
+/// The [`Test::urgency`], from 0 to 1, at which evidence is exchanged immediately, without waiting
+/// for the next periodic exchange.
 const EXCHANGE_URGENCY_THRESHOLD: f64 = 1.0;
 
 /// Tests all versions for as long as the process runs.
