--- a/crates/curranthook_router/src/bill.rs
+++ b/crates/curranthook_router/src/bill.rs
@@ -39,7 +39,12 @@
     }
 
     /// The bill line of a chat response of `version`.
-    pub fn line(&self, metadata: &Metadata, version: &version::Id, clock: &dyn Clock) -> Line {
+    pub fn to_bill_line(
+        &self,
+        metadata: &Metadata,
+        version: &version::Id,
+        clock: &dyn Clock,
+    ) -> Line {
         Line {
             request: metadata.request.clone(),
             account: metadata.account.clone(),
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -198,7 +198,7 @@
             None => None,
         };
         let first_response = match (first_response, rating) {
-            (Some(it), Some(rating)) if rating::GOOD_RATING <= rating => {
+            (Some(it), Some(rating)) if rating::MIN_GOOD_RATING <= rating => {
                 return self.respond(it).await;
             }
             (first_response, _) => first_response,
@@ -270,11 +270,11 @@
     /// Records the bill of a complete response, which must be done before the response is sent.
     async fn record_bill(&self, version: &version::Id) {
         let metadata = &self.call.chat().metadata;
-        let line = self.cost.line(metadata, version, &*self.router.clock);
+        let bill_line = self.cost.to_bill_line(metadata, version, &*self.router.clock);
         self.router.node.poison().release(&metadata.fingerprint);
         // The line must survive the loss of this VM before the caller can know that it has the
         // whole response: otherwise the work would not be billed if the VM failed in between.
-        self.router.record_bill(line).await;
+        self.router.record_bill(bill_line).await;
         self.router.metrics.count("answer.whole");
     }
 
--- a/crates/curranthook_router/src/rating.rs
+++ b/crates/curranthook_router/src/rating.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The lowest rating, on a scale from 0 to 1, of a response that is good enough.
-pub const GOOD_RATING: f64 = 0.5;
+pub const MIN_GOOD_RATING: f64 = 0.5;
 /// The time limit for one request to the rating service.
 const RATING_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the service counts as down after a failure. While it does, no cascades are planned,
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -125,8 +125,8 @@
     }
 
     /// Records a bill line so that it survives the loss of this VM.
-    pub async fn record_bill(&self, line: Line) {
-        let durability = self.node.journal().record(line).await;
+    pub async fn record_bill(&self, bill_line: Line) {
+        let durability = self.node.journal().record(bill_line).await;
         match durability {
             journal::Durability::Replicated(_) => self.metrics.count("bill.replicated"),
             journal::Durability::Stored => self.metrics.count("bill.stored"),
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -366,7 +366,7 @@
 async fn record_bill(router: &Arc<Router>, call: &Call) {
     let Ok(snapshot) = router.snapshot() else { return };
     let price = snapshot.config().services.get(&call.service).map(|it| it.price);
-    let line = Line {
+    let bill_line = Line {
         request: call.metadata.request.clone(),
         account: call.metadata.account.clone(),
         served_by: call.service.clone(),
@@ -375,7 +375,7 @@
         cost: price.unwrap_or_default(),
         at_millis: router.clock.unix_millis(),
     };
-    router.record_bill(line).await;
+    router.record_bill(bill_line).await;
     router.metrics.count("answer.whole");
 }
 
