--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -143,12 +143,12 @@
 
 fn from_token(
     metadata: &Metadata,
-    text: &str,
+    token: &str,
     keys: &[Key],
     now_millis: u64,
 ) -> Result<Pin, Refusal> {
     let refused = |reason: &str| Refusal::not_run(Reason::BadToken, reason);
-    let claims = token::verify(text, keys, now_millis).map_err(|e| refused(&e.to_string()))?;
+    let claims = token::verify(token, keys, now_millis).map_err(|e| refused(&e.to_string()))?;
     if claims.account != metadata.account {
         return Err(refused("the session token belongs to another account"));
     }
