--- a/crates/curranthook_router/src/call.rs
+++ b/crates/curranthook_router/src/call.rs
@@ -300,7 +300,7 @@
         if 0 < from_token {
             req = req.header(header::RESUME_FROM, from_token);
         }
-        req.body(body.into()).expect("the request id was checked when it came in")
+        req.body(body.into()).expect("the request id is validated when the request is parsed")
     }
 }
 
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -407,7 +407,7 @@
 }
 
 fn build_response(res: http::response::Builder, body: Body) -> Response<Body> {
-    res.body(body).expect("ids were checked when they came in")
+    res.body(body).expect("ids are validated when the request is parsed")
 }
 
 fn sse_event(data: &[u8]) -> Bytes {
--- a/crates/curranthook_router/src/completion.rs
+++ b/crates/curranthook_router/src/completion.rs
@@ -34,7 +34,7 @@
 pub enum Item {
     /// The next chunk of the completion.
     Chunk(Chunk),
-    /// The end marker arrived; the usage covers the whole completion.
+    /// The end marker arrived; carries the usage that the engine reported.
     End(Usage),
 }
 
--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -189,5 +189,5 @@
 pub fn stable_hash(text: &str) -> u64 {
     use sha2::{Digest, Sha256};
     let digest = Sha256::digest(text.as_bytes());
-    u64::from_be_bytes(digest[..8].try_into().expect("a digest is longer than eight bytes"))
+    u64::from_be_bytes(digest[..8].try_into().expect("a SHA-256 digest has more than eight bytes"))
 }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -337,7 +337,7 @@
     if let Some(content_type) = &call.content_type {
         req = req.header(CONTENT_TYPE, content_type);
     }
-    let req = req.body(call.body.clone()).expect("path and headers came in a valid request");
+    let req = req.body(call.body.clone()).expect("path and headers are from a valid request");
     let time_limit = call.metadata.time_left(router.clock.now());
     let response =
         attempt::run(router, lease, req, freshness, time_limit, &call.metadata.request).await?;
--- a/crates/curranthook_router/src/token.rs
+++ b/crates/curranthook_router/src/token.rs
@@ -70,7 +70,8 @@
 }
 
 fn mac(encoded_claims: &str, key: &Key) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(&key.secret).expect("any length of key will do");
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(&key.secret).expect("HMAC accepts keys of any length");
     mac.update(encoded_claims.as_bytes());
     mac
 }
