--- a/crates/curranthook_http/src/client.rs
+++ b/crates/curranthook_http/src/client.rs
@@ -1,9 +1,9 @@
 //! An HTTP/1.1 client that knows whether request bytes may have been sent.
 //!
 //! A middlebox can lose the state of an open connection: its packets are then dropped without an
-//! error while new connections work, and the only sign is that responses stop arriving. Therefore a connection on
-//! which anything failed is closed and never reused, and callers can require a connection that is
-//! new or was recently used.
+//! error while new connections work, and the only sign is that responses stop arriving. Therefore a
+//! connection on which anything failed is closed and never reused, and callers can require a
+//! connection that is new or was recently used.
 
 use std::{
     collections::HashMap,
@@ -26,7 +26,7 @@
 
 use crate::{runtime, timeout};
 
-/// How many idle connections are kept per address.
+/// The maximum number of idle connections in a pool per address.
 const MAX_IDLE_PER_ADDRESS: usize = 512;
 /// A connection that has been idle for longer than this is not reused.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(20);
@@ -35,8 +35,8 @@
 /// How long sent bytes may stay unacknowledged before the kernel closes the connection.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a connection may receive nothing before a keep-alive probe is sent, and how long the
-/// probe may stay unanswered. The kernel takes whole seconds: a shorter interval is ignored, and
-/// the first probe goes out after two hours.
+/// probe may stay unanswered. The kernel accepts only whole seconds: it ignores a shorter interval,
+/// and sends the first probe after its default of two hours.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How many keep-alive probes in a row may stay unanswered.
 const MAX_UNANSWERED_PROBES: u32 = 1;
@@ -301,7 +301,7 @@
             connecting.await.map_err(|e| connect_error(io::ErrorKind::TimedOut, e.to_string()))?;
         let stream = connected.map_err(|e| connect_error(e.kind(), e.to_string()))?;
         if let Err(e) = self.configure(stream.get_ref()) {
-            // Requests still work, but it takes longer to notice an unreachable host.
+            // Requests still work, but an unreachable host is detected later.
             log::warn!("cannot set socket options on the connection to {addr}: {e}");
         }
         let (sender, conn) = http1::handshake(FuturesIo::new(stream))
