--- a/crates/curranthook_http/tests/liveness.rs
+++ b/crates/curranthook_http/tests/liveness.rs
@@ -16,8 +16,8 @@
 
 /// A host loses power while a request waits for its response: every byte sent has been
 /// acknowledged, and no response arrives. Without keep-alive probes, whose interval the kernel
-/// takes in whole seconds only, the request hangs until its own time limit, and its caller gets no
-/// response in time.
+/// accepts in whole seconds only, the request hangs until its own time limit, and its caller gets
+/// no response in time.
 #[test]
 fn a_waiting_connection_is_probed_within_a_second() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
