--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -215,10 +215,10 @@
 
     /// Takes a retry from the budget for a second attempt; `false` if there is none left.
     ///
-    /// When many connections become unresponsive at once, each request on one of them needs a second
-    /// attempt, which is more than a node's retry budget allows. If a newer connection to the same
-    /// endpoint has received a response in the meantime, the endpoint is healthy and only the
-    /// connection is unresponsive; then the second attempt does not use the budget.
+    /// When many connections become unresponsive at once, each request on one of them needs a
+    /// second attempt, which is more than a node's retry budget allows. If a newer connection to
+    /// the same endpoint has received a response in the meantime, the endpoint is healthy and only
+    /// the connection is unresponsive; then the second attempt does not use the budget.
     pub fn spend_retry(&self, router: &Router) -> bool {
         // The idle connections to the same address may be unresponsive too.
         router.pool.close_idle(self.addr);
@@ -251,8 +251,8 @@
 
 /// Whether no endpoint process listens at the address of a broken connection any more.
 ///
-/// A connection also breaks when the network fails. Only a host whose endpoint process died
-/// refuses a new connection; if the network is down, the connection attempt times out. Without this
+/// A connection also breaks when the network fails. Only a host whose endpoint process died refuses
+/// a new connection; if the network is down, the connection attempt times out. Without this
 /// distinction, a network failure would make every affected request look like one that crashes
 /// endpoints.
 async fn is_dead(pool: &Pool, addr: SocketAddr) -> bool {
