--- a/crates/curranthook_router/src/dispatch.rs
+++ b/crates/curranthook_router/src/dispatch.rs
@@ -227,7 +227,8 @@
     }
 
     /// Leases an endpoint for a hedged attempt in parallel with the one at `first`, if one is free
-    /// now: preferably another endpoint, else the same one, since possibly only its connection is unresponsive.
+    /// now: preferably another endpoint, else the same one, since possibly only its connection is
+    /// unresponsive.
     pub fn try_acquire_hedge(
         self: &Arc<Self>,
         params: Params<'_>,
@@ -277,8 +278,8 @@
         let mut inner = self.inner.lock();
         inner.balancer.finished(endpoint, outcome, now);
         inner.queue.record_service(now);
-        // The endpoint may have less capacity than before. A request notified now would be
-        // removed from the queue without getting an endpoint.
+        // The endpoint may have less capacity than before. A request notified now would be removed
+        // from the queue without getting an endpoint.
         if inner.balancer.select(None, &[], now).is_err() {
             return;
         }
@@ -375,8 +376,8 @@
     /// The outcome for the endpoint if the attempt is cancelled now. A caller that disconnects
     /// early says nothing about the endpoint. If it disconnects, or a second attempt is faster,
     /// after a wait that is unusual for the endpoint, the endpoint is slow. If that were not
-    /// recorded, the endpoint would keep receiving requests as long as each is rescued by another
-    /// endpoint.
+    /// recorded, the endpoint would keep receiving requests, as long as hedged attempts at other
+    /// endpoints succeed in its place.
     fn outcome_if_dropped(&self) -> Outcome {
         let waited = self.dispatcher.clock.now().saturating_duration_since(self.started);
         if self.progress == Progress::AwaitingFirstByte && self.hedge_delay() <= waited {
