--- a/crates/curranthook_router/src/leaving.rs
+++ b/crates/curranthook_router/src/leaving.rs
@@ -16,8 +16,8 @@
 
 use crate::Router;
 
-/// How often the list of VMs is read. With several thousand nodes this would be too much load for
-/// the platform: see `docs/CAPACITY.md`.
+/// The interval at which the list of VMs is read. With several thousand nodes this would be too
+/// much load for the platform: see `docs/CAPACITY.md`.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long an endpoint may take to report its status.
