--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -1,9 +1,9 @@
 //! Session pinning: a session keeps the version it started on.
 //!
 //! The pin is sent to the caller as a signed token with each response, so any node can verify it
-//! even if the platform and all other nodes are down. For a caller that can only repeat a session id, the pin is a
-//! row in the platform's table; the row is inserted conditionally, so if the first two requests of
-//! a session race on different nodes, both end up on one version.
+//! even if the platform and all other nodes are down. For a caller that can only repeat a session
+//! id, the pin is a row in the platform's table; the row is inserted conditionally, so if the first
+//! two requests of a session race on different nodes, both end up on one version.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
