--- a/crates/curranthook_router/src/selection.rs
+++ b/crates/curranthook_router/src/selection.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Borrows the inputs in the form that the strategy takes.
+    /// Borrows the inputs as a request to the version strategy.
     pub fn to_policy<'b>(
         &'b self,
         chat: &'b Chat,
