--- a/crates/curranthook_router/src/serve.rs
+++ b/crates/curranthook_router/src/serve.rs
@@ -115,9 +115,9 @@
 /// Waits until the outcomes of claimed calls are stored, for at most `OUTCOME_STORE_TIMEOUT`.
 ///
 /// A platform outage can last longer than the time that a VM is given to shut down. A process that
-/// waited for the end of the outage would be killed, and the bill lines in its memory lost. A claim whose
-/// outcome is not stored is never sent again; callers that repeat it are told that the outcome is
-/// unknown.
+/// waited for the end of the outage would be killed, and the bill lines in its memory lost. A claim
+/// whose outcome is not stored is never sent again; callers that repeat it are told that the
+/// outcome is unknown.
 async fn wait_for_outcomes(router: &Router) {
     let start = router.clock.now();
     loop {
@@ -142,8 +142,8 @@
 ) -> anyhow::Result<Arc<Router>> {
     let clock: Arc<dyn Clock> = Arc::new(clock::System);
     let new_pool = || Arc::new(Pool::new(ex.clone(), Arc::clone(&clock)));
-    // Endpoints, peers and the platform have separate pools: an unresponsive connection to one
-    // of them is no evidence about the others.
+    // Endpoints, peers and the platform have separate pools: an unresponsive connection to one of
+    // them is no evidence about the others.
     let (endpoint_pool, peer_pool, platform_pool) = (new_pool(), new_pool(), new_pool());
     let platform = &settings.platform;
     let table = Client::new(platform.table, Arc::clone(&platform_pool));
