--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -171,8 +171,8 @@
 
 /// Releases a claim in the background, without delaying the response.
 fn release_claim(router: &Router, claim: Claim) {
-    // If the router stopped before the release is stored, the claim would block the call permanently,
-    // although its caller was told that it was not executed.
+    // If the router stopped before the release is stored, the claim would block the call
+    // permanently, although its caller was told that it was not executed.
     let guard = router.track_outcome();
     let release = async move {
         claim.release().await;
@@ -238,7 +238,8 @@
 #[derive(Debug, Default)]
 struct Attempts {
     excluded: Vec<endpoint::Id>,
-    /// The number of failed attempts that the endpoint may have executed; only these count against the limit on attempts.
+    /// The number of failed attempts that the endpoint may have executed; only these count against
+    /// the limit on attempts.
     n_maybe_executed: u32,
     execution: Option<Run>,
 }
