--- a/crates/curranthook_router/src/stall.rs
+++ b/crates/curranthook_router/src/stall.rs
@@ -2,8 +2,8 @@
 //!
 //! A VM can be paused for minutes without the process noticing. Its configuration is then out of
 //! date, and queued requests could be sent before the first poll or peer exchange fetches a newer
-//! one: a version that was withdrawn in the meantime would receive them. Therefore the first requests
-//! after a pause wait until the platform or the peers have been queried.
+//! one: a version that was withdrawn in the meantime would receive them. Therefore the first
+//! requests after a pause wait until the platform or the peers have been queried.
 //!
 //! A node that is running but cut off from the network does not wait: its callers would get no
 //! responses for as long as the outage lasts. In that case the engines refuse requests for
