--- a/crates/curranthook_router/src/version_health.rs
+++ b/crates/curranthook_router/src/version_health.rs
@@ -1,9 +1,9 @@
 //! Detects versions that produce bad responses.
 //!
 //! Each node tests the evidence that it has, its own and that received from other nodes. It
-//! immediately stops sending new requests to a suspect version, and the peer exchange
-//! spreads the suspicion to the other nodes. Withdrawing the version permanently is up to the
-//! steward and the operators.
+//! immediately stops sending new requests to a suspect version, and the peer exchange spreads the
+//! suspicion to the other nodes. Withdrawing the version permanently is up to the steward and the
+//! operators.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -39,7 +39,7 @@
                 test.merge_counts(&origin, counts);
             }
             urgency = urgency.max(test.urgency());
-            // The policy takes its own samples in addition, so only the share beyond those is
+            // The version strategy samples responses itself, so only the additional share is
             // stored.
             router.rating_shares.lock().insert(id.clone(), test.sampling_rate(0.0));
             if let State::Suspect(reason) = test.state()
