--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -26,7 +26,7 @@
     pin::Pin,
     rating,
     router::InFlight,
-    selection::{self, Inputs},
+    selection::{self, StrategyInputs},
     snapshot::Snapshot,
     token,
 };
@@ -74,8 +74,9 @@
         let account = snapshot.account_settings(&chat.metadata.account);
         let sessions_may_move = account.is_some_and(|it| it.sessions_may_move);
         match selection::pinned_plan(snapshot, chat, version) {
-            // Both guarantees hold: the session keeps its version, and the withdrawn version gets
-            // no requests. Sessions are moved only for accounts that asked for it.
+            // By default the request is refused: a session keeps its version, and a withdrawn
+            // version gets no requests. Only accounts that opted in have their sessions moved to
+            // another version.
             Err(e) if e.code == Reason::PinnedWithdrawn && sessions_may_move => {}
             pinned => return pinned.map(|plan| (plan, Some(session.clone()))),
         }
@@ -84,12 +85,12 @@
     let versions =
         selection::apply_rollouts(snapshot, versions, selection::rollout_key(chat, &pin));
     let versions = selection::without_suspects(versions, |it| router.node.suspects().contains(it));
-    let inputs = Inputs::new(snapshot, chat, &versions);
+    let inputs = StrategyInputs::new(snapshot, chat, &versions);
     let time_left = chat.metadata.time_left(router.clock.now());
     let rater = router.rater.state(snapshot.config().rater);
-    let refused = |code| Refusal::not_run(code, "no version can be chosen");
-    let ask = inputs.to_policy(chat, time_left, rater);
-    let plan = router.version_strategy.lock().plan(&ask).map_err(refused)?;
+    let refusal = |code| Refusal::not_run(code, "no version can be chosen");
+    let request = inputs.to_policy(chat, time_left, rater);
+    let plan = router.version_strategy.lock().plan(&request).map_err(refusal)?;
     match pin {
         Pin::None => Ok((plan, None)),
         Pin::New(session) => Ok((selection::without_cascade(plan), Some(session))),
@@ -187,37 +188,37 @@
         second: version::Id,
     ) -> Result<Response<Body>, Refusal> {
         self.stage = Stage::First;
-        let first_reply = match self.collect(Completion::new(first.clone())).await {
+        let first_response = match self.collect(Completion::new(first.clone())).await {
             Ok(collected) => Some(collected),
             Err(refusal) if is_final(&refusal) => return Err(refusal),
             Err(_) => None,
         };
-        let rating = match &first_reply {
+        let rating = match &first_response {
             Some(collected) => self.rate(collected).await,
             None => None,
         };
-        let first_reply = match (first_reply, rating) {
-            (Some(it), Some(rating)) if rating::GOOD_RATING <= rating => {
+        let first_response = match (first_response, rating) {
+            (Some(it), Some(rating)) if rating::MIN_GOOD_RATING <= rating => {
                 return self.respond(it).await;
             }
-            (first_reply, _) => first_reply,
+            (first_response, _) => first_response,
         };
         // A response that could not be rated counts as not good enough: the account requires a
         // quality, and the more expensive version is the one known to provide it.
         self.router.metrics.count_retry(retry::Reason::Escalated);
         self.call.reset_attempts();
         self.started_at = self.router.clock.now();
-        match (self.collect(Completion::new(second)).await, first_reply) {
-            (Ok(second_reply), first_reply) => {
+        match (self.collect(Completion::new(second)).await, first_response) {
+            (Ok(second_response), first_response) => {
                 // If there was no first response, the second version handled an ordinary request.
-                self.stage = first_reply.map_or(Stage::Direct, |_| Stage::Second(first));
-                self.respond(second_reply).await
+                self.stage = first_response.map_or(Stage::Direct, |_| Stage::Second(first));
+                self.respond(second_response).await
             }
             // The second version cannot respond in time, or at all. The first response is complete
             // and allowed, so it is better than none.
-            (Err(_), Some(first_reply)) => {
+            (Err(_), Some(first_response)) => {
                 self.router.metrics.count("cascade.fell_back");
-                self.respond(first_reply).await
+                self.respond(first_response).await
             }
             (Err(refusal), None) => Err(refusal),
         }
@@ -269,11 +270,11 @@
     /// Records the bill of a complete response, which must be done before the response is sent.
     async fn record_bill(&self, version: &version::Id) {
         let metadata = &self.call.chat().metadata;
-        let line = self.cost.line(metadata, version, &*self.router.clock);
+        let bill_line = self.cost.to_bill_line(metadata, version, &*self.router.clock);
         self.router.node.poison().release(&metadata.fingerprint);
         // The line must survive the loss of this VM before the caller can know that it has the
-        // whole response: otherwise the work would go unbilled if the VM died in between.
-        self.router.record_bill(line).await;
+        // whole response: otherwise the work would not be billed if the VM failed in between.
+        self.router.record_bill(bill_line).await;
         self.router.metrics.count("answer.whole");
     }
 
@@ -406,7 +407,7 @@
 }
 
 fn build_response(res: http::response::Builder, body: Body) -> Response<Body> {
-    res.body(body).expect("ids were checked when they came in")
+    res.body(body).expect("ids are validated when the request is parsed")
 }
 
 fn sse_event(data: &[u8]) -> Bytes {
--- a/crates/curranthook_router/src/pin.rs
+++ b/crates/curranthook_router/src/pin.rs
@@ -1,9 +1,9 @@
 //! Session pinning: a session keeps the version it started on.
 //!
-//! The pin is sent to the caller as a signed token with each response, so any node can honour it
-//! even if everything else is down. For a caller that can only repeat a session id, the pin is a
-//! row in the platform's table; the row is inserted conditionally, so if the first two requests of
-//! a session race on different nodes, both end up on one version.
+//! The pin is sent to the caller as a signed token with each response, so any node can verify it
+//! even if the platform and all other nodes are down. For a caller that can only repeat a session
+//! id, the pin is a row in the platform's table; the row is inserted conditionally, so if the first
+//! two requests of a session race on different nodes, both end up on one version.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -15,13 +15,13 @@
 
 use crate::{claim, parse::Metadata, token};
 
-/// The table that holds the pins of callers without tokens.
+/// The name of the platform's table of pins, for callers without tokens.
 pub const TABLE: &str = "sessions";
 /// The session id with which a caller requests a new session.
 pub const NEW_SESSION: &str = "new";
-/// How many pins a node caches.
+/// The maximum number of pins in a node's cache.
 const MAX_CACHED_PINS: usize = 10_000;
-/// When to retry while the platform is down.
+/// The `Retry-After` of a refusal while the platform is down.
 const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What is known about a request's session before a version is selected.
@@ -133,7 +133,7 @@
         let version = version::Id::new(String::from_utf8_lossy(value));
         let mut cache = self.cache.lock();
         if MAX_CACHED_PINS <= cache.len() {
-            // The rows in the table still have all the pins.
+            // No pin is lost: all of them are stored in the platform's table.
             cache.clear();
         }
         cache.insert(row_key, version.clone());
@@ -143,12 +143,12 @@
 
 fn from_token(
     metadata: &Metadata,
-    text: &str,
+    token: &str,
     keys: &[Key],
     now_millis: u64,
 ) -> Result<Pin, Refusal> {
-    let refused = |why: &str| Refusal::not_run(Reason::BadToken, why);
-    let claims = token::verify(text, keys, now_millis).map_err(|e| refused(&e.to_string()))?;
+    let refused = |reason: &str| Refusal::not_run(Reason::BadToken, reason);
+    let claims = token::verify(token, keys, now_millis).map_err(|e| refused(&e.to_string()))?;
     if claims.account != metadata.account {
         return Err(refused("the session token belongs to another account"));
     }
--- a/crates/curranthook_router/src/service.rs
+++ b/crates/curranthook_router/src/service.rs
@@ -171,8 +171,8 @@
 
 /// Releases a claim in the background, without delaying the response.
 fn release_claim(router: &Router, claim: Claim) {
-    // If the router stopped before the release is stored, the claim would block the call for good,
-    // although its caller was told that it was not executed.
+    // If the router stopped before the release is stored, the claim would block the call
+    // permanently, although its caller was told that it was not executed.
     let guard = router.track_outcome();
     let release = async move {
         claim.release().await;
@@ -238,7 +238,8 @@
 #[derive(Debug, Default)]
 struct Attempts {
     excluded: Vec<endpoint::Id>,
-    /// How many of them may have been executed; only these count against the limit on attempts.
+    /// The number of failed attempts that the endpoint may have executed; only these count against
+    /// the limit on attempts.
     n_maybe_executed: u32,
     execution: Option<Run>,
 }
@@ -337,7 +338,7 @@
     if let Some(content_type) = &call.content_type {
         req = req.header(CONTENT_TYPE, content_type);
     }
-    let req = req.body(call.body.clone()).expect("path and headers came in a valid request");
+    let req = req.body(call.body.clone()).expect("path and headers are from a valid request");
     let time_limit = call.metadata.time_left(router.clock.now());
     let response =
         attempt::run(router, lease, req, freshness, time_limit, &call.metadata.request).await?;
@@ -366,7 +367,7 @@
 async fn record_bill(router: &Arc<Router>, call: &Call) {
     let Ok(snapshot) = router.snapshot() else { return };
     let price = snapshot.config().services.get(&call.service).map(|it| it.price);
-    let line = Line {
+    let bill_line = Line {
         request: call.metadata.request.clone(),
         account: call.metadata.account.clone(),
         served_by: call.service.clone(),
@@ -375,7 +376,7 @@
         cost: price.unwrap_or_default(),
         at_millis: router.clock.unix_millis(),
     };
-    router.record_bill(line).await;
+    router.record_bill(bill_line).await;
     router.metrics.count("answer.whole");
 }
 
