--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -43,7 +43,6 @@
 
 /// Selects versions and learns their quality from ratings.
 ///
-///
 /// ```
 /// # use std::time::Duration;
 /// # use curranthook_policy::choice::{Request, Candidate, Chooser, Delivery, Rater, Reason, Scope};
@@ -163,10 +162,10 @@
     }
 
     /// Records how long a complete answer took.
-    pub fn record_duration(&mut self, version: &version::Id, took: Duration, tokens: u64) {
+    pub fn record_duration(&mut self, version: &version::Id, duration: Duration, tokens: u64) {
         match self.speeds.get_mut(version) {
-            Some(it) => it.add(took, tokens),
-            None => _ = self.speeds.insert(version.clone(), Speed::new(took, tokens)),
+            Some(it) => it.add(duration, tokens),
+            None => _ = self.speeds.insert(version.clone(), Speed::new(duration, tokens)),
         }
     }
 
@@ -214,10 +213,11 @@
     /// Fills `scored` with the candidates, cheapest first. Drops versions too slow for the time
     /// left, unless all of them are.
     fn score_candidates(&mut self, request: &Request<'_>) {
-        let known = self.estimates.get(request.kind);
+        let estimates = self.estimates.get(request.kind);
         self.scored.clear();
         for (index, candidate) in request.candidates.iter().enumerate() {
-            let estimate = known.and_then(|it| it.get(candidate.id)).unwrap_or(&Estimate::EMPTY);
+            let estimate =
+                estimates.and_then(|it| it.get(candidate.id)).unwrap_or(&Estimate::EMPTY);
             let speed = self.speeds.get(candidate.id).unwrap_or(&Speed::DEFAULT);
             self.scored.push(Scored {
                 index,
@@ -234,14 +234,14 @@
 
     fn exploit(&self, request: &Request<'_>) -> Draft {
         let z = self.confidence_z();
-        let confident = self
+        let cheapest_confident = self
             .scored
             .iter()
             .find(|it| request.target_quality <= it.posterior.lower_bound(z))
             .copied();
         let certainty =
-            if confident.is_some() { Certainty::Confident } else { Certainty::Uncertain };
-        let direct = confident.unwrap_or_else(|| self.most_promising());
+            if cheapest_confident.is_some() { Certainty::Confident } else { Certainty::Uncertain };
+        let direct = cheapest_confident.unwrap_or_else(|| self.most_promising());
         if request.candidates.len() == 1 {
             return Draft { first: direct, second: None, reason: Reason::Only, certainty };
         }
@@ -253,7 +253,7 @@
         Draft { first: direct, second: None, reason, certainty }
     }
 
-    /// Selects a less known version that may reach the same quality at a lower cost.
+    /// Explores a version with an uncertain estimate that may reach the same quality at a lower cost.
     fn explore(&mut self, request: &Request<'_>, planned: &Draft) -> Option<Draft> {
         if request.rater == Rater::Down || self.exploration_budget < 1.0 {
             return None;
@@ -293,9 +293,9 @@
         is_feasible.then_some(Draft { second: Some(explored), reason: Reason::Explore, ..*planned })
     }
 
-    /// Explores the least known of the versions that cost no more than the planned one, or of all
-    /// versions if none meets the target with confidence. The planned version backs it up as second
-    /// stage wherever time allows.
+    /// Explores the version with the most uncertain estimate among those that cost no more than the
+    /// planned one, or among all if none meets the target with confidence. Wherever time allows,
+    /// the planned version is the second stage behind it.
     fn explore_first(&self, request: &Request<'_>, planned: &Draft) -> Option<Draft> {
         let fallback = planned.second.unwrap_or(planned.first);
         let is_eligible = |it: &&Scored| {
@@ -324,12 +324,12 @@
         let id = |it: &Scored| request.candidates[it.index].id.clone();
         let needs_ratings =
             !draft.first.posterior.is_converged() || self.is_second_sparse(request, draft);
-        let rate = if needs_ratings || draft.reason == Reason::Explore {
+        let sampling_rate = if needs_ratings || draft.reason == Reason::Explore {
             1.0
         } else {
             self.policy.rating_sample
         };
-        let is_rated = request.rater == Rater::Up && self.rng.random::<f64>() < rate;
+        let is_rated = request.rater == Rater::Up && self.rng.random::<f64>() < sampling_rate;
         Plan {
             first: id(&draft.first),
             second: draft.second.as_ref().map(id),
@@ -344,8 +344,9 @@
         estimate.is_none_or(|it| it.posterior(None, self.now).is_sparse())
     }
 
-    /// The version with the highest upper confidence bound. Of two with similar means this selects
-    /// the less known one, and its ratings then show which is better.
+    /// The version with the highest upper confidence bound. Of two versions with similar means,
+    /// this is the one with the more uncertain estimate, and its new ratings then show which
+    /// version is better.
     fn most_promising(&self) -> Scored {
         let z = self.confidence_z();
         let by_upper_bound = |a: &&Scored, b: &&Scored| {
@@ -362,7 +363,8 @@
     }
 
     /// The z-score of the confidence bounds: how many standard deviations above the target a
-    /// version must lie to count as meeting it.
+    /// version must lie to count as meeting it. The values give one-sided confidence of 95% and
+    /// 99%.
     fn confidence_z(&self) -> f64 {
         match self.policy.weigh {
             Weigh::Latency => 1.64,
--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -10,8 +10,9 @@
 /// The longest time that a stream's first byte may be held back for a cascade where the policy
 /// weighs latency most.
 const MAX_STREAM_HOLD: Duration = Duration::from_millis(250);
-/// The time allowed for the rating between the two stages of a cascade.
+/// The time reserved for the rating service between the two stages of a cascade.
 const RATING_ALLOWANCE: Duration = Duration::from_millis(50);
+
 /// Whether a single version meets the target with confidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Certainty {
--- a/crates/curranthook_policy/src/choice/estimate.rs
+++ b/crates/curranthook_policy/src/choice/estimate.rs
@@ -47,7 +47,7 @@
 pub(crate) struct Estimate {
     n: f64,
     sum: f64,
-    updated: Option<Instant>,
+    updated_at: Option<Instant>,
     own: Counts,
     others: Counts,
 }
@@ -57,7 +57,7 @@
     pub(crate) const EMPTY: Self = Self {
         n: 0.0,
         sum: 0.0,
-        updated: None,
+        updated_at: None,
         own: Counts { n: 0, sum: 0.0 },
         others: Counts { n: 0, sum: 0.0 },
     };
@@ -102,14 +102,14 @@
         let retained = self.decay(now) * (1.0 - n * scale / MAX_WEIGHT_RATINGS);
         self.n = self.n * retained + n * scale;
         self.sum = self.sum * retained + sum * scale;
-        self.updated = self.updated.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
     fn decay(&self, now: Option<Instant>) -> f64 {
-        let (Some(updated), Some(now)) = (self.updated, now) else {
+        let (Some(updated_at), Some(now)) = (self.updated_at, now) else {
             return 1.0;
         };
-        let age = now.saturating_duration_since(updated);
+        let age = now.saturating_duration_since(updated_at);
         (-age.as_secs_f64() / EVIDENCE_HALF_LIFE.as_secs_f64()).exp2()
     }
 }
--- a/crates/curranthook_policy/src/choice/history.rs
+++ b/crates/curranthook_policy/src/choice/history.rs
@@ -2,7 +2,8 @@
 
 use curranthook_types::version;
 
-/// The time constant of the decay, in answers: older answers hardly count any more.
+/// The time constant of the exponential decay, in answers. Much older answers have almost no
+/// weight.
 const MEMORY_ANSWERS: f64 = 1_000.0;
 
 /// The recent answers to one kind of work by version or cascade, and the quality required of them.
--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -17,14 +17,15 @@
 const HORIZON_ANSWERS: f64 = 1_000.0;
 /// The number of answers over which a past shortfall or excess is compensated.
 const CORRECTION_ANSWERS: f64 = 100.0;
-/// How far the aim may fall below the target for a while, after answers that were better than
-/// required.
+/// How far the quality aimed at may temporarily fall below the target, after answers that were
+/// better than required.
 const MAX_SHORTFALL: f64 = 0.03;
-/// How far the aim stays below the best available quality. The last hundredth can double the cost,
-/// and the estimates are less precise than that.
+/// How far the quality aimed at stays below the best available quality. The last hundredth can
+/// double the cost, and the estimates are less precise than that.
 const BEST_MARGIN: f64 = 0.01;
 
-/// How many standard deviations are subtracted from the mean of an estimate.
+/// How many standard deviations are subtracted from the mean of a quality estimate to discount its
+/// uncertainty.
 const DISCOUNT_STD_DEVS: f64 = 0.7;
 
 /// A version or cascade that can serve a request, with its estimated quality and cost.
@@ -45,7 +46,7 @@
     }
 }
 
-/// Two points, and the share of requests that the better one serves.
+/// Two versions or cascades, and the share of requests served by `high`, the better one.
 #[derive(Debug, Clone, Copy)]
 struct Mix {
     low: Point,
@@ -54,10 +55,10 @@
 }
 
 impl Mix {
-    /// The mean uncertainty discount of the mix.
+    /// The mean difference between estimated and discounted quality over the mix.
     fn quality_discount(&self) -> f64 {
-        let part = |it: &Point| it.quality - it.discounted_quality;
-        part(&self.low) + self.share * (part(&self.high) - part(&self.low))
+        let discount = |it: &Point| it.quality - it.discounted_quality;
+        discount(&self.low) + self.share * (discount(&self.high) - discount(&self.low))
     }
 }
 
@@ -176,13 +177,13 @@
     }
 }
 
-/// A point drawn from a mix.
+/// The result of drawing from a mix of two versions or cascades.
 #[derive(Debug)]
 pub(super) struct Draw {
     pub(super) planned: Draft,
-    /// The better point of the mix.
+    /// The version or cascade of the mix with the higher quality.
     pub(super) fallback: Draft,
-    /// The mean quality required.
+    /// The mean quality that answers must reach.
     pub(super) required: f64,
 }
 
--- a/crates/curranthook_policy/src/choice/plan.rs
+++ b/crates/curranthook_policy/src/choice/plan.rs
@@ -10,7 +10,7 @@
     /// The version called if the first answer is rated too low. The first answer is held back until
     /// it is rated.
     pub second: Option<version::Id>,
-    /// Whether to rate the answer after it was returned.
+    /// Whether the answer is sent to the rating service after it was returned.
     pub sample: Sample,
     /// Why this plan was selected.
     pub reason: Reason,
@@ -45,8 +45,7 @@
 }
 
 impl Reason {
-    /// The last part of the counter's name.
-    ///
+    /// The last part of the counter's name, `choice.<name>`.
     ///
     /// ```
     /// # use curranthook_policy::choice::Reason;
--- a/crates/curranthook_policy/src/choice/request.rs
+++ b/crates/curranthook_policy/src/choice/request.rs
@@ -21,13 +21,13 @@
     pub expected_tokens: u64,
     /// How the answer is returned.
     pub delivery: Delivery,
-    /// Whether answers can be rated now.
+    /// Whether the rating service is available.
     pub rater: Rater,
-    /// How many requests the selection applies to.
+    /// Whether the selection applies to one request or to a whole session.
     pub scope: Scope,
 }
 
-/// A version that may be used.
+/// A version that may answer the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
     /// The version.
@@ -57,7 +57,7 @@
     Down,
 }
 
-/// The requests that a selection applies to.
+/// Whether a selection applies to one request or to a whole session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// One request.
--- a/crates/curranthook_policy/src/choice/speed.rs
+++ b/crates/curranthook_policy/src/choice/speed.rs
@@ -12,14 +12,14 @@
     /// Assumed until the first answer was measured.
     pub(crate) const DEFAULT: Self = Self { seconds_per_token: 0.005 };
 
-    pub(crate) fn new(took: Duration, tokens: u64) -> Self {
-        Self { seconds_per_token: per_token(took, tokens) }
+    pub(crate) fn new(duration: Duration, tokens: u64) -> Self {
+        Self { seconds_per_token: per_token(duration, tokens) }
     }
 
-    pub(crate) fn add(&mut self, took: Duration, tokens: u64) {
+    pub(crate) fn add(&mut self, duration: Duration, tokens: u64) {
         const SAMPLE_WEIGHT: f64 = 0.05;
         self.seconds_per_token +=
-            SAMPLE_WEIGHT * (per_token(took, tokens) - self.seconds_per_token);
+            SAMPLE_WEIGHT * (per_token(duration, tokens) - self.seconds_per_token);
     }
 
     pub(crate) fn expected_duration(&self, tokens: u64) -> Duration {
@@ -28,6 +28,6 @@
     }
 }
 
-fn per_token(took: Duration, tokens: u64) -> f64 {
-    took.as_secs_f64() / tokens.max(1) as f64
+fn per_token(duration: Duration, tokens: u64) -> f64 {
+    duration.as_secs_f64() / tokens.max(1) as f64
 }
