--- a/crates/curranthook_policy/src/baseline.rs
+++ b/crates/curranthook_policy/src/baseline.rs
@@ -40,14 +40,14 @@
         &mut self,
         _kind: &kind::Id,
         _first: &version::Id,
-        _then: &version::Id,
+        _second: &version::Id,
         _rating: f64,
         _now: Instant,
     ) {
     }
 
-    /// Records how long a complete answer took.
-    fn record_duration(&mut self, _version: &version::Id, _took: Duration, _tokens: u64) {}
+    /// Records how long a complete answer duration.
+    fn record_duration(&mut self, _version: &version::Id, _duration: Duration, _tokens: u64) {}
 
     /// Merges the totals gathered by all other nodes.
     fn merge(&mut self, _kind: &kind::Id, _version: &version::Id, _ratings: Counts) {}
@@ -62,7 +62,7 @@
         Vec::new()
     }
 
-    /// Replaces the settings.
+    /// Replaces the policy settings, where the strategy has any.
     fn set_policy(&mut self, _policy: Policy) {}
 }
 
@@ -86,8 +86,8 @@
         self.record_second_rating(kind, first, second, rating, now);
     }
 
-    fn record_duration(&mut self, version: &version::Id, took: Duration, tokens: u64) {
-        self.record_duration(version, took, tokens);
+    fn record_duration(&mut self, version: &version::Id, duration: Duration, tokens: u64) {
+        self.record_duration(version, duration, tokens);
     }
 
     fn merge(&mut self, kind: &kind::Id, version: &version::Id, ratings: Counts) {
@@ -143,7 +143,6 @@
 
 /// Returns the strategy with the given name, one of [`STRATEGIES`].
 ///
-///
 /// ```
 /// # use curranthook_policy::baseline;
 /// assert!(baseline::strategy("best", Default::default(), 1).is_some());
@@ -161,7 +160,7 @@
 
 /// A load balancer: a strategy for selecting endpoints.
 pub trait Balancer: std::fmt::Debug + Send {
-    /// Sets the endpoints.
+    /// Replaces the list of endpoints.
     fn set_members(&mut self, members: Vec<Member>);
     /// Selects an endpoint.
     fn select(
@@ -236,7 +235,6 @@
 
 /// Returns the load balancer with the given name, one of [`BALANCERS`].
 ///
-///
 /// ```
 /// # use curranthook_policy::baseline;
 /// assert!(baseline::balancer("round-robin", "zone-a".into(), 1).is_some());
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -51,22 +51,23 @@
 /// Why an endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// Its cache holds the start of the prompt.
+    /// It is the endpoint that requests with the same prompt prefix are sent to, so its cache
+    /// probably has that prefix.
     Affinity,
-    /// It is the less loaded of two endpoints drawn at random.
+    /// It has the better score of two endpoints drawn at random, or is the only one that is neither
+    /// ejected nor at its concurrency limit.
     PowerOfTwo,
-    /// It was ejected and is probed.
+    /// It was ejected, and this request probes whether it has recovered.
     Probe,
-    /// No other endpoint is eligible.
+    /// It is the only endpoint that is neither leaving nor excluded by the caller.
     OnlyOne,
-    /// The fixed rule of a baseline selected it.
+    /// A baseline balancer selected it by its fixed rule.
     Fixed,
 }
 
 impl Reason {
     /// A stable name, for use in counter names.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::endpoint::Reason;
     /// assert_eq!(Reason::PowerOfTwo.name(), "power_of_two");
@@ -85,18 +86,18 @@
 /// Why no endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Unavailable {
-    /// There is no endpoint.
+    /// The pool has no endpoints.
     Empty,
-    /// All endpoints are leaving or were tried before.
+    /// All endpoints are leaving, or the request has already tried them.
     AllExcluded,
-    /// All endpoints run as many requests as they can.
+    /// All remaining endpoints are at their concurrency limit, or are ejected and already being
+    /// probed.
     AllBusy,
 }
 
 impl Unavailable {
     /// A stable name, for use in counter names.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::endpoint::Unavailable;
     /// assert_eq!(Unavailable::AllBusy.name(), "all_busy");
@@ -137,8 +138,7 @@
     Cancelled,
 }
 
-/// The endpoints of one version or plain service.
-///
+/// The endpoints of one version, or of a service that is not a model, with their load and health.
 ///
 /// ```
 /// # use std::time::{Duration, Instant};
@@ -159,7 +159,7 @@
     rng: Pcg64Mcg,
     endpoints: Vec<State>,
     indices: HashMap<Id, usize>,
-    /// Indices of the endpoints that may be selected now; kept to avoid an allocation per
+    /// Indices of the endpoints that may be selected now; a field only to avoid an allocation per
     /// selection.
     eligible: Vec<usize>,
 }
@@ -178,12 +178,12 @@
         }
     }
 
-    /// Sets the endpoints. Keeps the state of those that remain.
+    /// Replaces the list of endpoints. Endpoints that remain retain their state.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>) {
-        let mut known: HashMap<Id, State> =
+        let mut previous: HashMap<Id, State> =
             self.endpoints.drain(..).map(|it| (it.member.id.clone(), it)).collect();
         let chosen = subset(members, self.seed);
-        self.endpoints.extend(chosen.into_iter().map(|member| match known.remove(&member.id) {
+        self.endpoints.extend(chosen.into_iter().map(|member| match previous.remove(&member.id) {
             Some(endpoint) => endpoint.with_member(member),
             None => State::new(member),
         }));
@@ -269,7 +269,7 @@
         };
         self.endpoints[index].finish(outcome, now);
         if outcome == Outcome::Completed {
-            // The ejection was updated when the answer started.
+            // `answer_started` has already updated the ejection state for this answer.
             return;
         }
         ejection::update_ejection(&mut self.endpoints, index, now);
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Clears the leaving mark, after the endpoint itself reported that it stays.
+    /// Clears the leaving mark, after the endpoint itself reported that it is no longer leaving.
     pub fn clear_leaving(&mut self, id: &Id) {
         if let Some(it) = self.endpoint_mut(id) {
             it.is_leaving = false;
@@ -348,8 +348,9 @@
         };
         let total: f64 = self.eligible.iter().map(|it| utilisation(*it)).sum();
         let mean = total / self.eligible.len() as f64;
-        // The bound always allows one request more than the mean, or idle pools would spread
-        // prompts.
+        // The bound always allows one request more than the mean. Otherwise, in a nearly idle pool,
+        // a single request would exceed the bound, and prompts would be sent to endpoints that have
+        // not cached them.
         let bound = (mean * AFFINITY_LOAD_FACTOR).max(mean + 1.0 / self.endpoints[index].slots());
         (utilisation(index) <= bound).then_some(index)
     }
@@ -364,8 +365,9 @@
     }
 }
 
-/// The subset of endpoints used by this node: those whose hash with the node's seed is highest. A
-/// change to the list only moves the endpoints it has to.
+/// The subset of endpoints used by this node: those whose hash with the node's seed is highest
+/// (rendezvous hashing), so a change to the list changes as few endpoints of the subset as
+/// possible.
 fn subset(members: impl IntoIterator<Item = Member>, seed: u64) -> Vec<Member> {
     let mut members: Vec<Member> = members.into_iter().collect();
     if MAX_SUBSET < members.len() {
--- a/crates/curranthook_policy/src/endpoint/ejection.rs
+++ b/crates/curranthook_policy/src/endpoint/ejection.rs
@@ -10,17 +10,20 @@
 const SLOW_FACTOR: f64 = 3.0;
 /// The smallest difference to the median, in seconds, that justifies an ejection.
 const SLOW_MARGIN_SECONDS: f64 = 0.05;
-/// Consecutive lost hedges after which their waiting time is evaluated. A single one may be due to
-/// a connection that went silent.
+/// The number of consecutive attempts that lost to a hedged attempt at another endpoint, from which
+/// on their waiting time counts as a sign of a slow endpoint. A single loss may be due to one
+/// stalled connection.
 const CONSECUTIVE_HEDGE_LOSSES: u32 = 2;
-/// How many times the median the waiting time of a lost hedge must be for an ejection. The factor
-/// is lower than for measured times, since the answer would have come later still.
+/// How many times the median the waiting time of a lost attempt must be for an ejection. The factor
+/// is lower than [`SLOW_FACTOR`], since the first byte would have arrived even later than the
+/// moment the attempt was abandoned.
 const HEDGE_LOSS_FACTOR: f64 = 2.0;
 /// The first ejection time of a failing endpoint; it doubles with each failed probe.
 const MIN_EJECTION_FAILING: Duration = Duration::from_secs(1);
-/// The first ejection time of a slow endpoint. It is longer, since each probe makes a caller wait,
-/// and leaving out a slow endpoint for too long costs less than leaving out one that is presumed
-/// dead but has recovered.
+/// The first ejection time of a slow endpoint; it also doubles with each failed probe. It is longer
+/// than for a failing endpoint, since each probe of a slow endpoint makes a caller wait, and
+/// ejecting a slow endpoint for too long costs less than ejecting one that has already recovered
+/// from a failure.
 const MIN_EJECTION_SLOW: Duration = Duration::from_secs(5);
 const MAX_EJECTION: Duration = Duration::from_secs(30);
 
--- a/crates/curranthook_policy/src/endpoint/first_byte.rs
+++ b/crates/curranthook_policy/src/endpoint/first_byte.rs
@@ -4,7 +4,7 @@
 
 /// The number of recent times kept.
 const MAX_SAMPLES: usize = 32;
-/// The number of times from which on statistics are used.
+/// The minimum number of measured times for a mean or a quantile to be used.
 pub(crate) const MIN_SAMPLES: usize = 8;
 /// The timeout used until enough times were measured.
 pub(crate) const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -20,9 +20,9 @@
 }
 
 impl FirstByte {
-    pub(crate) fn add(&mut self, took: Duration) {
+    pub(crate) fn add(&mut self, first_byte: Duration) {
         const EWMA_WEIGHT: f64 = 0.2;
-        let seconds = took.as_secs_f64();
+        let seconds = first_byte.as_secs_f64();
         self.mean =
             if self.n == 0 { seconds } else { self.mean + EWMA_WEIGHT * (seconds - self.mean) };
         self.recent[self.n % MAX_SAMPLES] = seconds as f32;
--- a/crates/curranthook_policy/src/endpoint/state.rs
+++ b/crates/curranthook_policy/src/endpoint/state.rs
@@ -9,9 +9,9 @@
     hash,
 };
 
-/// The time in which a load report loses half of its weight, as the requests it counted finish.
+/// The half-life of the requests counted in a load report, which end while no newer report arrives.
 const LOAD_REPORT_HALF_LIFE: Duration = Duration::from_millis(500);
-/// Fewer remaining requests than this count as none.
+/// If fewer requests than this remain of a decayed load report, none are assumed.
 const NEGLIGIBLE_REQUESTS: f64 = 0.1;
 /// The factor by which an endpoint in another failure domain must score better to be preferred.
 const REMOTE_DOMAIN_PENALTY: f64 = 1.15;
@@ -33,7 +33,7 @@
     pub(crate) ejected: Option<Ejected>,
     /// Consecutive ejections, for the backoff.
     pub(crate) n_ejections: u32,
-    /// Requests of other nodes, and when their number was reported.
+    /// The number of requests of other nodes, and when it was reported.
     others_load: Option<(f64, Instant)>,
     window: Window,
 }
@@ -45,11 +45,12 @@
     pub(crate) until: Instant,
 }
 
-/// Hedges lost since the last answer: requests answered sooner by another attempt.
+/// Attempts lost since the last answer of this endpoint, because a hedged attempt at another
+/// endpoint answered sooner.
 #[derive(Debug, Default)]
 pub(crate) struct HedgeLosses {
     pub(crate) n: u32,
-    /// How long the last such request waited; its first byte would have come later still.
+    /// How long the last lost attempt waited. Its first byte would have arrived even later.
     pub(crate) last_wait: Duration,
 }
 
--- a/crates/curranthook_policy/src/endpoint/window.rs
+++ b/crates/curranthook_policy/src/endpoint/window.rs
@@ -51,8 +51,8 @@
     }
 
     fn decrease(&mut self, factor: f64, now: Instant) {
-        let is_early = |at: Instant| now.saturating_duration_since(at) < DECREASE_INTERVAL;
-        if self.last_decrease.is_some_and(is_early) {
+        let is_too_soon = |at: Instant| now.saturating_duration_since(at) < DECREASE_INTERVAL;
+        if self.last_decrease.is_some_and(is_too_soon) {
             return;
         }
         self.limit = (self.limit * factor).max(1.0);
