--- a/crates/curranthook_policy/src/hash.rs
+++ b/crates/curranthook_policy/src/hash.rs
@@ -6,7 +6,6 @@
 
 /// Hashes bytes (FNV-1a with a final mix).
 ///
-///
 /// ```
 /// # use curranthook_policy::hash;
 /// assert_eq!(hash::bytes(b"session-1"), hash::bytes(b"session-1"));
@@ -20,7 +19,6 @@
 
 /// Combines two hashes; the order matters.
 ///
-///
 /// ```
 /// # use curranthook_policy::hash;
 /// assert_ne!(hash::pair(1, 2), hash::pair(2, 1));
@@ -31,7 +29,6 @@
 
 /// Maps a hash to a number from 0 up to, but not including, 1.
 ///
-///
 /// ```
 /// # use curranthook_policy::hash;
 /// assert!(hash::unit(u64::MAX) < 1.0);
--- a/crates/curranthook_policy/src/lib.rs
+++ b/crates/curranthook_policy/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! Nothing here does I/O, reads a clock or starts a thread. Time is passed in as `now` and random
 //! numbers come from a seed, so every decision is reproducible. Each decision returns its reason,
-//! and the reason's `name()` is the last part of the name of its counter.
+//! and the reason's `name()` can be used as the last part of a counter's name.
 //!
 //! A request passes [`limit`] (is the account within its rate limit?), [`rollout`] and [`choice`]
 //! (which version?), [`queue`] (when?), [`endpoint`] (where?) and, on failure, [`retry`] and
 //! [`poison`]. [`verdict`] tests the answers of each version for a drop in quality. [`baseline`]
-//! holds simple strategies to compare with.
+//! has simple strategies to compare with.
 
 pub mod baseline;
 pub mod choice;
--- a/crates/curranthook_policy/src/limit.rs
+++ b/crates/curranthook_policy/src/limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits of accounts.
+//! Rate limits of client accounts, shared between the nodes of the fleet.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,6 @@
 
 /// A token bucket with this node's share of an account's limit.
 ///
-///
 /// ```
 /// # use std::time::Instant;
 /// # use curranthook_policy::limit::Bucket;
@@ -28,11 +27,14 @@
 /// ```
 #[derive(Debug)]
 pub struct Bucket {
+    /// The fleet-wide limit, in requests per second.
     rate: f64,
+    /// The fleet-wide burst, in requests.
     burst: f64,
     share: f64,
     tokens: f64,
-    updated: Instant,
+    updated_at: Instant,
+    /// The moving average of requests per second on this node, granted or not.
     demand: f64,
 }
 
@@ -40,7 +42,7 @@
     /// Creates a full bucket with an even share among `nodes`.
     pub fn new(limit: &Limit, nodes: usize, now: Instant) -> Self {
         let mut bucket =
-            Self { rate: 0.0, burst: 0.0, share: 0.0, tokens: 0.0, updated: now, demand: 0.0 };
+            Self { rate: 0.0, burst: 0.0, share: 0.0, tokens: 0.0, updated_at: now, demand: 0.0 };
         bucket.set_limit(limit, nodes);
         bucket.tokens = bucket.capacity();
         bucket
@@ -57,7 +59,6 @@
     /// Shifts the share towards demand. `fleet_demand` is the demand on all nodes, including this
     /// one. Shares computed from the same figures add up to the limit.
     ///
-    ///
     /// ```
     /// # use std::time::Instant;
     /// # use curranthook_policy::limit::Bucket;
@@ -89,8 +90,8 @@
 
     /// Takes one token, or returns the time until the next one is available.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let elapsed_seconds = now.saturating_duration_since(self.updated).as_secs_f64();
-        self.updated = self.updated.max(now);
+        let elapsed_seconds = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
         self.tokens = (self.tokens + elapsed_seconds * self.rate * self.share).min(self.capacity());
         self.count_demand(elapsed_seconds);
 
@@ -101,7 +102,8 @@
         Ok(())
     }
 
-    /// At least one request, since a smaller bucket could never grant any.
+    /// The capacity of the bucket, at least one token, since a smaller bucket could never grant a
+    /// request.
     fn capacity(&self) -> f64 {
         (self.burst * self.share).max(1.0)
     }
--- a/crates/curranthook_policy/src/poison.rs
+++ b/crates/curranthook_policy/src/poison.rs
@@ -13,7 +13,7 @@
 
 /// How many different endpoints must have crashed while running a request before it is refused.
 const MIN_CRASHED_ENDPOINTS: usize = 2;
-/// How long a record stays valid.
+/// How long after its first crash a record stays valid.
 const RECORD_TTL: Duration = Duration::from_secs(600);
 
 /// A node's record of one request, as sent to other nodes.
@@ -23,17 +23,18 @@
     pub fingerprint: Fingerprint,
     /// The endpoints that crashed while running it; at most two are listed, which is enough.
     pub endpoints: BTreeSet<endpoint::Id>,
-    /// Whether an endpoint answered the request since.
+    /// Whether the crashes still count against the request, or an endpoint has answered it after
+    /// them.
     pub state: State,
     /// The time since the first crash.
     pub age: Duration,
 }
 
-/// Whether a record still counts.
+/// Whether the crashes in a record count against the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The record counts.
+    /// No endpoint has answered the request, so its crashes count.
     #[serde(rename = "charged")]
     Active,
     /// An endpoint answered the request, so the crashes had another cause.
@@ -43,7 +44,6 @@
 
 /// Records of crashes by request fingerprint. The oldest are dropped if there are too many.
 ///
-///
 /// ```
 /// # use std::time::Instant;
 /// # use curranthook_policy::poison::Register;
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Records that an endpoint answered this request.
+    /// Records that an endpoint answered this request, so that it is no longer refused.
     pub fn clear(&mut self, fingerprint: Fingerprint) {
         if let Some(it) = self.records.get_mut(&fingerprint) {
             it.state = State::Cleared;
--- a/crates/curranthook_policy/src/queue.rs
+++ b/crates/curranthook_policy/src/queue.rs
@@ -9,6 +9,7 @@
 
 /// How far one request of an account of weight 1 advances the account's virtual time.
 const COST_PER_REQUEST: f64 = 1_000_000.0;
+/// The minimum weight of an account, which avoids a division by zero.
 const MIN_WEIGHT: f64 = 0.001;
 /// The largest share of the time left that the expected wait may take. The rest covers errors of
 /// the estimate and the time to answer: a request that waits until just before its deadline fails
@@ -18,14 +19,14 @@
 /// The queue cannot serve a request in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full {
-    /// When the caller may try again.
+    /// How long the caller should wait before it retries.
     pub retry_after: Duration,
 }
 
-/// The next request.
+/// A request removed from the queue by [`Fair::pop`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next<T> {
-    /// A request to run.
+    /// The request to run next.
     Run(T),
     /// A request to refuse: its deadline passed while it waited.
     Expired(T),
@@ -33,10 +34,9 @@
 
 /// A weighted fair queue over accounts (self-clocked fair queueing) that respects deadlines.
 ///
-/// A request is refused on arrival if its expected wait exceeds the time it has. It would fail at
-/// its deadline anyway; refused at once, its caller can go elsewhere, and the requests behind it
-/// don't wait for one that is lost.
-///
+/// A request is refused on arrival if its expected wait is too long for its deadline. It would miss
+/// the deadline anyway; if it is refused at once, its caller can try elsewhere, and the requests
+/// behind it don't wait for a request that cannot succeed.
 ///
 /// ```
 /// # use std::time::{Duration, Instant};
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// Removes the next request.
+    /// Removes and returns the next request in fair order.
     pub fn pop(&mut self, now: Instant) -> Option<Next<T>> {
         let ((finish, _), entry) = self.entries.pop_first()?;
         self.record_departure(&entry);
@@ -168,7 +168,8 @@
         }
     }
 
-    /// The expected wait of a request of a new account.
+    /// How long a request is expected to wait if it arrives now from an account with weight 1 and
+    /// no waiting requests.
     pub fn expected_wait(&self, now: Instant) -> Duration {
         let ahead = self.count_ahead(self.virtual_time.saturating_add(COST_PER_REQUEST as u64));
         self.throughput.expected_interval(now).saturating_mul(ahead)
@@ -251,6 +252,8 @@
     /// The expected time between two served requests. An ongoing stall counts too, since endpoints
     /// that stop altogether never produce another interval.
     fn expected_interval(&self, now: Instant) -> Duration {
+        /// The fraction of the time since the last served request that is assumed as the expected
+        /// interval.
         const STALL_WEIGHT: f64 = 0.25;
         let mean_interval_seconds = self.mean_interval_seconds.unwrap_or(0.0);
         let elapsed =
--- a/crates/curranthook_policy/src/retry.rs
+++ b/crates/curranthook_policy/src/retry.rs
@@ -11,7 +11,6 @@
 /// everyone, successes stop and so do retries; without the budget, retries would multiply the load
 /// just when there is the least capacity for it.
 ///
-///
 /// ```
 /// # use std::time::Instant;
 /// # use curranthook_policy::retry::Budget;
@@ -24,7 +23,7 @@
 pub struct Budget {
     fraction: f64,
     tokens: f64,
-    updated: Instant,
+    updated_at: Instant,
 }
 
 /// The budget is exhausted; holds the reason of the retry that was denied.
@@ -39,7 +38,7 @@
 
     /// Creates a budget that earns `fraction` of a retry per success.
     pub fn new(fraction: f64, now: Instant) -> Self {
-        Self { fraction, tokens: Self::CAPACITY / 2.0, updated: now }
+        Self { fraction, tokens: Self::CAPACITY / 2.0, updated_at: now }
     }
 
     /// Changes the fraction of a retry earned per success.
@@ -55,8 +54,8 @@
     /// Takes one retry from the budget. Some retries are free: an escalation is part of its plan,
     /// and an endpoint that is unreachable or leaving did no work that would be repeated.
     pub fn spend(&mut self, reason: Reason, now: Instant) -> Result<(), Exhausted> {
-        let elapsed = now.saturating_duration_since(self.updated);
-        self.updated = self.updated.max(now);
+        let elapsed = now.saturating_duration_since(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
         self.earn(elapsed.as_secs_f64() * Self::MIN_RETRIES_PER_SECOND);
         if is_free(reason) {
             return Ok(());
@@ -73,12 +72,12 @@
     }
 }
 
-/// Whether a call may be repeated.
+/// Whether a call may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// Running it twice has the same effect as running it once.
+    /// Running the call twice has the same effect as running it once.
     Idempotent,
-    /// It must run at most once.
+    /// The call must run at most once.
     AtMostOnce,
 }
 
@@ -96,9 +95,9 @@
 /// What the caller has received of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivered {
-    /// Nothing.
+    /// The caller has received no part of the answer.
     Nothing,
-    /// A part of a stream.
+    /// The caller has received a part of a streamed answer.
     Partial,
 }
 
@@ -107,9 +106,9 @@
 pub struct Attempt {
     /// Whether the call may be repeated.
     pub repeat: Repeat,
-    /// What the endpoint may have received.
+    /// What the endpoint may have received of the attempt.
     pub sent: Sent,
-    /// What the caller has received.
+    /// What the caller has received of the answer.
     pub delivered: Delivered,
     /// The number of attempts so far, including this one.
     pub attempts: u32,
@@ -124,7 +123,7 @@
     Retry,
     /// Resume the stream where it stopped, on the same version.
     Resume,
-    /// Give up.
+    /// Don't retry, for the given reason.
     Stop(Stop),
 }
 
@@ -148,7 +147,6 @@
 impl Stop {
     /// A stable name, for use in counter names.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::retry::Stop;
     /// assert_eq!(Stop::MayHaveRun.name(), "may_have_run");
@@ -164,7 +162,6 @@
 
 /// Whether and how a failed attempt is retried. The retry budget is checked separately.
 ///
-///
 /// ```
 /// # use std::time::Duration;
 /// # use curranthook_policy::retry::{Attempt, Decision, Repeat, Sent, Delivered, Stop, decide};
--- a/crates/curranthook_policy/src/rollout.rs
+++ b/crates/curranthook_policy/src/rollout.rs
@@ -13,7 +13,6 @@
 /// The version for a session. The same key always gets the same version, and a key that got the new
 /// version keeps it as the share grows.
 ///
-///
 /// ```
 /// # use curranthook_policy::rollout;
 /// # use curranthook_settings::rollout::{Rollout, State};
@@ -38,7 +37,6 @@
 
 /// The conditions for advancing a stage of a rollout.
 ///
-///
 /// ```
 /// # use std::time::Duration;
 /// # use curranthook_policy::{rollout::{Decision, Gate, Hold}, verdict::{Counts, State}};
@@ -70,14 +68,14 @@
     }
 }
 
-/// What happens to a rollout.
+/// The decision on the current stage of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It advances to the next stage.
+    /// The rollout advances to the next stage.
     Advance,
-    /// It stays at its stage.
+    /// The rollout stays at its current stage, for the given reason.
     Hold(Hold),
-    /// It is aborted.
+    /// The rollout is aborted, because the test found the new version to be worse.
     Abort(verdict::Reason),
 }
 
@@ -86,9 +84,9 @@
 pub enum Hold {
     /// The stage has not lasted long enough.
     Time,
-    /// Too few answers.
+    /// The new version has given too few answers in this stage.
     Answers,
-    /// Too few ratings.
+    /// The new version has received too few ratings in this stage.
     Ratings,
     /// The new version is rated lower, though not yet with confidence.
     Rating,
@@ -99,7 +97,6 @@
 impl Hold {
     /// A stable name, for use in counter names.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::rollout::Hold;
     /// assert_eq!(Hold::Ratings.name(), "ratings");
--- a/crates/curranthook_policy/src/verdict.rs
+++ b/crates/curranthook_policy/src/verdict.rs
@@ -17,7 +17,7 @@
 
 pub use crate::verdict::counts::Counts;
 
-/// One answer.
+/// One call to a version, as added to the test.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sample {
     /// Its rating from 0 to 1, if it was rated.
@@ -31,7 +31,7 @@
 /// Whether a call was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The call was answered.
     Answered,
     /// The version failed, for a reason not caused by the endpoint or the network.
     Error,
@@ -43,13 +43,13 @@
 /// The result of the test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// No drop was found.
+    /// No drop in quality was detected.
     Clear,
-    /// The version got worse. This result is final until the test is replaced.
+    /// The version got worse. This state is final: only a new test can be clear again.
     Suspect(Reason),
 }
 
-/// What got worse.
+/// The measure by which a version got worse. Each reason has a counter, `suspect.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
@@ -66,7 +66,6 @@
 impl Reason {
     /// A stable name, for use in counter names.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::verdict::Reason;
     /// assert_eq!(Reason::Rating.name(), "rating");
@@ -102,7 +101,7 @@
 /// What a version is compared with.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Reference {
-    /// Its own past. No drop is found before there is enough of it.
+    /// The version's own earlier answers. No drop is detected until there are enough of them.
     Own,
     /// Counts of another version, such as the one it replaces.
     Other(Counts),
@@ -110,7 +109,6 @@
 
 /// A sequential test of one version.
 ///
-///
 /// ```
 /// # use curranthook_policy::verdict::{Config, Counts, Outcome, Reason, Reference};
 /// # use curranthook_policy::verdict::{Sample, State, Test};
@@ -129,7 +127,7 @@
     own: Counts,
     origins: BTreeMap<Origin, Counts>,
     total: Counts,
-    /// The past counts that serve as reference where the version is compared with itself.
+    /// The version's earlier counts, which are the reference in [`Reference::Own`].
     baseline: Counts,
     rating: Detector,
     errors: Detector,
@@ -141,7 +139,7 @@
 impl Test {
     /// Creates a test without samples.
     pub fn new(config: Config, reference: Reference) -> Self {
-        let detector = |side| Detector::new(side, config.horizon);
+        let detector = |direction| Detector::new(direction, config.horizon);
         Self {
             config,
             reference,
@@ -303,6 +301,8 @@
     const MIN_REFERENCE_SAMPLES: u64 = 50;
     /// The number of ratings after which the version's own reference is advanced.
     const REFERENCE_STEP_RATINGS: u64 = 50;
+    /// The urgency from which on the version's own reference is not advanced, so that a drop in
+    /// quality does not become part of the reference.
     const MAX_ADVANCE_URGENCY: f64 = 0.3;
     /// The tolerated increase of the error rate.
     const ERROR_MARGIN: f64 = 0.05;
--- a/crates/curranthook_policy/src/verdict/counts.rs
+++ b/crates/curranthook_policy/src/verdict/counts.rs
@@ -27,7 +27,6 @@
 impl Counts {
     /// The mean rating.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::verdict::Counts;
     /// assert_eq!(Counts { n: 2, sum: 1.0, ..Counts::default() }.mean(), Some(0.5));
@@ -39,7 +38,6 @@
 
     /// The standard error of the mean rating; 1 with fewer than two ratings.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::verdict::Counts;
     /// let it = Counts { n: 100, sum: 50.0, squares: 50.0, ..Counts::default() };
@@ -72,7 +70,6 @@
 
     /// Adds two counts.
     ///
-    ///
     /// ```
     /// # use curranthook_policy::verdict::Counts;
     /// let one = Counts { n: 1, sum: 0.5, calls: 1, ..Counts::default() };
--- a/crates/curranthook_policy/src/verdict/detector.rs
+++ b/crates/curranthook_policy/src/verdict/detector.rs
@@ -70,7 +70,9 @@
 
     /// How far the evidence exceeds its resting level, from 0 (calm) to 1.
     pub(crate) fn urgency(&self) -> f64 {
+        /// The multiple of the resting level up to which urgency is 0.
         const CALM_FACTOR: f64 = 3.0;
+        /// The multiple of the resting level from which on urgency is 1.
         const URGENT_FACTOR: f64 = 6.0;
         let resting_evidence = self.start_weight * ALTERNATIVE_FRACTIONS.len() as f64;
         let factor = self.evidence() / resting_evidence;
