--- a/crates/curranthook_policy/examples/verdict_study.rs
+++ b/crates/curranthook_policy/examples/verdict_study.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::{Fleet, Sampling, Setup, established_reference};
 
-/// The number of good answers in a run without a drop, and before a drop.
+/// The number of answers in a run without a drop in quality.
 const GOOD_RUN_ANSWERS: u64 = 10_000;
 const ANSWERS_BEFORE_DROP: u64 = 2_000;
 /// The number of bad answers after which a run is abandoned.
@@ -78,9 +78,9 @@
 
 fn print_row(name: &str, setup: Setup, seeds: u64) {
     let runs: Vec<Run> = std::thread::scope(|scope| {
-        let part = |part| scope.spawn(move || run_part(setup, seeds, part));
-        let parts: Vec<_> = (0..N_THREADS).map(part).collect();
-        parts.into_iter().flat_map(|it| it.join().expect("a run doesn't panic")).collect()
+        let spawn = |thread_index| scope.spawn(move || run_thread(setup, seeds, thread_index));
+        let threads: Vec<_> = (0..N_THREADS).map(spawn).collect();
+        threads.into_iter().flat_map(|it| it.join().expect("a run doesn't panic")).collect()
     });
     let n_alarms = runs.iter().filter(|it| it.has_false_alarm).count();
     let n_good: u64 = runs.iter().map(|it| it.n_good).sum();
@@ -100,8 +100,8 @@
     );
 }
 
-fn run_part(setup: Setup, seeds: u64, part: usize) -> Vec<Run> {
-    (part as u64..seeds).step_by(N_THREADS).map(|seed| run(setup, seed)).collect()
+fn run_thread(setup: Setup, seeds: u64, thread_index: usize) -> Vec<Run> {
+    (thread_index as u64..seeds).step_by(N_THREADS).map(|seed| run(setup, seed)).collect()
 }
 
 fn summary(mut bad_answers: Vec<u64>) -> String {
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -241,7 +241,8 @@
         prop_assert!(n_explored <= exploration * 100.0 + 1.0);
     }
 
-    /// Gossip between nodes repeats totals and may deliver them late.
+    /// Gossip between nodes repeats totals and may deliver them late. If a repeated or older total
+    /// were added again, its ratings would count twice and distort the estimate.
     #[test]
     fn merging_ignores_repeated_and_older_totals(totals in proptest::collection::vec(1_u64..100, 1..20)) {
         let (kind, id) = (kind::Id::new("k"), version::Id::new("m@1"));
--- a/crates/curranthook_policy/tests/endpoint.rs
+++ b/crates/curranthook_policy/tests/endpoint.rs
@@ -46,8 +46,8 @@
     assert!(0 < n_slow, "the slow endpoint is still probed occasionally");
 }
 
-/// As above, with prefix affinity: an endpoint keeps the prompts assigned to it regardless of its
-/// latency, so a slow endpoint must be ejected.
+/// One endpoint becomes ten times slower. Prefix affinity sends it the same prompts regardless of
+/// its latency, so callers of these prompts wait until it is ejected.
 #[test]
 fn slow_endpoint_loses_prefix_affinity() {
     let (mut pool, mut now) = (pool(10), Instant::now());
@@ -65,8 +65,8 @@
     assert!(n_slow < 40, "{n_slow} of 2,000 requests went to the slow endpoint");
 }
 
-/// An endpoint fails and recovers. Only an answer to a request of this node shows that it has
-/// recovered.
+/// An endpoint fails and recovers. Only an answer to a request of this node proves that it can be
+/// reached again; a load report alone must not readmit it.
 #[test]
 fn failed_endpoint_is_readmitted_by_a_successful_probe() {
     let (mut pool, start) = (pool(4), Instant::now());
@@ -108,7 +108,8 @@
     assert_eq!(pool.n_ejected(), 1);
 }
 
-/// At a slow endpoint, an answer ends long after its first byte.
+/// At a slow endpoint, an answer ends long after its first byte. If the endpoint were only ejected
+/// at the end of an answer, more requests would be sent to it until then.
 #[test]
 fn slow_first_bytes_eject_before_answers_end() {
     let (mut pool, now) = (pool(4), Instant::now());
--- a/crates/curranthook_policy/tests/overload.rs
+++ b/crates/curranthook_policy/tests/overload.rs
@@ -54,7 +54,8 @@
     assert!(n_expired <= 100, "hardly any request expires in the queue: {n_expired}");
 }
 
-/// Endpoints stop. Requests that arrive then would wait until their deadline for nothing.
+/// All endpoints stop responding. If requests that arrive then were queued, they would wait until
+/// their deadline and fail.
 #[test]
 fn requests_are_refused_on_arrival_during_a_stall() {
     let (mut queue, mut now) = (Fair::new(100), Instant::now());
@@ -66,8 +67,8 @@
     assert!(TIME_TO_DEADLINE < full.retry_after);
 }
 
-/// One account was alone for a while when a second one starts. The second one must not be served
-/// exclusively to compensate for the time it sent nothing.
+/// A second account starts after the first one was the only one for a while. The second one must
+/// not be served exclusively to make up for the time when it sent no requests.
 #[test]
 fn idle_time_earns_no_extra_share() {
     let (mut queue, now) = (Fair::new(10_000), Instant::now());
@@ -101,7 +102,7 @@
     }
 }
 
-/// Every endpoint fails, and each retry adds to the load that overloaded them.
+/// Every endpoint fails from overload, and each retry would add to the load.
 #[test]
 fn retry_budget_is_exhausted_without_successes() {
     let now = Instant::now();
@@ -178,8 +179,8 @@
     assert!(!second_node.is_poison(fingerprint, now), "an endpoint answered the request");
 }
 
-/// Nodes exchange a record back and forth. If each exchange refreshed its age, it would never
-/// expire.
+/// Nodes exchange a record back and forth. If each exchange reset the age of the record, it would
+/// never expire, and the request would be refused forever.
 #[test]
 fn exchanged_poison_records_still_expire() {
     const TRANSIT_TIME: Duration = Duration::from_secs(30);
--- a/crates/curranthook_policy/tests/rollout.rs
+++ b/crates/curranthook_policy/tests/rollout.rs
@@ -44,7 +44,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A session that moved to the new version stays on it as the share grows.
+    /// A session that moved to the new version stays on it as the share grows. Otherwise it would
+    /// switch versions back and forth during the rollout.
     #[test]
     fn sessions_never_move_back(key in any::<u64>(), smaller in 0.0_f64..=1.0, larger in 0.0_f64..=1.0) {
         let (smaller, larger) = (rollout(smaller.min(larger)), rollout(smaller.max(larger)));
--- a/crates/curranthook_policy/tests/verdict.rs
+++ b/crates/curranthook_policy/tests/verdict.rs
@@ -38,7 +38,8 @@
     );
 }
 
-/// A new version is bad from its first answer.
+/// A new version is worse than the version it replaces, from its first answer on. Nearly all runs
+/// must stop it before it has given 60 answers.
 #[test]
 fn bad_new_version_is_stopped() {
     let setup = Setup {
