--- a/crates/curranthook_steward/src/lease.rs
+++ b/crates/curranthook_steward/src/lease.rs
@@ -25,9 +25,10 @@
 pub const TABLE: &str = "leases";
 /// How long a lease is valid after its row was written.
 pub const TERM: Duration = Duration::from_secs(6);
-/// The timeout of an order or any other effect of a lease.
+/// The timeout of an order, or of any other action that needs the lease.
 pub const EFFECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a candidate must have seen a row unchanged before it takes over the lease.
+/// How long a candidate must have seen a row unchanged before it takes over the lease: [`TERM`]
+/// plus [`EFFECT_TIMEOUT`].
 pub const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The content of a lease's row.
@@ -71,7 +72,7 @@
 }
 
 impl Lease {
-    /// The lease of `shard`, not held until acquired.
+    /// Creates the lease of `shard`, which is not held until it is acquired.
     pub fn new(
         table: Arc<dyn Table>,
         clock: Arc<dyn Clock>,
@@ -159,7 +160,8 @@
         match written {
             Ok(Write::Done(tag)) => self.set_held(tag, record, sent_at),
             Ok(Write::Conflict) => {}
-            // Only a row with this process as holder and this fencing token is this process's own.
+            // The response was lost, so it is unknown whether the write took effect. It did if the
+            // row has this process as holder and this fencing token.
             Err(Error::Lost(_)) => {
                 let row = self.table.get(TABLE, &self.shard).await?;
                 if let Some(row) = row.filter(|it| decode(it).as_ref() == Ok(&record)) {
--- a/crates/curranthook_steward/src/lib.rs
+++ b/crates/curranthook_steward/src/lib.rs
@@ -1,10 +1,11 @@
-//! Control work under leases.
+//! The steward: control work on the fleet, with each shard done by one steward at a time under a
+//! lease.
 //!
 //! [`lease`] acquires and renews leases in the platform's table. [`shard`] defines how the work is
 //! divided, [`poll`] how often leases held by other stewards are polled. [`verdict`] withdraws
-//! versions whose quality dropped, [`rollout`] advances rollouts, [`order`] tells engines which
-//! versions to serve. [`document`] reads and replaces the published configuration. [`serve`] runs
-//! the steward.
+//! versions whose quality dropped, [`rollout`] advances rollouts, and [`order`] makes engines load
+//! and unload versions. [`evidence`] fetches the counts of all nodes' answers from the router,
+//! [`document`] reads and replaces the published configuration. [`serve`] runs the steward.
 
 pub mod document;
 pub mod evidence;
--- a/crates/curranthook_steward/src/order.rs
+++ b/crates/curranthook_steward/src/order.rs
@@ -20,13 +20,13 @@
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Order {
-    /// What to do.
+    /// Whether to load or to unload the version.
     pub action: Action,
     /// The version to load or unload.
     pub version: version::Id,
 }
 
-/// The action of an order.
+/// Whether an engine is ordered to load or to unload a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -57,7 +57,6 @@
 
 /// The orders that bring an engine from the versions it serves to those it should serve.
 ///
-///
 /// ```
 /// # use curranthook_steward::order::{Action, difference};
 /// let served = ["m@1".into(), "m@2".into()].into();
--- a/crates/curranthook_steward/src/poll.rs
+++ b/crates/curranthook_steward/src/poll.rs
@@ -6,9 +6,9 @@
 
 /// The shortest time between two polls of one shard.
 const MIN_INTERVAL: Duration = Duration::from_secs(4);
-/// The maximum rate of polls by all stewards together. The platform's table serves about two
-/// thousand reads per second to all clients; at a fixed interval, stewards alone would use them up
-/// at 1,100 nodes.
+/// The maximum rate of polls by all stewards together. The platform's table serves about 2,000
+/// reads per second to all clients; at a fixed interval, the stewards alone would use them up in a
+/// fleet of 1,100 nodes.
 const FLEET_READS_PER_SECOND: f64 = 400.0;
 
 /// The longest time between two polls of one shard, in a fleet of `n_nodes`.
@@ -16,7 +16,6 @@
 /// A large fleet detects a dead holder about as fast as a small one: the interval grows with the
 /// number of stewards that poll, and any one of them detects it by polling twice.
 ///
-///
 /// ```
 /// # use curranthook_steward::poll;
 /// assert_eq!(poll::interval(8).as_secs(), 4);
--- a/crates/curranthook_steward/src/rollout.rs
+++ b/crates/curranthook_steward/src/rollout.rs
@@ -14,7 +14,8 @@
 
 use crate::evidence::Row;
 
-/// The counts of both versions when this steward first saw a stage.
+/// For each model and stage of a rollout, the counts of the old and the new version when this
+/// steward first saw the stage. The difference to them covers the stage only.
 #[derive(Debug, Default)]
 pub struct Tracker {
     baselines: HashMap<(String, usize), (Counts, Counts)>,
--- a/crates/curranthook_steward/src/serve.rs
+++ b/crates/curranthook_steward/src/serve.rs
@@ -42,12 +42,12 @@
 const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// How often the router is asked for the size of the fleet.
 const FLEET_SIZE_INTERVAL: Duration = Duration::from_secs(10);
-/// How often the work of a held shard is run.
+/// How often the work of a shard is run while its lease is held.
 const WORK_INTERVAL: Duration = Duration::from_millis(500);
-/// How often every engine is checked even if the document did not change.
+/// How often the versions served by every engine are checked even if the document did not change.
 const FULL_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The command line options.
+/// The settings from the command line.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The address at which the router on this VM accepts calls from peers.
@@ -65,7 +65,7 @@
     evidence: evidence::Client,
     engines: order::Client,
     gate: Gate,
-    /// The approximate number of nodes.
+    /// The approximate number of nodes in the fleet, as last reported by the router.
     n_nodes: AtomicUsize,
     status: Mutex<Status>,
 }
@@ -127,11 +127,11 @@
         shard.await;
     }
     server_task.await;
-    log::info!("ended");
+    log::info!("shutdown complete");
     Ok(())
 }
 
-/// What a shard keeps between two rounds of work.
+/// The state of a shard that is retained between two rounds of its work, while its lease is held.
 #[derive(Debug, Default)]
 struct ShardState {
     monitor: verdict::Monitor,
@@ -161,8 +161,8 @@
                     log::debug!("work on shard {key} failed: {e:#}");
                 }
             } else {
-                // Whichever process acquires the lease next starts from the state of the platform and
-                // the engines, not from what this process remembers.
+                // Whichever process acquires the lease next starts from the state of the platform
+                // and the engines, not from what this process remembers.
                 state = ShardState::default();
             }
             futures_lite::future::or(stop.wait(), async {
--- a/crates/curranthook_steward/src/shard.rs
+++ b/crates/curranthook_steward/src/shard.rs
@@ -2,17 +2,17 @@
 
 use curranthook_types::{endpoint, site};
 
-/// The number of shards for the orders to a site's engines.
+/// The number of shards among which the engines of a site are divided for load and unload orders.
 pub const N_ORDER_SHARDS: u64 = 4;
 
-/// A kind of control work, or a part of it.
+/// A unit of control work, done by the one steward that holds its lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shard {
     /// Withdrawal of bad versions.
     Verdicts,
-    /// Rollouts.
+    /// Advancing and aborting rollouts.
     Rollouts,
-    /// Orders to the engines whose ids hash to this part.
+    /// Load and unload orders to the engines whose ids hash to this shard number.
     Orders(u64),
 }
 
@@ -35,7 +35,6 @@
 
     /// The shard that an engine belongs to.
     ///
-    ///
     /// ```
     /// # use curranthook_steward::shard::Shard;
     /// assert!(Shard::all().contains(&Shard::for_endpoint(&"tally-1".into())));
--- a/crates/curranthook_steward/src/verdict.rs
+++ b/crates/curranthook_steward/src/verdict.rs
@@ -18,12 +18,12 @@
     tests: HashMap<version::Id, Test>,
 }
 
-/// A version to withdraw.
+/// The decision to withdraw a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
-    /// The version.
+    /// The version to withdraw.
     pub version: version::Id,
-    /// What got worse.
+    /// The measure by which the version got worse.
     pub reason: Reason,
 }
 
@@ -31,11 +31,11 @@
     /// Merges the counts and returns the versions to withdraw.
     pub fn evaluate(&mut self, document: &Document, rows: &[Row]) -> Vec<Verdict> {
         for (version, origin, counts) in rows {
-            let test = self
+            let version_test = self
                 .tests
                 .entry(version.clone())
                 .or_insert_with(|| Test::new(Config::default(), Reference::Own));
-            test.merge_counts(origin, *counts);
+            version_test.merge_counts(origin, *counts);
         }
         self.tests
             .iter()
--- a/crates/curranthook_steward/tests/poll.rs
+++ b/crates/curranthook_steward/tests/poll.rs
@@ -21,7 +21,8 @@
     assert!(rate < MAX_READS_PER_SECOND, "{rate} reads per second");
 }
 
-/// In a small fleet, no other steward would detect a dead holder in time.
+/// A small fleet has few other stewards that could detect a dead holder, so each one must poll
+/// often.
 #[test]
 fn small_fleet_polls_at_the_minimum_interval() {
     assert_eq!(poll::interval(1), Duration::from_secs(4));
