--- a/crates/curranthook_policy/src/choice/estimate.rs
+++ b/crates/curranthook_policy/src/choice/estimate.rs
@@ -17,7 +17,8 @@
 const DEFAULT_WEIGHT_RATINGS: f64 = 2.0;
 /// The quality assumed of a version without a claimed quality.
 const DEFAULT_QUALITY: f64 = 0.5;
-/// With fewer ratings than this, the evidence is too sparse for most conclusions.
+/// With fewer ratings than this, the evidence neither proves nor refutes that a cascade meets the
+/// target. Where a cascade is possible, the version's answers are rated before they are returned.
 const SPARSE_RATINGS: f64 = 30.0;
 /// With fewer ratings than this, every answer is rated.
 const CONVERGED_RATINGS: f64 = 200.0;
--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -110,9 +110,10 @@
         history.add(first, second, quality, required);
     }
 
-    /// How many more recent answers were good than required. Past answers are valued by the current
-    /// estimates, which include ratings from all nodes: if a version turns out worse than
-    /// estimated, the shortfall is compensated by better answers.
+    /// By how much the estimated number of good recent answers exceeds the required number; negative
+    /// if it falls short. Past answers are valued by the current estimates, which include ratings
+    /// from all nodes: if a version turns out worse than estimated, the shortfall is compensated by
+    /// better answers.
     fn excess(&mut self, request: &Request<'_>) -> f64 {
         let Some(history) = self.history.get_mut(request.kind) else { return 0.0 };
         let id = |it: &Scored| request.candidates[it.index].id;
--- a/crates/curranthook_policy/src/endpoint.rs
+++ b/crates/curranthook_policy/src/endpoint.rs
@@ -202,8 +202,9 @@
         self.endpoints.is_empty()
     }
 
-    /// Selects an endpoint. `affinity` is a hash of the cached content the request needs, `exclude`
-    /// lists the endpoints that the request has tried.
+    /// Selects an endpoint. Requests with the same `affinity`, a hash of the start of the prompt, go
+    /// to the same endpoint where possible, so that it can use its prefix cache. `exclude` lists the
+    /// endpoints that the request has already tried.
     pub fn select(
         &mut self,
         affinity: Option<u64>,
--- a/crates/curranthook_policy/src/limit.rs
+++ b/crates/curranthook_policy/src/limit.rs
@@ -5,8 +5,8 @@
 use curranthook_settings::config::Limit;
 
 /// The fraction of the fleet-wide limit that is split evenly between nodes; the rest follows
-/// demand. If an account suddenly turns to a node, this is what the node grants until the demand
-/// there is known.
+/// demand. If an account's traffic suddenly moves to a node, the node can grant its part of this
+/// fraction until its measured demand has risen.
 const EVEN_FRACTION: f64 = 0.25;
 /// The time constant of the moving average of demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(5);
