--- a/crates/curranthook_policy/tests/fleet/mod.rs
+++ b/crates/curranthook_policy/tests/fleet/mod.rs
@@ -137,8 +137,8 @@
     const N_SAMPLES: u64 = 1_000;
     let mut rng = Pcg64Mcg::seed_from_u64(0);
     let samples = (0..N_SAMPLES).map(|_| Counts::from(draw_sample(&mut rng, mean, 0.0)));
-    let calls = samples.fold(Counts::default(), |sum, it| sum.plus(&it));
+    let counts = samples.fold(Counts::default(), |sum, it| sum.plus(&it));
     // Exactly the given mean, so that the study doesn't depend on one random draw of the reference.
     let sum = mean * N_SAMPLES as f64;
-    Reference::Other(Counts { n: N_SAMPLES, sum, squares: sum, ..calls })
+    Reference::Other(Counts { n: N_SAMPLES, sum, squares: sum, ..counts })
 }
--- a/crates/curranthook_policy/tests/overload.rs
+++ b/crates/curranthook_policy/tests/overload.rs
@@ -63,8 +63,8 @@
     let mut push = |now| queue.push((), &account, 1.0, now + TIME_TO_DEADLINE, now);
     (0..10).for_each(|_| push(now).expect("the queue has capacity"));
     now += Duration::from_secs(5);
-    let full = push(now).expect_err("nothing was served for five seconds");
-    assert!(TIME_TO_DEADLINE < full.retry_after);
+    let refusal = push(now).expect_err("nothing was served for five seconds");
+    assert!(TIME_TO_DEADLINE < refusal.retry_after);
 }
 
 /// A second account starts after the first one was the only one for a while. The second one must
@@ -237,7 +237,7 @@
             let deadline = now + Duration::from_millis(deadline_millis);
             match queue.push(item, &id, 1.0, deadline, now) {
                 Ok(()) => expected.push(item),
-                Err(full) => prop_assert!(Duration::ZERO < full.retry_after),
+                Err(refusal) => prop_assert!(Duration::ZERO < refusal.retry_after),
             }
         }
         prop_assert!(expected.len() <= capacity);
