--- a/crates/curranthook_steward/src/document.rs
+++ b/crates/curranthook_steward/src/document.rs
@@ -43,8 +43,8 @@
     /// transferred and parsed if it changed since the last read.
     pub async fn read(&self) -> anyhow::Result<Option<Arc<Stored>>> {
         let cached = self.cached.lock().clone();
-        let known = cached.as_ref().map(|it| &it.tag);
-        let Some(newer) = store::read_newer(&*self.table, known).await? else { return Ok(cached) };
+        let tag = cached.as_ref().map(|it| &it.tag);
+        let Some(newer) = store::read_newer(&*self.table, tag).await? else { return Ok(cached) };
         let newer = Arc::new(newer);
         *self.cached.lock() = Some(Arc::clone(&newer));
         Ok(Some(newer))
--- a/crates/curranthook_steward/src/rollout.rs
+++ b/crates/curranthook_steward/src/rollout.rs
@@ -24,14 +24,14 @@
 /// A step to be published.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Advance to the stage after this one.
+    /// Advance from the stage with this index to the next one.
     Advance(usize),
     /// Return to the old version.
     Abort,
 }
 
 impl Tracker {
-    /// The steps that the counts call for, by model.
+    /// The steps that follow from the counts, with the model of each rollout.
     pub fn next_steps(
         &mut self,
         document: &Document,
