--- a/crates/curranthook_steward/src/rollout.rs
+++ b/crates/curranthook_steward/src/rollout.rs
@@ -14,7 +14,8 @@
 
 use crate::evidence::Row;
 
-/// The counts of both versions when this steward first saw a stage.
+/// For each model and stage of a rollout, the counts of the old and the new version when this
+/// steward first saw the stage. The difference to them covers the stage only.
 #[derive(Debug, Default)]
 pub struct Tracker {
     baselines: HashMap<(String, usize), (Counts, Counts)>,
@@ -23,14 +24,14 @@
 /// A step to be published.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Advance to the stage after this one.
+    /// Advance from the stage with this index to the next one.
     Advance(usize),
     /// Return to the old version.
     Abort,
 }
 
 impl Tracker {
-    /// The steps that the counts call for, by model.
+    /// The steps that follow from the counts, with the model of each rollout.
     pub fn next_steps(
         &mut self,
         document: &Document,
