--- a/crates/curranthook_peers/src/lib.rs
+++ b/crates/curranthook_peers/src/lib.rs
@@ -12,7 +12,6 @@
 pub mod digest;
 pub mod evidence;
 pub mod journal;
-pub mod link;
 pub mod member;
 pub mod node;
 pub mod poison;
@@ -22,6 +21,7 @@
 pub mod store;
 pub mod suspect;
 mod task;
+pub mod transport;
 pub mod tuning;
 
 pub use node::{Node, Setup};
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -29,7 +29,6 @@
     demand::Demand,
     evidence::Evidence,
     journal::Journal,
-    link::{Http, Link},
     member::{self, Identity, Members},
     poison::Poison,
     replica::Replicas,
@@ -37,6 +36,7 @@
     spread::{Spread, Transfer},
     suspect::Suspects,
     task,
+    transport::{Http, Transport},
     tuning::{Part, Tuning},
 };
 
@@ -86,7 +86,7 @@
     pub(crate) setup: Setup,
     tuning: Tuning,
     key: auth::Key,
-    link: Arc<dyn Link>,
+    transport: Arc<dyn Transport>,
     counters: Arc<Counters>,
     members: Members,
     spread: Spread,
@@ -136,10 +136,10 @@
         };
         let origin = Origin { vm: own.vm.clone(), incarnation: own.incarnation };
         let counters = Arc::new(Counters::default());
-        let link = tuning.link.clone();
+        let transport = tuning.transport.clone();
         Self {
             key: auth::Key::new(&settings.peer_key),
-            link: link.unwrap_or_else(|| Arc::new(Http::new(Arc::clone(&setup.pool)))),
+            transport: transport.unwrap_or_else(|| Arc::new(Http::new(Arc::clone(&setup.pool)))),
             evidence: Evidence::new(origin.clone()),
             poison: Poison::new(Arc::clone(clock)),
             suspects: Suspects::new(Arc::clone(clock)),
@@ -343,7 +343,7 @@
         timeout: std::time::Duration,
     ) -> Result<R, rpc::Error> {
         let client = rpc::Client {
-            link: &*self.link,
+            transport: &*self.transport,
             key: &self.key,
             now_millis: self.now_millis(),
             counters: &self.counters,
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -31,10 +31,10 @@
     counters::{Counters, bump},
     digest::{self, Frame},
     evidence::Counts,
-    link::{Call, Link},
     member::Identity,
     node::Node,
     replica::Batch,
+    transport::{Call, Transport},
     tuning::Part,
 };
 
@@ -71,7 +71,7 @@
 pub enum Error {
     /// No answer.
     #[error(transparent)]
-    Link(#[from] crate::link::Error),
+    Transport(#[from] crate::transport::Error),
     /// The answer isn't a peer's.
     #[error("the answer's MAC is wrong")]
     Forged,
@@ -112,7 +112,7 @@
 #[derive(Debug)]
 pub struct Client<'a> {
     /// The way to them.
-    pub link: &'a dyn Link,
+    pub transport: &'a dyn Transport,
     /// The key that all nodes share.
     pub key: &'a auth::Key,
     /// The wall clock, in milliseconds since 1970.
@@ -137,7 +137,8 @@
         let time = self.now_millis.to_string();
         let mac = self.key.sign(&time, &body);
         let n_out = CALL_HEAD + body.len();
-        let answer = self.link.call(Call { addr, time, mac: mac.clone(), body, timeout }).await;
+        let answer =
+            self.transport.call(Call { addr, time, mac: mac.clone(), body, timeout }).await;
         let n_in = answer.as_ref().map_or(0, |it| ANSWER_HEAD + it.body.len());
         Traffic::of(method).count(self.counters, n_in, n_out);
         let reply = answer?;
--- a/crates/curranthook_peers/src/link.rs
+++ b/crates/curranthook_peers/src/transport.rs
@@ -36,12 +36,12 @@
 pub struct Error(pub String);
 
 /// A future of a call.
-pub type Answer<'a> = Pin<Box<dyn Future<Output = Result<Reply, Error>> + Send + 'a>>;
+pub type ReplyFuture<'a> = Pin<Box<dyn Future<Output = Result<Reply, Error>> + Send + 'a>>;
 
 /// Carries calls to peers.
-pub trait Link: Debug + Send + Sync {
+pub trait Transport: Debug + Send + Sync {
     /// Makes one call.
-    fn call(&self, call: Call) -> Answer<'_>;
+    fn call(&self, call: Call) -> ReplyFuture<'_>;
 }
 
 /// Calls over HTTP.
@@ -55,8 +55,8 @@
     }
 }
 
-impl Link for Http {
-    fn call(&self, call: Call) -> Answer<'_> {
+impl Transport for Http {
+    fn call(&self, call: Call) -> ReplyFuture<'_> {
         Box::pin(async move {
             let exchange = Exchange::post(call.addr, crate::rpc::PATH)
                 .with_header(header::PEER_TIME, call.time)
--- a/crates/curranthook_peers/src/tuning.rs
+++ b/crates/curranthook_peers/src/tuning.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
-use crate::link::Link;
+use crate::transport::Transport;
 
 /// An owner with lines is heard of after each flush. With the store out that takes a put that
 /// times out, two pauses and a call, 5.2 s at most; replicas that lose patience sooner would all
@@ -48,7 +48,7 @@
     /// Parts of the spread of configurations that are left out.
     pub without: BTreeSet<Part>,
     /// The way to peers; HTTP if not set.
-    pub link: Option<Arc<dyn Link>>,
+    pub transport: Option<Arc<dyn Transport>>,
 }
 
 impl Default for Tuning {
@@ -60,7 +60,7 @@
             flush: Duration::from_secs(1),
             owner_silence: OWNER_SILENCE,
             without: BTreeSet::new(),
-            link: None,
+            transport: None,
         }
     }
 }
--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -15,7 +15,7 @@
 use curranthook_http::{client::Pool, runtime};
 use curranthook_peers::{
     Node, Setup,
-    link::{self, Call, Link, Reply},
+    transport::{self, Call, Reply, Transport},
     tuning::Tuning,
 };
 use curranthook_platform as platform;
@@ -173,19 +173,19 @@
     net: Arc<Net>,
 }
 
-impl Link for Wire {
-    fn call(&self, call: Call) -> link::Answer<'_> {
+impl Transport for Wire {
+    fn call(&self, call: Call) -> transport::ReplyFuture<'_> {
         Box::pin(async move {
             let is_cut = self.net.cuts.lock().contains(&(self.from, call.addr));
             let node = self.net.nodes.lock().get(&call.addr).cloned();
             let (false, Some(node)) = (is_cut, node) else {
                 Timer::after(call.timeout).await;
-                return Err(link::Error("timed out".to_owned()));
+                return Err(transport::Error("timed out".to_owned()));
             };
             let res = post(&node, &call.time, &call.mac, call.body).await;
             let mac = res.headers().get("x-curranthook-mac").and_then(|it| it.to_str().ok());
             let Some(mac) = mac.map(str::to_owned) else {
-                return Err(link::Error(res.status().to_string()));
+                return Err(transport::Error(res.status().to_string()));
             };
             Ok(Reply { mac, body: res.into_body() })
         })
@@ -248,7 +248,7 @@
     pub fn node(&self, n: u16, incarnation: u64) -> Arc<Node> {
         let clock = Arc::new(clock::System);
         let wire = Wire { from: address(n), net: Arc::clone(&self.net) };
-        let tuning = Tuning { link: Some(Arc::new(wire)), ..self.tuning.clone() };
+        let tuning = Tuning { transport: Some(Arc::new(wire)), ..self.tuning.clone() };
         let pool = Arc::new(Pool::new(Arc::clone(&self.ex), clock.clone()));
         let platform = &self.platform;
         let setup = Setup {
--- a/crates/curranthook_steward/src/evidence.rs
+++ b/crates/curranthook_steward/src/evidence.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use curranthook_http::client::Pool;
-use curranthook_peers::{auth, counters::Counters, link, rpc};
+use curranthook_peers::{auth, counters::Counters, rpc, transport};
 use curranthook_policy::verdict::Counts;
 use curranthook_types::{Clock, bill::Origin, version};
 use serde::de::DeserializeOwned;
@@ -11,7 +11,7 @@
 /// Asks the router.
 #[derive(Debug)]
 pub struct Source {
-    link: link::Http,
+    transport: transport::Http,
     key: auth::Key,
     clock: Arc<dyn Clock>,
     counters: Counters,
@@ -24,8 +24,8 @@
 impl Source {
     /// Asks the router whose peers' address is `router`.
     pub fn new(pool: Arc<Pool>, clock: Arc<dyn Clock>, key: &[u8], router: SocketAddr) -> Self {
-        let link = link::Http::new(pool);
-        Self { link, key: auth::Key::new(key), clock, counters: Counters::default(), router }
+        let transport = transport::Http::new(pool);
+        Self { transport, key: auth::Key::new(key), clock, counters: Counters::default(), router }
     }
 
     /// All that the router knows, its own counts and other nodes'.
@@ -43,7 +43,7 @@
         method: &str,
     ) -> Result<R, rpc::Error> {
         let client = rpc::Client {
-            link: &self.link,
+            transport: &self.transport,
             key: &self.key,
             now_millis: self.clock.unix_millis(),
             counters: &self.counters,
