--- a/crates/curranthook_capacity/src/measure/spread.rs
+++ b/crates/curranthook_capacity/src/measure/spread.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use curranthook_peers::spread::Spread;
+use curranthook_peers::documents::Documents;
 use curranthook_types::Epoch;
 
 use crate::{
@@ -141,7 +141,7 @@
     let columns = ["configuration, KB", "as a delta, bytes", "as a whole, bytes"];
     let mut table = Table::new("What a change of one endpoint is long", &columns);
     for size in SIZES {
-        let (spread, first) = (Spread::default(), shape()?.sized(size).document());
+        let (spread, first) = (Documents::default(), shape()?.sized(size).document());
         spread.offer(first.clone(), None);
         spread.offer(document::next(&first), None);
         let length = |have: Epoch| -> anyhow::Result<f64> {
--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -7,7 +7,7 @@
 };
 
 use async_io::Timer;
-use curranthook_peers::spread::Spread;
+use curranthook_peers::documents::Documents;
 use curranthook_policy::endpoint::{Member, Pool};
 use curranthook_router::{dispatch::Dispatchers, snapshot::Snapshot};
 use curranthook_settings::Document;
@@ -76,7 +76,7 @@
 
 fn in_process(bench: &Bench, shape: &Shape) -> anyhow::Result<[f64; 6]> {
     let mut document = shape.document();
-    let (first, other) = (Spread::default(), Spread::default());
+    let (first, other) = (Documents::default(), Documents::default());
     first.offer(document.clone(), None);
     other.offer(document.clone(), None);
     let clock = Arc::new(clock::System);
--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -9,12 +9,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    demand, evidence,
+    demand,
+    documents::Transfer,
+    evidence,
     member::Identity,
     node::Node,
-    poison,
-    spread::Transfer,
-    suspect,
+    poison, suspect,
     tuning::{Part, Trust},
 };
 
--- a/crates/curranthook_peers/src/spread.rs
+++ b/crates/curranthook_peers/src/documents.rs
@@ -103,12 +103,12 @@
 
 /// The newest document that a node knows.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct Documents {
     newest: ArcSwapOption<Document>,
     history: Mutex<History>,
 }
 
-impl Spread {
+impl Documents {
     /// The newest document, if any is known.
     pub fn document(&self) -> Option<Arc<Document>> {
         self.newest.load_full()
--- a/crates/curranthook_peers/src/lib.rs
+++ b/crates/curranthook_peers/src/lib.rs
@@ -1,7 +1,7 @@
-//! Nodes acting together: membership, digest, configuration spread, journal replicas.
+//! Nodes acting together: membership, digest, configuration documents, journal replicas.
 //!
 //! [`node::Node`] is what a router embeds. Once a second it makes one [`digest`] exchange with
-//! one peer, chosen by [`member`], over [`rpc`]. [`spread`] brings the newest published
+//! one peer, chosen by [`member`], over [`rpc`]. [`documents`] brings the newest published
 //! configuration to every node, [`journal`] keeps bill lines on two peers until they are stored.
 //! Nothing here agrees on anything: what has to be agreed goes through the platform's table, and
 //! all that travels between peers merges by "highest wins" or by set union.
@@ -10,6 +10,7 @@
 pub mod counters;
 pub mod demand;
 pub mod digest;
+pub mod documents;
 pub mod evidence;
 pub mod journal;
 pub mod member;
@@ -17,7 +18,6 @@
 pub mod poison;
 pub mod replica;
 pub mod rpc;
-pub mod spread;
 pub mod store;
 pub mod suspect;
 mod task;
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -27,13 +27,13 @@
     auth,
     counters::Counters,
     demand::Demand,
+    documents::{Documents, Transfer},
     evidence::Evidence,
     journal::Journal,
     member::{self, Identity, Members},
     poison::Poison,
     replica::Replicas,
     rpc,
-    spread::{Spread, Transfer},
     suspect::Suspects,
     task,
     transport::{Http, Transport},
@@ -89,7 +89,7 @@
     transport: Arc<dyn Transport>,
     counters: Arc<Counters>,
     members: Members,
-    spread: Spread,
+    documents: Documents,
     evidence: Evidence,
     poison: Poison,
     suspects: Suspects,
@@ -147,7 +147,7 @@
             journal: Journal::new(origin, Arc::clone(&counters)),
             replicas: Replicas::new(Arc::clone(clock), Arc::clone(&counters), tuning.owner_silence),
             members: Members::new(own, tuning.trust, Arc::clone(clock), setup.seed),
-            spread: Spread::default(),
+            documents: Documents::default(),
             holders: Mutex::default(),
             passed: Mutex::default(),
             fetching: async_lock::Mutex::new(()),
@@ -163,12 +163,12 @@
 
     /// The newest document that this node knows. It never goes back to a lower epoch.
     pub fn document(&self) -> Option<Arc<Document>> {
-        self.spread.document()
+        self.documents.document()
     }
 
     /// Waits for a document of a higher epoch than `after`.
     pub async fn next_document(&self, after: Epoch) -> Arc<Document> {
-        self.spread.next(after).await
+        self.documents.next(after).await
     }
 
     /// Answers a peer's call. The router's peer listener hands over every call to [`rpc::PATH`].
@@ -179,12 +179,12 @@
     /// Takes over a document that came another way than from the table or a peer, if its epoch
     /// is higher, and says whether it did.
     pub fn offer(&self, document: Document) -> bool {
-        self.spread.offer(document, None)
+        self.documents.offer(document, None)
     }
 
     /// Asks a few peers for a newer document, after a pause in which none could come.
     pub async fn refresh(&self) {
-        task::spread::refresh(self).await;
+        task::documents::refresh(self).await;
     }
 
     /// Meets the next peer ahead of its round, with news that can't wait.
@@ -270,7 +270,7 @@
     }
 
     pub(crate) fn epoch(&self) -> Epoch {
-        self.spread.epoch()
+        self.documents.epoch()
     }
 
     pub(crate) fn stop(&self) -> &Stop {
@@ -290,15 +290,15 @@
         // A peer's epoch of zero asks for the whole.
         let is_newer = have < self.epoch();
         let base = if self.has(Part::Delta) || !is_newer { have } else { Epoch::default() };
-        self.spread.transfer(base)
+        self.documents.transfer(base)
     }
 
     pub(crate) fn members(&self) -> &Members {
         &self.members
     }
 
-    pub(crate) fn spread(&self) -> &Spread {
-        &self.spread
+    pub(crate) fn documents(&self) -> &Documents {
+        &self.documents
     }
 
     pub(crate) fn replicas(&self) -> &Replicas {
@@ -323,7 +323,7 @@
             return;
         }
         if let Some(node) = self.weak.upgrade() {
-            let fetch = async move { task::spread::fetch(&node, addr, epoch).await };
+            let fetch = async move { task::documents::fetch(&node, addr, epoch).await };
             self.setup.ex.spawn(fetch).detach();
         }
     }
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -4,7 +4,7 @@
 //! |---|---|---|
 //! | `exchange` | [`Frame`] | [`Frame`] |
 //! | `news` | [`News`] | null |
-//! | `document` | [`Epoch`] that the caller has | [`Transfer`](crate::spread::Transfer) |
+//! | `document` | [`Epoch`] that the caller has | [`Transfer`](crate::documents::Transfer) |
 //! | `replicate` | [`Batch`] | null |
 //! | `leaving` | [`Identity`] | null |
 //! | `evidence` | null | list of version and [`Counts`] |
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -1,8 +1,8 @@
 //! What a node does by itself.
 
+pub(crate) mod documents;
 pub(crate) mod journal;
 pub(crate) mod round;
-pub(crate) mod spread;
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -29,8 +29,8 @@
     spawn(node, round::run);
     spawn(node, round::join);
     spawn(node, round::list_vms);
-    spawn(node, spread::poll);
-    spawn(node, spread::bootstrap);
+    spawn(node, documents::poll);
+    spawn(node, documents::bootstrap);
     spawn(node, journal::replicate);
     spawn(node, journal::flush);
     spawn(node, journal::sweep);
--- a/crates/curranthook_peers/src/task/spread.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -7,9 +7,9 @@
 
 use crate::{
     counters::bump,
+    documents::Transfer,
     node::Node,
     rpc::{self, News},
-    spread::Transfer,
     task::{join_all, pause},
     tuning::Part,
 };
@@ -32,7 +32,7 @@
 }
 
 async fn read(node: &Node) {
-    let tag = node.spread().tag();
+    let tag = node.documents().tag();
     let (table, key) = document::ROW;
     bump(&node.counters().table_reads, 1);
     let row = match node.setup.table.get_newer(table, key, tag.as_ref()).await {
@@ -48,7 +48,7 @@
         log::error!("the published document can't be read");
         return;
     };
-    if node.spread().offer(document, Some(row.tag)) {
+    if node.documents().offer(document, Some(row.tag)) {
         bump(&node.counters().epoch_from_table, 1);
         learned(node);
         if node.has(Part::News) {
@@ -114,7 +114,7 @@
         Transfer::Delta { .. } => &counters.delta_applied,
         Transfer::Full { .. } => &counters.document_full,
     };
-    match node.spread().apply(transfer) {
+    match node.documents().apply(transfer) {
         Ok(true) => {
             bump(kind, 1);
             bump(&counters.epoch_from_peer, 1);
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/round.rs
@@ -9,7 +9,7 @@
     digest::{self, Frame},
     node::Node,
     rpc,
-    task::{pause, spread},
+    task::{documents, pause},
     tuning::Part,
 };
 
@@ -67,7 +67,7 @@
     bump(&node.counters().exchange_ok, 1);
     digest::merge(node, &theirs);
     if let Some(transfer) = theirs.transfer {
-        spread::take(node, transfer);
+        documents::take(node, transfer);
     }
     if node.has(Part::PushPull) {
         node.heard_of(addr, theirs.epoch);
--- a/crates/curranthook_peers/tests/peers/document.rs
+++ b/crates/curranthook_peers/tests/peers/document.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, sync::atomic::Ordering, time::Duration};
 
-use curranthook_peers::spread::{Misfit, Spread, Transfer};
+use curranthook_peers::documents::{Documents, Misfit, Transfer};
 use curranthook_settings::Document;
 use curranthook_types::Epoch;
 
@@ -16,21 +16,21 @@
 /// A peer that was cut off offers the configuration it still has, after a newer one arrived.
 #[test]
 fn a_lower_epoch_never_replaces_a_higher_one() {
-    let spread = Spread::default();
-    assert!(spread.offer(document(5), None));
+    let documents = Documents::default();
+    assert!(documents.offer(document(5), None));
     for older in [4, 5, 1] {
-        assert!(!spread.offer(document(older), None));
+        assert!(!documents.offer(document(older), None));
         let document = Box::new(document(older));
-        assert_eq!(spread.apply(Transfer::Full { document, tag: None }), Ok(false));
+        assert_eq!(documents.apply(Transfer::Full { document, tag: None }), Ok(false));
     }
-    assert_eq!(spread.epoch(), Epoch(5));
+    assert_eq!(documents.epoch(), Epoch(5));
 }
 
 /// A node's document differs from what the sender takes it for. The delta would then give a
 /// configuration that nobody published.
 #[test]
 fn a_delta_is_taken_only_where_it_fits() {
-    let (sender, same, other) = (Spread::default(), Spread::default(), Spread::default());
+    let (sender, same, other) = (Documents::default(), Documents::default(), Documents::default());
     sender.offer(document(1), None);
     sender.offer(document(2), None);
     same.offer(document(1), None);
@@ -48,9 +48,9 @@
 /// them from the table and some as deltas itself.
 #[test]
 fn a_delta_spans_the_epochs_in_between() {
-    let (sender, middle, late) = (Spread::default(), Spread::default(), Spread::default());
-    for spread in [&sender, &middle, &late] {
-        spread.offer(document(1), None);
+    let (sender, middle, late) = (Documents::default(), Documents::default(), Documents::default());
+    for documents in [&sender, &middle, &late] {
+        documents.offer(document(1), None);
     }
     for epoch in 2..=5 {
         sender.offer(document(epoch), None);
@@ -66,7 +66,7 @@
 /// from the half of it.
 #[test]
 fn a_delta_that_does_not_fit_leaves_nothing_behind() {
-    let (sender, other) = (Spread::default(), Spread::default());
+    let (sender, other) = (Documents::default(), Documents::default());
     sender.offer(document(1), None);
     sender.offer(document(2), None);
     let changed = Document { at_millis: 77, ..document(1) };
@@ -74,7 +74,7 @@
     assert_eq!(other.apply(sender.transfer(Epoch(1))), Err(Misfit));
     assert_eq!(other.document().as_deref(), Some(&changed));
 
-    let third = Spread::default();
+    let third = Documents::default();
     third.offer(changed.clone(), None);
     let next = Document { epoch: Epoch(2), ..changed };
     third.offer(next.clone(), None);
@@ -89,10 +89,10 @@
     const N_VERSIONS: usize = 5_000;
     let withdrawn =
         (0..N_VERSIONS).map(|it| format!("m@{it}").as_str().into()).collect::<BTreeSet<_>>();
-    let spread = Spread::default();
-    spread.offer(document(1), None);
-    spread.offer(Document { withdrawn, ..document(2) }, None);
-    assert!(matches!(spread.transfer(Epoch(1)), Transfer::Full { .. }));
+    let documents = Documents::default();
+    documents.offer(document(1), None);
+    documents.offer(Document { withdrawn, ..document(2) }, None);
+    assert!(matches!(documents.transfer(Epoch(1)), Transfer::Full { .. }));
 }
 
 /// The platform's table is out for all nodes but one: they get each epoch from their peers.
