--- a/crates/curranthook_peers/src/documents.rs
+++ b/crates/curranthook_peers/src/documents.rs
@@ -32,7 +32,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Transfer {
     /// Nothing newer.
-    Nothing,
+    #[serde(rename = "nothing")]
+    UpToDate,
     /// The change since `base`.
     Delta {
         /// The epoch that it applies to.
@@ -57,7 +58,7 @@
 /// A delta can't be used: it starts from another epoch, or doesn't give what it should.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the delta doesn't fit")]
-pub struct Misfit;
+pub struct Mismatch;
 
 #[derive(Debug, Default)]
 struct History {
@@ -159,9 +160,9 @@
 
     /// What someone who has epoch `have` needs; `have` is zero to ask for the whole.
     pub fn transfer(&self, have: Epoch) -> Transfer {
-        let Some(newest) = self.document() else { return Transfer::Nothing };
+        let Some(newest) = self.document() else { return Transfer::UpToDate };
         if newest.epoch <= have {
-            return Transfer::Nothing;
+            return Transfer::UpToDate;
         }
         self.delta(have).unwrap_or_else(|| {
             let document = Box::new((*newest).clone());
@@ -170,9 +171,9 @@
     }
 
     /// Takes over what a peer sent; `Ok(false)` if it's nothing newer.
-    pub fn apply(&self, transfer: Transfer) -> Result<bool, Misfit> {
+    pub fn apply(&self, transfer: Transfer) -> Result<bool, Mismatch> {
         match transfer {
-            Transfer::Nothing => Ok(false),
+            Transfer::UpToDate => Ok(false),
             Transfer::Full { document, tag } => Ok(self.offer(*document, tag)),
             Transfer::Delta { base, patch, hash, tag } => self.advance(base, patch, hash, tag),
         }
@@ -184,20 +185,20 @@
         patch: json_patch::Patch,
         hash: [u8; 32],
         tag: Option<Tag>,
-    ) -> Result<bool, Misfit> {
+    ) -> Result<bool, Mismatch> {
         let mut history = self.history.lock();
         let Some(newest) = self.document().filter(|it| it.epoch == base) else {
-            return Err(Misfit);
+            return Err(Mismatch);
         };
         // A patch that fails undoes what it did.
-        json_patch::patch(&mut history.value, &patch).map_err(|_| Misfit)?;
+        json_patch::patch(&mut history.value, &patch).map_err(|_| Mismatch)?;
         let document = Document::deserialize(&history.value).ok();
         // A node that holds another document under the base's epoch, or lost a digit of a number
         // on the way, would go on with a configuration nobody published.
         let document = document.filter(|it| base < it.epoch && digest(it) == hash);
         let Some(document) = document else {
             history.value = to_value(&newest);
-            return Err(Misfit);
+            return Err(Mismatch);
         };
         history.add(base, patch);
         self.take(&mut history, document, tag);
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -110,7 +110,7 @@
 pub(crate) fn take(node: &Node, transfer: Transfer) -> bool {
     let counters = node.counters();
     let kind = match transfer {
-        Transfer::Nothing => return true,
+        Transfer::UpToDate => return true,
         Transfer::Delta { .. } => &counters.delta_applied,
         Transfer::Full { .. } => &counters.document_full,
     };
--- a/crates/curranthook_peers/tests/peers/document.rs
+++ b/crates/curranthook_peers/tests/peers/document.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, sync::atomic::Ordering, time::Duration};
 
-use curranthook_peers::documents::{Documents, Misfit, Transfer};
+use curranthook_peers::documents::{Documents, Mismatch, Transfer};
 use curranthook_settings::Document;
 use curranthook_types::Epoch;
 
@@ -39,7 +39,7 @@
     assert!(matches!(delta, Transfer::Delta { .. }));
     assert_eq!(same.apply(delta.clone()), Ok(true));
     assert_eq!(same.document(), sender.document());
-    assert_eq!(other.apply(delta), Err(Misfit));
+    assert_eq!(other.apply(delta), Err(Mismatch));
     assert_eq!(other.epoch(), Epoch(1));
     assert!(matches!(sender.transfer(Epoch(0)), Transfer::Full { .. }));
 }
@@ -71,7 +71,7 @@
     sender.offer(document(2), None);
     let changed = Document { at_millis: 77, ..document(1) };
     other.offer(changed.clone(), None);
-    assert_eq!(other.apply(sender.transfer(Epoch(1))), Err(Misfit));
+    assert_eq!(other.apply(sender.transfer(Epoch(1))), Err(Mismatch));
     assert_eq!(other.document().as_deref(), Some(&changed));
 
     let third = Documents::default();
