--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -50,12 +50,12 @@
     poll_ms: Option<u64>,
     /// Parts of the spread of configurations to leave out.
     #[arg(long, hide = true, value_enum)]
-    without: Vec<Part>,
+    without: Vec<Mechanism>,
 }
 
 /// What can be left out.
 #[derive(Debug, Clone, Copy, ValueEnum)]
-enum Part {
+enum Mechanism {
     PushPull,
     News,
     Delta,
@@ -64,14 +64,14 @@
 impl Args {
     fn tuning(&self) -> Tuning {
         let usual = Tuning::default();
-        let part = |it: &Part| match it {
-            Part::PushPull => tuning::Part::PushPull,
-            Part::News => tuning::Part::News,
-            Part::Delta => tuning::Part::Delta,
+        let mechanism = |it: &Mechanism| match it {
+            Mechanism::PushPull => tuning::Mechanism::PushPull,
+            Mechanism::News => tuning::Mechanism::Announcement,
+            Mechanism::Delta => tuning::Mechanism::Delta,
         };
         Tuning {
             poll: self.poll_ms.map_or(usual.poll, Duration::from_millis),
-            without: self.without.iter().map(part).collect(),
+            disabled: self.without.iter().map(mechanism).collect(),
             ..usual
         }
     }
--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -15,7 +15,7 @@
     member::Identity,
     node::Node,
     poison, suspect,
-    tuning::{Part, Trust},
+    tuning::{Mechanism, Trust},
 };
 
 /// Bytes of a frame's sections together. With the HTTP heads, one exchange made and one
@@ -96,7 +96,7 @@
 /// it would cost more bytes in heads than the delta has.
 pub(crate) fn answer(node: &Node, have: Epoch) -> Frame {
     let mut frame = build(node);
-    if node.has(Part::PushPull) && have != Epoch::default() && have < frame.epoch {
+    if node.is_enabled(Mechanism::PushPull) && have != Epoch::default() && have < frame.epoch {
         let transfer = node.transfer(have);
         let json = serde_json::to_vec(&transfer).expect("a transfer can be written as JSON");
         frame.transfer = Some(transfer).filter(|_| json.len() <= MAX_TRANSFER);
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -37,7 +37,7 @@
     suspect::Suspects,
     task,
     transport::{Http, Transport},
-    tuning::{Part, Tuning},
+    tuning::{Mechanism, Tuning},
 };
 
 /// What a node needs to start.
@@ -281,15 +281,16 @@
         &self.tuning
     }
 
-    pub(crate) fn has(&self, part: Part) -> bool {
-        !self.tuning.without.contains(&part)
+    pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.tuning.disabled.contains(&mechanism)
     }
 
     /// What a peer that has epoch `have` gets.
     pub(crate) fn transfer(&self, have: Epoch) -> Transfer {
         // A peer's epoch of zero asks for the whole.
         let is_newer = have < self.epoch();
-        let base = if self.has(Part::Delta) || !is_newer { have } else { Epoch::default() };
+        let base =
+            if self.is_enabled(Mechanism::Delta) || !is_newer { have } else { Epoch::default() };
         self.documents.transfer(base)
     }
 
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -35,7 +35,7 @@
     node::Node,
     replica::Batch,
     transport::{Call, Transport},
-    tuning::Part,
+    tuning::Mechanism,
 };
 
 /// The path of all calls.
@@ -164,7 +164,7 @@
         let (node, frame) = (upgrade(node)?, params.one::<Frame>()?);
         met(&node, &frame.from)?;
         digest::merge(&node, &frame);
-        if node.has(Part::PushPull) {
+        if node.is_enabled(Mechanism::PushPull) {
             node.heard_of(frame.from.addr, frame.epoch);
         }
         Ok::<_, ErrorObjectOwned>(digest::answer(&node, frame.epoch))
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -11,7 +11,7 @@
     node::Node,
     rpc::{self, News},
     task::{join_all, pause},
-    tuning::Part,
+    tuning::Mechanism,
 };
 
 /// Reads of the table a second by all nodes together; the platform gives about two thousand.
@@ -51,7 +51,7 @@
     if node.documents().offer(document, Some(row.tag)) {
         bump(&node.counters().epoch_from_table, 1);
         learned(node);
-        if node.has(Part::News) {
+        if node.is_enabled(Mechanism::Announcement) {
             tell(node).await;
         }
     } else {
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/round.rs
@@ -10,7 +10,7 @@
     node::Node,
     rpc,
     task::{documents, pause},
-    tuning::Part,
+    tuning::Mechanism,
 };
 
 /// The shortest time between reads of the VM list.
@@ -69,7 +69,7 @@
     if let Some(transfer) = theirs.transfer {
         documents::take(node, transfer);
     }
-    if node.has(Part::PushPull) {
+    if node.is_enabled(Mechanism::PushPull) {
         node.heard_of(addr, theirs.epoch);
     }
 }
--- a/crates/curranthook_peers/src/tuning.rs
+++ b/crates/curranthook_peers/src/tuning.rs
@@ -23,11 +23,11 @@
 /// A part of what brings a configuration to every node. Each can be left out, to measure what it
 /// is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
+pub enum Mechanism {
     /// Exchanges compare epochs, and who has the older one gets the newer.
     PushPull,
     /// Who has a new epoch from the table tells a few peers at once.
-    News,
+    Announcement,
     /// Between near epochs the change travels, not the whole document.
     Delta,
 }
@@ -46,7 +46,7 @@
     /// How long an owner may be silent before its replicas store its lines.
     pub owner_silence: Duration,
     /// Parts of the spread of configurations that are left out.
-    pub without: BTreeSet<Part>,
+    pub disabled: BTreeSet<Mechanism>,
     /// The way to peers; HTTP if not set.
     pub transport: Option<Arc<dyn Transport>>,
 }
@@ -59,7 +59,7 @@
             poll: Duration::from_secs(1),
             flush: Duration::from_secs(1),
             owner_silence: OWNER_SILENCE,
-            without: BTreeSet::new(),
+            disabled: BTreeSet::new(),
             transport: None,
         }
     }
