--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -63,16 +63,16 @@
 
 impl Args {
     fn tuning(&self) -> Tuning {
-        let usual = Tuning::default();
+        let default = Tuning::default();
         let mechanism = |it: &Mechanism| match it {
             Mechanism::PushPull => tuning::Mechanism::PushPull,
             Mechanism::News => tuning::Mechanism::Announcement,
             Mechanism::Delta => tuning::Mechanism::Delta,
         };
         Tuning {
-            poll: self.poll_ms.map_or(usual.poll, Duration::from_millis),
+            poll_interval: self.poll_ms.map_or(default.poll_interval, Duration::from_millis),
             disabled: self.without.iter().map(mechanism).collect(),
-            ..usual
+            ..default
         }
     }
 }
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -145,7 +145,7 @@
             suspects: Suspects::new(Arc::clone(clock)),
             demand: Demand::new(own.vm.clone(), own.incarnation, Arc::clone(clock)),
             journal: Journal::new(origin, Arc::clone(&counters)),
-            replicas: Replicas::new(Arc::clone(clock), Arc::clone(&counters), tuning.owner_silence),
+            replicas: Replicas::new(Arc::clone(clock), Arc::clone(&counters), tuning.owner_timeout),
             members: Members::new(own, tuning.trust, Arc::clone(clock), setup.seed),
             documents: Documents::default(),
             holders: Mutex::default(),
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -27,7 +27,7 @@
     loop {
         read(&node).await;
         let by_fleet = Duration::from_secs_f64(node.members().fleet() as f64 / FLEET_POLLS);
-        pause(node.tuning().poll.max(by_fleet)).await;
+        pause(node.tuning().poll_interval.max(by_fleet)).await;
     }
 }
 
@@ -68,7 +68,7 @@
         for transfer in answers.into_iter().flatten() {
             take(&node, transfer);
         }
-        pause(node.tuning().round).await;
+        pause(node.tuning().exchange_interval).await;
     }
 }
 
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -109,7 +109,7 @@
 pub(crate) async fn flush(node: Arc<Node>) {
     loop {
         let by_fleet = Duration::from_secs_f64(node.members().fleet() as f64 / FLEET_PUTS);
-        let interval = pause(node.tuning().flush.max(by_fleet));
+        let interval = pause(node.tuning().flush_interval.max(by_fleet));
         future::or(interval, node.journal().wait_hurry()).await;
         if node.journal().n_lines() == 0 {
             continue;
@@ -119,7 +119,7 @@
         if !flushed {
             copy_anew(&node).await;
             // The store is out; a hurry must not turn this into a loop without a pause.
-            pause(node.tuning().flush).await;
+            pause(node.tuning().flush_interval).await;
         }
     }
 }
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/round.rs
@@ -41,7 +41,7 @@
 pub(crate) async fn run(node: Arc<Node>) {
     let mut last = node.setup.clock.now();
     loop {
-        pause(node.tuning().round).await;
+        pause(node.tuning().exchange_interval).await;
         let now = node.setup.clock.now();
         node.demand().tick(now.saturating_duration_since(last));
         last = now;
--- a/crates/curranthook_peers/src/tuning.rs
+++ b/crates/curranthook_peers/src/tuning.rs
@@ -7,7 +7,7 @@
 /// An owner with lines is heard of after each flush. With the store out that takes a put that
 /// times out, two pauses and a call, 5.2 s at most; replicas that lose patience sooner would all
 /// try to store its lines and make an outage worse.
-const OWNER_SILENCE: Duration = Duration::from_secs(6);
+const OWNER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Whose word on reachability a node takes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -38,13 +38,13 @@
     /// Whose word on reachability it takes.
     pub trust: Trust,
     /// The time between exchanges.
-    pub round: Duration,
+    pub exchange_interval: Duration,
     /// The shortest time between reads of the table.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// The shortest time between puts of the journal.
-    pub flush: Duration,
+    pub flush_interval: Duration,
     /// How long an owner may be silent before its replicas store its lines.
-    pub owner_silence: Duration,
+    pub owner_timeout: Duration,
     /// Parts of the spread of configurations that are left out.
     pub disabled: BTreeSet<Mechanism>,
     /// The way to peers; HTTP if not set.
@@ -55,10 +55,10 @@
     fn default() -> Self {
         Self {
             trust: Trust::Own,
-            round: Duration::from_secs(1),
-            poll: Duration::from_secs(1),
-            flush: Duration::from_secs(1),
-            owner_silence: OWNER_SILENCE,
+            exchange_interval: Duration::from_secs(1),
+            poll_interval: Duration::from_secs(1),
+            flush_interval: Duration::from_secs(1),
+            owner_timeout: OWNER_TIMEOUT,
             disabled: BTreeSet::new(),
             transport: None,
         }
--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -216,12 +216,12 @@
     /// No nodes yet; rounds are 20 times as fast as in service.
     pub fn new() -> Self {
         let fast = Duration::from_millis(50);
-        let silence = Duration::from_millis(600);
+        let owner_timeout = Duration::from_millis(600);
         let tuning = Tuning {
-            round: fast,
-            poll: fast,
-            flush: fast,
-            owner_silence: silence,
+            exchange_interval: fast,
+            poll_interval: fast,
+            flush_interval: fast,
+            owner_timeout,
             ..Tuning::default()
         };
         Self { ex: runtime::start(4), platform: Arc::default(), net: Arc::default(), tuning }
