--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -3,7 +3,7 @@
 //! | method | parameter | result |
 //! |---|---|---|
 //! | `exchange` | [`Frame`] | [`Frame`] |
-//! | `news` | [`News`] | null |
+//! | `news` | [`Announcement`] | null |
 //! | `document` | [`Epoch`] that the caller has | [`Transfer`](crate::documents::Transfer) |
 //! | `replicate` | [`Batch`] | null |
 //! | `leaving` | [`Identity`] | null |
@@ -57,7 +57,7 @@
 
 /// The caller has a newer epoch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct News {
+pub struct Announcement {
     /// Who has it.
     #[serde(rename = "i")]
     pub from: Identity,
@@ -170,9 +170,9 @@
         Ok::<_, ErrorObjectOwned>(digest::answer(&node, frame.epoch))
     })?;
     module.register_method("news", |params, node, _| {
-        let (node, news) = (upgrade(node)?, params.one::<News>()?);
-        met(&node, &news.from)?;
-        node.heard_of(news.from.addr, news.epoch);
+        let (node, announcement) = (upgrade(node)?, params.one::<Announcement>()?);
+        met(&node, &announcement.from)?;
+        node.heard_of(announcement.from.addr, announcement.epoch);
         Ok::<_, ErrorObjectOwned>(())
     })?;
     module.register_method("document", |params, node, _| {
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -1,4 +1,4 @@
-//! Bringing the newest document here and passing the news on.
+//! Bringing the newest document here and passing the announcement on.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
     counters::bump,
     documents::Transfer,
     node::Node,
-    rpc::{self, News},
+    rpc::{self, Announcement},
     task::{join_all, pause},
     tuning::Mechanism,
 };
@@ -78,7 +78,7 @@
 }
 
 /// Asks a few peers for the whole document and takes each newer one over as it comes: what is
-/// in force is old already, and a peer that is gone mustn't hold back the others' news.
+/// in force is old already, and a peer that is gone mustn't hold back the others' announcement.
 pub(crate) async fn refresh(node: &Node) {
     let asked = node.members().some(ASKED).into_iter().map(|addr| async move {
         if let Some(transfer) = ask(node, addr).await {
@@ -138,12 +138,12 @@
 }
 
 async fn tell(node: &Node) {
-    let news = News { from: node.members().own().clone(), epoch: node.epoch() };
+    let announcement = Announcement { from: node.members().own().clone(), epoch: node.epoch() };
     let mut alive = node.members().alive();
     let start = node.next_turn().checked_rem(alive.len()).unwrap_or(0);
     alive.rotate_left(start);
     let told = alive.iter().take(EAGER).map(|it| it.identity.addr);
-    let calls = told.map(|addr| node.call::<()>(addr, "news", &news, rpc::TIMEOUT));
-    // A peer that misses the news gets the epoch by an exchange or from the table.
+    let calls = told.map(|addr| node.call::<()>(addr, "news", &announcement, rpc::TIMEOUT));
+    // A peer that misses the announcement gets the epoch by an exchange or from the table.
     let _best_effort = join_all(calls).await;
 }
