--- a/crates/curranthook_capacity/src/measure/evidence.rs
+++ b/crates/curranthook_capacity/src/measure/evidence.rs
@@ -74,10 +74,10 @@
                 test.merge_counts(&origin, counts);
             }
         }
-        black_box(evidence.of_others());
+        black_box(evidence.peer_totals());
         looks.push(start.elapsed().as_secs_f64());
         let start = Instant::now();
-        evidence.pick(|_| true);
+        evidence.select_entries(|_| true);
         picks.push(start.elapsed().as_secs_f64());
         let start = Instant::now();
         let rows: Vec<_> = tests.iter().map(|(it, _)| (it, evidence.by_origin(it))).collect();
--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -141,7 +141,7 @@
         let account = format!("account-{}", n % ACCOUNTS);
         node.demand().add(&account.as_str().into());
         let sample = Sample { rating: Some(0.8), outcome: Outcome::Answered, tokens: 360 };
-        node.evidence().add(&version.as_str().into(), &"summary".into(), sample);
+        node.evidence().record(&version.as_str().into(), &"summary".into(), sample);
         let line = bill::Line {
             request: format!("{vm}-{n:012}").as_str().into(),
             account: account.as_str().into(),
--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -56,18 +56,18 @@
 /// One origin's counters for one subject, as a digest carries them: VM and incarnation of the
 /// origin, version, kind, counters.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry(pub vm::Id, pub vm::Incarnation, pub version::Id, pub kind::Id, pub Wire);
+pub struct Entry(pub vm::Id, pub vm::Incarnation, pub version::Id, pub kind::Id, pub WireCounts);
 
 /// [`Counts`] without field names, in their order, ratings in whole ten-thousandths: a sum such
 /// as 20.800000000000004 would cost more bytes than all other fields.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Wire(u64, u64, u64, u64, u64, u64, u64);
+pub struct WireCounts(u64, u64, u64, u64, u64, u64, u64);
 
 const RATING_UNIT: f64 = 10_000.0;
 /// Lengths are sums over answers and need no more than hundredths.
 const LENGTH_UNIT: f64 = 100.0;
 
-impl From<Counts> for Wire {
+impl From<Counts> for WireCounts {
     fn from(it: Counts) -> Self {
         let whole = |sum: f64, unit: f64| (sum * unit).round() as u64;
         let (sum, squares) = (whole(it.sum, RATING_UNIT), whole(it.squares, RATING_UNIT));
@@ -75,9 +75,9 @@
     }
 }
 
-impl From<Wire> for Counts {
-    fn from(it: Wire) -> Self {
-        let Wire(calls, errors, n, sum, squares, tokens, lengths) = it;
+impl From<WireCounts> for Counts {
+    fn from(it: WireCounts) -> Self {
+        let WireCounts(calls, errors, n, sum, squares, tokens, lengths) = it;
         Self {
             n,
             sum: sum as f64 / RATING_UNIT,
@@ -121,7 +121,7 @@
     }
 
     /// Counts what an answer to this node showed.
-    pub fn add(&self, version: &version::Id, kind: &kind::Id, sample: Sample) {
+    pub fn record(&self, version: &version::Id, kind: &kind::Id, sample: Sample) {
         let subject = Subject { version: version.clone(), kind: kind.clone() };
         self.cells.lock().update(&subject, &self.own, |counts| counts.plus(&Counts::from(sample)));
     }
@@ -145,7 +145,7 @@
     }
 
     /// For each subject what all other nodes together have counted.
-    pub fn of_others(&self) -> Vec<(Subject, Counts)> {
+    pub fn peer_totals(&self) -> Vec<(Subject, Counts)> {
         let cells = self.cells.lock();
         let others = |origins: &HashMap<Origin, Cell>| {
             origins
@@ -180,7 +180,7 @@
     /// The entries worth sending next, as long as they fit: what changed lately, the most
     /// suspicious first, and then all others in turn. A change that is passed on a few times
     /// only, and never again, misses some nodes for good.
-    pub fn pick(&self, mut fits: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
+    pub fn select_entries(&self, mut fits: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
         let mut cells = self.cells.lock();
         cells.steps += 1;
         let steps = cells.steps;
--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -25,13 +25,13 @@
     for (n, rating) in ratings {
         let node = &nodes[usize::from(*n)];
         let kind = if *rating < 0.5 { "summary" } else { "reconcile" }.into();
-        node.add(
+        node.record(
             version,
             &kind,
             Sample { rating: Some(*rating), outcome: Outcome::Answered, tokens: 5 },
         );
-        entries.extend(node.pick(|_| true));
-        entries.extend(node.pick(|_| true));
+        entries.extend(node.select_entries(|_| true));
+        entries.extend(node.select_entries(|_| true));
     }
     let sum = nodes.iter().map(|it| it.total(version));
     (entries, sum.fold(Counts::default(), |sum, it| sum.plus(&it)))
@@ -129,7 +129,7 @@
         let nodes = fleet.start(6);
         let version = version::Id::new("tally-llm@2");
         for node in &nodes {
-            node.evidence().add(
+            node.evidence().record(
                 &version,
                 &"summary".into(),
                 Sample { rating: Some(0.0), outcome: Outcome::Answered, tokens: 1 },
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -184,6 +184,6 @@
     }
 
     fn add_sample(&self, kind: &kind::Id, version: &version::Id, sample: Sample) {
-        self.node.evidence().add(version, kind, sample);
+        self.node.evidence().record(version, kind, sample);
     }
 }
--- a/crates/curranthook_router/src/version_health.rs
+++ b/crates/curranthook_router/src/version_health.rs
@@ -68,7 +68,7 @@
 /// Passes the ratings from other nodes to the strategy that selects versions.
 fn merge_peer_ratings(router: &Router) {
     let mut version_strategy = router.version_strategy.lock();
-    for (Subject { version, kind }, counts) in router.node.evidence().of_others() {
+    for (Subject { version, kind }, counts) in router.node.evidence().peer_totals() {
         let ratings = choice::Counts { n: counts.n, sum: counts.sum };
         version_strategy.merge(&kind, &version, ratings);
     }
