--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -141,7 +141,7 @@
             let start = turn.checked_rem(suspects.len()).unwrap_or(0);
             suspects.rotate_left(start);
             frame.suspects = budget.fill(suspects);
-            frame.poison = budget.fill(node.poison().pick(turn, MAX_PICKED));
+            frame.poison = budget.fill(node.poison().recent_entries(turn, MAX_PICKED));
         }
         Topic::Members => frame.members = budget.fill(hints(node, turn / TOPICS.len())),
     }
--- a/crates/curranthook_peers/src/poison.rs
+++ b/crates/curranthook_peers/src/poison.rs
@@ -15,7 +15,7 @@
 use serde_with::{hex::Hex, serde_as};
 
 /// How many fingerprints are kept.
-const MAX_ENTRIES: usize = 1_024;
+const MAX_FINGERPRINTS: usize = 1_024;
 
 /// A charge as a digest carries it: fingerprint, endpoints, time of the first charge in
 /// milliseconds since 1970, whether it stands.
@@ -38,17 +38,17 @@
 impl Poison {
     /// No charges yet.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
-        Self { clock, register: Mutex::new(Register::new(MAX_ENTRIES)) }
+        Self { clock, register: Mutex::new(Register::new(MAX_FINGERPRINTS)) }
     }
 
     /// Charges a fingerprint with an endpoint that died under it.
-    pub fn charge(&self, fingerprint: Fingerprint, endpoint: &endpoint::Id) {
+    pub fn record_crash(&self, fingerprint: Fingerprint, endpoint: &endpoint::Id) {
         self.register.lock().record_crash(fingerprint, endpoint, self.clock.now());
     }
 
     /// Takes a fingerprint's charges back: an endpoint answered the request, so those that died
     /// had another cause, such as a restart.
-    pub fn release(&self, fingerprint: &Fingerprint) {
+    pub fn clear(&self, fingerprint: &Fingerprint) {
         self.register.lock().clear(*fingerprint);
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// The `n` latest charges, beginning after the first `skip`.
-    pub fn pick(&self, skip: usize, n: usize) -> Vec<Entry> {
+    pub fn recent_entries(&self, skip: usize, n: usize) -> Vec<Entry> {
         let now_millis = self.clock.unix_millis();
         let mut live = self.register.lock().export(self.clock.now());
         live.sort_by_key(|it| (it.age, it.fingerprint));
--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -68,20 +68,20 @@
 fn charges_by_two_nodes_make_poison_everywhere_until_they_expire() {
     let clock = Arc::new(clock::Manual::default());
     let nodes: Vec<_> = (0..3).map(|_| Poison::new(clock.clone())).collect();
-    let print = [7; 16];
-    nodes[0].charge(print, &endpoint::Id::new("e-1"));
-    nodes[0].charge(print, &endpoint::Id::new("e-1"));
-    assert!(!nodes[0].is_poison(&print), "one endpoint may die of something else");
-    nodes[1].charge(print, &endpoint::Id::new("e-2"));
+    let fingerprint = [7; 16];
+    nodes[0].record_crash(fingerprint, &endpoint::Id::new("e-1"));
+    nodes[0].record_crash(fingerprint, &endpoint::Id::new("e-1"));
+    assert!(!nodes[0].is_poison(&fingerprint), "one endpoint may die of something else");
+    nodes[1].record_crash(fingerprint, &endpoint::Id::new("e-2"));
     for from in &nodes[..2] {
-        from.pick(0, 8).iter().for_each(|it| nodes[2].merge(it));
+        from.recent_entries(0, 8).iter().for_each(|it| nodes[2].merge(it));
     }
-    assert!(nodes[2].is_poison(&print));
-    let told = nodes[2].pick(0, 8);
+    assert!(nodes[2].is_poison(&fingerprint));
+    let told = nodes[2].recent_entries(0, 8);
     clock.advance(Duration::from_secs(601));
     told.iter().for_each(|it| nodes[0].merge(it));
-    assert!(!nodes[0].is_poison(&print), "a charge must not go round for ever");
-    assert!(!nodes[2].is_poison(&print));
+    assert!(!nodes[0].is_poison(&fingerprint), "a charge must not go round for ever");
+    assert!(!nodes[2].is_poison(&fingerprint));
 }
 
 /// A version that a node suspects is withdrawn for all. The suspicion is over with that, so that
--- a/crates/curranthook_router/src/attempt.rs
+++ b/crates/curranthook_router/src/attempt.rs
@@ -242,7 +242,7 @@
     Timer::after(DEATH_CHECK_DELAY).await;
     if is_dead(&router.pool, addr).await {
         log::info!("endpoint {endpoint} died while processing a request");
-        router.node.poison().charge(fingerprint, endpoint);
+        router.node.poison().record_crash(fingerprint, endpoint);
     }
 }
 
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -270,7 +270,7 @@
     async fn record_bill(&self, version: &version::Id) {
         let metadata = &self.call.chat().metadata;
         let line = self.cost.line(metadata, version, &*self.router.clock);
-        self.router.node.poison().release(&metadata.fingerprint);
+        self.router.node.poison().clear(&metadata.fingerprint);
         // The line must survive the loss of this VM before the caller can know that it has the
         // whole response: otherwise the work would go unbilled if the VM died in between.
         self.router.record_bill(line).await;
