--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -139,7 +139,7 @@
         async_io::Timer::after(Duration::from_secs_f64(1.0 / load)).await;
         let version = format!("tally-llm@{}", n % VERSIONS);
         let account = format!("account-{}", n % ACCOUNTS);
-        node.demand().add(&account.as_str().into());
+        node.demand().record_request(&account.as_str().into());
         let sample = Sample { rating: Some(0.8), outcome: Outcome::Answered, tokens: 360 };
         node.evidence().record(&version.as_str().into(), &"summary".into(), sample);
         let line = bill::Line {
--- a/crates/curranthook_peers/src/demand.rs
+++ b/crates/curranthook_peers/src/demand.rs
@@ -71,12 +71,12 @@
     }
 
     /// Counts a request of an account, whether or not it's let in.
-    pub fn add(&self, account: &account::Id) {
+    pub fn record_request(&self, account: &account::Id) {
         *self.state.lock().counted.entry(account.clone()).or_default() += 1;
     }
 
     /// Turns what was counted over `elapsed` into rates.
-    pub fn tick(&self, elapsed: Duration) {
+    pub fn update_rates(&self, elapsed: Duration) {
         let mut state = self.state.lock();
         let counted = std::mem::take(&mut state.counted);
         let seconds = elapsed.as_secs_f64().max(0.001);
@@ -131,12 +131,12 @@
     }
 
     /// Forgets a VM that left.
-    pub fn forget(&self, vm: &vm::Id) {
+    pub fn remove(&self, vm: &vm::Id) {
         self.state.lock().reports.remove(vm);
     }
 
     /// Some of this node's rates and, in turn, of one other's, as long as they fit.
-    pub fn pick(&self, mut fits: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
+    pub fn select_entries(&self, mut fits: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
         let now = self.clock.unix_millis();
         let mut state = self.state.lock();
         state.cursor += 1;
--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -135,7 +135,7 @@
 fn add(node: &Node, topic: Topic, turn: usize, budget: &mut Budget, frame: &mut Frame) {
     match topic {
         Topic::Evidence => frame.evidence = node.evidence().select_entries(|it| budget.take(it)),
-        Topic::Demand => frame.demand = node.demand().pick(|it| budget.take(it)),
+        Topic::Demand => frame.demand = node.demand().select_entries(|it| budget.take(it)),
         Topic::Alarms => {
             let mut suspects = node.suspects().all();
             let start = turn.checked_rem(suspects.len()).unwrap_or(0);
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -332,7 +332,7 @@
     /// A peer said itself that it leaves.
     pub(crate) fn peer_left(&self, identity: &Identity) {
         self.members.left(identity);
-        self.demand.forget(&identity.vm);
+        self.demand.remove(&identity.vm);
     }
 
     /// Calls a peer; whether it answered is noted.
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/round.rs
@@ -43,7 +43,7 @@
     loop {
         pause(node.tuning().exchange_interval).await;
         let now = node.setup.clock.now();
-        node.demand().tick(now.saturating_duration_since(last));
+        node.demand().update_rates(now.saturating_duration_since(last));
         last = now;
         if let Some(document) = node.document() {
             node.suspects().settle(&document);
--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -107,11 +107,11 @@
         ["vm-0", "vm-1"].iter().map(|it| Demand::new((*it).into(), 1, clock.clone())).collect();
     let account = "co-op".into();
     for _ in 0..20 {
-        (0..30).for_each(|_| nodes[0].add(&account));
-        (0..10).for_each(|_| nodes[1].add(&account));
-        nodes.iter().for_each(|it| it.tick(Duration::from_secs(1)));
+        (0..30).for_each(|_| nodes[0].record_request(&account));
+        (0..10).for_each(|_| nodes[1].record_request(&account));
+        nodes.iter().for_each(|it| it.update_rates(Duration::from_secs(1)));
     }
-    let told: Vec<_> = nodes.iter().map(|it| it.pick(|_| true).remove(0)).collect();
+    let told: Vec<_> = nodes.iter().map(|it| it.select_entries(|_| true).remove(0)).collect();
     nodes[0].merge(&told[1]);
     nodes[0].merge(&told[1]);
     nodes[1].merge(&told[0]);
@@ -156,12 +156,12 @@
         .collect();
     let account = "co-op".into();
     for _ in 0..20 {
-        (0..60).for_each(|_| nodes[0].add(&account));
-        nodes[0].tick(Duration::from_secs(1));
+        (0..60).for_each(|_| nodes[0].record_request(&account));
+        nodes[0].update_rates(Duration::from_secs(1));
     }
     assert!(nodes[0].share(&account, 3) < 0.4, "nothing is known of the others yet");
     for idle in &nodes[1..] {
-        idle.pick(|_| true).iter().for_each(|it| nodes[0].merge(it));
+        idle.select_entries(|_| true).iter().for_each(|it| nodes[0].merge(it));
     }
     assert!(0.95 < nodes[0].share(&account, 3), "{}", nodes[0].share(&account, 3));
 }
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -108,7 +108,7 @@
         snapshot: &Snapshot,
         account: &account::Id,
     ) -> Result<(), Refusal> {
-        self.node.demand().add(account);
+        self.node.demand().record_request(account);
         let Some(settings) = snapshot.account_settings(account) else { return Ok(()) };
         let (now, nodes) = (self.clock.now(), self.node.site_nodes());
         let share = self.node.share(account);
