--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -35,7 +35,7 @@
     /// The object store holds it.
     Stored,
     /// Only this node holds it; it goes on trying.
-    Alone,
+    LocalOnly,
 }
 
 #[derive(Debug)]
@@ -69,7 +69,7 @@
         match durability {
             Durability::Replicated(_) => bump(&counters.line_replicated, n_lines),
             Durability::Stored => bump(&counters.line_stored, n_lines),
-            Durability::Alone => bump(&counters.line_alone, n_lines),
+            Durability::LocalOnly => bump(&counters.line_alone, n_lines),
         }
         for waiting in self.waiting {
             let _caller_gone = waiting.done.try_send(durability);
@@ -114,7 +114,7 @@
             state.waiting.push(Waiting { sequence, done });
         }
         let _already_woken = self.recorded.0.try_send(());
-        result.recv().await.unwrap_or(Durability::Alone)
+        result.recv().await.unwrap_or(Durability::LocalOnly)
     }
 
     /// Whether so many lines wait to be stored that the node must take no new work.
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -67,7 +67,7 @@
     loop {
         let durability = bring(node, batch).await;
         let held = node.setup.clock.now().saturating_duration_since(start);
-        if durability != Durability::Alone || node.members().fleet() <= 1 || HOLD < held {
+        if durability != Durability::LocalOnly || node.members().fleet() <= 1 || HOLD < held {
             return durability;
         }
         pause(HOLD_PAUSE).await;
@@ -94,7 +94,7 @@
     match (stored, n_held + n_more) {
         (_, n) if COPIES <= n => Durability::Replicated(n),
         (Ok(true), _) => Durability::Stored,
-        (_, 0) => Durability::Alone,
+        (_, 0) => Durability::LocalOnly,
         (_, n) => Durability::Replicated(n),
     }
 }
--- a/crates/curranthook_peers/tests/peers/journal.rs
+++ b/crates/curranthook_peers/tests/peers/journal.rs
@@ -77,7 +77,7 @@
         let node = fleet.node(0, 1);
         assert_eq!(node.journal().record(line("r-1")).await, Durability::Stored);
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
-        assert_eq!(node.journal().record(line("r-2")).await, Durability::Alone);
+        assert_eq!(node.journal().record(line("r-2")).await, Durability::LocalOnly);
         fleet.platform.objects_down.store(false, Ordering::SeqCst);
         wait(LIMIT, || fleet.platform.billed().len() == 2).await.expect("both stored");
     });
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -132,7 +132,7 @@
             journal::Durability::Stored => self.metrics.count("bill.stored"),
             // No other node can be reached. The response is not delayed for that: the line stays in
             // memory and is sent as soon as another node answers.
-            journal::Durability::Alone => self.metrics.count("bill.alone"),
+            journal::Durability::LocalOnly => self.metrics.count("bill.alone"),
         }
     }
 
