--- a/crates/curranthook_capacity/src/measure/journal.rs
+++ b/crates/curranthook_capacity/src/measure/journal.rs
@@ -169,5 +169,5 @@
         cost: price::Micros(0),
         at_millis: 0,
     };
-    replica::size(&line) as f64
+    replica::estimated_size(&line) as f64
 }
--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -109,7 +109,7 @@
             let mut state = self.state.lock();
             let sequence = state.next;
             state.next += 1;
-            state.n_bytes += replica::size(&line);
+            state.n_bytes += replica::estimated_size(&line);
             state.lines.insert(sequence, line);
             state.waiting.push(Waiting { sequence, done });
         }
@@ -203,7 +203,7 @@
         for sequence in (batch.first..).take(batch.lines.len()) {
             state.thin.remove(&sequence);
             if let Some(line) = state.lines.remove(&sequence) {
-                state.n_bytes -= replica::size(&line);
+                state.n_bytes -= replica::estimated_size(&line);
             }
         }
         true
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -114,13 +114,13 @@
         for (sequence, line) in (batch.first..).zip(batch.lines) {
             // A batch that was overtaken by the news of its storage isn't kept again.
             if owner.stored_below <= sequence && !owner.lines.contains_key(&sequence) {
-                *n_bytes += size(&line);
+                *n_bytes += estimated_size(&line);
                 owner.lines.insert(sequence, line);
             }
         }
         let kept = owner.lines.split_off(&owner.stored_below);
         let dropped = std::mem::replace(&mut owner.lines, kept);
-        *n_bytes -= dropped.values().map(size).sum::<usize>();
+        *n_bytes -= dropped.values().map(estimated_size).sum::<usize>();
         Ok(())
     }
 
@@ -211,7 +211,7 @@
         let Some(owner) = owners.get_mut(origin) else { return };
         for sequence in first..end {
             if let Some(line) = owner.lines.remove(&sequence) {
-                *n_bytes -= size(&line);
+                *n_bytes -= estimated_size(&line);
             }
         }
     }
@@ -226,7 +226,7 @@
 }
 
 /// About how many bytes a line takes in memory.
-pub fn size(line: &Line) -> usize {
+pub fn estimated_size(line: &Line) -> usize {
     const TREE_NODE: usize = 64;
     size_of::<Line>()
         + TREE_NODE
