--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -108,7 +108,7 @@
 pub(crate) fn build(node: &Node) -> Frame {
     let turn = node.next_turn();
     let mut frame = Frame {
-        from: node.members().own().clone(),
+        from: node.members().own_identity().clone(),
         epoch: node.epoch(),
         suspects: Vec::new(),
         poison: Vec::new(),
@@ -158,16 +158,16 @@
     for entry in &frame.evidence {
         node.evidence().merge(entry);
     }
-    if frame.from.site == node.members().own().site {
+    if frame.from.site == node.members().own_identity().site {
         for entry in &frame.demand {
             node.demand().merge(entry);
         }
     }
     for identity in &frame.members {
-        node.members().hint(identity);
+        node.members().add_candidate(identity);
     }
     for addr in &frame.unreachable {
-        node.members().reported(*addr);
+        node.members().record_unreachable_report(*addr);
     }
 }
 
--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -92,12 +92,12 @@
     }
 
     /// Who this node is.
-    pub fn own(&self) -> &Identity {
+    pub fn own_identity(&self) -> &Identity {
         &self.own
     }
 
     /// Takes over a VM list. It makes no peer alive and removes none that answers.
-    pub fn list(&self, vms: &[Vm]) {
+    pub fn update_vm_list(&self, vms: &[Vm]) {
         let mut state = self.state.lock();
         for peer in state.known.values_mut() {
             peer.is_listed = false;
@@ -115,7 +115,7 @@
     }
 
     /// Adds a candidate of which only the address is known.
-    pub fn seed(&self, addr: SocketAddr) {
+    pub fn add_seed(&self, addr: SocketAddr) {
         if addr == self.own.addr {
             return;
         }
@@ -125,7 +125,7 @@
     }
 
     /// Adds a candidate that a peer named.
-    pub fn hint(&self, identity: &Identity) {
+    pub fn add_candidate(&self, identity: &Identity) {
         if identity.vm == self.own.vm || identity.addr == self.own.addr {
             return;
         }
@@ -145,7 +145,11 @@
     }
 
     /// Learns which failure domains belong to a site, from a configuration.
-    pub fn place<'a>(&self, site: &site::Id, domains: impl Iterator<Item = &'a domain::Id>) {
+    pub fn add_site_domains<'a>(
+        &self,
+        site: &site::Id,
+        domains: impl Iterator<Item = &'a domain::Id>,
+    ) {
         let mut state = self.state.lock();
         for domain in domains {
             state.sites.entry(domain.clone()).or_insert_with(|| site.clone());
@@ -153,7 +157,7 @@
     }
 
     /// A call of ours to `addr` was answered by `identity`.
-    pub fn answered(&self, addr: SocketAddr, identity: &Identity) -> Result<(), Stale> {
+    pub fn record_answer(&self, addr: SocketAddr, identity: &Identity) -> Result<(), Stale> {
         if identity.vm == self.own.vm {
             // A seed may be this node's own address under another name.
             self.state.lock().known.remove(&addr);
@@ -172,7 +176,7 @@
 
     /// A peer called us. That it reaches us doesn't say that we reach it, so it's no more than a
     /// candidate; but it's worth trying again at once.
-    pub fn called_by(&self, identity: &Identity) -> Result<(), Stale> {
+    pub fn record_caller(&self, identity: &Identity) -> Result<(), Stale> {
         if identity.vm == self.own.vm {
             return if identity.incarnation == self.own.incarnation { Ok(()) } else { Err(Stale) };
         }
@@ -189,14 +193,14 @@
 
     /// A call of ours was answered by a peer that didn't say who it is. Failures before it don't
     /// count any more: a few slow calls spread over many quick ones are no reason to drop a peer.
-    pub fn reached(&self, addr: SocketAddr) {
+    pub fn reset_failures(&self, addr: SocketAddr) {
         if let Some(peer) = self.state.lock().known.get_mut(&addr) {
             peer.failures = 0;
         }
     }
 
     /// A call of ours failed.
-    pub fn failed(&self, addr: SocketAddr) {
+    pub fn record_failure(&self, addr: SocketAddr) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let Some(peer) = state.known.get_mut(&addr) else { return };
@@ -204,7 +208,7 @@
     }
 
     /// A peer says that it can't reach `addr`.
-    pub fn reported(&self, addr: SocketAddr) {
+    pub fn record_unreachable_report(&self, addr: SocketAddr) {
         if self.trust == Trust::Own {
             return;
         }
@@ -215,7 +219,7 @@
     }
 
     /// A peer said itself that it leaves.
-    pub fn left(&self, identity: &Identity) {
+    pub fn record_departure(&self, identity: &Identity) {
         let mut state = self.state.lock();
         let left = state.left.entry(identity.vm.clone()).or_default();
         *left = (*left).max(identity.incarnation);
@@ -224,7 +228,7 @@
 
     /// The peer to call now: the parts of the view in turn, within each the one that failed
     /// last time, or else the one that has waited longest.
-    pub fn next(&self) -> Option<SocketAddr> {
+    pub fn next_peer(&self) -> Option<SocketAddr> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         state.turn += 1;
@@ -247,7 +251,7 @@
     }
 
     /// A few peers at random, for a start without a configuration.
-    pub fn some(&self, n: usize) -> Vec<SocketAddr> {
+    pub fn random_peers(&self, n: usize) -> Vec<SocketAddr> {
         let mut state = self.state.lock();
         let mut all: Vec<_> = state.known.keys().copied().collect();
         let mut picked = Vec::new();
@@ -269,7 +273,7 @@
 
     /// Peers that are alive, in other failure domains, best first: of this site, and then in an
     /// order that is this node's own and stays the same, so that few peers hold its lines.
-    pub fn replicas(&self) -> Vec<Identity> {
+    pub fn replica_candidates(&self) -> Vec<Identity> {
         let mut all: Vec<_> = self.alive();
         all.retain(|it| it.identity.domain != self.own.domain);
         all.sort_by_cached_key(|it| {
@@ -280,7 +284,7 @@
     }
 
     /// An estimate of the nodes in the fleet, this one included.
-    pub fn fleet(&self) -> usize {
+    pub fn fleet_size(&self) -> usize {
         let state = self.state.lock();
         let n_listed = state.known.values().filter(|it| it.is_listed).count();
         let n_alive = state.known.values().filter(|it| it.is_alive).count();
@@ -301,7 +305,7 @@
     /// What this node sees.
     pub fn view(&self) -> View {
         View {
-            fleet: self.fleet(),
+            fleet: self.fleet_size(),
             site_nodes: self.site_nodes(),
             alive: self.alive(),
             unreachable: self.unreachable(),
--- a/crates/curranthook_peers/src/member/joining.rs
+++ b/crates/curranthook_peers/src/member/joining.rs
@@ -3,14 +3,14 @@
 use super::Members;
 
 /// With so many peers in other failure domains a node's bill lines are safe.
-const ENOUGH: usize = 2;
+const MIN_REPLICAS: usize = 2;
 
 impl Members {
     /// Whether too few peers are known to be alive and some have been neither met nor missed.
     ///
     /// An answer given now would have its bill line on this VM alone.
     pub fn is_joining(&self) -> bool {
-        if ENOUGH <= self.replicas().len() {
+        if MIN_REPLICAS <= self.replica_candidates().len() {
             return false;
         }
         let state = self.state.lock();
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -118,7 +118,7 @@
     pub fn start_with(setup: Setup, tuning: Tuning) -> Arc<Self> {
         let node = Arc::new_cyclic(|weak| Self::new(setup, tuning, weak));
         for addr in &node.setup.settings.seeds {
-            node.members.seed(*addr);
+            node.members.add_seed(*addr);
         }
         task::start(&node);
         node
@@ -194,7 +194,7 @@
 
     /// Who this node is to its peers.
     pub fn identity(&self) -> &Identity {
-        self.members.own()
+        self.members.own_identity()
     }
 
     /// This node's bill lines.
@@ -331,7 +331,7 @@
 
     /// A peer said itself that it leaves.
     pub(crate) fn peer_left(&self, identity: &Identity) {
-        self.members.left(identity);
+        self.members.record_departure(identity);
         self.demand.remove(&identity.vm);
     }
 
@@ -352,8 +352,8 @@
         let result = client.call(addr, method, param, timeout).await;
         // A refusal is an answer; anything else says that the peer can't be used.
         match result {
-            Ok(_) | Err(rpc::Error::Refused(_)) => self.members.reached(addr),
-            Err(_) => self.members.failed(addr),
+            Ok(_) | Err(rpc::Error::Refused(_)) => self.members.reset_failures(addr),
+            Err(_) => self.members.record_failure(addr),
         }
         result
     }
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -185,7 +185,7 @@
         let now = self.clock.now();
         // Owners flush less often in a large fleet. Replicas that didn't wait for that would
         // store every line of the fleet three times.
-        let flush = Duration::from_secs_f64(members.fleet() as f64 / FLEET_PUTS);
+        let flush = Duration::from_secs_f64(members.fleet_size() as f64 / FLEET_PUTS);
         let patience = match self.is_store_out.load(Ordering::Relaxed) {
             true => self.silence,
             // Storing lines twice is harmless, and each second counts when VMs are lost together.
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -194,7 +194,7 @@
         Ok::<_, ErrorObjectOwned>(totals)
     })?;
     module.register_method("fleet", |_, node, _| {
-        Ok::<_, ErrorObjectOwned>(upgrade(node)?.members().fleet())
+        Ok::<_, ErrorObjectOwned>(upgrade(node)?.members().fleet_size())
     })?;
     module.register_method("origins", |_, node, _| {
         let node = upgrade(node)?;
@@ -215,7 +215,7 @@
 }
 
 fn met(node: &Node, identity: &Identity) -> Result<(), ErrorObjectOwned> {
-    node.members().called_by(identity).map_err(|e| {
+    node.members().record_caller(identity).map_err(|e| {
         bump(&node.counters().rejected_incarnation, 1);
         refusal(STALE, &e.to_string())
     })
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -65,7 +65,7 @@
         round::exchange(node).await;
         pause(LAST_PAUSE).await;
     }
-    let own = node.members().own().clone();
+    let own = node.members().own_identity().clone();
     let tell = node.members().alive().into_iter().map(|it| tell(node, own.clone(), it.identity));
     join_all(tell).await;
 }
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -26,7 +26,7 @@
 pub(crate) async fn poll(node: Arc<Node>) {
     loop {
         read(&node).await;
-        let by_fleet = Duration::from_secs_f64(node.members().fleet() as f64 / FLEET_POLLS);
+        let by_fleet = Duration::from_secs_f64(node.members().fleet_size() as f64 / FLEET_POLLS);
         pause(node.tuning().poll_interval.max(by_fleet)).await;
     }
 }
@@ -63,7 +63,7 @@
 /// configuration when that peer has been cut off; the platform may be out and set nothing right.
 pub(crate) async fn bootstrap(node: Arc<Node>) {
     while node.document().is_none() {
-        let asked = node.members().some(ASKED);
+        let asked = node.members().random_peers(ASKED);
         let answers = join_all(asked.into_iter().map(|addr| ask(&node, addr))).await;
         for transfer in answers.into_iter().flatten() {
             take(&node, transfer);
@@ -80,7 +80,7 @@
 /// Asks a few peers for the whole document and takes each newer one over as it comes: what is
 /// in force is old already, and a peer that is gone mustn't hold back the others' announcement.
 pub(crate) async fn refresh(node: &Node) {
-    let asked = node.members().some(ASKED).into_iter().map(|addr| async move {
+    let asked = node.members().random_peers(ASKED).into_iter().map(|addr| async move {
         if let Some(transfer) = ask(node, addr).await {
             take(node, transfer);
         }
@@ -132,13 +132,15 @@
 fn learned(node: &Node) {
     let Some(document) = node.document() else { return };
     for (site, config) in &document.sites {
-        node.members().place(site, config.endpoints.values().map(|it| &it.failure_domain));
+        node.members()
+            .add_site_domains(site, config.endpoints.values().map(|it| &it.failure_domain));
     }
     node.suspects().settle(&document);
 }
 
 async fn tell(node: &Node) {
-    let announcement = Announcement { from: node.members().own().clone(), epoch: node.epoch() };
+    let announcement =
+        Announcement { from: node.members().own_identity().clone(), epoch: node.epoch() };
     let mut alive = node.members().alive();
     let start = node.next_turn().checked_rem(alive.len()).unwrap_or(0);
     alive.rotate_left(start);
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -67,7 +67,7 @@
     loop {
         let durability = bring(node, batch).await;
         let held = node.setup.clock.now().saturating_duration_since(start);
-        if durability != Durability::LocalOnly || node.members().fleet() <= 1 || HOLD < held {
+        if durability != Durability::LocalOnly || node.members().fleet_size() <= 1 || HOLD < held {
             return durability;
         }
         pause(HOLD_PAUSE).await;
@@ -76,7 +76,7 @@
 
 /// Two peers, else other peers and the store at once; then there's nothing left to try.
 async fn bring(node: &Node, batch: &Batch) -> Durability {
-    let peers: Vec<_> = node.members().replicas().into_iter().map(|it| it.addr).collect();
+    let peers: Vec<_> = node.members().replica_candidates().into_iter().map(|it| it.addr).collect();
     let (first, others) = peers.split_at(COPIES.min(peers.len()));
     let n_held = send(node, first, batch, REPLICATE_TIMEOUT).await;
     if COPIES <= n_held {
@@ -108,7 +108,7 @@
 /// Stores lines, at a rate of puts that doesn't grow with the fleet.
 pub(crate) async fn flush(node: Arc<Node>) {
     loop {
-        let by_fleet = Duration::from_secs_f64(node.members().fleet() as f64 / FLEET_PUTS);
+        let by_fleet = Duration::from_secs_f64(node.members().fleet_size() as f64 / FLEET_PUTS);
         let interval = pause(node.tuning().flush_interval.max(by_fleet));
         future::or(interval, node.journal().wait_hurry()).await;
         if node.journal().n_lines() == 0 {
@@ -155,7 +155,8 @@
     if has_lost_holder {
         node.journal().set_all_thin();
     }
-    let mut peers: Vec<_> = node.members().replicas().into_iter().map(|it| it.addr).collect();
+    let mut peers: Vec<_> =
+        node.members().replica_candidates().into_iter().map(|it| it.addr).collect();
     peers.truncate(COPIES);
     for batch in node.journal().take_thin() {
         if send(node, &peers, &batch, SECOND_TIMEOUT).await < enough(node) {
@@ -167,7 +168,7 @@
 /// How many copies lines should have. Peers that are known and not met yet count: they may be
 /// reached a moment later, and lines left with one copy till then would keep only that one.
 fn enough(node: &Node) -> usize {
-    node.members().fleet().saturating_sub(1).clamp(1, COPIES)
+    node.members().fleet_size().saturating_sub(1).clamp(1, COPIES)
 }
 
 /// Stores the lines of owners that are gone.
@@ -191,7 +192,7 @@
         for keeper in node.members().keepers(&origin.vm) {
             let process = Origin { vm: keeper.vm.clone(), incarnation: keeper.incarnation };
             let step = (origin.clone(), process);
-            if keeper == *node.members().own() || node.passed.lock().contains(&step) {
+            if keeper == *node.members().own_identity() || node.passed.lock().contains(&step) {
                 continue;
             }
             let mut n_kept = 0;
@@ -212,7 +213,7 @@
 /// replaced as on any other day; were a replica's lines left behind with it, the last
 /// replacement of the owner's two replicas would take them off the bill.
 pub(crate) async fn hand_over(node: &Node) -> bool {
-    let peers: Vec<_> = node.members().replicas().into_iter().map(|it| it.addr).collect();
+    let peers: Vec<_> = node.members().replica_candidates().into_iter().map(|it| it.addr).collect();
     let mut all_kept = true;
     for batch in node.journal().unstored().into_iter().chain(node.replicas().batches()) {
         all_kept &= hand_over_batch(node, &peers, &batch).await;
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/round.rs
@@ -54,13 +54,13 @@
 
 /// Calls the next peer whose turn it is.
 pub(crate) async fn exchange(node: &Node) {
-    let Some(addr) = node.members().next() else { return };
+    let Some(addr) = node.members().next_peer() else { return };
     let ours = digest::build(node);
     let Ok(theirs) = node.call::<Frame>(addr, "exchange", &ours, rpc::TIMEOUT).await else {
         bump(&node.counters().exchange_failed, 1);
         return;
     };
-    if node.members().answered(addr, &theirs.from).is_err() {
+    if node.members().record_answer(addr, &theirs.from).is_err() {
         bump(&node.counters().rejected_incarnation, 1);
         return;
     }
@@ -80,7 +80,7 @@
         match node.setup.vms.all().await {
             Ok(mut vms) => {
                 vms.retain(|it| it.role == Role::Entry);
-                node.members().list(&vms);
+                node.members().update_vm_list(&vms);
                 if vms.len() < 2 {
                     // The list lags behind a site that just started. A node that took this for
                     // the whole truth would tell nobody anything until the next read.
--- a/crates/curranthook_peers/tests/peers/membership.rs
+++ b/crates/curranthook_peers/tests/peers/membership.rs
@@ -117,14 +117,14 @@
     let clock = Arc::new(Manual::default());
     let members = Members::new(identity(0), Trust::Own, Arc::clone(&clock) as Arc<dyn Clock>, 7);
     let peers: Vec<Identity> = (1..=5).map(identity).collect();
-    peers.iter().for_each(|it| members.seed(it.addr));
+    peers.iter().for_each(|it| members.add_seed(it.addr));
     let call = |is_cut: bool| {
-        let addr = members.next().expect("somebody to call");
+        let addr = members.next_peer().expect("somebody to call");
         match peers.iter().find(|it| it.addr == addr) {
             Some(peer) if !is_cut || peer.vm != peers[0].vm => {
-                members.answered(addr, peer).unwrap();
+                members.record_answer(addr, peer).unwrap();
             }
-            _ => members.failed(addr),
+            _ => members.record_failure(addr),
         }
         // Longer than an unreachable peer is left alone.
         clock.advance(Duration::from_secs(61));
