--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -9,7 +9,7 @@
 
 mod identity;
 mod joining;
-mod keepers;
+mod orphan_replicas;
 mod table;
 mod view;
 
@@ -278,9 +278,9 @@
         all.retain(|it| it.identity.domain != self.own.domain);
         all.sort_by_cached_key(|it| {
             let far = it.identity.site != self.own.site;
-            (far, it.failures, rank(&self.own.vm, &it.identity.vm))
+            (far, it.failures, rendezvous_hash(&self.own.vm, &it.identity.vm))
         });
-        domains_first(all.into_iter().map(|it| it.identity))
+        interleave_domains(all.into_iter().map(|it| it.identity))
     }
 
     /// An estimate of the nodes in the fleet, this one included.
@@ -385,7 +385,7 @@
 }
 
 /// Brings the first of each failure domain to the front.
-fn domains_first(all: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
+fn interleave_domains(all: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
     let mut ordered: Vec<Identity> = Vec::new();
     let mut rest = Vec::new();
     for identity in all {
@@ -396,7 +396,7 @@
     ordered
 }
 
-fn rank(own: &vm::Id, other: &vm::Id) -> u64 {
+fn rendezvous_hash(own: &vm::Id, other: &vm::Id) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     (own, other).hash(&mut hasher);
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -189,17 +189,17 @@
     let orphans = node.replicas().orphans(node.members());
     node.passed.lock().retain(|(origin, _)| orphans.iter().any(|(it, _)| it == origin));
     for (origin, batches) in orphans {
-        for keeper in node.members().keepers(&origin.vm) {
-            let process = Origin { vm: keeper.vm.clone(), incarnation: keeper.incarnation };
+        for replica in node.members().orphan_replicas(&origin.vm) {
+            let process = Origin { vm: replica.vm.clone(), incarnation: replica.incarnation };
             let step = (origin.clone(), process);
-            if keeper == *node.members().own_identity() || node.passed.lock().contains(&step) {
+            if replica == *node.members().own_identity() || node.passed.lock().contains(&step) {
                 continue;
             }
-            let mut n_kept = 0;
+            let mut n_replicated = 0;
             for batch in &batches {
-                n_kept += send(node, &[keeper.addr], batch, rpc::TIMEOUT).await;
+                n_replicated += send(node, &[replica.addr], batch, rpc::TIMEOUT).await;
             }
-            if n_kept == batches.len() {
+            if n_replicated == batches.len() {
                 node.passed.lock().insert(step);
             }
         }
