--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -34,14 +34,14 @@
 use crate::tuning::Trust;
 
 /// How many peers of its own failure domain a node calls in turn.
-const VIEW_DOMAIN: usize = 6;
+const VIEW_SIZE_SAME_DOMAIN: usize = 6;
 /// How many peers of the site's other failure domains.
-const VIEW_SITE: usize = 6;
+const VIEW_SIZE_SAME_SITE: usize = 6;
 /// How many peers of other sites, or of which nothing is known yet.
-const VIEW_FAR: usize = 4;
+const VIEW_SIZE_REMOTE: usize = 4;
 /// One peer of each full part of the view is exchanged after this many turns. With views that
 /// never change, a part of the fleet could end up in nobody else's view and miss every exchange.
-const TURNS_PER_SHUFFLE: u64 = 60;
+const CALLS_PER_SHUFFLE: u64 = 60;
 
 /// The process was replaced by a later one of the same VM, or has said that it leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -49,24 +49,25 @@
 pub struct Stale;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Group {
-    Domain,
-    Site,
-    Far,
+enum Proximity {
+    SameDomain,
+    SameSite,
+    Remote,
 }
 
-impl Group {
-    fn room(self) -> usize {
+impl Proximity {
+    fn view_size(self) -> usize {
         match self {
-            Self::Domain => VIEW_DOMAIN,
-            Self::Site => VIEW_SITE,
-            Self::Far => VIEW_FAR,
+            Self::SameDomain => VIEW_SIZE_SAME_DOMAIN,
+            Self::SameSite => VIEW_SIZE_SAME_SITE,
+            Self::Remote => VIEW_SIZE_REMOTE,
         }
     }
 }
 
 /// The order in which the parts of the view are called.
-const TURNS: [Group; 4] = [Group::Domain, Group::Site, Group::Domain, Group::Far];
+const CALL_ORDER: [Proximity; 4] =
+    [Proximity::SameDomain, Proximity::SameSite, Proximity::SameDomain, Proximity::Remote];
 
 /// The peers of one node.
 #[derive(Debug)]
@@ -81,11 +82,11 @@
     /// No peers yet; `seed` feeds the choice of the view.
     pub fn new(own: Identity, trust: Trust, clock: Arc<dyn Clock>, seed: u64) -> Self {
         let state = Table {
-            known: BTreeMap::new(),
+            peers: BTreeMap::new(),
             incarnations: HashMap::new(),
-            left: HashMap::new(),
+            departed: HashMap::new(),
             sites: HashMap::from([(own.domain.clone(), own.site.clone())]),
-            turn: 0,
+            n_calls: 0,
             rng: Pcg64::seed_from_u64(seed),
         };
         Self { own, trust, clock, state: Mutex::new(state) }
@@ -99,19 +100,19 @@
     /// Takes over a VM list. It makes no peer alive and removes none that answers.
     pub fn update_vm_list(&self, vms: &[Vm]) {
         let mut state = self.state.lock();
-        for peer in state.known.values_mut() {
+        for peer in state.peers.values_mut() {
             peer.is_listed = false;
         }
-        let staying = vms.iter().filter(|it| it.state == VmState::Live && it.id != self.own.vm);
-        for vm in staying {
-            if let Some(peer) = state.entry(vm.address) {
+        let listed = vms.iter().filter(|it| it.state == VmState::Live && it.id != self.own.vm);
+        for vm in listed {
+            if let Some(peer) = state.get_or_insert(vm.address) {
                 peer.is_listed = true;
                 peer.domain = Some(vm.failure_domain.clone());
             }
         }
         // A list read before this node's neighbours are on it doesn't name those that the settings
         // do; without them the node would be alone until the next read.
-        state.known.retain(|_, it| it.is_listed || it.is_seed || it.in_view || it.is_alive);
+        state.peers.retain(|_, it| it.is_listed || it.is_seed || it.in_view || it.is_alive);
     }
 
     /// Adds a candidate of which only the address is known.
@@ -119,7 +120,7 @@
         if addr == self.own.addr {
             return;
         }
-        if let Some(peer) = self.state.lock().entry(addr) {
+        if let Some(peer) = self.state.lock().get_or_insert(addr) {
             peer.is_seed = true;
         }
     }
@@ -134,10 +135,10 @@
             return;
         }
         state.sites.insert(identity.domain.clone(), identity.site.clone());
-        let believe = self.trust == Trust::Others;
-        let Some(peer) = state.entry(identity.addr) else { return };
+        let trusts_reports = self.trust == Trust::Others;
+        let Some(peer) = state.get_or_insert(identity.addr) else { return };
         peer.domain.get_or_insert_with(|| identity.domain.clone());
-        if believe && peer.identity.is_none() {
+        if trusts_reports && peer.identity.is_none() {
             peer.identity = Some(identity.clone());
             peer.is_alive = true;
             peer.in_view = true;
@@ -160,17 +161,17 @@
     pub fn record_answer(&self, addr: SocketAddr, identity: &Identity) -> Result<(), Stale> {
         if identity.vm == self.own.vm {
             // A seed may be this node's own address under another name.
-            self.state.lock().known.remove(&addr);
+            self.state.lock().peers.remove(&addr);
             return Err(Stale);
         }
         let mut state = self.state.lock();
-        state.meet(identity)?;
-        let Some(peer) = state.entry(addr) else { return Ok(()) };
+        state.record_contact(identity)?;
+        let Some(peer) = state.get_or_insert(addr) else { return Ok(()) };
         peer.identity = Some(identity.clone());
         peer.domain = Some(identity.domain.clone());
         peer.is_alive = true;
         peer.failures = 0;
-        peer.retry = None;
+        peer.retry_after = None;
         Ok(())
     }
 
@@ -181,11 +182,11 @@
             return if identity.incarnation == self.own.incarnation { Ok(()) } else { Err(Stale) };
         }
         let mut state = self.state.lock();
-        state.meet(identity)?;
-        if let Some(peer) = state.entry(identity.addr) {
+        state.record_contact(identity)?;
+        if let Some(peer) = state.get_or_insert(identity.addr) {
             peer.domain = Some(identity.domain.clone());
-            if let Some((_, backoff)) = peer.retry {
-                peer.retry = Some((self.clock.now(), backoff));
+            if let Some((_, backoff)) = peer.retry_after {
+                peer.retry_after = Some((self.clock.now(), backoff));
             }
         }
         Ok(())
@@ -194,7 +195,7 @@
     /// A call of ours was answered by a peer that didn't say who it is. Failures before it don't
     /// count any more: a few slow calls spread over many quick ones are no reason to drop a peer.
     pub fn reset_failures(&self, addr: SocketAddr) {
-        if let Some(peer) = self.state.lock().known.get_mut(&addr) {
+        if let Some(peer) = self.state.lock().peers.get_mut(&addr) {
             peer.failures = 0;
         }
     }
@@ -203,8 +204,8 @@
     pub fn record_failure(&self, addr: SocketAddr) {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        let Some(peer) = state.known.get_mut(&addr) else { return };
-        peer.fail(now);
+        let Some(peer) = state.peers.get_mut(&addr) else { return };
+        peer.record_failure(now);
     }
 
     /// A peer says that it can't reach `addr`.
@@ -213,17 +214,17 @@
             return;
         }
         let now = self.clock.now();
-        if let Some(peer) = self.state.lock().known.get_mut(&addr) {
-            peer.give_up(now);
+        if let Some(peer) = self.state.lock().peers.get_mut(&addr) {
+            peer.mark_unreachable(now);
         }
     }
 
     /// A peer said itself that it leaves.
     pub fn record_departure(&self, identity: &Identity) {
         let mut state = self.state.lock();
-        let left = state.left.entry(identity.vm.clone()).or_default();
-        *left = (*left).max(identity.incarnation);
-        state.known.remove(&identity.addr);
+        let departed = state.departed.entry(identity.vm.clone()).or_default();
+        *departed = (*departed).max(identity.incarnation);
+        state.peers.remove(&identity.addr);
     }
 
     /// The peer to call now: the parts of the view in turn, within each the one that failed
@@ -231,21 +232,22 @@
     pub fn next_peer(&self) -> Option<SocketAddr> {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        state.turn += 1;
-        if state.turn.is_multiple_of(TURNS_PER_SHUFFLE) {
-            self.shuffle(&mut state, now);
+        state.n_calls += 1;
+        if state.n_calls.is_multiple_of(CALLS_PER_SHUFFLE) {
+            self.shuffle_view(&mut state, now);
         }
-        self.fill(&mut state, now);
-        let start = state.turn as usize;
-        (0..TURNS.len()).find_map(|n| {
-            let group = TURNS[(start + n) % TURNS.len()];
-            let waiting = state
-                .known
+        self.fill_view(&mut state, now);
+        let start = state.n_calls as usize;
+        (0..CALL_ORDER.len()).find_map(|n| {
+            let proximity = CALL_ORDER[(start + n) % CALL_ORDER.len()];
+            let candidates = state
+                .peers
                 .iter()
-                .filter(|(_, it)| it.in_view && self.group(&state.sites, it) == group);
-            let addr =
-                waiting.min_by_key(|(_, it)| (it.failures == 0, it.tried)).map(|it| *it.0)?;
-            state.known.get_mut(&addr)?.tried = Some(now);
+                .filter(|(_, it)| it.in_view && self.proximity(&state.sites, it) == proximity);
+            let addr = candidates
+                .min_by_key(|(_, it)| (it.failures == 0, it.last_call))
+                .map(|it| *it.0)?;
+            state.peers.get_mut(&addr)?.last_call = Some(now);
             Some(addr)
         })
     }
@@ -253,19 +255,19 @@
     /// A few peers at random, for a start without a configuration.
     pub fn random_peers(&self, n: usize) -> Vec<SocketAddr> {
         let mut state = self.state.lock();
-        let mut all: Vec<_> = state.known.keys().copied().collect();
-        let mut picked = Vec::new();
-        while picked.len() < n && !all.is_empty() {
-            let at = state.rng.random_range(0..all.len());
-            picked.push(all.swap_remove(at));
+        let mut candidates: Vec<_> = state.peers.keys().copied().collect();
+        let mut selected = Vec::new();
+        while selected.len() < n && !candidates.is_empty() {
+            let index = state.rng.random_range(0..candidates.len());
+            selected.push(candidates.swap_remove(index));
         }
-        picked
+        selected
     }
 
     /// Peers that are alive.
     pub fn alive(&self) -> Vec<Contact> {
         let state = self.state.lock();
-        let alive = state.known.values().filter(|it| it.is_alive);
+        let alive = state.peers.values().filter(|it| it.is_alive);
         let contact =
             |it: &Peer| Some(Contact { identity: it.identity.clone()?, failures: it.failures });
         alive.filter_map(contact).collect()
@@ -274,20 +276,20 @@
     /// Peers that are alive, in other failure domains, best first: of this site, and then in an
     /// order that is this node's own and stays the same, so that few peers hold its lines.
     pub fn replica_candidates(&self) -> Vec<Identity> {
-        let mut all: Vec<_> = self.alive();
-        all.retain(|it| it.identity.domain != self.own.domain);
-        all.sort_by_cached_key(|it| {
-            let far = it.identity.site != self.own.site;
-            (far, it.failures, rendezvous_hash(&self.own.vm, &it.identity.vm))
+        let mut candidates: Vec<_> = self.alive();
+        candidates.retain(|it| it.identity.domain != self.own.domain);
+        candidates.sort_by_cached_key(|it| {
+            let is_remote = it.identity.site != self.own.site;
+            (is_remote, it.failures, rendezvous_hash(&self.own.vm, &it.identity.vm))
         });
-        interleave_domains(all.into_iter().map(|it| it.identity))
+        interleave_domains(candidates.into_iter().map(|it| it.identity))
     }
 
     /// An estimate of the nodes in the fleet, this one included.
     pub fn fleet_size(&self) -> usize {
         let state = self.state.lock();
-        let n_listed = state.known.values().filter(|it| it.is_listed).count();
-        let n_alive = state.known.values().filter(|it| it.is_alive).count();
+        let n_listed = state.peers.values().filter(|it| it.is_listed).count();
+        let n_alive = state.peers.values().filter(|it| it.is_alive).count();
         n_listed.max(n_alive) + 1
     }
 
@@ -296,10 +298,11 @@
     pub fn site_nodes(&self) -> usize {
         let state = self.state.lock();
         let is_counted = |it: &&Peer| {
-            let group = self.group(&state.sites, it);
-            group != Group::Far && (it.is_alive || it.is_listed && it.retry.is_none())
+            let proximity = self.proximity(&state.sites, it);
+            proximity != Proximity::Remote
+                && (it.is_alive || it.is_listed && it.retry_after.is_none())
         };
-        state.known.values().filter(is_counted).count() + 1
+        state.peers.values().filter(is_counted).count() + 1
     }
 
     /// What this node sees.
@@ -315,67 +318,67 @@
     /// Peers that this node can't reach.
     pub fn unreachable(&self) -> Vec<SocketAddr> {
         let state = self.state.lock();
-        state.known.iter().filter(|(_, it)| it.retry.is_some()).map(|it| *it.0).collect()
+        state.peers.iter().filter(|(_, it)| it.retry_after.is_some()).map(|it| *it.0).collect()
     }
 
     /// Whether a later process of this VM is known, or this one has left.
     pub fn is_replaced(&self, vm: &vm::Id, incarnation: vm::Incarnation) -> bool {
         let state = self.state.lock();
         state.incarnations.get(vm).is_some_and(|it| incarnation < *it)
-            || state.left.get(vm).is_some_and(|it| incarnation <= *it)
+            || state.departed.get(vm).is_some_and(|it| incarnation <= *it)
     }
 
-    fn group(&self, sites: &HashMap<domain::Id, site::Id>, peer: &Peer) -> Group {
+    fn proximity(&self, sites: &HashMap<domain::Id, site::Id>, peer: &Peer) -> Proximity {
         match &peer.domain {
-            Some(domain) if *domain == self.own.domain => Group::Domain,
-            Some(domain) if sites.get(domain) == Some(&self.own.site) => Group::Site,
-            _ => Group::Far,
+            Some(domain) if *domain == self.own.domain => Proximity::SameDomain,
+            Some(domain) if sites.get(domain) == Some(&self.own.site) => Proximity::SameSite,
+            _ => Proximity::Remote,
         }
     }
 
-    fn fill(&self, state: &mut Table, now: Instant) {
-        for group in [Group::Domain, Group::Site, Group::Far] {
-            let in_group: Vec<_> = state
-                .known
+    fn fill_view(&self, state: &mut Table, now: Instant) {
+        for proximity in [Proximity::SameDomain, Proximity::SameSite, Proximity::Remote] {
+            let same_proximity: Vec<_> = state
+                .peers
                 .iter()
-                .filter(|(_, it)| self.group(&state.sites, it) == group)
-                .map(|(addr, it)| (*addr, it.in_view, it.may_try(now)))
+                .filter(|(_, it)| self.proximity(&state.sites, it) == proximity)
+                .map(|(addr, it)| (*addr, it.in_view, it.may_call(now)))
                 .collect();
-            let n_in_view = in_group.iter().filter(|it| it.1).count();
+            let n_in_view = same_proximity.iter().filter(|it| it.1).count();
             let mut candidates: Vec<_> =
-                in_group.iter().filter(|it| !it.1 && it.2).map(|it| it.0).collect();
-            for _ in n_in_view..group.room() {
+                same_proximity.iter().filter(|it| !it.1 && it.2).map(|it| it.0).collect();
+            for _ in n_in_view..proximity.view_size() {
                 if candidates.is_empty() {
                     break;
                 }
-                let at = state.rng.random_range(0..candidates.len());
-                let addr = candidates.swap_remove(at);
-                if let Some(peer) = state.known.get_mut(&addr) {
+                let index = state.rng.random_range(0..candidates.len());
+                let addr = candidates.swap_remove(index);
+                if let Some(peer) = state.peers.get_mut(&addr) {
                     peer.in_view = true;
                 }
             }
         }
     }
 
-    fn shuffle(&self, state: &mut Table, now: Instant) {
-        for group in [Group::Domain, Group::Site, Group::Far] {
-            let in_group = |it: &Peer| self.group(&state.sites, it) == group;
+    fn shuffle_view(&self, state: &mut Table, now: Instant) {
+        for proximity in [Proximity::SameDomain, Proximity::SameSite, Proximity::Remote] {
+            let same_proximity = |it: &Peer| self.proximity(&state.sites, it) == proximity;
             // An unreachable peer is no spare. Taken for one, it would push a live peer out of
             // the view without being able to take its place.
-            let is_spare = |it: &&Peer| in_group(it) && !it.in_view && it.may_try(now);
-            let n_spare = state.known.values().filter(is_spare).count();
+            let is_eligible = |it: &&Peer| same_proximity(it) && !it.in_view && it.may_call(now);
+            let n_eligible = state.peers.values().filter(is_eligible).count();
             let view: Vec<_> = state
-                .known
+                .peers
                 .iter()
-                .filter(|(_, it)| in_group(it) && it.in_view)
+                .filter(|(_, it)| same_proximity(it) && it.in_view)
                 .map(|it| *it.0)
                 .collect();
             // A view with room takes in a spare without giving anybody up for it.
-            if view.len() < group.room() || n_spare == 0 {
+            if view.len() < proximity.view_size() || n_eligible == 0 {
                 continue;
             }
             let addr = view[state.rng.random_range(0..view.len())];
-            if let Some(peer) = state.known.get_mut(&addr) {
+            if let Some(peer) = state.peers.get_mut(&addr) {
                 // It isn't called any more, so nothing would tell when it goes.
                 peer.in_view = false;
                 peer.is_alive = false;
@@ -385,10 +388,10 @@
 }
 
 /// Brings the first of each failure domain to the front.
-fn interleave_domains(all: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
+fn interleave_domains(nodes: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
     let mut ordered: Vec<Identity> = Vec::new();
     let mut rest = Vec::new();
-    for identity in all {
+    for identity in nodes {
         let is_new = ordered.iter().all(|it| it.domain != identity.domain);
         if is_new { ordered.push(identity) } else { rest.push(identity) }
     }
--- a/crates/curranthook_peers/src/member/joining.rs
+++ b/crates/curranthook_peers/src/member/joining.rs
@@ -14,8 +14,8 @@
             return false;
         }
         let state = self.state.lock();
-        let mut elsewhere =
-            state.known.values().filter(|it| it.domain.as_ref() != Some(&self.own.domain));
-        elsewhere.any(|it| it.identity.is_none() && it.failures == 0)
+        let mut other_domains =
+            state.peers.values().filter(|it| it.domain.as_ref() != Some(&self.own.domain));
+        other_domains.any(|it| it.identity.is_none() && it.failures == 0)
     }
 }
--- a/crates/curranthook_peers/src/member/orphan_replicas.rs
+++ b/crates/curranthook_peers/src/member/orphan_replicas.rs
@@ -11,10 +11,10 @@
     /// The nodes that keep the lines of `gone`, this one perhaps among them. Nodes that see the
     /// same peers name the same ones, so lines don't spread over the fleet.
     pub fn orphan_replicas(&self, lost_vm: &vm::Id) -> Vec<Identity> {
-        let mut all: Vec<_> = self.alive().into_iter().map(|it| it.identity).collect();
-        all.push(self.own.clone());
-        all.sort_by_cached_key(|it| rendezvous_hash(lost_vm, &it.vm));
-        let mut nodes = interleave_domains(all);
+        let mut candidates: Vec<_> = self.alive().into_iter().map(|it| it.identity).collect();
+        candidates.push(self.own.clone());
+        candidates.sort_by_cached_key(|it| rendezvous_hash(lost_vm, &it.vm));
+        let mut nodes = interleave_domains(candidates);
         nodes.truncate(ORPHAN_REPLICAS);
         nodes
     }
--- a/crates/curranthook_peers/src/member/table.rs
+++ b/crates/curranthook_peers/src/member/table.rs
@@ -12,13 +12,13 @@
 use crate::member::{Identity, Stale};
 
 /// Calls that fail in a row before a peer counts as unreachable. One may be bad luck.
-const FAILURES: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 /// How long an unreachable peer is left alone at first; doubles up to the longest.
-const BACKOFF: Duration = Duration::from_secs(5);
+const MIN_BACKOFF: Duration = Duration::from_secs(5);
 /// The longest time an unreachable peer is left alone.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 /// How many candidates are remembered.
-const MAX_KNOWN: usize = 4_096;
+const MAX_PEERS: usize = 4_096;
 #[derive(Debug, Default)]
 pub(super) struct Peer {
     pub(super) identity: Option<Identity>,
@@ -30,40 +30,40 @@
     pub(super) in_view: bool,
     pub(super) is_alive: bool,
     pub(super) failures: u32,
-    pub(super) tried: Option<Instant>,
-    /// When it may be tried again, for an unreachable one.
-    pub(super) retry: Option<(Instant, Duration)>,
+    pub(super) last_call: Option<Instant>,
+    /// When it may be last_call again, for an unreachable one.
+    pub(super) retry_after: Option<(Instant, Duration)>,
 }
 
 #[derive(Debug)]
 pub(super) struct Table {
-    pub(super) known: BTreeMap<SocketAddr, Peer>,
+    pub(super) peers: BTreeMap<SocketAddr, Peer>,
     /// The highest incarnation met of each VM.
     pub(super) incarnations: HashMap<vm::Id, vm::Incarnation>,
     /// Processes that said they leave.
-    pub(super) left: HashMap<vm::Id, vm::Incarnation>,
+    pub(super) departed: HashMap<vm::Id, vm::Incarnation>,
     pub(super) sites: HashMap<domain::Id, site::Id>,
-    pub(super) turn: u64,
+    pub(super) n_calls: u64,
     pub(super) rng: Pcg64,
 }
 
 impl Table {
-    pub(super) fn entry(&mut self, addr: SocketAddr) -> Option<&mut Peer> {
-        if MAX_KNOWN <= self.known.len() && !self.known.contains_key(&addr) {
+    pub(super) fn get_or_insert(&mut self, addr: SocketAddr) -> Option<&mut Peer> {
+        if MAX_PEERS <= self.peers.len() && !self.peers.contains_key(&addr) {
             return None;
         }
-        Some(self.known.entry(addr).or_default())
+        Some(self.peers.entry(addr).or_default())
     }
 
     pub(super) fn is_stale(&self, identity: &Identity) -> bool {
         let is_older =
             self.incarnations.get(&identity.vm).is_some_and(|it| identity.incarnation < *it);
-        is_older || self.left.get(&identity.vm).is_some_and(|it| identity.incarnation <= *it)
+        is_older || self.departed.get(&identity.vm).is_some_and(|it| identity.incarnation <= *it)
     }
 
     /// Direct contact. A replaced VM may keep its id and address while the old process still has
     /// calls under way; those must not pass for the new one's.
-    pub(super) fn meet(&mut self, identity: &Identity) -> Result<(), Stale> {
+    pub(super) fn record_contact(&mut self, identity: &Identity) -> Result<(), Stale> {
         if self.is_stale(identity) {
             return Err(Stale);
         }
@@ -74,20 +74,20 @@
 }
 
 impl Peer {
-    pub(super) fn may_try(&self, now: Instant) -> bool {
-        self.retry.is_none_or(|(at, _)| at <= now)
+    pub(super) fn may_call(&self, now: Instant) -> bool {
+        self.retry_after.is_none_or(|(earliest, _)| earliest <= now)
     }
 
-    pub(super) fn fail(&mut self, now: Instant) {
+    pub(super) fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
-        if FAILURES <= self.failures {
-            self.give_up(now);
+        if MAX_FAILURES <= self.failures {
+            self.mark_unreachable(now);
         }
     }
 
-    pub(super) fn give_up(&mut self, now: Instant) {
-        let backoff = self.retry.map_or(BACKOFF, |(_, it)| (it * 2).min(MAX_BACKOFF));
-        self.retry = Some((now + backoff, backoff));
+    pub(super) fn mark_unreachable(&mut self, now: Instant) {
+        let backoff = self.retry_after.map_or(MIN_BACKOFF, |(_, it)| (it * 2).min(MAX_BACKOFF));
+        self.retry_after = Some((now + backoff, backoff));
         self.is_alive = false;
         self.in_view = false;
     }
