--- a/crates/curranthook_peers/src/demand.rs
+++ b/crates/curranthook_peers/src/demand.rs
@@ -14,42 +14,42 @@
 use serde::{Deserialize, Serialize};
 
 /// A report older than this is left out of the sum.
-const MAX_AGE: Duration = Duration::from_secs(60);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(60);
 /// The weight of the latest second in the rate.
-const SMOOTHING: f64 = 0.3;
+const SMOOTHING_FACTOR: f64 = 0.3;
 /// Added to each node's rate, in requests a second. Without it a node that has had no request
 /// for an account would have no share, and would refuse the first one.
-const FLOOR: f64 = 0.5;
+const BASE_RATE: f64 = 0.5;
 /// How many peers' reports are kept.
 const MAX_REPORTS: usize = 2_048;
 /// How many accounts one report may name.
-const MAX_ACCOUNTS: usize = 64;
-/// How many accounts are told at a time.
-const ACCOUNTS_PER_TURN: usize = 3;
+const MAX_ACCOUNTS_PER_REPORT: usize = 64;
+/// How many accounts are reported at a time.
+const ACCOUNTS_PER_ENTRY: usize = 3;
 
 /// Some of a node's rates as a digest carries them: VM, incarnation, time, and rates in tenths
 /// of a request a second by account.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub vm::Id, pub vm::Incarnation, pub u64, pub BTreeMap<account::Id, u64>);
 
-/// A rate and when it was told, in milliseconds since 1970.
+/// A rate and when it was reported, in milliseconds since 1970.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct ReportedRate {
     tenths: u64,
     at_millis: u64,
 }
 
-/// What one process has told. Its accounts come a few at a time, each with its own time.
+/// What one process has reported. Its accounts come a few at a time, each with its own time.
 #[derive(Debug, Default)]
 struct Report {
     incarnation: vm::Incarnation,
     at_millis: u64,
-    rates: BTreeMap<account::Id, Told>,
+    rates: BTreeMap<account::Id, ReportedRate>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    counted: HashMap<account::Id, u64>,
+    request_counts: HashMap<account::Id, u64>,
     rates: BTreeMap<account::Id, f64>,
     reports: BTreeMap<vm::Id, Report>,
     cursor: usize,
@@ -72,20 +72,20 @@
 
     /// Counts a request of an account, whether or not it's let in.
     pub fn record_request(&self, account: &account::Id) {
-        *self.state.lock().counted.entry(account.clone()).or_default() += 1;
+        *self.state.lock().request_counts.entry(account.clone()).or_default() += 1;
     }
 
-    /// Turns what was counted over `elapsed` into rates.
+    /// Turns what was request_counts over `elapsed` into rates.
     pub fn update_rates(&self, elapsed: Duration) {
         let mut state = self.state.lock();
-        let counted = std::mem::take(&mut state.counted);
+        let request_counts = std::mem::take(&mut state.request_counts);
         let seconds = elapsed.as_secs_f64().max(0.001);
-        for account in counted.keys() {
+        for account in request_counts.keys() {
             state.rates.entry(account.clone()).or_default();
         }
         state.rates.retain(|account, rate| {
-            let n = counted.get(account).copied().unwrap_or(0);
-            *rate += SMOOTHING * (n as f64 / seconds - *rate);
+            let n = request_counts.get(account).copied().unwrap_or(0);
+            *rate += SMOOTHING_FACTOR * (n as f64 / seconds - *rate);
             0.05 < *rate
         });
     }
@@ -95,28 +95,28 @@
         let now = self.clock.unix_millis();
         let state = self.state.lock();
         let own = state.rates.get(account).copied().unwrap_or(0.0);
-        let live = state.reports.values().filter(|it| is_live(it.at_millis, now));
-        let rates = live.map(|it| it.rate(account, now));
+        let recent = state.reports.values().filter(|it| is_recent(it.at_millis, now));
+        let rates = recent.map(|it| it.rate(account, now));
         let (n_others, sum) = rates.fold((0_usize, 0.0), |(n, sum), rate| (n + 1, sum + rate));
         let n_known = n_others + 1;
         let n_nodes = site_nodes.max(n_known);
         // Nodes that haven't been heard of are taken to have the average demand; leaving them out
         // would let the others exceed the limit by what these let in.
         let total = (own + sum) * n_nodes as f64 / n_known as f64;
-        (own + FLOOR) / (total + FLOOR * n_nodes as f64)
+        (own + BASE_RATE) / (total + BASE_RATE * n_nodes as f64)
     }
 
     /// Takes in a peer's report; of two for one account the later process's, then the later one.
     pub fn merge(&self, entry: &Entry) {
         let now = self.clock.unix_millis();
         let Entry(vm, incarnation, at_millis, rates) = entry;
-        if *vm == self.vm || !is_live(*at_millis, now) || MAX_ACCOUNTS < rates.len() {
+        if *vm == self.vm || !is_recent(*at_millis, now) || MAX_ACCOUNTS_PER_REPORT < rates.len() {
             return;
         }
         let at_millis = (*at_millis).min(now);
         let mut state = self.state.lock();
         if MAX_REPORTS <= state.reports.len() && !state.reports.contains_key(vm) {
-            state.reports.retain(|_, it| is_live(it.at_millis, now));
+            state.reports.retain(|_, it| is_recent(it.at_millis, now));
             if MAX_REPORTS <= state.reports.len() {
                 return;
             }
@@ -141,16 +141,16 @@
         let mut state = self.state.lock();
         state.cursor += 1;
         let cursor = state.cursor;
-        let own = turn(&state.rates, cursor, |rate| (rate * 10.0).round() as u64);
+        let own = rates_at(&state.rates, cursor, |rate| (rate * 10.0).round() as u64);
         let own = Entry(self.vm.clone(), self.incarnation, now, own);
-        let live: Vec<_> =
-            state.reports.iter().filter(|(_, it)| is_live(it.at_millis, now)).collect();
-        let other = cursor.checked_rem(live.len()).map(|at| {
-            let (vm, report) = live[at];
-            report.entry(vm, cursor / live.len())
+        let recent: Vec<_> =
+            state.reports.iter().filter(|(_, it)| is_recent(it.at_millis, now)).collect();
+        let other = cursor.checked_rem(recent.len()).map(|at| {
+            let (vm, report) = recent[at];
+            report.entry(vm, cursor / recent.len())
         });
         // A report that doesn't fit goes with fewer accounts: otherwise long names would keep a
-        // node's demand from ever being told.
+        // node's demand from ever being reported.
         let shrink = |mut entry: Entry| {
             while !fits(&entry) {
                 entry.3.pop_last()?;
@@ -165,8 +165,8 @@
 
 impl Report {
     fn rate(&self, account: &account::Id, now_millis: u64) -> f64 {
-        let told = self.rates.get(account).filter(|it| is_live(it.at_millis, now_millis));
-        told.map_or(0.0, |it| it.tenths as f64 / 10.0)
+        let reported = self.rates.get(account).filter(|it| is_recent(it.at_millis, now_millis));
+        reported.map_or(0.0, |it| it.tenths as f64 / 10.0)
     }
 
     fn merge(&mut self, at_millis: u64, rates: &BTreeMap<account::Id, u64>, now_millis: u64) {
@@ -174,17 +174,17 @@
         for (account, tenths) in rates {
             let known = self.rates.get(account).map_or(0, |it| it.at_millis);
             if known < at_millis {
-                self.rates.insert(account.clone(), Told { tenths: *tenths, at_millis });
+                self.rates.insert(account.clone(), ReportedRate { tenths: *tenths, at_millis });
             }
         }
-        self.rates.retain(|_, it| is_live(it.at_millis, now_millis));
+        self.rates.retain(|_, it| is_recent(it.at_millis, now_millis));
     }
 
-    /// Rates told at one time go on as they came; those of other times wait for their turn.
+    /// Rates reported at one time go on as they came; those of other times wait for their turn.
     fn entry(&self, vm: &vm::Id, cursor: usize) -> Entry {
         let times: BTreeSet<_> = self.rates.values().map(|it| it.at_millis).collect();
-        let at = cursor.checked_rem(times.len()).and_then(|at| times.iter().nth(at));
-        let at_millis = at.copied().unwrap_or(self.at_millis);
+        let index = cursor.checked_rem(times.len()).and_then(|at| times.iter().nth(at));
+        let at_millis = index.copied().unwrap_or(self.at_millis);
         let same = self.rates.iter().filter(|(_, it)| it.at_millis == at_millis);
         let rates = same.map(|(account, it)| (account.clone(), it.tenths)).collect();
         Entry(vm.clone(), self.incarnation, at_millis, rates)
@@ -192,17 +192,17 @@
 }
 
 /// A few accounts, others at each turn.
-fn turn<T>(
+fn rates_at<T>(
     rates: &BTreeMap<account::Id, T>,
     cursor: usize,
     tenths: impl Fn(&T) -> u64,
 ) -> BTreeMap<account::Id, u64> {
-    let n_turns = rates.len().div_ceil(ACCOUNTS_PER_TURN).max(1);
-    let start = cursor % n_turns * ACCOUNTS_PER_TURN;
-    let part = rates.iter().skip(start).take(ACCOUNTS_PER_TURN);
+    let n_parts = rates.len().div_ceil(ACCOUNTS_PER_ENTRY).max(1);
+    let start = cursor % n_parts * ACCOUNTS_PER_ENTRY;
+    let part = rates.iter().skip(start).take(ACCOUNTS_PER_ENTRY);
     part.map(|(account, rate)| (account.clone(), tenths(rate))).collect()
 }
 
-fn is_live(at_millis: u64, now_millis: u64) -> bool {
-    u128::from(now_millis.saturating_sub(at_millis)) <= MAX_AGE.as_millis()
+fn is_recent(at_millis: u64, now_millis: u64) -> bool {
+    u128::from(now_millis.saturating_sub(at_millis)) <= MAX_REPORT_AGE.as_millis()
 }
