--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -137,7 +137,7 @@
         Topic::Evidence => frame.evidence = node.evidence().select_entries(|it| budget.take(it)),
         Topic::Demand => frame.demand = node.demand().select_entries(|it| budget.take(it)),
         Topic::Alarms => {
-            let mut suspects = node.suspects().all();
+            let mut suspects = node.suspects().active_entries();
             let start = turn.checked_rem(suspects.len()).unwrap_or(0);
             suspects.rotate_left(start);
             frame.suspects = budget.fill(suspects);
--- a/crates/curranthook_peers/src/suspect.rs
+++ b/crates/curranthook_peers/src/suspect.rs
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a declaration holds unless it's made again.
-const EXPIRY: Duration = Duration::from_secs(600);
+const DECLARATION_TTL: Duration = Duration::from_secs(600);
 /// How many versions can be suspect at once.
-const MAX_ENTRIES: usize = 64;
+const MAX_SUSPECTS: usize = 64;
 
 /// A declaration as a digest carries it: the version and the time, in milliseconds since 1970.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -23,13 +23,13 @@
 #[derive(Debug)]
 pub struct Suspects {
     clock: Arc<dyn Clock>,
-    at_millis: Mutex<HashMap<version::Id, u64>>,
+    declared_at_millis: Mutex<HashMap<version::Id, u64>>,
 }
 
 impl Suspects {
     /// None yet.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
-        Self { clock, at_millis: Mutex::default() }
+        Self { clock, declared_at_millis: Mutex::default() }
     }
 
     /// Declares a version suspect from now on.
@@ -40,40 +40,45 @@
     /// Whether a node declared it suspect, and that holds.
     pub fn contains(&self, version: &version::Id) -> bool {
         let now = self.clock.unix_millis();
-        self.at_millis.lock().get(version).is_some_and(|at| !is_expired(*at, now))
+        self.declared_at_millis
+            .lock()
+            .get(version)
+            .is_some_and(|at_millis| !is_expired(*at_millis, now))
     }
 
     /// Takes in a peer's declaration.
     pub fn merge(&self, entry: &Entry) {
         let now = self.clock.unix_millis();
-        let Entry(version, at) = entry;
-        if is_expired(*at, now) {
+        let Entry(version, at_millis) = entry;
+        if is_expired(*at_millis, now) {
             return;
         }
-        let mut all = self.at_millis.lock();
-        if MAX_ENTRIES <= all.len() && !all.contains_key(version) {
+        let mut declarations = self.declared_at_millis.lock();
+        if MAX_SUSPECTS <= declarations.len() && !declarations.contains_key(version) {
             return;
         }
-        let known = all.entry(version.clone()).or_default();
-        *known = (*known).max((*at).min(now));
+        let known = declarations.entry(version.clone()).or_default();
+        *known = (*known).max((*at_millis).min(now));
     }
 
     /// Forgets what the document withdraws, as that is stronger, and what expired.
-    pub fn settle(&self, document: &Document) {
+    pub fn prune(&self, document: &Document) {
         let now = self.clock.unix_millis();
-        let mut all = self.at_millis.lock();
-        all.retain(|version, at| !is_expired(*at, now) && !document.withdrawn.contains(version));
+        let mut declarations = self.declared_at_millis.lock();
+        declarations.retain(|version, at_millis| {
+            !is_expired(*at_millis, now) && !document.withdrawn.contains(version)
+        });
     }
 
     /// All that hold.
-    pub fn all(&self) -> Vec<Entry> {
+    pub fn active_entries(&self) -> Vec<Entry> {
         let now = self.clock.unix_millis();
-        let all = self.at_millis.lock();
-        let live = all.iter().filter(|(_, at)| !is_expired(**at, now));
-        live.map(|(version, at)| Entry(version.clone(), *at)).collect()
+        let declarations = self.declared_at_millis.lock();
+        let active = declarations.iter().filter(|(_, at_millis)| !is_expired(**at_millis, now));
+        active.map(|(version, at_millis)| Entry(version.clone(), *at_millis)).collect()
     }
 }
 
 fn is_expired(at_millis: u64, now_millis: u64) -> bool {
-    EXPIRY < Duration::from_millis(now_millis.saturating_sub(at_millis))
+    DECLARATION_TTL < Duration::from_millis(now_millis.saturating_sub(at_millis))
 }
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -135,7 +135,7 @@
         node.members()
             .add_site_domains(site, config.endpoints.values().map(|it| &it.failure_domain));
     }
-    node.suspects().settle(&document);
+    node.suspects().prune(&document);
 }
 
 async fn tell(node: &Node) {
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/round.rs
@@ -46,7 +46,7 @@
         node.demand().update_rates(now.saturating_duration_since(last));
         last = now;
         if let Some(document) = node.document() {
-            node.suspects().settle(&document);
+            node.suspects().prune(&document);
         }
         exchange(&node).await;
     }
--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -91,10 +91,10 @@
     let suspects = Suspects::new(Arc::new(clock::Manual::default()));
     let version = version::Id::new("tally-llm@2");
     suspects.declare(&version);
-    suspects.settle(&Document::default());
+    suspects.prune(&Document::default());
     assert!(suspects.contains(&version));
     let withdrawn = [version.clone()].into();
-    suspects.settle(&Document { withdrawn, ..Document::default() });
+    suspects.prune(&Document { withdrawn, ..Document::default() });
     assert!(!suspects.contains(&version));
 }
 
