--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -1,6 +1,6 @@
 //! What two nodes tell each other in an exchange.
 //!
-//! A frame has a budget of bytes, whatever the fleet's size; what doesn't fit waits its turn.
+//! A frame has a budget of bytes, whatever the fleet's size; what doesn't fit waits its n_frames.
 //! Everything in it merges idempotently, so a frame may be lost, repeated or overtaken.
 
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 
 /// Bytes of a frame's sections together. With the HTTP heads, one exchange made and one
 /// answered a second stay within 2 KB, both ways together.
-const BUDGET: usize = 125;
+const FRAME_BUDGET_BYTES: usize = 125;
 /// The largest delta that goes along with an answer, in bytes.
-const MAX_TRANSFER: usize = 2_048;
+const MAX_INLINE_TRANSFER_BYTES: usize = 2_048;
 /// Entries looked at when a section is filled.
-const MAX_PICKED: usize = 8;
+const MAX_POISON_ENTRIES: usize = 8;
 
 /// One side's part of an exchange. Field names are short because each byte is paid for once a
 /// second by every node.
@@ -64,7 +64,7 @@
 struct Budget(usize);
 
 impl Budget {
-    fn take(&mut self, entry: &impl Serialize) -> bool {
+    fn try_reserve(&mut self, entry: &impl Serialize) -> bool {
         let json = serde_json::to_vec(entry).expect("an entry can be written as JSON");
         let size = json.len() + 1;
         if self.0 < size {
@@ -74,8 +74,8 @@
         true
     }
 
-    fn fill<T: Serialize>(&mut self, entries: Vec<T>) -> Vec<T> {
-        entries.into_iter().filter(|it| self.take(it)).collect()
+    fn select<T: Serialize>(&mut self, entries: Vec<T>) -> Vec<T> {
+        entries.into_iter().filter(|it| self.try_reserve(it)).collect()
     }
 }
 
@@ -89,24 +89,27 @@
     Members,
 }
 
-const TOPICS: [Topic; 6] =
+const TOPIC_ROTATION: [Topic; 6] =
     [Topic::Evidence, Topic::Demand, Topic::Alarms, Topic::Evidence, Topic::Demand, Topic::Members];
 
-/// The answer to a caller that has epoch `have`. A small delta goes along: a call of its own for
+/// The answer to a caller that has epoch `peer_epoch`. A small delta goes along: a call of its own for
 /// it would cost more bytes in heads than the delta has.
-pub(crate) fn answer(node: &Node, have: Epoch) -> Frame {
+pub(crate) fn answer(node: &Node, peer_epoch: Epoch) -> Frame {
     let mut frame = build(node);
-    if node.is_enabled(Mechanism::PushPull) && have != Epoch::default() && have < frame.epoch {
-        let transfer = node.transfer(have);
+    if node.is_enabled(Mechanism::PushPull)
+        && peer_epoch != Epoch::default()
+        && peer_epoch < frame.epoch
+    {
+        let transfer = node.transfer(peer_epoch);
         let json = serde_json::to_vec(&transfer).expect("a transfer can be written as JSON");
-        frame.transfer = Some(transfer).filter(|_| json.len() <= MAX_TRANSFER);
+        frame.transfer = Some(transfer).filter(|_| json.len() <= MAX_INLINE_TRANSFER_BYTES);
     }
     frame
 }
 
 /// A frame of what is most worth telling now.
 pub(crate) fn build(node: &Node) -> Frame {
-    let turn = node.next_turn();
+    let n_frames = node.next_sequence();
     let mut frame = Frame {
         from: node.members().own_identity().clone(),
         epoch: node.epoch(),
@@ -121,29 +124,34 @@
     if node.tuning().trust == Trust::Others {
         frame.unreachable = node.members().unreachable();
     }
-    let mut budget = Budget(BUDGET);
-    let first = TOPICS[turn % TOPICS.len()];
-    add(node, first, turn, &mut budget, &mut frame);
+    let mut budget = Budget(FRAME_BUDGET_BYTES);
+    let first = TOPIC_ROTATION[n_frames % TOPIC_ROTATION.len()];
+    add_section(node, first, n_frames, &mut budget, &mut frame);
     for topic in [Topic::Alarms, Topic::Evidence, Topic::Demand] {
         if topic != first {
-            add(node, topic, turn, &mut budget, &mut frame);
+            add_section(node, topic, n_frames, &mut budget, &mut frame);
         }
     }
     frame
 }
 
-fn add(node: &Node, topic: Topic, turn: usize, budget: &mut Budget, frame: &mut Frame) {
+fn add_section(node: &Node, topic: Topic, n_frames: usize, budget: &mut Budget, frame: &mut Frame) {
     match topic {
-        Topic::Evidence => frame.evidence = node.evidence().select_entries(|it| budget.take(it)),
-        Topic::Demand => frame.demand = node.demand().select_entries(|it| budget.take(it)),
+        Topic::Evidence => {
+            frame.evidence = node.evidence().select_entries(|it| budget.try_reserve(it))
+        }
+        Topic::Demand => frame.demand = node.demand().select_entries(|it| budget.try_reserve(it)),
         Topic::Alarms => {
             let mut suspects = node.suspects().active_entries();
-            let start = turn.checked_rem(suspects.len()).unwrap_or(0);
+            let start = n_frames.checked_rem(suspects.len()).unwrap_or(0);
             suspects.rotate_left(start);
-            frame.suspects = budget.fill(suspects);
-            frame.poison = budget.fill(node.poison().recent_entries(turn, MAX_PICKED));
+            frame.suspects = budget.select(suspects);
+            frame.poison =
+                budget.select(node.poison().recent_entries(n_frames, MAX_POISON_ENTRIES));
+        }
+        Topic::Members => {
+            frame.members = budget.select(next_member(node, n_frames / TOPIC_ROTATION.len()))
         }
-        Topic::Members => frame.members = budget.fill(hints(node, turn / TOPICS.len())),
     }
 }
 
@@ -172,8 +180,8 @@
 }
 
 /// One peer, another each time: the VM list lags, and during an outage there's nothing else.
-fn hints(node: &Node, turn: usize) -> Vec<Identity> {
+fn next_member(node: &Node, n_frames: usize) -> Vec<Identity> {
     let alive = node.members().alive();
-    let at = turn.checked_rem(alive.len());
-    at.map(|at| alive[at].identity.clone()).into_iter().collect()
+    let index = n_frames.checked_rem(alive.len());
+    index.map(|index| alive[index].identity.clone()).into_iter().collect()
 }
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -102,7 +102,7 @@
     pub(crate) passed: Mutex<BTreeSet<(Origin, Origin)>>,
     /// One fetch of a document at a time; peers often tell the same news at once.
     pub(crate) fetching: async_lock::Mutex<()>,
-    turn: AtomicUsize,
+    sequence: AtomicUsize,
     module: RpcModule<Weak<Self>>,
     weak: Weak<Self>,
     stop: (Trigger, Stop),
@@ -151,7 +151,7 @@
             holders: Mutex::default(),
             passed: Mutex::default(),
             fetching: async_lock::Mutex::new(()),
-            turn: AtomicUsize::new(0),
+            sequence: AtomicUsize::new(0),
             module: rpc::module(Weak::clone(weak)),
             weak: Weak::clone(weak),
             stop: stop::new(),
@@ -285,12 +285,15 @@
         !self.tuning.disabled.contains(&mechanism)
     }
 
-    /// What a peer that has epoch `have` gets.
-    pub(crate) fn transfer(&self, have: Epoch) -> Transfer {
+    /// What a peer that has epoch `peer_epoch` gets.
+    pub(crate) fn transfer(&self, peer_epoch: Epoch) -> Transfer {
         // A peer's epoch of zero asks for the whole.
-        let is_newer = have < self.epoch();
-        let base =
-            if self.is_enabled(Mechanism::Delta) || !is_newer { have } else { Epoch::default() };
+        let is_newer = peer_epoch < self.epoch();
+        let base = if self.is_enabled(Mechanism::Delta) || !is_newer {
+            peer_epoch
+        } else {
+            Epoch::default()
+        };
         self.documents.transfer(base)
     }
 
@@ -314,8 +317,8 @@
         self.setup.clock.unix_millis()
     }
 
-    pub(crate) fn next_turn(&self) -> usize {
-        self.turn.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_sequence(&self) -> usize {
+        self.sequence.fetch_add(1, Ordering::Relaxed)
     }
 
     /// A peer said that it has `epoch`; if that's newer, it's fetched.
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -176,8 +176,8 @@
         Ok::<_, ErrorObjectOwned>(())
     })?;
     module.register_method("document", |params, node, _| {
-        let (node, have) = (upgrade(node)?, params.one::<Epoch>()?);
-        Ok::<_, ErrorObjectOwned>(node.transfer(have))
+        let (node, peer_epoch) = (upgrade(node)?, params.one::<Epoch>()?);
+        Ok::<_, ErrorObjectOwned>(node.transfer(peer_epoch))
     })?;
     module.register_method("replicate", |params, node, _| {
         let (node, batch) = (upgrade(node)?, params.one::<Batch>()?);
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -142,7 +142,7 @@
     let announcement =
         Announcement { from: node.members().own_identity().clone(), epoch: node.epoch() };
     let mut alive = node.members().alive();
-    let start = node.next_turn().checked_rem(alive.len()).unwrap_or(0);
+    let start = node.next_sequence().checked_rem(alive.len()).unwrap_or(0);
     alive.rotate_left(start);
     let told = alive.iter().take(EAGER).map(|it| it.identity.addr);
     let calls = told.map(|addr| node.call::<()>(addr, "news", &announcement, rpc::TIMEOUT));
