--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -25,7 +25,7 @@
 /// of about an hour. Past it the node is to refuse new work; a line is never dropped.
 pub const MAX_BYTES: usize = 24 * 1024 * 1024;
 /// How many lines go into one object.
-const MAX_RUN: usize = 2_000;
+const MAX_LINES_PER_OBJECT: usize = 2_000;
 
 /// How safe a line is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,19 +39,19 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct Waiter {
     sequence: u64,
-    done: Sender<Durability>,
+    durability_tx: Sender<Durability>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    next: u64,
+    next_sequence: u64,
     lines: BTreeMap<u64, Line>,
     /// Lines with fewer copies than there should be.
-    thin: BTreeSet<u64>,
+    under_replicated: BTreeSet<u64>,
     n_bytes: usize,
-    waiting: Vec<Waiting>,
+    waiters: Vec<Waiter>,
 }
 
 /// Lines that go to the peers together.
@@ -59,7 +59,7 @@
 pub struct Group {
     /// What the peers get.
     pub batch: Batch,
-    waiting: Vec<Waiting>,
+    waiters: Vec<Waiter>,
 }
 
 impl Group {
@@ -71,8 +71,8 @@
             Durability::Stored => bump(&counters.line_stored, n_lines),
             Durability::LocalOnly => bump(&counters.line_alone, n_lines),
         }
-        for waiting in self.waiting {
-            let _caller_gone = waiting.done.try_send(durability);
+        for waiter in self.waiters {
+            let _receiver_dropped = waiter.durability_tx.try_send(durability);
         }
     }
 }
@@ -83,10 +83,10 @@
     origin: Origin,
     counters: Arc<Counters>,
     state: Mutex<State>,
-    recorded: (Sender<()>, Receiver<()>),
-    hurry: (Sender<()>, Receiver<()>),
+    lines_added: (Sender<()>, Receiver<()>),
+    flush_requests: (Sender<()>, Receiver<()>),
     /// One flush at a time; a second would find the first one's keys taken and read them back.
-    flushing: async_lock::Mutex<()>,
+    flush_lock: async_lock::Mutex<()>,
 }
 
 impl Journal {
@@ -96,24 +96,24 @@
             origin,
             counters,
             state: Mutex::default(),
-            recorded: async_channel::bounded(1),
-            hurry: async_channel::bounded(1),
-            flushing: async_lock::Mutex::new(()),
+            lines_added: async_channel::bounded(1),
+            flush_requests: async_channel::bounded(1),
+            flush_lock: async_lock::Mutex::new(()),
         }
     }
 
     /// Writes a line down and waits until it's safe, or until there's no hope that it soon is.
     pub async fn record(&self, line: Line) -> Durability {
-        let (done, result) = async_channel::bounded(1);
+        let (durability_tx, result) = async_channel::bounded(1);
         {
             let mut state = self.state.lock();
-            let sequence = state.next;
-            state.next += 1;
+            let sequence = state.next_sequence;
+            state.next_sequence += 1;
             state.n_bytes += replica::estimated_size(&line);
             state.lines.insert(sequence, line);
-            state.waiting.push(Waiting { sequence, done });
+            state.waiters.push(Waiter { sequence, durability_tx });
         }
-        let _already_woken = self.recorded.0.try_send(());
+        let _already_signalled = self.lines_added.0.try_send(());
         result.recv().await.unwrap_or(Durability::LocalOnly)
     }
 
@@ -128,67 +128,71 @@
     }
 
     /// Waits until there are lines that no peer has.
-    pub async fn wait_recorded(&self) {
-        let _closed = self.recorded.1.recv().await;
+    pub async fn wait_for_lines(&self) {
+        let _closed = self.lines_added.1.recv().await;
     }
 
     /// Waits until the next flush shouldn't wait.
-    pub async fn wait_hurry(&self) {
-        let _closed = self.hurry.1.recv().await;
+    pub async fn wait_for_flush_request(&self) {
+        let _closed = self.flush_requests.1.recv().await;
     }
 
     /// Asks for a flush now, because a replica has failed and lines have one copy less.
-    pub fn hurry(&self) {
-        let _already_asked = self.hurry.0.try_send(());
+    pub fn request_flush(&self) {
+        let _already_requested = self.flush_requests.0.try_send(());
     }
 
     /// The lines that came since the last call.
     pub fn take_group(&self) -> Option<Group> {
         let mut state = self.state.lock();
-        let waiting = std::mem::take(&mut state.waiting);
-        let first = waiting.first()?.sequence;
+        let waiters = std::mem::take(&mut state.waiters);
+        let first = waiters.first()?.sequence;
         // A flush may have stored the first of them already. Numbering the rest from the first
         // that waited would give them the stored ones' numbers.
-        let first = state.lines.range(first..).next().map_or(state.next, |(sequence, _)| *sequence);
+        let first = state
+            .lines
+            .range(first..)
+            .next()
+            .map_or(state.next_sequence, |(sequence, _)| *sequence);
         let lines = state.lines.range(first..).map(|(_, line)| line.clone()).collect();
-        Some(Group { batch: self.batch(&state, first, lines), waiting })
+        Some(Group { batch: self.batch(&state, first, lines), waiters })
     }
 
     /// All lines that aren't stored, in batches, to hand over to peers.
     pub fn unstored(&self) -> Vec<Batch> {
         let state = self.state.lock();
         let lines = state.lines.iter().map(|(sequence, line)| (*sequence, line.clone()));
-        let runs = store::runs(lines, MAX_RUN);
-        runs.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
+        let segments = store::runs(lines, MAX_LINES_PER_OBJECT);
+        segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
     /// Notes that a batch has too few copies.
-    pub fn set_thin(&self, batch: &Batch) {
+    pub fn mark_under_replicated(&self, batch: &Batch) {
         let mut state = self.state.lock();
         let sequences = (batch.first..).take(batch.lines.len());
         let unstored: Vec<_> = sequences.filter(|it| state.lines.contains_key(it)).collect();
-        state.thin.extend(unstored);
+        state.under_replicated.extend(unstored);
     }
 
     /// Notes that a peer is lost that held lines, perhaps all.
-    pub fn set_all_thin(&self) {
+    pub fn mark_all_under_replicated(&self) {
         let state = &mut *self.state.lock();
-        state.thin.extend(state.lines.keys());
+        state.under_replicated.extend(state.lines.keys());
     }
 
     /// The lines with too few copies, in batches; they count as having enough from now on.
-    pub fn take_thin(&self) -> Vec<Batch> {
+    pub fn take_under_replicated(&self) -> Vec<Batch> {
         let mut state = self.state.lock();
-        let thin = std::mem::take(&mut state.thin);
+        let under_replicated = std::mem::take(&mut state.under_replicated);
         let line = |it: &u64| Some((*it, state.lines.get(it)?.clone()));
-        let runs = store::runs(thin.iter().filter_map(line), MAX_RUN);
-        runs.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
+        let segments = store::runs(under_replicated.iter().filter_map(line), MAX_LINES_PER_OBJECT);
+        segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
     /// A batch without lines: what is stored, and that this node lives.
-    pub fn mark(&self) -> Batch {
+    pub fn heartbeat(&self) -> Batch {
         let state = self.state.lock();
-        self.batch(&state, state.next, Vec::new())
+        self.batch(&state, state.next_sequence, Vec::new())
     }
 
     /// Stores the lines of one batch.
@@ -201,7 +205,7 @@
         bump(&self.counters.segment_stored, 1);
         let mut state = self.state.lock();
         for sequence in (batch.first..).take(batch.lines.len()) {
-            state.thin.remove(&sequence);
+            state.under_replicated.remove(&sequence);
             if let Some(line) = state.lines.remove(&sequence) {
                 state.n_bytes -= replica::estimated_size(&line);
             }
@@ -211,7 +215,7 @@
 
     /// Stores all lines; says whether none is left out.
     pub async fn flush(&self, objects: &dyn Objects) -> bool {
-        let _one_at_a_time = self.flushing.lock().await;
+        let _flush_guard = self.flush_lock.lock().await;
         for batch in self.unstored() {
             if !self.store(&batch, objects).await {
                 return false;
@@ -221,7 +225,7 @@
     }
 
     fn batch(&self, state: &State, first: u64, lines: Vec<Line>) -> Batch {
-        let stored_below = state.lines.keys().next().copied().unwrap_or(state.next);
+        let stored_below = state.lines.keys().next().copied().unwrap_or(state.next_sequence);
         Batch { origin: self.origin.clone(), stored_below, first, lines }
     }
 }
@@ -229,4 +233,4 @@
 /// How long a batch may take to reach a peer.
 pub const REPLICATE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long the second attempt, at other peers and the store at once, may take.
-pub const SECOND_TIMEOUT: Duration = Duration::from_millis(300);
+pub const FALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -7,7 +7,7 @@
 use futures_lite::future;
 
 use crate::{
-    journal::{Durability, Group, REPLICATE_TIMEOUT, SECOND_TIMEOUT},
+    journal::{Durability, FALLBACK_TIMEOUT, Group, REPLICATE_TIMEOUT},
     node::Node,
     replica::{Batch, FLEET_PUTS},
     rpc,
@@ -32,7 +32,7 @@
     // Each group on its way holds a clone.
     let on_their_way = Arc::new(());
     loop {
-        node.journal().wait_recorded().await;
+        node.journal().wait_for_lines().await;
         if 1 < Arc::strong_count(&on_their_way) {
             async_io::Timer::after(GATHER).await;
         }
@@ -82,14 +82,14 @@
     if COPIES <= n_held {
         return Durability::Replicated(n_held);
     }
-    node.journal().hurry();
+    node.journal().request_flush();
     let others = &others[..(COPIES - n_held).min(others.len())];
     let store = async { node.journal().store(batch, &*node.setup.objects).await };
-    let store = timeout::run(SECOND_TIMEOUT, store);
-    let send = send(node, others, batch, SECOND_TIMEOUT);
+    let store = timeout::run(FALLBACK_TIMEOUT, store);
+    let send = send(node, others, batch, FALLBACK_TIMEOUT);
     let (stored, n_more) = future::zip(store, send).await;
     if stored != Ok(true) && n_held + n_more < enough(node) {
-        node.journal().set_thin(batch);
+        node.journal().mark_under_replicated(batch);
     }
     match (stored, n_held + n_more) {
         (_, n) if COPIES <= n => Durability::Replicated(n),
@@ -110,7 +110,7 @@
     loop {
         let by_fleet = Duration::from_secs_f64(node.members().fleet_size() as f64 / FLEET_PUTS);
         let interval = pause(node.tuning().flush_interval.max(by_fleet));
-        future::or(interval, node.journal().wait_hurry()).await;
+        future::or(interval, node.journal().wait_for_flush_request()).await;
         if node.journal().n_lines() == 0 {
             continue;
         }
@@ -127,7 +127,7 @@
 /// Tells the holders what is stored. Also when nothing could be: while the store is out they
 /// hear that the owner lives, and don't all try to store its lines too.
 async fn mark(node: &Node) {
-    let mark = node.journal().mark();
+    let mark = node.journal().heartbeat();
     // Taken, not read: a peer that gets new lines while this runs must not be forgotten below.
     let holders = std::mem::take(&mut *node.holders.lock());
     let calls = holders.iter().map(|addr| node.call::<()>(*addr, "replicate", &mark, rpc::TIMEOUT));
@@ -153,14 +153,14 @@
         holders.len() < n_before
     };
     if has_lost_holder {
-        node.journal().set_all_thin();
+        node.journal().mark_all_under_replicated();
     }
     let mut peers: Vec<_> =
         node.members().replica_candidates().into_iter().map(|it| it.addr).collect();
     peers.truncate(COPIES);
-    for batch in node.journal().take_thin() {
-        if send(node, &peers, &batch, SECOND_TIMEOUT).await < enough(node) {
-            node.journal().set_thin(&batch);
+    for batch in node.journal().take_under_replicated() {
+        if send(node, &peers, &batch, FALLBACK_TIMEOUT).await < enough(node) {
+            node.journal().mark_under_replicated(&batch);
         }
     }
 }
