--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -97,9 +97,9 @@
     journal: Journal,
     replicas: Replicas,
     /// Peers that hold lines of this node's journal.
-    pub(crate) holders: Mutex<BTreeSet<SocketAddr>>,
+    pub(crate) replica_holders: Mutex<BTreeSet<SocketAddr>>,
     /// Which owners' lines were passed on to which processes.
-    pub(crate) passed: Mutex<BTreeSet<(Origin, Origin)>>,
+    pub(crate) replicated_orphans: Mutex<BTreeSet<(Origin, Origin)>>,
     /// One fetch of a document at a time; peers often tell the same news at once.
     pub(crate) fetching: async_lock::Mutex<()>,
     sequence: AtomicUsize,
@@ -148,8 +148,8 @@
             replicas: Replicas::new(Arc::clone(clock), Arc::clone(&counters), tuning.owner_timeout),
             members: Members::new(own, tuning.trust, Arc::clone(clock), setup.seed),
             documents: Documents::default(),
-            holders: Mutex::default(),
-            passed: Mutex::default(),
+            replica_holders: Mutex::default(),
+            replicated_orphans: Mutex::default(),
             fetching: async_lock::Mutex::new(()),
             sequence: AtomicUsize::new(0),
             module: rpc::module(Weak::clone(weak)),
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -131,7 +131,7 @@
 
     /// Stores the lines of owners that left, were replaced or have been silent too long, and
     /// says whether all could be stored.
-    pub async fn sweep(&self, members: &Members, objects: &dyn Objects) -> bool {
+    pub async fn store_orphans(&self, members: &Members, objects: &dyn Objects) -> bool {
         for (origin, lines) in self.abandoned(members) {
             for (first, run) in store::runs(lines.into_iter(), MAX_RUN) {
                 let end = first + run.len() as u64;
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -33,7 +33,7 @@
     spawn(node, documents::bootstrap);
     spawn(node, journal::replicate);
     spawn(node, journal::flush);
-    spawn(node, journal::sweep);
+    spawn(node, journal::store_orphans);
 }
 
 fn spawn<F: Future<Output = ()> + Send + 'static>(
