--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -120,7 +120,7 @@
         for addr in &node.setup.settings.seeds {
             node.members.add_seed(*addr);
         }
-        task::start(&node);
+        task::spawn_all(&node);
         node
     }
 
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -14,18 +14,18 @@
 use crate::{member::Identity, node::Node, rpc};
 
 /// How long a leaving node goes on trying to store its lines before it hands them to peers.
-const LAST_FLUSH: Duration = Duration::from_secs(2);
+const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a leaving node looks for someone to take its lines; with the store out and no peer
 /// in reach they are lost after that.
-const LAST_LIMIT: Duration = Duration::from_secs(30);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(30);
 /// The pause between two looks.
-const LAST_PAUSE: Duration = Duration::from_millis(200);
+const HANDOVER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// How far pauses are stretched or shortened, so that nodes started together don't all
 /// call at once.
-const JITTER: f64 = 0.2;
+const JITTER_RATIO: f64 = 0.2;
 
 /// Starts all tasks; each ends when the node stops.
-pub(crate) fn start(node: &Arc<Node>) {
+pub(crate) fn spawn_all(node: &Arc<Node>) {
     spawn(node, round::run);
     spawn(node, round::join);
     spawn(node, round::list_vms);
@@ -46,28 +46,32 @@
 }
 
 /// Waits for about `pause`.
-pub(crate) async fn pause(pause: Duration) {
-    let factor = rand::rng().random_range(1.0 - JITTER..=1.0 + JITTER);
-    Timer::after(pause.mul_f64(factor)).await;
+pub(crate) async fn sleep_with_jitter(duration: Duration) {
+    let factor = rand::rng().random_range(1.0 - JITTER_RATIO..=1.0 + JITTER_RATIO);
+    Timer::after(duration.mul_f64(factor)).await;
 }
 
 /// Hands everything over.
 pub(crate) async fn leave(node: &Node) {
     let start = node.setup.clock.now();
     while !is_handed_over(node).await {
-        let waited = node.setup.clock.now().saturating_duration_since(start);
-        if LAST_LIMIT < waited {
+        let elapsed = node.setup.clock.now().saturating_duration_since(start);
+        if HANDOVER_TIMEOUT < elapsed {
             let n_lines = node.journal().n_lines() + node.replicas().n_lines();
             log::error!("{n_lines} bill lines reached neither the store nor a peer");
             break;
         }
         // Peers that were started a moment ago may not have been met yet.
         round::exchange(node).await;
-        pause(LAST_PAUSE).await;
+        sleep_with_jitter(HANDOVER_RETRY_INTERVAL).await;
     }
     let own = node.members().own_identity().clone();
-    let tell = node.members().alive().into_iter().map(|it| tell(node, own.clone(), it.identity));
-    join_all(tell).await;
+    let calls = node
+        .members()
+        .alive()
+        .into_iter()
+        .map(|it| announce_departure(node, own.clone(), it.identity));
+    join_all(calls).await;
 }
 
 /// Stores all lines or, while the store is out, brings them to peers.
@@ -77,25 +81,25 @@
         node.journal().flush(objects).await;
         node.replicas().flush(objects).await;
     };
-    let _out = timeout::run(LAST_FLUSH, flush).await;
+    let _timed_out = timeout::run(SHUTDOWN_FLUSH_TIMEOUT, flush).await;
     if node.journal().n_lines() + node.replicas().n_lines() == 0 {
         return true;
     }
     journal::hand_over(node).await
 }
 
-async fn tell(node: &Node, own: Identity, peer: Identity) {
+async fn announce_departure(node: &Node, own: Identity, peer: Identity) {
     let _best_effort = node.call::<()>(peer.addr, "leaving", &own, rpc::TIMEOUT).await;
 }
 
 /// Runs futures side by side and gives their results in order.
-pub(crate) async fn join_all<F: Future>(work: impl Iterator<Item = F>) -> Vec<F::Output> {
-    let mut running: Vec<_> = work.map(|it| (Box::pin(it), None)).collect();
+pub(crate) async fn join_all<F: Future>(futures: impl Iterator<Item = F>) -> Vec<F::Output> {
+    let mut running: Vec<_> = futures.map(|it| (Box::pin(it), None)).collect();
     future::poll_fn(|cx| {
         let mut all_done = true;
-        for (work, output) in &mut running {
+        for (future, output) in &mut running {
             if output.is_none() {
-                match work.as_mut().poll(cx) {
+                match future.as_mut().poll(cx) {
                     std::task::Poll::Ready(it) => *output = Some(it),
                     std::task::Poll::Pending => all_done = false,
                 }
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -10,7 +10,7 @@
     documents::Transfer,
     node::Node,
     rpc::{self, Announcement},
-    task::{join_all, pause},
+    task::{join_all, sleep_with_jitter},
     tuning::Mechanism,
 };
 
@@ -27,7 +27,7 @@
     loop {
         read(&node).await;
         let by_fleet = Duration::from_secs_f64(node.members().fleet_size() as f64 / FLEET_POLLS);
-        pause(node.tuning().poll_interval.max(by_fleet)).await;
+        sleep_with_jitter(node.tuning().poll_interval.max(by_fleet)).await;
     }
 }
 
@@ -68,7 +68,7 @@
         for transfer in answers.into_iter().flatten() {
             take(&node, transfer);
         }
-        pause(node.tuning().exchange_interval).await;
+        sleep_with_jitter(node.tuning().exchange_interval).await;
     }
 }
 
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -11,7 +11,7 @@
     node::Node,
     replica::{Batch, FLEET_PUTS},
     rpc,
-    task::{join_all, pause},
+    task::{join_all, sleep_with_jitter},
 };
 
 /// How long lines are gathered while earlier ones are on their way to the peers. Callers wait for
@@ -73,7 +73,7 @@
         {
             return durability;
         }
-        pause(RETRY_INTERVAL).await;
+        sleep_with_jitter(RETRY_INTERVAL).await;
     }
 }
 
@@ -117,7 +117,7 @@
 pub(crate) async fn flush(node: Arc<Node>) {
     loop {
         let min_interval = Duration::from_secs_f64(node.members().fleet_size() as f64 / FLEET_PUTS);
-        let interval = pause(node.tuning().flush_interval.max(min_interval));
+        let interval = sleep_with_jitter(node.tuning().flush_interval.max(min_interval));
         future::or(interval, node.journal().wait_for_flush_request()).await;
         if node.journal().n_lines() == 0 {
             continue;
@@ -127,7 +127,7 @@
         if !flushed {
             re_replicate(&node).await;
             // The store is out; a hurry must not turn this into a loop without a pause.
-            pause(node.tuning().flush_interval).await;
+            sleep_with_jitter(node.tuning().flush_interval).await;
         }
     }
 }
@@ -183,7 +183,7 @@
 /// Stores the lines of owners that are gone.
 pub(crate) async fn store_orphans(node: Arc<Node>) {
     loop {
-        pause(ORPHAN_CHECK_INTERVAL).await;
+        sleep_with_jitter(ORPHAN_CHECK_INTERVAL).await;
         if !node.replicas().store_orphans(node.members(), &*node.setup.objects).await {
             replicate_orphans(&node).await;
         }
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/round.rs
@@ -9,7 +9,7 @@
     digest::{self, Frame},
     node::Node,
     rpc,
-    task::{documents, pause},
+    task::{documents, sleep_with_jitter},
     tuning::Mechanism,
 };
 
@@ -33,7 +33,7 @@
         if node.is_joining() {
             exchange(&node).await;
         }
-        pause(JOIN_PAUSE).await;
+        sleep_with_jitter(JOIN_PAUSE).await;
     }
 }
 
@@ -41,7 +41,7 @@
 pub(crate) async fn run(node: Arc<Node>) {
     let mut last = node.setup.clock.now();
     loop {
-        pause(node.tuning().exchange_interval).await;
+        sleep_with_jitter(node.tuning().exchange_interval).await;
         let now = node.setup.clock.now();
         node.demand().update_rates(now.saturating_duration_since(last));
         last = now;
@@ -84,13 +84,14 @@
                 if vms.len() < 2 {
                     // The list lags behind a site that just started. A node that took this for
                     // the whole truth would tell nobody anything until the next read.
-                    pause(LIST_RETRY).await;
+                    sleep_with_jitter(LIST_RETRY).await;
                     continue;
                 }
                 let n_vms = u32::try_from(vms.len()).unwrap_or(u32::MAX);
-                pause(LIST_INTERVAL.max(LIST_INTERVAL_PER_VM.saturating_mul(n_vms))).await;
+                sleep_with_jitter(LIST_INTERVAL.max(LIST_INTERVAL_PER_VM.saturating_mul(n_vms)))
+                    .await;
             }
-            Err(_) => pause(LIST_RETRY).await,
+            Err(_) => sleep_with_jitter(LIST_RETRY).await,
         }
     }
 }
