--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -189,7 +189,7 @@
 
     /// Meets the next peer ahead of its round, with news that can't wait.
     pub async fn exchange(&self) {
-        task::round::exchange(self).await;
+        task::gossip::exchange(self).await;
     }
 
     /// Who this node is to its peers.
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -1,8 +1,8 @@
 //! What a node does by itself.
 
 pub(crate) mod documents;
+pub(crate) mod gossip;
 pub(crate) mod journal;
-pub(crate) mod round;
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -26,9 +26,9 @@
 
 /// Starts all tasks; each ends when the node stops.
 pub(crate) fn spawn_all(node: &Arc<Node>) {
-    spawn(node, round::run);
-    spawn(node, round::join);
-    spawn(node, round::list_vms);
+    spawn(node, gossip::run);
+    spawn(node, gossip::join);
+    spawn(node, gossip::poll_vm_list);
     spawn(node, documents::poll);
     spawn(node, documents::bootstrap);
     spawn(node, journal::replicate);
@@ -62,7 +62,7 @@
             break;
         }
         // Peers that were started a moment ago may not have been met yet.
-        round::exchange(node).await;
+        gossip::exchange(node).await;
         sleep_with_jitter(HANDOVER_RETRY_INTERVAL).await;
     }
     let own = node.members().own_identity().clone();
--- a/crates/curranthook_peers/src/task/round.rs
+++ b/crates/curranthook_peers/src/task/gossip.rs
@@ -14,26 +14,26 @@
 };
 
 /// The shortest time between reads of the VM list.
-const LIST_INTERVAL: Duration = Duration::from_secs(10);
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(10);
 /// The time between reads for each VM listed. An entry takes about 120 bytes, so reading costs a
 /// node 200 bytes a second whatever the fleet's size; in between, peers name each other.
 const LIST_INTERVAL_PER_VM: Duration = Duration::from_millis(600);
 /// The pause after a read that failed or that showed no other node.
-const LIST_RETRY: Duration = Duration::from_secs(2);
+const LIST_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// For this long after the start peers are met in quick turn.
-const JOIN_LIMIT: Duration = Duration::from_secs(5);
+const JOIN_PERIOD: Duration = Duration::from_secs(5);
 /// The pause between two meetings then.
-const JOIN_PAUSE: Duration = Duration::from_millis(50);
+const JOIN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Meets the first peers. At one a round it would be seconds until bill lines have two copies.
 pub(crate) async fn join(node: Arc<Node>) {
     let start = node.setup.clock.now();
-    while node.setup.clock.now().saturating_duration_since(start) < JOIN_LIMIT {
+    while node.setup.clock.now().saturating_duration_since(start) < JOIN_PERIOD {
         if node.is_joining() {
             exchange(&node).await;
         }
-        sleep_with_jitter(JOIN_PAUSE).await;
+        sleep_with_jitter(JOIN_INTERVAL).await;
     }
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// Reads the VM list.
-pub(crate) async fn list_vms(node: Arc<Node>) {
+pub(crate) async fn poll_vm_list(node: Arc<Node>) {
     loop {
         match node.setup.vms.all().await {
             Ok(mut vms) => {
@@ -84,14 +84,16 @@
                 if vms.len() < 2 {
                     // The list lags behind a site that just started. A node that took this for
                     // the whole truth would tell nobody anything until the next read.
-                    sleep_with_jitter(LIST_RETRY).await;
+                    sleep_with_jitter(LIST_RETRY_INTERVAL).await;
                     continue;
                 }
                 let n_vms = u32::try_from(vms.len()).unwrap_or(u32::MAX);
-                sleep_with_jitter(LIST_INTERVAL.max(LIST_INTERVAL_PER_VM.saturating_mul(n_vms)))
-                    .await;
+                sleep_with_jitter(
+                    MIN_LIST_INTERVAL.max(LIST_INTERVAL_PER_VM.saturating_mul(n_vms)),
+                )
+                .await;
             }
-            Err(_) => sleep_with_jitter(LIST_RETRY).await,
+            Err(_) => sleep_with_jitter(LIST_RETRY_INTERVAL).await,
         }
     }
 }
