--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -101,7 +101,7 @@
     /// Which owners' lines were passed on to which processes.
     pub(crate) replicated_orphans: Mutex<BTreeSet<(Origin, Origin)>>,
     /// One fetch of a document at a time; peers often tell the same news at once.
-    pub(crate) fetching: async_lock::Mutex<()>,
+    pub(crate) fetch_lock: async_lock::Mutex<()>,
     sequence: AtomicUsize,
     module: RpcModule<Weak<Self>>,
     weak: Weak<Self>,
@@ -150,7 +150,7 @@
             documents: Documents::default(),
             replica_holders: Mutex::default(),
             replicated_orphans: Mutex::default(),
-            fetching: async_lock::Mutex::new(()),
+            fetch_lock: async_lock::Mutex::new(()),
             sequence: AtomicUsize::new(0),
             module: rpc::module(Weak::clone(weak)),
             weak: Weak::clone(weak),
@@ -322,7 +322,7 @@
     }
 
     /// A peer said that it has `epoch`; if that's newer, it's fetched.
-    pub(crate) fn heard_of(&self, addr: SocketAddr, epoch: Epoch) {
+    pub(crate) fn fetch_if_newer(&self, addr: SocketAddr, epoch: Epoch) {
         if epoch <= self.epoch() {
             return;
         }
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -165,14 +165,14 @@
         met(&node, &frame.from)?;
         digest::merge(&node, &frame);
         if node.is_enabled(Mechanism::PushPull) {
-            node.heard_of(frame.from.addr, frame.epoch);
+            node.fetch_if_newer(frame.from.addr, frame.epoch);
         }
         Ok::<_, ErrorObjectOwned>(digest::answer(&node, frame.epoch))
     })?;
     module.register_method("news", |params, node, _| {
         let (node, announcement) = (upgrade(node)?, params.one::<Announcement>()?);
         met(&node, &announcement.from)?;
-        node.heard_of(announcement.from.addr, announcement.epoch);
+        node.fetch_if_newer(announcement.from.addr, announcement.epoch);
         Ok::<_, ErrorObjectOwned>(())
     })?;
     module.register_method("document", |params, node, _| {
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -29,7 +29,7 @@
     spawn(node, gossip::run);
     spawn(node, gossip::join);
     spawn(node, gossip::poll_vm_list);
-    spawn(node, documents::poll);
+    spawn(node, documents::poll_table);
     spawn(node, documents::bootstrap);
     spawn(node, journal::replicate);
     spawn(node, journal::flush);
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -15,23 +15,25 @@
 };
 
 /// Reads of the table a second by all nodes together; the platform gives about two thousand.
-const FLEET_POLLS: f64 = 200.0;
-/// How many peers are told of an epoch at once, by a node that has it from the table. The others
+const MAX_FLEET_READS_PER_SECOND: f64 = 200.0;
+/// How many peers are targets of an epoch at once, by a node that has it from the table. The others
 /// leave it to the next exchange: by then most know, and telling them would cost bytes only.
-const EAGER: usize = 2;
-/// How many peers are asked by a node that starts without a document.
-const ASKED: usize = 4;
+const ANNOUNCEMENT_FANOUT: usize = 2;
+/// How many peers are requests by a node that starts without a document.
+const QUERY_FANOUT: usize = 4;
 
 /// Reads the table, at a rate that doesn't grow with the fleet.
-pub(crate) async fn poll(node: Arc<Node>) {
+pub(crate) async fn poll_table(node: Arc<Node>) {
     loop {
-        read(&node).await;
-        let by_fleet = Duration::from_secs_f64(node.members().fleet_size() as f64 / FLEET_POLLS);
-        sleep_with_jitter(node.tuning().poll_interval.max(by_fleet)).await;
+        read_table(&node).await;
+        let min_interval = Duration::from_secs_f64(
+            node.members().fleet_size() as f64 / MAX_FLEET_READS_PER_SECOND,
+        );
+        sleep_with_jitter(node.tuning().poll_interval.max(min_interval)).await;
     }
 }
 
-async fn read(node: &Node) {
+async fn read_table(node: &Node) {
     let tag = node.documents().tag();
     let (table, key) = document::ROW;
     bump(&node.counters().table_reads, 1);
@@ -50,9 +52,9 @@
     };
     if node.documents().offer(document, Some(row.tag)) {
         bump(&node.counters().epoch_from_table, 1);
-        learned(node);
+        apply_document(node);
         if node.is_enabled(Mechanism::Announcement) {
-            tell(node).await;
+            announce(node).await;
         }
     } else {
         bump(&node.counters().document_not_newer, 1);
@@ -63,16 +65,17 @@
 /// configuration when that peer has been cut off; the platform may be out and set nothing right.
 pub(crate) async fn bootstrap(node: Arc<Node>) {
     while node.document().is_none() {
-        let asked = node.members().random_peers(ASKED);
-        let answers = join_all(asked.into_iter().map(|addr| ask(&node, addr))).await;
-        for transfer in answers.into_iter().flatten() {
-            take(&node, transfer);
+        let requests = node.members().random_peers(QUERY_FANOUT);
+        let transfers =
+            join_all(requests.into_iter().map(|addr| request_document(&node, addr))).await;
+        for transfer in transfers.into_iter().flatten() {
+            apply_transfer(&node, transfer);
         }
         sleep_with_jitter(node.tuning().exchange_interval).await;
     }
 }
 
-async fn ask(node: &Node, addr: SocketAddr) -> Option<Transfer> {
+async fn request_document(node: &Node, addr: SocketAddr) -> Option<Transfer> {
     let none = Epoch::default();
     node.call(addr, "document", &none, rpc::DOCUMENT_TIMEOUT).await.ok()
 }
@@ -80,45 +83,45 @@
 /// Asks a few peers for the whole document and takes each newer one over as it comes: what is
 /// in force is old already, and a peer that is gone mustn't hold back the others' announcement.
 pub(crate) async fn refresh(node: &Node) {
-    let asked = node.members().random_peers(ASKED).into_iter().map(|addr| async move {
-        if let Some(transfer) = ask(node, addr).await {
-            take(node, transfer);
+    let requests = node.members().random_peers(QUERY_FANOUT).into_iter().map(|addr| async move {
+        if let Some(transfer) = request_document(node, addr).await {
+            apply_transfer(node, transfer);
         }
     });
-    join_all(asked).await;
+    join_all(requests).await;
 }
 
 /// Fetches what is missing up to `epoch` from a peer that has it.
 pub(crate) async fn fetch(node: &Node, addr: SocketAddr, epoch: Epoch) {
-    let _one_at_a_time = node.fetching.lock().await;
-    let have = node.epoch();
+    let _fetch_guard = node.fetch_lock.lock().await;
+    let own_epoch = node.epoch();
     // The first document comes from several peers, by `bootstrap`.
-    if have == Epoch::default() || epoch <= have {
+    if own_epoch == Epoch::default() || epoch <= own_epoch {
         return;
     }
-    let delta = node.call(addr, "document", &have, rpc::DOCUMENT_TIMEOUT).await;
+    let delta = node.call(addr, "document", &own_epoch, rpc::DOCUMENT_TIMEOUT).await;
     let Ok(delta) = delta else { return };
-    if take(node, delta) {
+    if apply_transfer(node, delta) {
         return;
     }
-    if let Some(whole) = ask(node, addr).await {
-        take(node, whole);
+    if let Some(full) = request_document(node, addr).await {
+        apply_transfer(node, full);
     }
 }
 
 /// Applies a transfer; `false` if it doesn't fit and the whole is needed.
-pub(crate) fn take(node: &Node, transfer: Transfer) -> bool {
+pub(crate) fn apply_transfer(node: &Node, transfer: Transfer) -> bool {
     let counters = node.counters();
-    let kind = match transfer {
+    let counter = match transfer {
         Transfer::UpToDate => return true,
         Transfer::Delta { .. } => &counters.delta_applied,
         Transfer::Full { .. } => &counters.document_full,
     };
     match node.documents().apply(transfer) {
         Ok(true) => {
-            bump(kind, 1);
+            bump(counter, 1);
             bump(&counters.epoch_from_peer, 1);
-            learned(node);
+            apply_document(node);
         }
         Ok(false) => bump(&counters.document_not_newer, 1),
         Err(_) => {
@@ -129,7 +132,7 @@
     true
 }
 
-fn learned(node: &Node) {
+fn apply_document(node: &Node) {
     let Some(document) = node.document() else { return };
     for (site, config) in &document.sites {
         node.members()
@@ -138,14 +141,14 @@
     node.suspects().prune(&document);
 }
 
-async fn tell(node: &Node) {
+async fn announce(node: &Node) {
     let announcement =
         Announcement { from: node.members().own_identity().clone(), epoch: node.epoch() };
     let mut alive = node.members().alive();
     let start = node.next_sequence().checked_rem(alive.len()).unwrap_or(0);
     alive.rotate_left(start);
-    let told = alive.iter().take(EAGER).map(|it| it.identity.addr);
-    let calls = told.map(|addr| node.call::<()>(addr, "news", &announcement, rpc::TIMEOUT));
+    let targets = alive.iter().take(ANNOUNCEMENT_FANOUT).map(|it| it.identity.addr);
+    let calls = targets.map(|addr| node.call::<()>(addr, "news", &announcement, rpc::TIMEOUT));
     // A peer that misses the announcement gets the epoch by an exchange or from the table.
     let _best_effort = join_all(calls).await;
 }
--- a/crates/curranthook_peers/src/task/gossip.rs
+++ b/crates/curranthook_peers/src/task/gossip.rs
@@ -67,10 +67,10 @@
     bump(&node.counters().exchange_ok, 1);
     digest::merge(node, &theirs);
     if let Some(transfer) = theirs.transfer {
-        documents::take(node, transfer);
+        documents::apply_transfer(node, transfer);
     }
     if node.is_enabled(Mechanism::PushPull) {
-        node.heard_of(addr, theirs.epoch);
+        node.fetch_if_newer(addr, theirs.epoch);
     }
 }
 
