--- a/crates/curranthook_peers/src/documents.rs
+++ b/crates/curranthook_peers/src/documents.rs
@@ -21,10 +21,10 @@
 use sha2::{Digest, Sha256};
 
 /// For how many epochs back deltas are kept.
-const HISTORY: usize = 16;
+const MAX_CHANGES: usize = 16;
 /// Operations of a change past which it counts as a new document. Its delta would be about as
 /// long as the whole, and a few of them would take more memory than all else in a node.
-const MAX_OPERATIONS: usize = 1_024;
+const MAX_DELTA_OPERATIONS: usize = 1_024;
 
 /// What one peer sends another that has an older epoch.
 #[serde_as]
@@ -68,37 +68,37 @@
     tag: Option<Tag>,
     /// The newest document as JSON, which deltas are made from and applied to. Earlier ones
     /// aren't kept: as JSON, one of 10,000 endpoints takes tens of megabytes.
-    value: Value,
+    json: Value,
     /// The changes up to the newest, oldest first; each begins where the one before ends.
-    steps: VecDeque<Step>,
+    changes: VecDeque<Change>,
     deltas: HashMap<Epoch, Transfer>,
-    waiting: Vec<Sender<()>>,
+    waiters: Vec<Sender<()>>,
 }
 
 /// What changed from one epoch to the next one that this node had.
 #[derive(Debug)]
-struct Step {
+struct Change {
     base: Epoch,
     patch: json_patch::Patch,
 }
 
 impl History {
     fn add(&mut self, base: Epoch, patch: json_patch::Patch) {
-        if MAX_OPERATIONS < patch.len() {
-            self.steps.clear();
+        if MAX_DELTA_OPERATIONS < patch.len() {
+            self.changes.clear();
             return;
         }
-        self.steps.push_back(Step { base, patch });
-        if HISTORY < self.steps.len() {
-            self.steps.pop_front();
+        self.changes.push_back(Change { base, patch });
+        if MAX_CHANGES < self.changes.len() {
+            self.changes.pop_front();
         }
     }
 
-    /// All changes since `have`, one after the other.
-    fn since(&self, have: Epoch) -> Option<json_patch::Patch> {
-        let start = self.steps.iter().position(|it| it.base == have)?;
-        let steps = self.steps.iter().skip(start);
-        Some(json_patch::Patch(steps.flat_map(|it| it.patch.0.clone()).collect()))
+    /// All changes since `peer_epoch`, one after the other.
+    fn changes_since(&self, peer_epoch: Epoch) -> Option<json_patch::Patch> {
+        let start = self.changes.iter().position(|it| it.base == peer_epoch)?;
+        let changes = self.changes.iter().skip(start);
+        Some(json_patch::Patch(changes.flat_map(|it| it.patch.0.clone()).collect()))
     }
 }
 
@@ -117,14 +117,14 @@
 
     /// The newest epoch; zero when none is known.
     pub fn epoch(&self) -> Epoch {
-        self.epoch_of_newest().unwrap_or_default()
+        self.newest_epoch().unwrap_or_default()
     }
 
     /// Waits for a document of a higher epoch than `after`.
-    pub async fn next(&self, after: Epoch) -> Arc<Document> {
+    pub async fn wait_for_newer(&self, after: Epoch) -> Arc<Document> {
         loop {
             let (tx, rx) = async_channel::bounded::<()>(1);
-            self.history.lock().waiting.push(tx);
+            self.history.lock().waiters.push(tx);
             if let Some(document) = self.document().filter(|it| after < it.epoch) {
                 return document;
             }
@@ -141,32 +141,32 @@
     pub fn offer(&self, document: Document, tag: Option<Tag>) -> bool {
         // The lock orders writers: of two offers at once the lower must not land last.
         let mut history = self.history.lock();
-        let known = self.epoch_of_newest();
-        if known.is_some_and(|it| document.epoch <= it) {
-            if known == Some(document.epoch) && tag.is_some() {
+        let current = self.newest_epoch();
+        if current.is_some_and(|it| document.epoch <= it) {
+            if current == Some(document.epoch) && tag.is_some() {
                 history.tag = tag;
             }
             return false;
         }
-        let value = to_value(&document);
-        if let Some(base) = known {
-            let patch = json_patch::diff(&history.value, &value);
+        let json = to_value(&document);
+        if let Some(base) = current {
+            let patch = json_patch::diff(&history.json, &json);
             history.add(base, patch);
         }
-        history.value = value;
-        self.take(&mut history, document, tag);
+        history.json = json;
+        self.install(&mut history, document, tag);
         true
     }
 
-    /// What someone who has epoch `have` needs; `have` is zero to ask for the whole.
-    pub fn transfer(&self, have: Epoch) -> Transfer {
+    /// What someone who has epoch `peer_epoch` needs; `peer_epoch` is zero to ask for the whole.
+    pub fn transfer(&self, peer_epoch: Epoch) -> Transfer {
         let Some(newest) = self.document() else { return Transfer::UpToDate };
-        if newest.epoch <= have {
+        if newest.epoch <= peer_epoch {
             return Transfer::UpToDate;
         }
-        self.delta(have).unwrap_or_else(|| {
+        self.delta(peer_epoch).unwrap_or_else(|| {
             let document = Box::new((*newest).clone());
-            Transfer::Full { document, tag: self.tag_of(newest.epoch) }
+            Transfer::Full { document, tag: self.tag_for(newest.epoch) }
         })
     }
 
@@ -175,11 +175,11 @@
         match transfer {
             Transfer::UpToDate => Ok(false),
             Transfer::Full { document, tag } => Ok(self.offer(*document, tag)),
-            Transfer::Delta { base, patch, hash, tag } => self.advance(base, patch, hash, tag),
+            Transfer::Delta { base, patch, hash, tag } => self.apply_delta(base, patch, hash, tag),
         }
     }
 
-    fn advance(
+    fn apply_delta(
         &self,
         base: Epoch,
         patch: json_patch::Patch,
@@ -191,50 +191,50 @@
             return Err(Mismatch);
         };
         // A patch that fails undoes what it did.
-        json_patch::patch(&mut history.value, &patch).map_err(|_| Mismatch)?;
-        let document = Document::deserialize(&history.value).ok();
+        json_patch::patch(&mut history.json, &patch).map_err(|_| Mismatch)?;
+        let document = Document::deserialize(&history.json).ok();
         // A node that holds another document under the base's epoch, or lost a digit of a number
         // on the way, would go on with a configuration nobody published.
-        let document = document.filter(|it| base < it.epoch && digest(it) == hash);
+        let document = document.filter(|it| base < it.epoch && sha256(it) == hash);
         let Some(document) = document else {
-            history.value = to_value(&newest);
+            history.json = to_value(&newest);
             return Err(Mismatch);
         };
         history.add(base, patch);
-        self.take(&mut history, document, tag);
+        self.install(&mut history, document, tag);
         Ok(true)
     }
 
     /// Puts `document` in force; `history` is up to date but for the tag and those that wait.
-    fn take(&self, history: &mut History, document: Document, tag: Option<Tag>) {
+    fn install(&self, history: &mut History, document: Document, tag: Option<Tag>) {
         history.tag = tag;
         history.deltas.clear();
         self.newest.store(Some(Arc::new(document)));
         // Dropping the senders wakes all that wait.
-        history.waiting.clear();
+        history.waiters.clear();
     }
 
-    fn epoch_of_newest(&self) -> Option<Epoch> {
+    fn newest_epoch(&self) -> Option<Epoch> {
         self.newest.load().as_ref().map(|it| it.epoch)
     }
 
     /// The tag, unless a newer document has come meanwhile.
-    fn tag_of(&self, epoch: Epoch) -> Option<Tag> {
+    fn tag_for(&self, epoch: Epoch) -> Option<Tag> {
         let history = self.history.lock();
-        history.tag.clone().filter(|_| self.epoch_of_newest() == Some(epoch))
+        history.tag.clone().filter(|_| self.newest_epoch() == Some(epoch))
     }
 
-    fn delta(&self, have: Epoch) -> Option<Transfer> {
+    fn delta(&self, peer_epoch: Epoch) -> Option<Transfer> {
         // Under the lock no newer document can come: patch, hash and tag belong to one epoch.
         let mut history = self.history.lock();
-        if let Some(delta) = history.deltas.get(&have) {
+        if let Some(delta) = history.deltas.get(&peer_epoch) {
             return Some(delta.clone());
         }
         let newest = self.document()?;
-        let patch = history.since(have)?;
+        let patch = history.changes_since(peer_epoch)?;
         let tag = history.tag.clone();
-        let delta = Transfer::Delta { base: have, patch, hash: digest(&newest), tag };
-        history.deltas.insert(have, delta.clone());
+        let delta = Transfer::Delta { base: peer_epoch, patch, hash: sha256(&newest), tag };
+        history.deltas.insert(peer_epoch, delta.clone());
         Some(delta)
     }
 }
@@ -243,7 +243,7 @@
     serde_json::to_value(document).expect("a document can be written as JSON")
 }
 
-fn digest(document: &Document) -> [u8; 32] {
+fn sha256(document: &Document) -> [u8; 32] {
     let json = serde_json::to_vec(document).expect("a document can be written as JSON");
     Sha256::digest(json).into()
 }
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -168,7 +168,7 @@
 
     /// Waits for a document of a higher epoch than `after`.
     pub async fn next_document(&self, after: Epoch) -> Arc<Document> {
-        self.documents.next(after).await
+        self.documents.wait_for_newer(after).await
     }
 
     /// Answers a peer's call. The router's peer listener hands over every call to [`rpc::PATH`].
