--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -162,7 +162,7 @@
     pub fn unstored(&self) -> Vec<Batch> {
         let state = self.state.lock();
         let lines = state.lines.iter().map(|(sequence, line)| (*sequence, line.clone()));
-        let segments = store::runs(lines, MAX_LINES_PER_OBJECT);
+        let segments = store::contiguous_runs(lines, MAX_LINES_PER_OBJECT);
         segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
@@ -185,7 +185,8 @@
         let mut state = self.state.lock();
         let under_replicated = std::mem::take(&mut state.under_replicated);
         let line = |it: &u64| Some((*it, state.lines.get(it)?.clone()));
-        let segments = store::runs(under_replicated.iter().filter_map(line), MAX_LINES_PER_OBJECT);
+        let segments =
+            store::contiguous_runs(under_replicated.iter().filter_map(line), MAX_LINES_PER_OBJECT);
         segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -31,16 +31,16 @@
 /// to another peer or the store.
 const MAX_BYTES: usize = 32 * 1024 * 1024;
 /// How many lines go into one object.
-const MAX_RUN: usize = 2_000;
+const MAX_LINES_PER_OBJECT: usize = 2_000;
 /// Puts a second by all nodes together; the platform gives several hundred.
-pub const FLEET_PUTS: f64 = 100.0;
+pub const MAX_FLEET_PUTS_PER_SECOND: f64 = 100.0;
 /// How long an owner may be silent while the store is thought to work.
-const QUICK: Duration = Duration::from_millis(2_500);
+const SHORT_OWNER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// An owner that missed so many flushes counts as silent.
-const FLUSHES_MISSED: u32 = 3;
+const MAX_MISSED_FLUSHES: u32 = 3;
 /// How long an origin without lines is remembered, so that a batch that arrives late isn't kept
 /// anew.
-const FORGET: Duration = Duration::from_secs(300);
+const OWNER_RETENTION: Duration = Duration::from_secs(300);
 
 /// Lines for a replica to keep.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
 struct Owner {
     lines: BTreeMap<u64, Line>,
     stored_below: u64,
-    heard: Instant,
+    last_heard: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -78,25 +78,25 @@
 pub struct Replicas {
     clock: Arc<dyn Clock>,
     counters: Arc<Counters>,
-    silence: Duration,
-    is_store_out: AtomicBool,
+    owner_timeout: Duration,
+    is_store_down: AtomicBool,
     state: Mutex<State>,
 }
 
 impl Replicas {
     /// None yet. An owner that is silent for `silence` is taken for gone.
-    pub fn new(clock: Arc<dyn Clock>, counters: Arc<Counters>, silence: Duration) -> Self {
+    pub fn new(clock: Arc<dyn Clock>, counters: Arc<Counters>, owner_timeout: Duration) -> Self {
         Self {
             clock,
             counters,
-            silence,
-            is_store_out: AtomicBool::default(),
+            owner_timeout,
+            is_store_down: AtomicBool::default(),
             state: Mutex::default(),
         }
     }
 
     /// Keeps a batch and drops what its owner has stored.
-    pub fn keep(&self, batch: Batch) -> Result<(), Full> {
+    pub fn insert(&self, batch: Batch) -> Result<(), Full> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let State { owners, n_bytes } = &mut *state;
@@ -107,9 +107,9 @@
         let owner = owners.entry(batch.origin).or_insert_with(|| Owner {
             lines: BTreeMap::new(),
             stored_below: 0,
-            heard: now,
+            last_heard: now,
         });
-        owner.heard = now;
+        owner.last_heard = now;
         owner.stored_below = owner.stored_below.max(batch.stored_below);
         for (sequence, line) in (batch.first..).zip(batch.lines) {
             // A batch that was overtaken by the news of its storage isn't kept again.
@@ -118,8 +118,8 @@
                 owner.lines.insert(sequence, line);
             }
         }
-        let kept = owner.lines.split_off(&owner.stored_below);
-        let dropped = std::mem::replace(&mut owner.lines, kept);
+        let retained = owner.lines.split_off(&owner.stored_below);
+        let dropped = std::mem::replace(&mut owner.lines, retained);
         *n_bytes -= dropped.values().map(estimated_size).sum::<usize>();
         Ok(())
     }
@@ -132,16 +132,16 @@
     /// Stores the lines of owners that left, were replaced or have been silent too long, and
     /// says whether all could be stored.
     pub async fn store_orphans(&self, members: &Members, objects: &dyn Objects) -> bool {
-        for (origin, lines) in self.abandoned(members) {
-            for (first, run) in store::runs(lines.into_iter(), MAX_RUN) {
-                let end = first + run.len() as u64;
-                if store::put(objects, &origin, first, run).await.is_err() {
+        for (origin, lines) in self.orphaned_lines(members) {
+            for (first, lines) in store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT) {
+                let end = first + lines.len() as u64;
+                if store::put(objects, &origin, first, lines).await.is_err() {
                     bump(&self.counters.store_failed, 1);
-                    self.is_store_out.store(true, Ordering::Relaxed);
+                    self.is_store_down.store(true, Ordering::Relaxed);
                     return false;
                 }
                 bump(&self.counters.segment_taken_over, 1);
-                self.is_store_out.store(false, Ordering::Relaxed);
+                self.is_store_down.store(false, Ordering::Relaxed);
                 self.drop_lines(&origin, first, end);
             }
         }
@@ -157,12 +157,12 @@
 
     /// The lines of owners that are gone, in batches, by owner.
     pub fn orphans(&self, members: &Members) -> Vec<(Origin, Vec<Batch>)> {
-        let abandoned = self.abandoned(members).into_iter();
-        let batched = abandoned.map(|(origin, lines)| {
+        let orphaned = self.orphaned_lines(members).into_iter();
+        let batches_by_owner = orphaned.map(|(origin, lines)| {
             let batches = batches(&origin, lines);
             (origin, batches)
         });
-        batched.collect()
+        batches_by_owner.collect()
     }
 
     /// Stores everything, for a node that leaves; the owners' other replicas may do it too.
@@ -172,37 +172,38 @@
             state.owners.iter().map(|(origin, it)| (origin.clone(), it.lines.clone())).collect()
         };
         for (origin, lines) in all {
-            for (first, run) in store::runs(lines.into_iter(), MAX_RUN) {
-                let end = first + run.len() as u64;
-                if store::put(objects, &origin, first, run).await.is_ok() {
+            for (first, lines) in store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT) {
+                let end = first + lines.len() as u64;
+                if store::put(objects, &origin, first, lines).await.is_ok() {
                     self.drop_lines(&origin, first, end);
                 }
             }
         }
     }
 
-    fn abandoned(&self, members: &Members) -> Vec<(Origin, BTreeMap<u64, Line>)> {
+    fn orphaned_lines(&self, members: &Members) -> Vec<(Origin, BTreeMap<u64, Line>)> {
         let now = self.clock.now();
         // Owners flush less often in a large fleet. Replicas that didn't wait for that would
         // store every line of the fleet three times.
-        let flush = Duration::from_secs_f64(members.fleet_size() as f64 / FLEET_PUTS);
-        let patience = match self.is_store_out.load(Ordering::Relaxed) {
-            true => self.silence,
+        let flush_interval =
+            Duration::from_secs_f64(members.fleet_size() as f64 / MAX_FLEET_PUTS_PER_SECOND);
+        let base_timeout = match self.is_store_down.load(Ordering::Relaxed) {
+            true => self.owner_timeout,
             // Storing lines twice is harmless, and each second counts when VMs are lost together.
-            false => self.silence.min(QUICK),
+            false => self.owner_timeout.min(SHORT_OWNER_TIMEOUT),
         };
-        let silence = patience.max(flush * FLUSHES_MISSED);
+        let timeout = base_timeout.max(flush_interval * MAX_MISSED_FLUSHES);
         let mut state = self.state.lock();
         state.owners.retain(|_, it| {
-            !it.lines.is_empty() || now.saturating_duration_since(it.heard) < FORGET
+            !it.lines.is_empty() || now.saturating_duration_since(it.last_heard) < OWNER_RETENTION
         });
-        let is_abandoned = |origin: &Origin, owner: &Owner| {
+        let is_orphaned = |origin: &Origin, owner: &Owner| {
             !owner.lines.is_empty()
-                && (silence < now.saturating_duration_since(owner.heard)
+                && (timeout < now.saturating_duration_since(owner.last_heard)
                     || members.is_replaced(&origin.vm, origin.incarnation))
         };
-        let abandoned = state.owners.iter().filter(|(origin, it)| is_abandoned(origin, it));
-        abandoned.map(|(origin, it)| (origin.clone(), it.lines.clone())).collect()
+        let orphaned = state.owners.iter().filter(|(origin, it)| is_orphaned(origin, it));
+        orphaned.map(|(origin, it)| (origin.clone(), it.lines.clone())).collect()
     }
 
     fn drop_lines(&self, origin: &Origin, first: u64, end: u64) {
@@ -218,11 +219,14 @@
 }
 
 fn batches(origin: &Origin, lines: BTreeMap<u64, Line>) -> Vec<Batch> {
-    let batch = |(first, lines)| {
+    let to_batch = |(first, lines)| {
         // What is stored below is the owner's to say; a lower bound does no harm.
         Batch { origin: origin.clone(), stored_below: 0, first, lines }
     };
-    store::runs(lines.into_iter(), MAX_RUN).into_iter().map(batch).collect()
+    store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT)
+        .into_iter()
+        .map(to_batch)
+        .collect()
 }
 
 /// About how many bytes a line takes in memory.
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -181,8 +181,8 @@
     })?;
     module.register_method("replicate", |params, node, _| {
         let (node, batch) = (upgrade(node)?, params.one::<Batch>()?);
-        let kept = node.replicas().keep(batch);
-        kept.map_err(|e| refusal(FULL, &e.to_string()))
+        let inserted = node.replicas().insert(batch);
+        inserted.map_err(|e| refusal(FULL, &e.to_string()))
     })?;
     module.register_method("leaving", |params, node, _| {
         let (node, identity) = (upgrade(node)?, params.one::<Identity>()?);
--- a/crates/curranthook_peers/src/store.rs
+++ b/crates/curranthook_peers/src/store.rs
@@ -21,7 +21,7 @@
         match objects.put_if_absent(&segment.key(), json.into()).await? {
             Write::Done(_) => return Ok(()),
             Write::Conflict => {
-                let n_stored = stored(objects, &segment).await?;
+                let n_stored = count_stored(objects, &segment).await?;
                 segment.lines.drain(..n_stored.min(segment.lines.len()));
                 segment.first += n_stored as u64;
             }
@@ -30,19 +30,22 @@
     Ok(())
 }
 
-async fn stored(objects: &dyn Objects, segment: &Segment) -> Result<usize, Error> {
+async fn count_stored(objects: &dyn Objects, segment: &Segment) -> Result<usize, Error> {
     let key = segment.key();
-    let garbled = |why: &str| Error::Garbled(format!("{key}: {why}"));
-    let bytes = objects.get(&key).await?.ok_or_else(|| garbled("taken, and not there"))?;
-    let stored: Segment = serde_json::from_slice(&bytes).map_err(|e| garbled(&e.to_string()))?;
+    let invalid = |reason: &str| Error::Garbled(format!("{key}: {reason}"));
+    let bytes = objects.get(&key).await?.ok_or_else(|| invalid("taken, and not there"))?;
+    let stored: Segment = serde_json::from_slice(&bytes).map_err(|e| invalid(&e.to_string()))?;
     if stored.lines.is_empty() {
-        return Err(garbled("no lines"));
+        return Err(invalid("no lines"));
     }
     Ok(stored.lines.len())
 }
 
 /// Splits lines by sequence number into runs without a gap, each of at most `max` lines.
-pub fn runs(lines: impl Iterator<Item = (u64, Line)>, max: usize) -> Vec<(u64, Vec<Line>)> {
+pub fn contiguous_runs(
+    lines: impl Iterator<Item = (u64, Line)>,
+    max: usize,
+) -> Vec<(u64, Vec<Line>)> {
     let mut runs: Vec<(u64, Vec<Line>)> = Vec::new();
     for (sequence, line) in lines {
         match runs.last_mut() {
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -9,7 +9,7 @@
 use crate::{
     journal::{Durability, FALLBACK_TIMEOUT, Group, REPLICATE_TIMEOUT},
     node::Node,
-    replica::{Batch, FLEET_PUTS},
+    replica::{Batch, MAX_FLEET_PUTS_PER_SECOND},
     rpc,
     task::{join_all, sleep_with_jitter},
 };
@@ -116,7 +116,8 @@
 /// Stores lines, at a rate of puts that doesn't grow with the fleet.
 pub(crate) async fn flush(node: Arc<Node>) {
     loop {
-        let min_interval = Duration::from_secs_f64(node.members().fleet_size() as f64 / FLEET_PUTS);
+        let min_interval =
+            Duration::from_secs_f64(node.members().fleet_size() as f64 / MAX_FLEET_PUTS_PER_SECOND);
         let interval = sleep_with_jitter(node.tuning().flush_interval.max(min_interval));
         future::or(interval, node.journal().wait_for_flush_request()).await;
         if node.journal().n_lines() == 0 {
