--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -15,14 +15,14 @@
 
 /// How many entries (origin and version) are kept: 1,800 nodes and 7 versions with room for
 /// the nodes replaced in a day.
-const MAX_ENTRIES: usize = 20_000;
-/// How often a changed entry is passed on before it gives way to others.
-const SENDS: u32 = 4;
+const MAX_RECORDS: usize = 20_000;
+/// How often a last_changed entry is passed on before it gives way to others.
+const SENDS_PER_CHANGE: u32 = 4;
 /// Entries tried for one frame; more don't fit.
-const LOOKED_AT: usize = 12;
+const MAX_CANDIDATES: usize = 12;
 
 /// The higher of each field of two.
-fn max(one: &Counts, other: &Counts) -> Counts {
+fn max_counts(one: &Counts, other: &Counts) -> Counts {
     Counts {
         n: one.n.max(other.n),
         sum: one.sum.max(other.sum),
@@ -39,7 +39,7 @@
     counts.calls < counts.errors.saturating_mul(10) || counts.sum < counts.n as f64 * 0.5
 }
 
-fn is_sane(counts: &Counts) -> bool {
+fn is_consistent(counts: &Counts) -> bool {
     counts.errors <= counts.calls && counts.n <= counts.calls
 }
 
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub vm::Id, pub vm::Incarnation, pub version::Id, pub kind::Id, pub WireCounts);
 
-/// [`Counts`] without field names, in their order, ratings in whole ten-thousandths: a sum such
+/// [`Counts`] without field names, in their order, ratings in rounded ten-thousandths: a sum such
 /// as 20.800000000000004 would cost more bytes than all other fields.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WireCounts(u64, u64, u64, u64, u64, u64, u64);
@@ -69,9 +69,9 @@
 
 impl From<Counts> for WireCounts {
     fn from(it: Counts) -> Self {
-        let whole = |sum: f64, unit: f64| (sum * unit).round() as u64;
-        let (sum, squares) = (whole(it.sum, RATING_UNIT), whole(it.squares, RATING_UNIT));
-        Self(it.calls, it.errors, it.n, sum, squares, it.tokens, whole(it.lengths, LENGTH_UNIT))
+        let rounded = |sum: f64, unit: f64| (sum * unit).round() as u64;
+        let (sum, squares) = (rounded(it.sum, RATING_UNIT), rounded(it.squares, RATING_UNIT));
+        Self(it.calls, it.errors, it.n, sum, squares, it.tokens, rounded(it.lengths, LENGTH_UNIT))
     }
 }
 
@@ -91,39 +91,41 @@
 }
 
 #[derive(Debug, Default)]
-struct Cell {
+struct Record {
     counts: Counts,
     sends_left: u32,
-    /// When it last changed, in steps of the table's own count.
-    changed: u64,
-    /// When it was last sent, likewise.
-    sent: u64,
+    /// When it last last_changed, in logical_time of the table's own count.
+    last_changed: u64,
+    /// When it was last last_sent, likewise.
+    last_sent: u64,
 }
 
 #[derive(Debug, Default)]
-struct Cells {
-    by_subject: HashMap<Subject, HashMap<Origin, Cell>>,
-    n_entries: usize,
-    steps: u64,
+struct Records {
+    by_subject: HashMap<Subject, HashMap<Origin, Record>>,
+    n_records: usize,
+    logical_time: u64,
 }
 
 /// All that a node knows of versions.
 #[derive(Debug)]
 pub struct Evidence {
     own: Origin,
-    cells: Mutex<Cells>,
+    records: Mutex<Records>,
 }
 
 impl Evidence {
     /// No evidence yet; `own` is the origin of what is added here.
     pub fn new(own: Origin) -> Self {
-        Self { own, cells: Mutex::default() }
+        Self { own, records: Mutex::default() }
     }
 
     /// Counts what an answer to this node showed.
     pub fn record(&self, version: &version::Id, kind: &kind::Id, sample: Sample) {
         let subject = Subject { version: version.clone(), kind: kind.clone() };
-        self.cells.lock().update(&subject, &self.own, |counts| counts.plus(&Counts::from(sample)));
+        self.records
+            .lock()
+            .update(&subject, &self.own, |counts| counts.plus(&Counts::from(sample)));
     }
 
     /// The sum over all origins and kinds of work.
@@ -134,32 +136,32 @@
 
     /// The counts of each origin, over all kinds of work.
     pub fn by_origin(&self, version: &version::Id) -> Vec<(Origin, Counts)> {
-        let cells = self.cells.lock();
+        let records = self.records.lock();
         let mut sums: HashMap<&Origin, Counts> = HashMap::new();
-        let origins = cells.by_subject.iter().filter(|(subject, _)| subject.version == *version);
-        for (origin, cell) in origins.flat_map(|(_, origins)| origins) {
+        let origins = records.by_subject.iter().filter(|(subject, _)| subject.version == *version);
+        for (origin, record) in origins.flat_map(|(_, origins)| origins) {
             let sum = sums.entry(origin).or_default();
-            *sum = sum.plus(&cell.counts);
+            *sum = sum.plus(&record.counts);
         }
         sums.into_iter().map(|(origin, counts)| (origin.clone(), counts)).collect()
     }
 
     /// For each subject what all other nodes together have counted.
     pub fn peer_totals(&self) -> Vec<(Subject, Counts)> {
-        let cells = self.cells.lock();
-        let others = |origins: &HashMap<Origin, Cell>| {
+        let records = self.records.lock();
+        let others = |origins: &HashMap<Origin, Record>| {
             origins
                 .iter()
                 .filter(|(origin, _)| **origin != self.own)
-                .fold(Counts::default(), |sum, (_, cell)| sum.plus(&cell.counts))
+                .fold(Counts::default(), |sum, (_, record)| sum.plus(&record.counts))
         };
-        cells.by_subject.iter().map(|(subject, it)| (subject.clone(), others(it))).collect()
+        records.by_subject.iter().map(|(subject, it)| (subject.clone(), others(it))).collect()
     }
 
     /// The totals of every version that was seen.
     pub fn totals(&self) -> Vec<(version::Id, Counts)> {
         let versions: BTreeSet<_> =
-            self.cells.lock().by_subject.keys().map(|it| it.version.clone()).collect();
+            self.records.lock().by_subject.keys().map(|it| it.version.clone()).collect();
         versions.into_iter().map(|it| (it.clone(), self.total(&it))).collect()
     }
 
@@ -167,90 +169,105 @@
     pub fn merge(&self, entry: &Entry) {
         let Entry(vm, incarnation, version, kind, wire) = entry;
         let origin = Origin { vm: vm.clone(), incarnation: *incarnation };
-        let theirs = Counts::from(*wire);
+        let reported = Counts::from(*wire);
         // Only this process counts for its own origin; what peers
         // pass on of it brings nothing new.
-        if origin == self.own || !is_sane(&theirs) {
+        if origin == self.own || !is_consistent(&reported) {
             return;
         }
         let subject = Subject { version: version.clone(), kind: kind.clone() };
-        self.cells.lock().update(&subject, &origin, |ours| max(ours, &theirs));
+        self.records.lock().update(&subject, &origin, |known| max_counts(known, &reported));
     }
 
-    /// The entries worth sending next, as long as they fit: what changed lately, the most
+    /// The entries worth sending next, as long as they fit: what last_changed lately, the most
     /// suspicious first, and then all others in turn. A change that is passed on a few times
     /// only, and never again, misses some nodes for good.
     pub fn select_entries(&self, mut fits: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
-        let mut cells = self.cells.lock();
-        cells.steps += 1;
-        let steps = cells.steps;
-        let mut all: Vec<_> = cells
+        let mut records = self.records.lock();
+        records.logical_time += 1;
+        let logical_time = records.logical_time;
+        let mut candidates: Vec<_> = records
             .by_subject
             .iter_mut()
             .flat_map(|(subject, origins)| {
-                origins.iter_mut().map(move |(origin, cell)| (subject, origin, cell))
+                origins.iter_mut().map(move |(origin, record)| (subject, origin, record))
             })
             .collect();
-        if LOOKED_AT < all.len() {
-            all.select_nth_unstable_by_key(LOOKED_AT, |(.., cell)| cell.urgency());
-            all.truncate(LOOKED_AT);
+        if MAX_CANDIDATES < candidates.len() {
+            candidates
+                .select_nth_unstable_by_key(MAX_CANDIDATES, |(.., record)| record.send_order());
+            candidates.truncate(MAX_CANDIDATES);
         }
-        all.sort_by_key(|(.., cell)| cell.urgency());
-        let mut picked = Vec::new();
-        for (subject, origin, cell) in all {
+        candidates.sort_by_key(|(.., record)| record.send_order());
+        let mut selected = Vec::new();
+        for (subject, origin, record) in candidates {
             let (version, kind) = (subject.version.clone(), subject.kind.clone());
-            let wire = cell.counts.into();
+            let wire = record.counts.into();
             let entry = Entry(origin.vm.clone(), origin.incarnation, version, kind, wire);
             if fits(&entry) {
-                cell.sends_left = cell.sends_left.saturating_sub(1);
-                cell.sent = steps;
-                picked.push(entry);
+                record.sends_left = record.sends_left.saturating_sub(1);
+                record.last_sent = logical_time;
+                selected.push(entry);
             }
         }
-        picked
+        selected
     }
 }
 
-impl Cell {
+impl Record {
     /// The lowest is sent first.
-    fn urgency(&self) -> impl Ord + use<> {
-        let is_hot = 0 < self.sends_left;
-        (Reverse(is_hot && is_suspicious(&self.counts)), Reverse(self.sends_left), self.sent)
+    fn send_order(&self) -> impl Ord + use<> {
+        let is_pending = 0 < self.sends_left;
+        (
+            Reverse(is_pending && is_suspicious(&self.counts)),
+            Reverse(self.sends_left),
+            self.last_sent,
+        )
     }
 }
 
-impl Cells {
-    fn update(&mut self, subject: &Subject, origin: &Origin, next: impl FnOnce(&Counts) -> Counts) {
-        self.steps += 1;
-        let steps = self.steps;
+impl Records {
+    fn update(
+        &mut self,
+        subject: &Subject,
+        origin: &Origin,
+        update: impl FnOnce(&Counts) -> Counts,
+    ) {
+        self.logical_time += 1;
+        let logical_time = self.logical_time;
         let origins = self.by_subject.entry(subject.clone()).or_default();
         if !origins.contains_key(origin) {
-            self.n_entries += 1;
+            self.n_records += 1;
         }
-        let cell = origins.entry(origin.clone()).or_default();
-        let counts = next(&cell.counts);
-        if counts != cell.counts {
-            *cell = Cell { counts, sends_left: SENDS, changed: steps, sent: cell.sent };
+        let record = origins.entry(origin.clone()).or_default();
+        let counts = update(&record.counts);
+        if counts != record.counts {
+            *record = Record {
+                counts,
+                sends_left: SENDS_PER_CHANGE,
+                last_changed: logical_time,
+                last_sent: record.last_sent,
+            };
         }
-        if MAX_ENTRIES < self.n_entries {
+        if MAX_RECORDS < self.n_records {
             self.evict();
         }
     }
 
-    /// Forgets the entry that changed longest ago: that of a process long gone.
+    /// Forgets the entry that last_changed longest ago: that of a process long gone.
     fn evict(&mut self) {
         let oldest = self
             .by_subject
             .iter()
             .flat_map(|(subject, origins)| {
-                origins.iter().map(move |(origin, cell)| (cell.changed, subject, origin))
+                origins.iter().map(move |(origin, record)| (record.last_changed, subject, origin))
             })
-            .min_by_key(|(changed, ..)| *changed);
+            .min_by_key(|(last_changed, ..)| *last_changed);
         let Some((_, subject, origin)) = oldest else { return };
         let (subject, origin) = (subject.clone(), origin.clone());
         if let Some(origins) = self.by_subject.get_mut(&subject) {
             origins.remove(&origin);
-            self.n_entries -= 1;
+            self.n_records -= 1;
         }
     }
 }
