--- a/crates/curranthook_peers/src/auth.rs
+++ b/crates/curranthook_peers/src/auth.rs
@@ -7,9 +7,9 @@
 
 /// How far the time of a call may lie from the receiver's clock, either way. A recorded call
 /// replayed within it does no harm, as every method merges idempotently.
-pub const MAX_AGE: Duration = Duration::from_secs(30);
+pub const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_secs(30);
 /// HMAC-SHA256 is cut to 128 bits (RFC 4868): the control budget counts every byte.
-const MAC_LEN: usize = 16;
+const MAC_BYTES: usize = 16;
 
 /// Why a call isn't accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -18,7 +18,7 @@
     #[error("the MAC is missing or wrong")]
     Mac,
     /// The call was signed too long ago, or by a clock far ahead.
-    #[error("the call was not signed within {MAX_AGE:?} of now")]
+    #[error("the call was not signed within {MAX_CLOCK_DIFFERENCE:?} of now")]
     Time,
 }
 
@@ -51,13 +51,13 @@
     /// ```
     pub fn sign(&self, context: &str, body: &[u8]) -> String {
         let tag = self.mac(context, body).finalize().into_bytes();
-        hex::encode(&tag[..MAC_LEN])
+        hex::encode(&tag[..MAC_BYTES])
     }
 
     /// Compares in constant time, so that the time taken tells a forger nothing.
     pub fn verify(&self, context: &str, body: &[u8], mac: &str) -> Result<(), Error> {
         let tag = hex::decode(mac).map_err(|_| Error::Mac)?;
-        if tag.len() != MAC_LEN {
+        if tag.len() != MAC_BYTES {
             return Err(Error::Mac);
         }
         self.mac(context, body).verify_truncated_left(&tag).map_err(|_| Error::Mac)
@@ -72,7 +72,7 @@
         now_millis: u64,
     ) -> Result<(), Error> {
         let signed: u64 = time.parse().map_err(|_| Error::Time)?;
-        if MAX_AGE < Duration::from_millis(now_millis.abs_diff(signed)) {
+        if MAX_CLOCK_DIFFERENCE < Duration::from_millis(now_millis.abs_diff(signed)) {
             return Err(Error::Time);
         }
         self.verify(time, body, mac)
--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -164,7 +164,7 @@
             if head.method == Method::GET && head.uri.path() == "/status" {
                 return body::json(200, &self.0.status());
             }
-            match body::read(incoming, rpc::MAX_CALL).await {
+            match body::read(incoming, rpc::MAX_CALL_BYTES).await {
                 Ok(call) => self.0.handle(&head, call).await,
                 Err(_) => refused(StatusCode::PAYLOAD_TOO_LARGE),
             }
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -41,19 +41,19 @@
 /// The path of all calls.
 pub const PATH: &str = "/rpc";
 /// The largest call that is read, in bytes.
-pub const MAX_CALL: usize = 2 * 1024 * 1024;
+pub const MAX_CALL_BYTES: usize = 2 * 1024 * 1024;
 /// How long a small call may take. A frozen peer holds up one round, no more.
 pub const TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a document may take.
 pub const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// About the bytes of the head of a call and of an answer, as `hyper` writes them.
-const CALL_HEAD: usize = 165;
-const ANSWER_HEAD: usize = 140;
+const CALL_HEAD_BYTES: usize = 165;
+const ANSWER_HEAD_BYTES: usize = 140;
 
-const STALE: i32 = 1;
-const FULL: i32 = 2;
-const STOPPED: i32 = 3;
+const STALE_CODE: i32 = 1;
+const FULL_CODE: i32 = 2;
+const STOPPED_CODE: i32 = 3;
 
 /// The caller has a newer epoch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -74,13 +74,13 @@
     Transport(#[from] crate::transport::Error),
     /// The answer isn't a peer's.
     #[error("the answer's MAC is wrong")]
-    Forged,
+    InvalidMac,
     /// The peer refused.
     #[error("the peer refused: {0}")]
     Refused(String),
     /// The answer can't be read.
     #[error("the answer can't be read: {0}")]
-    Garbled(String),
+    Malformed(String),
 }
 
 /// What a call is counted as.
@@ -95,13 +95,13 @@
         if method == "replicate" { Self::Journal } else { Self::Control }
     }
 
-    fn count(self, counters: &Counters, n_in: usize, n_out: usize) {
+    fn count(self, counters: &Counters, bytes_received: usize, bytes_sent: usize) {
         let (bytes_in, bytes_out) = match self {
             Self::Control => (&counters.bytes_in, &counters.bytes_out),
             Self::Journal => (&counters.journal_bytes_in, &counters.journal_bytes_out),
         };
-        bump(bytes_in, n_in as u64);
-        bump(bytes_out, n_out as u64);
+        bump(bytes_in, bytes_received as u64);
+        bump(bytes_out, bytes_sent as u64);
         if self == Self::Control {
             bump(&counters.messages, 1);
         }
@@ -130,20 +130,20 @@
         param: &impl Serialize,
         timeout: Duration,
     ) -> Result<R, Error> {
-        let garbled = |e: serde_json::Error| Error::Garbled(e.to_string());
-        let params = serde_json::value::to_raw_value(&[param]).map_err(garbled)?;
+        let malformed = |e: serde_json::Error| Error::Malformed(e.to_string());
+        let params = serde_json::value::to_raw_value(&[param]).map_err(malformed)?;
         let request = Request::owned(method.to_owned(), Some(params), Id::Number(0));
-        let body = Bytes::from(serde_json::to_vec(&request).map_err(garbled)?);
+        let body = Bytes::from(serde_json::to_vec(&request).map_err(malformed)?);
         let time = self.now_millis.to_string();
         let mac = self.key.sign(&time, &body);
-        let n_out = CALL_HEAD + body.len();
+        let bytes_sent = CALL_HEAD_BYTES + body.len();
         let answer =
             self.transport.call(Call { addr, time, mac: mac.clone(), body, timeout }).await;
-        let n_in = answer.as_ref().map_or(0, |it| ANSWER_HEAD + it.body.len());
-        Traffic::of(method).count(self.counters, n_in, n_out);
+        let bytes_received = answer.as_ref().map_or(0, |it| ANSWER_HEAD_BYTES + it.body.len());
+        Traffic::of(method).count(self.counters, bytes_received, bytes_sent);
         let reply = answer?;
-        self.key.verify(&mac, &reply.body, &reply.mac).map_err(|_| Error::Forged)?;
-        let response: Response<'_, R> = serde_json::from_slice(&reply.body).map_err(garbled)?;
+        self.key.verify(&mac, &reply.body, &reply.mac).map_err(|_| Error::InvalidMac)?;
+        let response: Response<'_, R> = serde_json::from_slice(&reply.body).map_err(malformed)?;
         let success = ResponseSuccess::try_from(response);
         Ok(success.map_err(|e| Error::Refused(e.message().to_owned()))?.result)
     }
@@ -161,8 +161,8 @@
     module: &mut RpcModule<Weak<Node>>,
 ) -> Result<(), jsonrpsee::core::RegisterMethodError> {
     module.register_method("exchange", |params, node, _| {
-        let (node, frame) = (upgrade(node)?, params.one::<Frame>()?);
-        met(&node, &frame.from)?;
+        let (node, frame) = (upgrade_node(node)?, params.one::<Frame>()?);
+        check_caller(&node, &frame.from)?;
         digest::merge(&node, &frame);
         if node.is_enabled(Mechanism::PushPull) {
             node.fetch_if_newer(frame.from.addr, frame.epoch);
@@ -170,34 +170,34 @@
         Ok::<_, ErrorObjectOwned>(digest::answer(&node, frame.epoch))
     })?;
     module.register_method("news", |params, node, _| {
-        let (node, announcement) = (upgrade(node)?, params.one::<Announcement>()?);
-        met(&node, &announcement.from)?;
+        let (node, announcement) = (upgrade_node(node)?, params.one::<Announcement>()?);
+        check_caller(&node, &announcement.from)?;
         node.fetch_if_newer(announcement.from.addr, announcement.epoch);
         Ok::<_, ErrorObjectOwned>(())
     })?;
     module.register_method("document", |params, node, _| {
-        let (node, peer_epoch) = (upgrade(node)?, params.one::<Epoch>()?);
+        let (node, peer_epoch) = (upgrade_node(node)?, params.one::<Epoch>()?);
         Ok::<_, ErrorObjectOwned>(node.transfer(peer_epoch))
     })?;
     module.register_method("replicate", |params, node, _| {
-        let (node, batch) = (upgrade(node)?, params.one::<Batch>()?);
+        let (node, batch) = (upgrade_node(node)?, params.one::<Batch>()?);
         let inserted = node.replicas().insert(batch);
-        inserted.map_err(|e| refusal(FULL, &e.to_string()))
+        inserted.map_err(|e| error_object(FULL_CODE, &e.to_string()))
     })?;
     module.register_method("leaving", |params, node, _| {
-        let (node, identity) = (upgrade(node)?, params.one::<Identity>()?);
+        let (node, identity) = (upgrade_node(node)?, params.one::<Identity>()?);
         node.peer_left(&identity);
         Ok::<_, ErrorObjectOwned>(())
     })?;
     module.register_method("evidence", |_, node, _| {
-        let totals: Vec<(version::Id, Counts)> = upgrade(node)?.evidence().totals();
+        let totals: Vec<(version::Id, Counts)> = upgrade_node(node)?.evidence().totals();
         Ok::<_, ErrorObjectOwned>(totals)
     })?;
     module.register_method("fleet", |_, node, _| {
-        Ok::<_, ErrorObjectOwned>(upgrade(node)?.members().fleet_size())
+        Ok::<_, ErrorObjectOwned>(upgrade_node(node)?.members().fleet_size())
     })?;
     module.register_method("origins", |_, node, _| {
-        let node = upgrade(node)?;
+        let node = upgrade_node(node)?;
         let versions = node.evidence().totals().into_iter().map(|(version, _)| version);
         let rows: Vec<(version::Id, Origin, Counts)> = versions
             .flat_map(|version| {
@@ -210,18 +210,18 @@
     Ok(())
 }
 
-fn upgrade(node: &Weak<Node>) -> Result<std::sync::Arc<Node>, ErrorObjectOwned> {
-    node.upgrade().ok_or_else(|| refusal(STOPPED, "stopped"))
+fn upgrade_node(node: &Weak<Node>) -> Result<std::sync::Arc<Node>, ErrorObjectOwned> {
+    node.upgrade().ok_or_else(|| error_object(STOPPED_CODE, "stopped"))
 }
 
-fn met(node: &Node, identity: &Identity) -> Result<(), ErrorObjectOwned> {
+fn check_caller(node: &Node, identity: &Identity) -> Result<(), ErrorObjectOwned> {
     node.members().record_caller(identity).map_err(|e| {
         bump(&node.counters().rejected_incarnation, 1);
-        refusal(STALE, &e.to_string())
+        error_object(STALE_CODE, &e.to_string())
     })
 }
 
-fn refusal(code: i32, message: &str) -> ErrorObjectOwned {
+fn error_object(code: i32, message: &str) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(code, message, None::<()>)
 }
 
@@ -233,12 +233,12 @@
     call: &Bytes,
 ) -> http::Response<Body> {
     if head.method != Method::POST || head.uri.path() != PATH {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let counters = node.counters();
-    if MAX_CALL < call.len() {
+    if MAX_CALL_BYTES < call.len() {
         bump(&counters.rejected_size, 1);
-        return empty(StatusCode::PAYLOAD_TOO_LARGE);
+        return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let text = |name| head.headers.get(name).and_then(|it| it.to_str().ok()).unwrap_or_default();
     let (time, mac) = (text(header::PEER_TIME), text(header::PEER_MAC));
@@ -248,20 +248,20 @@
             auth::Error::Time => &counters.rejected_time,
         };
         bump(counter, 1);
-        return empty(StatusCode::FORBIDDEN);
+        return empty_response(StatusCode::FORBIDDEN);
     }
-    let Some((method, json)) = run(module, call).await else {
-        return empty(StatusCode::BAD_REQUEST);
+    let Some((method, json)) = dispatch(module, call).await else {
+        return empty_response(StatusCode::BAD_REQUEST);
     };
-    let n_out = ANSWER_HEAD + json.len();
-    Traffic::of(&method).count(counters, CALL_HEAD + call.len(), n_out);
+    let bytes_sent = ANSWER_HEAD_BYTES + json.len();
+    Traffic::of(&method).count(counters, CALL_HEAD_BYTES + call.len(), bytes_sent);
     http::Response::builder()
         .header(header::PEER_MAC, node.key().sign(mac, json.as_bytes()))
         .body(body::full(json))
         .expect("a MAC in hexadecimal is a valid header")
 }
 
-async fn run(module: &RpcModule<Weak<Node>>, call: &Bytes) -> Option<(String, String)> {
+async fn dispatch(module: &RpcModule<Weak<Node>>, call: &Bytes) -> Option<(String, String)> {
     let text = std::str::from_utf8(call).ok()?;
     let method = serde_json::from_str::<Request<'_>>(text).ok()?.method.into_owned();
     // No method is a subscription, so no messages follow the answer.
@@ -270,7 +270,7 @@
     Some((method, answer.get().to_owned()))
 }
 
-fn empty(status: StatusCode) -> http::Response<Body> {
+fn empty_response(status: StatusCode) -> http::Response<Body> {
     let mut res = http::Response::new(body::full(Bytes::new()));
     *res.status_mut() = status;
     res
