--- a/crates/curranthook_peers/examples/membership_cuts.rs
+++ b/crates/curranthook_peers/examples/membership_cuts.rs
@@ -15,12 +15,12 @@
     Node,
     tuning::{Trust, Tuning},
 };
-use support::{Fleet, wait};
+use support::{Fleet, wait_until};
 
 const N_NODES: u16 = 9;
-const SAMPLES: usize = 100;
-const STEP: Duration = Duration::from_millis(50);
-const LIMIT: Duration = Duration::from_secs(10);
+const N_SAMPLES: usize = 100;
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pairs of nodes of which the first can't call the second.
 type Cuts = HashSet<(usize, usize)>;
@@ -28,13 +28,13 @@
 #[derive(Debug, Default)]
 struct Outcome {
     /// Samples of whole links over which a peer was taken for unreachable.
-    n_false: usize,
+    n_false_removals: usize,
     /// Samples of cut links over which a peer was.
-    n_missed: usize,
-    n_whole: usize,
-    n_cut: usize,
+    n_undetected_cuts: usize,
+    n_intact_samples: usize,
+    n_cut_samples: usize,
     /// Until every cut link was noticed for the first time.
-    detection: Option<Duration>,
+    detection_time: Option<Duration>,
 }
 
 fn main() {
@@ -55,19 +55,19 @@
     for (name, cuts) in &cases {
         for trust in [Trust::Own, Trust::Others] {
             let outcome = async_io::block_on(measure(cuts, trust));
-            println!("| {name} | {trust:?} | {} |", outcome.row());
+            println!("| {name} | {trust:?} | {} |", outcome.table_row());
         }
     }
 }
 
 impl Outcome {
-    fn row(&self) -> String {
-        let percent = |n: usize, of: usize| 100.0 * n as f64 / of.max(1) as f64;
-        let detection = self.detection.map_or("-".to_owned(), |it| format!("{it:.1?}"));
+    fn table_row(&self) -> String {
+        let percent = |n: usize, total: usize| 100.0 * n as f64 / total.max(1) as f64;
+        let detection_time = self.detection_time.map_or("-".to_owned(), |it| format!("{it:.1?}"));
         format!(
-            "{:.2} % | {:.2} % | {detection}",
-            percent(self.n_false, self.n_whole),
-            percent(self.n_missed, self.n_cut),
+            "{:.2} % | {:.2} % | {detection_time}",
+            percent(self.n_false_removals, self.n_intact_samples),
+            percent(self.n_undetected_cuts, self.n_cut_samples),
         )
     }
 }
@@ -78,18 +78,20 @@
     let nodes = fleet.start(N_NODES);
     // Under `Trust::Others` a first failed call can keep a pair apart for long, so this may
     // run into its limit; that's part of what is measured.
-    wait(LIMIT, || all_met(&nodes)).await;
+    wait_until(TIMEOUT, || all_connected(&nodes)).await;
     for (a, b) in cuts {
-        fleet.net.cut(&nodes[*a], &nodes[*b]);
+        fleet.network.cut(&nodes[*a], &nodes[*b]);
     }
-    let detection = wait(LIMIT, || cuts.iter().all(|(a, b)| !sees(&nodes[*a], &nodes[*b]))).await;
-    let mut outcome = Outcome { detection, ..Outcome::default() };
-    for _ in 0..SAMPLES {
-        Timer::after(STEP).await;
+    let detection_time =
+        wait_until(TIMEOUT, || cuts.iter().all(|(a, b)| !considers_alive(&nodes[*a], &nodes[*b])))
+            .await;
+    let mut outcome = Outcome { detection_time, ..Outcome::default() };
+    for _ in 0..N_SAMPLES {
+        Timer::after(SAMPLE_INTERVAL).await;
         sample(&nodes, cuts, &mut outcome);
     }
     if cuts.is_empty() {
-        outcome.detection = None;
+        outcome.detection_time = None;
     }
     outcome
 }
@@ -99,20 +101,21 @@
         let unreachable = node.view().unreachable;
         for (b, other) in nodes.iter().enumerate().filter(|(b, _)| *b != a) {
             if cuts.contains(&(a, b)) {
-                outcome.n_cut += 1;
-                outcome.n_missed += usize::from(sees(node, other));
+                outcome.n_cut_samples += 1;
+                outcome.n_undetected_cuts += usize::from(considers_alive(node, other));
             } else {
-                outcome.n_whole += 1;
-                outcome.n_false += usize::from(unreachable.contains(&other.identity().addr));
+                outcome.n_intact_samples += 1;
+                outcome.n_false_removals +=
+                    usize::from(unreachable.contains(&other.identity().addr));
             }
         }
     }
 }
 
-fn all_met(nodes: &[Arc<Node>]) -> bool {
+fn all_connected(nodes: &[Arc<Node>]) -> bool {
     nodes.iter().all(|it| it.view().alive.len() + 1 == nodes.len())
 }
 
-fn sees(node: &Node, other: &Node) -> bool {
+fn considers_alive(node: &Node, other: &Node) -> bool {
     node.view().alive.iter().any(|it| it.identity.vm == other.identity().vm)
 }
--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -80,11 +80,11 @@
 fn main() -> anyhow::Result<()> {
     let args = Args::parse();
     let _logger = Logger::try_with_env_or_str("info")?.start()?;
-    let settings = read(&args.settings)?;
+    let settings = read_settings(&args.settings)?;
     runtime::run(settings.threads, |ex| serve(ex, settings, args))
 }
 
-fn read(path: &Path) -> anyhow::Result<Settings> {
+fn read_settings(path: &Path) -> anyhow::Result<Settings> {
     let text = fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
     serde_saphyr::from_str(&text).with_context(|| format!("in {}", path.display()))
 }
@@ -97,18 +97,18 @@
 
     let (trigger, stop) = stop::new();
     let listener = Arc::new(Listener(Arc::clone(&node)));
-    let serving = {
+    let server_task = {
         let ex = Arc::clone(&ex);
         ex.clone().spawn(async move { server.serve(&ex, listener, stop).await })
     };
     if 0.0 < args.load {
         let node = Arc::clone(&node);
-        ex.spawn(make_up(node, args.load)).detach();
+        ex.spawn(generate_load(node, args.load)).detach();
     }
     Signals::new([Signal::Term, Signal::Int])?.next().await;
     node.leave().await;
     trigger.set();
-    serving.await;
+    server_task.await;
     Ok(())
 }
 
@@ -131,12 +131,12 @@
 }
 
 /// Requests as a router would report them.
-async fn make_up(node: Arc<Node>, load: f64) {
+async fn generate_load(node: Arc<Node>, requests_per_second: f64) {
     const VERSIONS: u64 = 7;
     const ACCOUNTS: u64 = 10;
     let vm = node.identity().vm.clone();
     for n in 0_u64.. {
-        async_io::Timer::after(Duration::from_secs_f64(1.0 / load)).await;
+        async_io::Timer::after(Duration::from_secs_f64(1.0 / requests_per_second)).await;
         let version = format!("tally-llm@{}", n % VERSIONS);
         let account = format!("account-{}", n % ACCOUNTS);
         node.demand().record_request(&account.as_str().into());
@@ -151,7 +151,7 @@
             cost: price::Micros(1_500),
             at_millis: clock::System.unix_millis(),
         };
-        let _counted = node.journal().record(line).await;
+        let _durability = node.journal().record(line).await;
     }
 }
 
@@ -166,13 +166,13 @@
             }
             match body::read(incoming, rpc::MAX_CALL_BYTES).await {
                 Ok(call) => self.0.handle(&head, call).await,
-                Err(_) => refused(StatusCode::PAYLOAD_TOO_LARGE),
+                Err(_) => empty_response(StatusCode::PAYLOAD_TOO_LARGE),
             }
         })
     }
 }
 
-fn refused(status: StatusCode) -> http::Response<Body> {
+fn empty_response(status: StatusCode) -> http::Response<Body> {
     let mut res = http::Response::new(body::full(Bytes::new()));
     *res.status_mut() = status;
     res
--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -12,14 +12,14 @@
 use curranthook_types::{bill::Origin, clock, endpoint, version};
 use proptest::prelude::*;
 
-use crate::support::{Fleet, wait};
+use crate::support::{Fleet, wait_until};
 
 fn origin(n: u8) -> Origin {
     Origin { vm: format!("vm-{n}").as_str().into(), incarnation: 1 }
 }
 
-/// What three nodes tell as their counters grow, each state told twice.
-fn told(ratings: &[(u8, f64)], version: &version::Id) -> (Vec<Entry>, Counts) {
+/// What three nodes tell as their counters grow, each state entries_sent twice.
+fn entries_sent(ratings: &[(u8, f64)], version: &version::Id) -> (Vec<Entry>, Counts) {
     let nodes: Vec<_> = (0..3).map(|it| Evidence::new(origin(it))).collect();
     let mut entries = Vec::new();
     for (n, rating) in ratings {
@@ -47,7 +47,7 @@
     ) {
         let version = version::Id::new("tally-llm@1");
         let ratings: Vec<_> = ratings.iter().map(|(n, it)| (*n, f64::from(*it) / 4.0)).collect();
-        let (mut entries, expected) = told(&ratings, &version);
+        let (mut entries, expected) = entries_sent(&ratings, &version);
         for at in order {
             let entry = at.get(&entries).clone();
             entries.push(entry);
@@ -65,7 +65,7 @@
 /// One request takes down an endpoint of one router and then, sent again, one of another's. No
 /// router alone has seen two die.
 #[test]
-fn charges_by_two_nodes_make_poison_everywhere_until_they_expire() {
+fn crashes_seen_by_two_nodes_mark_a_request_as_poison_until_they_expire() {
     let clock = Arc::new(clock::Manual::default());
     let nodes: Vec<_> = (0..3).map(|_| Poison::new(clock.clone())).collect();
     let fingerprint = [7; 16];
@@ -77,9 +77,9 @@
         from.recent_entries(0, 8).iter().for_each(|it| nodes[2].merge(it));
     }
     assert!(nodes[2].is_poison(&fingerprint));
-    let told = nodes[2].recent_entries(0, 8);
+    let entries_sent = nodes[2].recent_entries(0, 8);
     clock.advance(Duration::from_secs(601));
-    told.iter().for_each(|it| nodes[0].merge(it));
+    entries_sent.iter().for_each(|it| nodes[0].merge(it));
     assert!(!nodes[0].is_poison(&fingerprint), "a charge must not go round for ever");
     assert!(!nodes[2].is_poison(&fingerprint));
 }
@@ -87,7 +87,7 @@
 /// A version that a node suspects is withdrawn for all. The suspicion is over with that, so that
 /// a later return of the version isn't held up by it.
 #[test]
-fn a_suspicion_ends_with_the_withdrawal() {
+fn withdrawing_a_version_clears_the_suspicion() {
     let suspects = Suspects::new(Arc::new(clock::Manual::default()));
     let version = version::Id::new("tally-llm@2");
     suspects.declare(&version);
@@ -111,10 +111,11 @@
         (0..10).for_each(|_| nodes[1].record_request(&account));
         nodes.iter().for_each(|it| it.update_rates(Duration::from_secs(1)));
     }
-    let told: Vec<_> = nodes.iter().map(|it| it.select_entries(|_| true).remove(0)).collect();
-    nodes[0].merge(&told[1]);
-    nodes[0].merge(&told[1]);
-    nodes[1].merge(&told[0]);
+    let entries_sent: Vec<_> =
+        nodes.iter().map(|it| it.select_entries(|_| true).remove(0)).collect();
+    nodes[0].merge(&entries_sent[1]);
+    nodes[0].merge(&entries_sent[1]);
+    nodes[1].merge(&entries_sent[0]);
     let shares: Vec<_> = nodes.iter().map(|it| it.share(&account, 2)).collect();
     assert!((shares[0] - 0.75).abs() < 0.02, "{shares:?}");
     assert!((shares.iter().sum::<f64>() - 1.0).abs() < 0.02, "{shares:?}");
@@ -123,7 +124,7 @@
 /// A version turns bad, and each router sees only a few of its answers. Together they have seen
 /// enough, if the counts reach everyone.
 #[test]
-fn everyone_gets_everyones_evidence_and_suspicions() {
+fn evidence_and_suspicions_reach_every_node() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         let nodes = fleet.start(6);
@@ -136,19 +137,19 @@
             );
         }
         nodes[0].suspects().declare(&version);
-        let met = wait(Duration::from_secs(10), || {
+        let converged = wait_until(Duration::from_secs(10), || {
             nodes
                 .iter()
                 .all(|it| it.evidence().total(&version).n == 6 && it.suspects().contains(&version))
         });
-        assert!(met.await.is_some(), "{:?}", nodes[5].evidence().total(&version));
+        assert!(converged.await.is_some(), "{:?}", nodes[5].evidence().total(&version));
     });
 }
 
 /// All requests for an account come to one router, as its callers keep their connections. If the
 /// idle routers kept silent, that one would take them for as busy as itself and use a part only.
 #[test]
-fn a_node_alone_with_the_demand_gets_nearly_the_whole_limit() {
+fn a_node_with_all_the_demand_gets_nearly_the_whole_limit() {
     let clock = Arc::new(clock::Manual::default());
     let nodes: Vec<_> = ["vm-0", "vm-1", "vm-2"]
         .iter()
--- a/crates/curranthook_peers/tests/peers/document.rs
+++ b/crates/curranthook_peers/tests/peers/document.rs
@@ -6,7 +6,7 @@
 use curranthook_settings::Document;
 use curranthook_types::Epoch;
 
-use crate::support::{Fleet, wait};
+use crate::support::{Fleet, wait_until};
 
 fn document(epoch: u64) -> Document {
     let by = format!("operator-{epoch}");
@@ -29,7 +29,7 @@
 /// A node's document differs from what the sender takes it for. The delta would then give a
 /// configuration that nobody published.
 #[test]
-fn a_delta_is_taken_only_where_it_fits() {
+fn a_delta_is_applied_only_to_its_base_document() {
     let (sender, same, other) = (Documents::default(), Documents::default(), Documents::default());
     sender.offer(document(1), None);
     sender.offer(document(2), None);
@@ -47,7 +47,7 @@
 /// A node was cut off while several epochs were published, and the peer that it meets had some of
 /// them from the table and some as deltas itself.
 #[test]
-fn a_delta_spans_the_epochs_in_between() {
+fn a_delta_spans_several_epochs() {
     let (sender, middle, late) = (Documents::default(), Documents::default(), Documents::default());
     for documents in [&sender, &middle, &late] {
         documents.offer(document(1), None);
@@ -65,7 +65,7 @@
 /// After a delta that didn't fit, a node's next deltas would all fail, or worse, if it went on
 /// from the half of it.
 #[test]
-fn a_delta_that_does_not_fit_leaves_nothing_behind() {
+fn a_rejected_delta_leaves_the_document_unchanged() {
     let (sender, other) = (Documents::default(), Documents::default());
     sender.offer(document(1), None);
     sender.offer(document(2), None);
@@ -85,7 +85,7 @@
 /// Every node asks for the change since the epoch that it has. One that changes nearly everything
 /// goes out whole.
 #[test]
-fn a_change_of_nearly_everything_is_not_a_delta() {
+fn a_large_change_is_sent_as_a_full_document() {
     const N_VERSIONS: usize = 5_000;
     let withdrawn =
         (0..N_VERSIONS).map(|it| format!("m@{it}").as_str().into()).collect::<BTreeSet<_>>();
@@ -97,7 +97,7 @@
 
 /// The platform's table is out for all nodes but one: they get each epoch from their peers.
 #[test]
-fn peers_bring_epochs_while_the_table_is_out() {
+fn peers_distribute_epochs_while_the_table_is_down() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         fleet.platform.publish(1);
@@ -108,10 +108,10 @@
             let first = nodes[0].next_document(Epoch(epoch - 1)).await;
             fleet.platform.table_down.store(true, Ordering::SeqCst);
             assert!(Epoch(epoch) <= first.epoch);
-            let everywhere = wait(Duration::from_secs(10), || {
+            let all_updated = wait_until(Duration::from_secs(10), || {
                 nodes.iter().all(|it| it.document().is_some_and(|it| it.epoch == Epoch(epoch)))
             });
-            assert!(everywhere.await.is_some(), "epoch {epoch} didn't get everywhere");
+            assert!(all_updated.await.is_some(), "epoch {epoch} didn't get all_updated");
         }
     });
 }
@@ -119,7 +119,7 @@
 /// A VM is replaced while the platform is out. Its peers have unlike epochs, as one has been cut
 /// off; the node must start with the newest of them.
 #[test]
-fn a_node_started_during_an_outage_takes_its_peers_newest() {
+fn a_node_started_during_an_outage_takes_the_newest_epoch_of_its_peers() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         fleet.platform.publish(3);
@@ -127,7 +127,7 @@
         nodes[0].next_document(Epoch(0)).await;
         nodes[1].next_document(Epoch(0)).await;
         for (a, b) in [(0, 1), (1, 0)] {
-            fleet.net.cut(&nodes[a], &nodes[b]);
+            fleet.network.cut(&nodes[a], &nodes[b]);
         }
         fleet.platform.table_down.store(true, Ordering::SeqCst);
         nodes[1].offer(document(9));
--- a/crates/curranthook_peers/tests/peers/journal.rs
+++ b/crates/curranthook_peers/tests/peers/journal.rs
@@ -1,4 +1,4 @@
-//! A line that was recorded is billed, whatever is lost.
+//! A line that was recorded is stored_line_counts, whatever is lost.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -14,9 +14,9 @@
 use curranthook_types::bill::Origin;
 use futures_lite::future;
 
-use crate::support::{Fleet, Platform, line, wait};
+use crate::support::{Fleet, Platform, bill_line, wait_until};
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The store is out, and the VM that recorded lines is lost before it's back. Its replicas bring
 /// the lines to the store, each once.
@@ -25,18 +25,20 @@
     async_io::block_on(async {
         let fleet = Fleet::new();
         let nodes = fleet.start(6);
-        wait(LIMIT, || nodes.iter().all(|it| it.view().alive.len() == 5)).await.expect("met");
+        wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() == 5))
+            .await
+            .expect("met");
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
         for n in 0..50 {
-            let durability = nodes[0].journal().record(line(&format!("r-{n}"))).await;
+            let durability = nodes[0].journal().record(bill_line(&format!("r-{n}"))).await;
             assert_eq!(durability, Durability::Replicated(2));
         }
-        fleet.net.kill(&nodes[0]);
+        fleet.network.kill(&nodes[0]);
         fleet.platform.objects_down.store(false, Ordering::SeqCst);
-        let stored = wait(LIMIT, || fleet.platform.billed().len() == 50).await;
-        assert!(stored.is_some(), "{} lines of 50", fleet.platform.billed().len());
-        assert!(fleet.platform.billed().values().all(|it| *it == 1));
-        wait(LIMIT, || nodes[1..].iter().all(|it| it.status().replica_lines == 0))
+        let stored = wait_until(TIMEOUT, || fleet.platform.stored_line_counts().len() == 50).await;
+        assert!(stored.is_some(), "{} lines of 50", fleet.platform.stored_line_counts().len());
+        assert!(fleet.platform.stored_line_counts().values().all(|it| *it == 1));
+        wait_until(TIMEOUT, || nodes[1..].iter().all(|it| it.status().replica_lines == 0))
             .await
             .expect("replicas drop what is stored");
     });
@@ -45,61 +47,73 @@
 /// The store is out for a while, and then answers of its writes are lost though they took
 /// effect. Each line ends up stored, and the replicas are told to drop it.
 #[test]
-fn an_outage_with_lost_answers_loses_and_doubles_nothing() {
+fn lost_write_answers_neither_lose_nor_duplicate_lines() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         let nodes = fleet.start(6);
-        wait(LIMIT, || nodes.iter().all(|it| it.view().alive.len() == 5)).await.expect("met");
+        wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() == 5))
+            .await
+            .expect("met");
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
         for n in 0..20 {
-            nodes[n % 6].journal().record(line(&format!("r-{n}"))).await;
+            nodes[n % 6].journal().record(bill_line(&format!("r-{n}"))).await;
         }
-        fleet.platform.answers_lost.store(true, Ordering::SeqCst);
+        fleet.platform.write_answers_lost.store(true, Ordering::SeqCst);
         fleet.platform.objects_down.store(false, Ordering::SeqCst);
-        wait(LIMIT, || fleet.platform.billed().len() == 20).await.expect("all stored");
+        wait_until(TIMEOUT, || fleet.platform.stored_line_counts().len() == 20)
+            .await
+            .expect("all stored");
         for n in 20..40 {
-            nodes[n % 6].journal().record(line(&format!("r-{n}"))).await;
+            nodes[n % 6].journal().record(bill_line(&format!("r-{n}"))).await;
         }
-        fleet.platform.answers_lost.store(false, Ordering::SeqCst);
-        wait(LIMIT, || nodes.iter().all(|it| it.journal().n_lines() == 0)).await.expect("settled");
-        let billed = fleet.platform.billed();
-        assert_eq!(billed.len(), 40);
-        assert!(billed.values().all(|it| *it == 1));
+        fleet.platform.write_answers_lost.store(false, Ordering::SeqCst);
+        wait_until(TIMEOUT, || nodes.iter().all(|it| it.journal().n_lines() == 0))
+            .await
+            .expect("settled");
+        let stored_line_counts = fleet.platform.stored_line_counts();
+        assert_eq!(stored_line_counts.len(), 40);
+        assert!(stored_line_counts.values().all(|it| *it == 1));
     });
 }
 
 /// A node reaches no peer. Its lines go straight to the store; with that out too, the router is
 /// told that only this node holds them, and they're stored later.
 #[test]
-fn without_peers_lines_go_to_the_store_or_wait() {
+fn without_peers_lines_are_stored_or_wait_for_the_store() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         let node = fleet.node(0, 1);
-        assert_eq!(node.journal().record(line("r-1")).await, Durability::Stored);
+        assert_eq!(node.journal().record(bill_line("r-1")).await, Durability::Stored);
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
-        assert_eq!(node.journal().record(line("r-2")).await, Durability::LocalOnly);
+        assert_eq!(node.journal().record(bill_line("r-2")).await, Durability::LocalOnly);
         fleet.platform.objects_down.store(false, Ordering::SeqCst);
-        wait(LIMIT, || fleet.platform.billed().len() == 2).await.expect("both stored");
+        wait_until(TIMEOUT, || fleet.platform.stored_line_counts().len() == 2)
+            .await
+            .expect("both stored");
     });
 }
 
 /// A node is shut down while the store is out. Its peers take the lines over and store them as
 /// soon as they can.
 #[test]
-fn a_leaving_node_hands_its_lines_over() {
+fn a_leaving_node_hands_over_its_lines() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         let nodes = fleet.start(6);
-        wait(LIMIT, || nodes.iter().all(|it| it.view().alive.len() == 5)).await.expect("met");
+        wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() == 5))
+            .await
+            .expect("met");
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
-        nodes[0].journal().record(line("r-1")).await;
+        nodes[0].journal().record(bill_line("r-1")).await;
         nodes[0].leave().await;
-        fleet.net.kill(&nodes[0]);
+        fleet.network.kill(&nodes[0]);
         fleet.platform.objects_down.store(false, Ordering::SeqCst);
-        wait(LIMIT, || fleet.platform.billed().len() == 1).await.expect("stored by a peer");
-        let still_known =
+        wait_until(TIMEOUT, || fleet.platform.stored_line_counts().len() == 1)
+            .await
+            .expect("stored by a peer");
+        let is_still_known =
             |it: &Arc<Node>| it.view().alive.iter().any(|it| it.identity.vm.as_str() == "vm-0");
-        assert!(!nodes[1..].iter().any(still_known), "a node that left isn't called any more");
+        assert!(!nodes[1..].iter().any(is_still_known), "a node that left isn't called any more");
     });
 }
 
@@ -107,24 +121,24 @@
 /// wakes, and stores under the same key a segment that holds more. The key is taken, and the
 /// lines beyond the replica's would be lost if that were taken for done.
 #[test]
-fn a_taken_key_keeps_no_line_out() {
+fn lines_beyond_an_existing_segment_are_stored() {
     async_io::block_on(async {
         let platform = Platform::default();
         let origin = Origin { vm: "vm-0".into(), incarnation: 1 };
-        let lines: Vec<_> = (0..5).map(|it| line(&format!("r-{it}"))).collect();
+        let lines: Vec<_> = (0..5).map(|it| bill_line(&format!("r-{it}"))).collect();
         store::put(&platform, &origin, 0, lines[..2].to_vec()).await.expect("by the replica");
         store::put(&platform, &origin, 0, lines.clone()).await.expect("by the owner");
         store::put(&platform, &origin, 0, lines[..4].to_vec()).await.expect("by another replica");
         assert_eq!(platform.objects.lock().len(), 2);
-        assert_eq!(platform.billed().len(), 5);
-        assert!(platform.billed().values().all(|it| *it == 1));
+        assert_eq!(platform.stored_line_counts().len(), 5);
+        assert!(platform.stored_line_counts().values().all(|it| *it == 1));
     });
 }
 
 /// The store is out for hours. The journal says that it's full, so that the router takes no more
 /// work; it drops nothing, and is empty again after the outage.
 #[test]
-fn a_full_journal_says_so_and_drops_nothing() {
+fn a_full_journal_reports_it_and_drops_no_lines() {
     async_io::block_on(async {
         let origin = Origin { vm: "vm-0".into(), incarnation: 1 };
         let journal = Journal::new(origin, Arc::new(Counters::default()));
@@ -133,7 +147,8 @@
         let mut n_lines = 0;
         while !journal.is_full() {
             // The router's caller is gone; the line stays.
-            let _dropped = future::poll_once(journal.record(line(&format!("r-{n_lines}")))).await;
+            let _dropped =
+                future::poll_once(journal.record(bill_line(&format!("r-{n_lines}")))).await;
             n_lines += 1;
         }
         assert!(10_000 < n_lines, "full after {n_lines} lines");
@@ -142,6 +157,6 @@
         platform.objects_down.store(false, Ordering::SeqCst);
         assert!(journal.flush(&platform).await);
         assert!(!journal.is_full());
-        assert_eq!(platform.billed().len(), n_lines);
+        assert_eq!(platform.stored_line_counts().len(), n_lines);
     });
 }
--- a/crates/curranthook_peers/tests/peers/membership.rs
+++ b/crates/curranthook_peers/tests/peers/membership.rs
@@ -10,36 +10,42 @@
 use curranthook_types::{Clock, clock::Manual, vm};
 use yare::parameterized;
 
-use crate::support::{Fleet, wait};
+use crate::support::{Fleet, wait_until};
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn sees(node: &Node, other: &Node) -> bool {
+fn considers_alive(node: &Node, other: &Node) -> bool {
     node.view().alive.iter().any(|it| it.identity.vm == other.identity().vm)
 }
 
-async fn all_met(nodes: &[Arc<Node>]) {
-    let met = wait(LIMIT, || nodes.iter().all(|it| it.view().alive.len() + 1 == nodes.len()));
-    assert!(met.await.is_some(), "nodes didn't find each other");
+async fn wait_until_connected(nodes: &[Arc<Node>]) {
+    let connected =
+        wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() + 1 == nodes.len()));
+    assert!(connected.await.is_some(), "nodes didn't find each other");
 }
 
 /// Two nodes lose each other, in one direction or both, while all others reach both. Who can't
 /// call the other must notice; the others must not drop anyone because of what these two see.
 #[parameterized(one_way = { &[(0, 1)] }, both_ways = { &[(0, 1), (1, 0)] })]
-fn a_cut_between_two_is_noticed_by_them_alone(cuts: &[(usize, usize)]) {
+fn a_cut_affects_only_the_nodes_on_either_side(cuts: &[(usize, usize)]) {
     async_io::block_on(async {
         let fleet = Fleet::new();
         let nodes = fleet.start(6);
-        all_met(&nodes).await;
+        wait_until_connected(&nodes).await;
         for (a, b) in cuts {
-            fleet.net.cut(&nodes[*a], &nodes[*b]);
+            fleet.network.cut(&nodes[*a], &nodes[*b]);
         }
-        let noticed = wait(LIMIT, || cuts.iter().all(|(a, b)| !sees(&nodes[*a], &nodes[*b])));
+        let noticed = wait_until(TIMEOUT, || {
+            cuts.iter().all(|(a, b)| !considers_alive(&nodes[*a], &nodes[*b]))
+        });
         assert!(noticed.await.is_some(), "the cut wasn't noticed");
         async_io::Timer::after(Duration::from_secs(2)).await;
         for (a, node) in nodes.iter().enumerate() {
             for (b, other) in nodes.iter().enumerate().filter(|(b, _)| *b != a) {
-                assert!(cuts.contains(&(a, b)) || sees(node, other), "vm-{a} dropped vm-{b}");
+                assert!(
+                    cuts.contains(&(a, b)) || considers_alive(node, other),
+                    "vm-{a} dropped vm-{b}"
+                );
             }
         }
     });
@@ -48,40 +54,40 @@
 /// A VM is replaced, and the new one gets its id and address. The old process, which had only
 /// been frozen, wakes and calls: it must not pass for the new one.
 #[test]
-fn a_replaced_process_is_refused() {
+fn calls_of_a_replaced_process_are_rejected() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         let nodes = fleet.start(3);
-        all_met(&nodes).await;
-        fleet.net.kill(&nodes[2]);
+        wait_until_connected(&nodes).await;
+        fleet.network.kill(&nodes[2]);
         let successor = fleet.node(2, 2);
-        let met = wait(LIMIT, || {
-            let known =
+        let connected = wait_until(TIMEOUT, || {
+            let knows_successor =
                 |it: &Arc<Node>| it.view().alive.iter().any(|it| it.identity.incarnation == 2);
-            nodes[..2].iter().all(known)
+            nodes[..2].iter().all(knows_successor)
         });
-        assert!(met.await.is_some(), "the successor wasn't met");
-        let woken = fleet.node(2, 1);
-        let refused = wait(LIMIT, || {
+        assert!(connected.await.is_some(), "the successor wasn't met");
+        let old_process = fleet.node(2, 1);
+        let refused = wait_until(TIMEOUT, || {
             let n = |it: &Arc<Node>| it.status().counters["rejected_incarnation"];
             0 < nodes[..2].iter().map(n).sum::<u64>()
         });
         assert!(refused.await.is_some(), "the old process was heard");
-        woken.kill();
+        old_process.kill();
         successor.kill();
     });
 }
 
 /// A VM dies. It's still on the list, which lags; limits must be shared among those that live.
 #[test]
-fn a_dead_node_no_longer_counts_for_the_site() {
+fn a_dead_node_is_not_counted_in_the_site() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         let nodes = fleet.start(6);
-        all_met(&nodes).await;
+        wait_until_connected(&nodes).await;
         assert!(nodes.iter().all(|it| it.site_nodes() == 6));
-        fleet.net.kill(&nodes[5]);
-        let noticed = wait(LIMIT, || nodes[..5].iter().all(|it| it.site_nodes() == 5));
+        fleet.network.kill(&nodes[5]);
+        let noticed = wait_until(TIMEOUT, || nodes[..5].iter().all(|it| it.site_nodes() == 5));
         assert!(noticed.await.is_some(), "still counted");
     });
 }
@@ -90,23 +96,23 @@
 /// comes up, but can't call. Were it forgotten at the first read of the list, the VM would be alone
 /// until the next one, and its bill lines would have no copies.
 #[test]
-fn a_neighbour_that_only_the_settings_name_is_met_when_it_comes_up() {
+fn a_seed_missing_from_the_vm_list_is_found_once_it_starts() {
     async_io::block_on(async {
         let fleet = Fleet::new();
         fleet.add_to_list(9);
         let early = fleet.node(0, 1);
         async_io::Timer::after(Duration::from_secs(1)).await;
-        fleet.net.cut_from(1, 0);
+        fleet.network.cut_before_start(1, 0);
         let late = fleet.node(1, 1);
-        let met = wait(LIMIT, || sees(&early, &late));
-        assert!(met.await.is_some(), "the neighbour was forgotten");
+        let connected = wait_until(TIMEOUT, || considers_alive(&early, &late));
+        assert!(connected.await.is_some(), "the neighbour was forgotten");
     });
 }
 
 /// Guards against a live peer that is dropped for one that can't be reached, the moment that is due to be
 /// tried again, though the view has room for both.
 #[test]
-fn a_peer_that_is_tried_again_pushes_nobody_out_of_a_view_with_room() {
+fn retrying_an_unreachable_peer_evicts_no_live_peer_from_a_view_with_room() {
     let identity = |n: u8| Identity {
         vm: vm::Id::new(format!("vm-{n}")),
         incarnation: 1,
@@ -119,7 +125,7 @@
     let peers: Vec<Identity> = (1..=5).map(identity).collect();
     peers.iter().for_each(|it| members.add_seed(it.addr));
     let call = |is_cut: bool| {
-        let addr = members.next_peer().expect("somebody to call");
+        let addr = members.next_peer().expect("a peer to call");
         match peers.iter().find(|it| it.addr == addr) {
             Some(peer) if !is_cut || peer.vm != peers[0].vm => {
                 members.record_answer(addr, peer).unwrap();
--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -25,7 +25,7 @@
 use http_body_util::BodyExt;
 use parking_lot::Mutex;
 
-pub const KEY: &[u8] = b"a key for tests";
+pub const PEER_KEY: &[u8] = b"a key for tests";
 
 /// The platform's services, each of which can be out.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     pub vms: Mutex<Vec<Vm>>,
     pub table_down: AtomicBool,
     pub objects_down: AtomicBool,
-    pub answers_lost: AtomicBool,
+    pub write_answers_lost: AtomicBool,
 }
 
 impl Platform {
@@ -47,21 +47,21 @@
 
     /// How often each request id was stored, over all segments without a repeated origin and
     /// sequence number.
-    pub fn billed(&self) -> BTreeMap<String, usize> {
+    pub fn stored_line_counts(&self) -> BTreeMap<String, usize> {
         let mut seen = HashSet::new();
-        let mut billed = BTreeMap::new();
+        let mut stored_line_counts = BTreeMap::new();
         for json in self.objects.lock().values() {
             let segment: bill::Segment = serde_json::from_slice(json).expect("a segment");
             for (sequence, line) in (segment.first..).zip(&segment.lines) {
                 if seen.insert((segment.origin.clone(), sequence)) {
-                    *billed.entry(line.request.as_str().to_owned()).or_default() += 1;
+                    *stored_line_counts.entry(line.request.as_str().to_owned()).or_default() += 1;
                 }
             }
         }
-        billed
+        stored_line_counts
     }
 
-    fn check(down: &AtomicBool) -> Result<(), Error> {
+    fn check_up(down: &AtomicBool) -> Result<(), Error> {
         if down.load(Ordering::SeqCst) { Err(Error::Down("out".to_owned())) } else { Ok(()) }
     }
 }
@@ -78,7 +78,7 @@
         known: Option<&'a Tag>,
     ) -> platform::Answer<'a, Option<Row>> {
         Box::pin(async move {
-            Self::check(&self.table_down)?;
+            Self::check_up(&self.table_down)?;
             let Some(document) = self.document.lock().clone() else { return Ok(None) };
             let tag = Tag(document.epoch.to_string());
             if known == Some(&tag) {
@@ -111,13 +111,13 @@
 impl Objects for Platform {
     fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> platform::Answer<'a, Write> {
         Box::pin(async move {
-            Self::check(&self.objects_down)?;
+            Self::check_up(&self.objects_down)?;
             let mut objects = self.objects.lock();
             if objects.contains_key(key) {
                 return Ok(Write::Conflict);
             }
             objects.insert(key.to_owned(), value);
-            if self.answers_lost.load(Ordering::SeqCst) {
+            if self.write_answers_lost.load(Ordering::SeqCst) {
                 return Err(Error::Lost("no answer".to_owned()));
             }
             Ok(Write::Done(Tag("1".to_owned())))
@@ -126,7 +126,7 @@
 
     fn get<'a>(&'a self, key: &'a str) -> platform::Answer<'a, Option<Bytes>> {
         Box::pin(async move {
-            Self::check(&self.objects_down)?;
+            Self::check_up(&self.objects_down)?;
             Ok(self.objects.lock().get(key).cloned())
         })
     }
@@ -144,40 +144,40 @@
 
 /// The network between nodes: who is reachable where, and what is cut.
 #[derive(Debug, Default)]
-pub struct Net {
+pub struct Network {
     pub nodes: Mutex<HashMap<SocketAddr, Arc<Node>>>,
     pub cuts: Mutex<HashSet<(SocketAddr, SocketAddr)>>,
 }
 
-impl Net {
+impl Network {
     /// Calls from `a` to `b` get no answer; those from `b` to `a` still do.
     pub fn cut(&self, a: &Node, b: &Node) {
-        self.cuts.lock().insert((addr(a), addr(b)));
+        self.cuts.lock().insert((node_address(a), node_address(b)));
     }
 
     /// Cuts the calls of node `a` to node `b`, which needn't have started.
-    pub fn cut_from(&self, a: u16, b: u16) {
+    pub fn cut_before_start(&self, a: u16, b: u16) {
         self.cuts.lock().insert((address(a), address(b)));
     }
 
     /// As when a process is killed: nobody is told, and it answers no more.
     pub fn kill(&self, node: &Node) {
         node.kill();
-        self.nodes.lock().remove(&addr(node));
+        self.nodes.lock().remove(&node_address(node));
     }
 }
 
 #[derive(Debug)]
-struct Wire {
+struct InMemoryTransport {
     from: SocketAddr,
-    net: Arc<Net>,
+    network: Arc<Network>,
 }
 
-impl Transport for Wire {
+impl Transport for InMemoryTransport {
     fn call(&self, call: Call) -> transport::ReplyFuture<'_> {
         Box::pin(async move {
-            let is_cut = self.net.cuts.lock().contains(&(self.from, call.addr));
-            let node = self.net.nodes.lock().get(&call.addr).cloned();
+            let is_cut = self.network.cuts.lock().contains(&(self.from, call.addr));
+            let node = self.network.nodes.lock().get(&call.addr).cloned();
             let (false, Some(node)) = (is_cut, node) else {
                 Timer::after(call.timeout).await;
                 return Err(transport::Error("timed out".to_owned()));
@@ -208,23 +208,23 @@
 pub struct Fleet {
     pub ex: runtime::Handle,
     pub platform: Arc<Platform>,
-    pub net: Arc<Net>,
+    pub network: Arc<Network>,
     pub tuning: Tuning,
 }
 
 impl Fleet {
-    /// No nodes yet; rounds are 20 times as fast as in service.
+    /// No nodes yet; rounds are 20 times as interval as in service.
     pub fn new() -> Self {
-        let fast = Duration::from_millis(50);
+        let interval = Duration::from_millis(50);
         let owner_timeout = Duration::from_millis(600);
         let tuning = Tuning {
-            exchange_interval: fast,
-            poll_interval: fast,
-            flush_interval: fast,
+            exchange_interval: interval,
+            poll_interval: interval,
+            flush_interval: interval,
             owner_timeout,
             ..Tuning::default()
         };
-        Self { ex: runtime::start(4), platform: Arc::default(), net: Arc::default(), tuning }
+        Self { ex: runtime::start(4), platform: Arc::default(), network: Arc::default(), tuning }
     }
 
     /// Starts `n` nodes in three failure domains, all on the VM list.
@@ -247,8 +247,8 @@
     /// Starts one node, seeded with two others.
     pub fn node(&self, n: u16, incarnation: u64) -> Arc<Node> {
         let clock = Arc::new(clock::System);
-        let wire = Wire { from: address(n), net: Arc::clone(&self.net) };
-        let tuning = Tuning { transport: Some(Arc::new(wire)), ..self.tuning.clone() };
+        let transport = InMemoryTransport { from: address(n), network: Arc::clone(&self.network) };
+        let tuning = Tuning { transport: Some(Arc::new(transport)), ..self.tuning.clone() };
         let pool = Arc::new(Pool::new(Arc::clone(&self.ex), clock.clone()));
         let platform = &self.platform;
         let setup = Setup {
@@ -264,32 +264,32 @@
             seed: u64::from(n),
         };
         let node = Node::start_with(setup, tuning);
-        self.net.nodes.lock().insert(address(n), Arc::clone(&node));
+        self.network.nodes.lock().insert(address(n), Arc::clone(&node));
         node
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for (_, node) in self.net.nodes.lock().drain() {
+        for (_, node) in self.network.nodes.lock().drain() {
             node.kill();
         }
     }
 }
 
 fn settings(n: u16) -> node::Settings {
-    let any = address(0);
+    let unused = address(0);
     node::Settings {
         vm: format!("vm-{n}").as_str().into(),
         site: "vn-south".into(),
         failure_domain: domain(n).as_str().into(),
-        listen: any,
+        listen: unused,
         peer_listen: address(n),
         peer_address: None,
-        steward_listen: any,
-        platform: node::Platform { table: any, objects: any, vms: any },
+        steward_listen: unused,
+        platform: node::Platform { table: unused, objects: unused, vms: unused },
         seeds: vec![address(0), address(1)],
-        peer_key: KEY.to_vec(),
+        peer_key: PEER_KEY.to_vec(),
         statsd: None,
         threads: 1,
     }
@@ -303,11 +303,11 @@
     SocketAddr::from(([10, 0, 0, 1], 1_000 + n))
 }
 
-fn addr(node: &Node) -> SocketAddr {
+fn node_address(node: &Node) -> SocketAddr {
     node.identity().addr
 }
 
-pub fn line(request: &str) -> bill::Line {
+pub fn bill_line(request: &str) -> bill::Line {
     bill::Line {
         request: request.into(),
         account: "co-op".into(),
@@ -319,11 +319,14 @@
     }
 }
 
-/// Waits until `is_met`, for at most `limit`; gives the time it took.
-pub async fn wait(limit: Duration, mut is_met: impl FnMut() -> bool) -> Option<Duration> {
+/// Waits until `condition`, for at most `timeout`; gives the time it took.
+pub async fn wait_until(
+    timeout: Duration,
+    mut condition: impl FnMut() -> bool,
+) -> Option<Duration> {
     let start = Instant::now();
-    while start.elapsed() < limit {
-        if is_met() {
+    while start.elapsed() < timeout {
+        if condition() {
             return Some(start.elapsed());
         }
         Timer::after(Duration::from_millis(5)).await;
