--- a/crates/curranthook_peers/src/demand.rs
+++ b/crates/curranthook_peers/src/demand.rs
@@ -35,7 +35,7 @@
 /// A rate and when it was reported, in milliseconds since 1970.
 #[derive(Debug, Clone, Copy)]
 struct ReportedRate {
-    tenths: u64,
+    tenths_per_second: u64,
     at_millis: u64,
 }
 
@@ -84,8 +84,8 @@
             state.rates.entry(account.clone()).or_default();
         }
         state.rates.retain(|account, rate| {
-            let n = request_counts.get(account).copied().unwrap_or(0);
-            *rate += SMOOTHING_FACTOR * (n as f64 / seconds - *rate);
+            let n_requests = request_counts.get(account).copied().unwrap_or(0);
+            *rate += SMOOTHING_FACTOR * (n_requests as f64 / seconds - *rate);
             0.05 < *rate
         });
     }
@@ -94,16 +94,16 @@
     pub fn share(&self, account: &account::Id, site_nodes: usize) -> f64 {
         let now = self.clock.unix_millis();
         let state = self.state.lock();
-        let own = state.rates.get(account).copied().unwrap_or(0.0);
-        let recent = state.reports.values().filter(|it| is_recent(it.at_millis, now));
-        let rates = recent.map(|it| it.rate(account, now));
+        let own_rate = state.rates.get(account).copied().unwrap_or(0.0);
+        let recent_reports = state.reports.values().filter(|it| is_recent(it.at_millis, now));
+        let rates = recent_reports.map(|it| it.rate(account, now));
         let (n_others, sum) = rates.fold((0_usize, 0.0), |(n, sum), rate| (n + 1, sum + rate));
-        let n_known = n_others + 1;
-        let n_nodes = site_nodes.max(n_known);
+        let n_reporting = n_others + 1;
+        let n_nodes = site_nodes.max(n_reporting);
         // Nodes that haven't been heard of are taken to have the average demand; leaving them out
         // would let the others exceed the limit by what these let in.
-        let total = (own + sum) * n_nodes as f64 / n_known as f64;
-        (own + BASE_RATE) / (total + BASE_RATE * n_nodes as f64)
+        let total = (own_rate + sum) * n_nodes as f64 / n_reporting as f64;
+        (own_rate + BASE_RATE) / (total + BASE_RATE * n_nodes as f64)
     }
 
     /// Takes in a peer's report; of two for one account the later process's, then the later one.
@@ -141,12 +141,12 @@
         let mut state = self.state.lock();
         state.cursor += 1;
         let cursor = state.cursor;
-        let own = rates_at(&state.rates, cursor, |rate| (rate * 10.0).round() as u64);
-        let own = Entry(self.vm.clone(), self.incarnation, now, own);
+        let own_rates = rates_at(&state.rates, cursor, |rate| (rate * 10.0).round() as u64);
+        let own_entry = Entry(self.vm.clone(), self.incarnation, now, own_rates);
         let recent: Vec<_> =
             state.reports.iter().filter(|(_, it)| is_recent(it.at_millis, now)).collect();
-        let other = cursor.checked_rem(recent.len()).map(|at| {
-            let (vm, report) = recent[at];
+        let other_entry = cursor.checked_rem(recent.len()).map(|index| {
+            let (vm, report) = recent[index];
             report.entry(vm, cursor / recent.len())
         });
         // A report that doesn't fit goes with fewer accounts: otherwise long names would keep a
@@ -159,22 +159,25 @@
         };
         // A node without demand tells that too: of one that says nothing, others assume the
         // average, and would leave its part of the limit unused.
-        [Some(own), other].into_iter().flatten().filter_map(shrink).collect()
+        [Some(own_entry), other_entry].into_iter().flatten().filter_map(shrink).collect()
     }
 }
 
 impl Report {
     fn rate(&self, account: &account::Id, now_millis: u64) -> f64 {
         let reported = self.rates.get(account).filter(|it| is_recent(it.at_millis, now_millis));
-        reported.map_or(0.0, |it| it.tenths as f64 / 10.0)
+        reported.map_or(0.0, |it| it.tenths_per_second as f64 / 10.0)
     }
 
     fn merge(&mut self, at_millis: u64, rates: &BTreeMap<account::Id, u64>, now_millis: u64) {
         self.at_millis = self.at_millis.max(at_millis);
         for (account, tenths) in rates {
-            let known = self.rates.get(account).map_or(0, |it| it.at_millis);
-            if known < at_millis {
-                self.rates.insert(account.clone(), ReportedRate { tenths: *tenths, at_millis });
+            let known_at_millis = self.rates.get(account).map_or(0, |it| it.at_millis);
+            if known_at_millis < at_millis {
+                self.rates.insert(
+                    account.clone(),
+                    ReportedRate { tenths_per_second: *tenths, at_millis },
+                );
             }
         }
         self.rates.retain(|_, it| is_recent(it.at_millis, now_millis));
@@ -183,10 +186,11 @@
     /// Rates reported at one time go on as they came; those of other times wait for their turn.
     fn entry(&self, vm: &vm::Id, cursor: usize) -> Entry {
         let times: BTreeSet<_> = self.rates.values().map(|it| it.at_millis).collect();
-        let index = cursor.checked_rem(times.len()).and_then(|at| times.iter().nth(at));
+        let index = cursor.checked_rem(times.len()).and_then(|index| times.iter().nth(index));
         let at_millis = index.copied().unwrap_or(self.at_millis);
-        let same = self.rates.iter().filter(|(_, it)| it.at_millis == at_millis);
-        let rates = same.map(|(account, it)| (account.clone(), it.tenths)).collect();
+        let simultaneous = self.rates.iter().filter(|(_, it)| it.at_millis == at_millis);
+        let rates =
+            simultaneous.map(|(account, it)| (account.clone(), it.tenths_per_second)).collect();
         Entry(vm.clone(), self.incarnation, at_millis, rates)
     }
 }
@@ -195,12 +199,12 @@
 fn rates_at<T>(
     rates: &BTreeMap<account::Id, T>,
     cursor: usize,
-    tenths: impl Fn(&T) -> u64,
+    to_tenths: impl Fn(&T) -> u64,
 ) -> BTreeMap<account::Id, u64> {
     let n_parts = rates.len().div_ceil(ACCOUNTS_PER_ENTRY).max(1);
     let start = cursor % n_parts * ACCOUNTS_PER_ENTRY;
-    let part = rates.iter().skip(start).take(ACCOUNTS_PER_ENTRY);
-    part.map(|(account, rate)| (account.clone(), tenths(rate))).collect()
+    let selected = rates.iter().skip(start).take(ACCOUNTS_PER_ENTRY);
+    selected.map(|(account, rate)| (account.clone(), to_tenths(rate))).collect()
 }
 
 fn is_recent(at_millis: u64, now_millis: u64) -> bool {
--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -338,15 +338,15 @@
 
     fn fill_view(&self, state: &mut Table, now: Instant) {
         for proximity in [Proximity::SameDomain, Proximity::SameSite, Proximity::Remote] {
-            let same_proximity: Vec<_> = state
+            let group: Vec<_> = state
                 .peers
                 .iter()
                 .filter(|(_, it)| self.proximity(&state.sites, it) == proximity)
                 .map(|(addr, it)| (*addr, it.in_view, it.may_call(now)))
                 .collect();
-            let n_in_view = same_proximity.iter().filter(|it| it.1).count();
+            let n_in_view = group.iter().filter(|it| it.1).count();
             let mut candidates: Vec<_> =
-                same_proximity.iter().filter(|it| !it.1 && it.2).map(|it| it.0).collect();
+                group.iter().filter(|it| !it.1 && it.2).map(|it| it.0).collect();
             for _ in n_in_view..proximity.view_size() {
                 if candidates.is_empty() {
                     break;
@@ -362,15 +362,15 @@
 
     fn shuffle_view(&self, state: &mut Table, now: Instant) {
         for proximity in [Proximity::SameDomain, Proximity::SameSite, Proximity::Remote] {
-            let same_proximity = |it: &Peer| self.proximity(&state.sites, it) == proximity;
+            let has_proximity = |it: &Peer| self.proximity(&state.sites, it) == proximity;
             // An unreachable peer is no spare. Taken for one, it would push a live peer out of
             // the view without being able to take its place.
-            let is_eligible = |it: &&Peer| same_proximity(it) && !it.in_view && it.may_call(now);
+            let is_eligible = |it: &&Peer| has_proximity(it) && !it.in_view && it.may_call(now);
             let n_eligible = state.peers.values().filter(is_eligible).count();
             let view: Vec<_> = state
                 .peers
                 .iter()
-                .filter(|(_, it)| same_proximity(it) && it.in_view)
+                .filter(|(_, it)| has_proximity(it) && it.in_view)
                 .map(|it| *it.0)
                 .collect();
             // A view with room takes in a spare without giving anybody up for it.
