--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -104,7 +104,7 @@
 
     /// Writes a line down and waits until it's safe, or until there's no hope that it soon is.
     pub async fn record(&self, line: Line) -> Durability {
-        let (durability_tx, result) = async_channel::bounded(1);
+        let (durability_tx, durability_rx) = async_channel::bounded(1);
         {
             let mut state = self.state.lock();
             let sequence = state.next_sequence;
@@ -114,7 +114,7 @@
             state.waiters.push(Waiter { sequence, durability_tx });
         }
         let _already_signalled = self.lines_added.0.try_send(());
-        result.recv().await.unwrap_or(Durability::LocalOnly)
+        durability_rx.recv().await.unwrap_or(Durability::LocalOnly)
     }
 
     /// Whether so many lines wait to be stored that the node must take no new work.
@@ -184,9 +184,11 @@
     pub fn take_under_replicated(&self) -> Vec<Batch> {
         let mut state = self.state.lock();
         let under_replicated = std::mem::take(&mut state.under_replicated);
-        let line = |it: &u64| Some((*it, state.lines.get(it)?.clone()));
-        let segments =
-            store::contiguous_runs(under_replicated.iter().filter_map(line), MAX_LINES_PER_OBJECT);
+        let numbered_line = |it: &u64| Some((*it, state.lines.get(it)?.clone()));
+        let segments = store::contiguous_runs(
+            under_replicated.iter().filter_map(numbered_line),
+            MAX_LINES_PER_OBJECT,
+        );
         segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -231,9 +231,9 @@
 
 /// About how many bytes a line takes in memory.
 pub fn estimated_size(line: &Line) -> usize {
-    const TREE_NODE: usize = 64;
+    const MAP_ENTRY_BYTES: usize = 64;
     size_of::<Line>()
-        + TREE_NODE
+        + MAP_ENTRY_BYTES
         + line.request.as_str().len()
         + line.account.as_str().len()
         + line.served_by.len()
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -38,11 +38,11 @@
 
 fn spawn<F: Future<Output = ()> + Send + 'static>(
     node: &Arc<Node>,
-    work: impl FnOnce(Arc<Node>) -> F,
+    task: impl FnOnce(Arc<Node>) -> F,
 ) {
     let stop = node.stop().clone();
-    let work = work(Arc::clone(node));
-    node.setup.ex.spawn(future::or(async move { stop.wait().await }, work)).detach();
+    let task = task(Arc::clone(node));
+    node.setup.ex.spawn(future::or(async move { stop.wait().await }, task)).detach();
 }
 
 /// Waits for about `pause`.
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -201,9 +201,9 @@
     for (origin, batches) in orphans {
         for replica in node.members().orphan_replicas(&origin.vm) {
             let target = Origin { vm: replica.vm.clone(), incarnation: replica.incarnation };
-            let transfer = (origin.clone(), target);
+            let assignment = (origin.clone(), target);
             if replica == *node.members().own_identity()
-                || node.replicated_orphans.lock().contains(&transfer)
+                || node.replicated_orphans.lock().contains(&assignment)
             {
                 continue;
             }
@@ -212,7 +212,7 @@
                 n_replicated += replicate_to(node, &[replica.addr], batch, rpc::TIMEOUT).await;
             }
             if n_replicated == batches.len() {
-                node.replicated_orphans.lock().insert(transfer);
+                node.replicated_orphans.lock().insert(assignment);
             }
         }
     }
