--- a/crates/curranthook_peers/examples/membership_cuts.rs
+++ b/crates/curranthook_peers/examples/membership_cuts.rs
@@ -1,8 +1,9 @@
-//! Measures false removals under cuts, with and without trusting others' word.
+//! Measures false removals of peers under network cuts, with and without trusting the reports of
+//! peers.
 //!
-//! Nine nodes, so that each has all others in its view, run twenty times as fast as in service.
-//! After a cut, every 50 ms and for every pair whose link is whole, it's noted whether the one
-//! takes the other for unreachable.
+//! There are nine nodes, so that each has all others in its view, and they run at twenty times the
+//! usual rate. After a cut, it is sampled every 50 ms, for every pair whose link is intact, whether
+//! one node considers the other unreachable.
 
 #[path = "../tests/peers/support.rs"]
 #[expect(dead_code, reason = "shared with the tests, which use more of it")]
@@ -27,13 +28,13 @@
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Samples of whole links over which a peer was taken for unreachable.
+    /// Samples of intact links whose peer was considered unreachable.
     n_false_removals: usize,
-    /// Samples of cut links over which a peer was.
+    /// Samples of cut links whose peer was still considered alive.
     n_undetected_cuts: usize,
     n_intact_samples: usize,
     n_cut_samples: usize,
-    /// Until every cut link was noticed for the first time.
+    /// The time until every cut link was detected at least once.
     detection_time: Option<Duration>,
 }
 
@@ -76,8 +77,8 @@
     let mut fleet = Fleet::new();
     fleet.tuning = Tuning { trust, ..fleet.tuning.clone() };
     let nodes = fleet.start(N_NODES);
-    // Under `Trust::Others` a first failed call can keep a pair apart for long, so this may
-    // run into its limit; that's part of what is measured.
+    // Under `Trust::Others` a first failed call can separate a pair for long, so this may time out,
+    // which is part of the measurement.
     wait_until(TIMEOUT, || all_connected(&nodes)).await;
     for (a, b) in cuts {
         fleet.network.cut(&nodes[*a], &nodes[*b]);
