--- a/crates/curranthook_peers/src/auth.rs
+++ b/crates/curranthook_peers/src/auth.rs
@@ -1,46 +1,47 @@
-//! Who may call: a MAC over the time and the body, with the key that all nodes share.
+//! Authentication of calls: a MAC over the time and the body, with a key that all nodes share.
 
 use std::time::Duration;
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// How far the time of a call may lie from the receiver's clock, either way. A recorded call
-/// replayed within it does no harm, as every method merges idempotently.
+/// The largest difference between the time of a call and the receiver's clock, in either direction.
+/// Replaying a recorded call within it does no harm, as all methods merge idempotently.
 pub const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_secs(30);
-/// HMAC-SHA256 is cut to 128 bits (RFC 4868): the control budget counts every byte.
+/// Bytes of a MAC. HMAC-SHA256 is truncated to 128 bits (RFC 4868) because every byte counts
+/// against the budget of control traffic.
 const MAC_BYTES: usize = 16;
 
-/// Why a call isn't accepted.
+/// Why a call is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The MAC is missing, unreadable or wrong.
     #[error("the MAC is missing or wrong")]
     Mac,
-    /// The call was signed too long ago, or by a clock far ahead.
+    /// The call was signed too long ago, or by a clock that is far ahead.
     #[error("the call was not signed within {MAX_CLOCK_DIFFERENCE:?} of now")]
     Time,
 }
 
-/// Signs and verifies.
+/// The shared key, which signs and verifies calls.
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
 impl std::fmt::Debug for Key {
-    // The secret stays out of logs.
+    // The key must not appear in logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Key")
     }
 }
 
 impl Key {
-    /// Wraps the shared secret.
+    /// Creates a key from the shared secret.
     pub fn new(secret: &[u8]) -> Self {
         Self(secret.to_vec())
     }
 
-    /// The MAC over `context` and `body`, in hexadecimal. The context of a call is its time, that
-    /// of an answer is the MAC of its call, so that an answer fits one call only.
+    /// The MAC over `context` and `body`, in hexadecimal. The context of a call is its time; that
+    /// of an answer is the MAC of its call, which binds the answer to one call.
     ///
     /// ```
     /// # use curranthook_peers::auth::Key;
@@ -54,7 +55,7 @@
         hex::encode(&tag[..MAC_BYTES])
     }
 
-    /// Compares in constant time, so that the time taken tells a forger nothing.
+    /// Verifies in constant time, so that the time taken tells a forger nothing.
     pub fn verify(&self, context: &str, body: &[u8], mac: &str) -> Result<(), Error> {
         let tag = hex::decode(mac).map_err(|_| Error::Mac)?;
         if tag.len() != MAC_BYTES {
@@ -63,7 +64,7 @@
         self.mac(context, body).verify_truncated_left(&tag).map_err(|_| Error::Mac)
     }
 
-    /// Checks the time of a call, and then its MAC.
+    /// Checks the time of a call, then its MAC.
     pub fn verify_call(
         &self,
         time: &str,
