--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -1,6 +1,7 @@
-//! A node without a router, to measure how nodes act together.
+//! A node without a router, for measurements of the peer-to-peer layer.
 //!
-//! Prints one line of JSON when it's bound, answers `GET /status`, and leaves on SIGTERM.
+//! Prints one line of JSON when its listener is bound, answers `GET /status`, and leaves the fleet
+//! on SIGTERM or SIGINT.
 
 use std::{
     fs,
@@ -41,19 +42,19 @@
     /// The VM's settings, in YAML.
     #[arg(long)]
     settings: PathBuf,
-    /// Requests a second to make up, each with a bill line, evidence and demand.
+    /// Synthetic requests per second, each with a bill line, evidence and demand.
     #[arg(long, default_value_t = 0.0)]
     load: f64,
-    /// The shortest time between reads of the table, in milliseconds: as long as in a large
-    /// fleet, to see what peers do for one another.
+    /// The shortest time between reads of the table, in milliseconds: set as long as in a large
+    /// fleet to measure what the exchanges between peers contribute.
     #[arg(long, hide = true)]
     poll_ms: Option<u64>,
-    /// Parts of the spread of configurations to leave out.
+    /// Mechanisms of configuration distribution to disable.
     #[arg(long, hide = true, value_enum)]
     without: Vec<Mechanism>,
 }
 
-/// What can be left out.
+/// The mechanisms of configuration distribution that can be disabled.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Mechanism {
     PushPull,
@@ -130,7 +131,7 @@
     }
 }
 
-/// Requests as a router would report them.
+/// Records synthetic requests as a router would.
 async fn generate_load(node: Arc<Node>, requests_per_second: f64) {
     const VERSIONS: u64 = 7;
     const ACCOUNTS: u64 = 10;
