--- a/crates/curranthook_peers/src/counters.rs
+++ b/crates/curranthook_peers/src/counters.rs
@@ -4,14 +4,14 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// What this node did and met, counted since its start.
+        /// Events at this node, counted since its start.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: AtomicU64,)*
         }
 
         impl Counters {
-            /// Every counter's name and value, for export as metrics.
+            /// The name and value of every counter, for export as metrics.
             ///
             /// ```
             /// # use curranthook_peers::counters::{Counters, bump};
@@ -27,25 +27,26 @@
 }
 
 counters! {
-    /// Bytes of control that arrived, HTTP heads included.
+    /// Bytes of control traffic received, including HTTP heads.
     bytes_in,
-    /// Bytes of control that went out, HTTP heads included.
+    /// Bytes of control traffic sent, including HTTP heads.
     bytes_out,
     /// Control calls made and answered.
     messages,
-    /// Bytes of journal replication that arrived; they grow with requests, not with the fleet.
+    /// Bytes of journal replication received. They grow with requests, not with the fleet, and so
+    /// are counted apart from control traffic.
     journal_bytes_in,
-    /// Bytes of journal replication that went out.
+    /// Bytes of journal replication sent.
     journal_bytes_out,
     /// Exchanges that a peer answered.
     exchange_ok,
     /// Exchanges that failed.
     exchange_failed,
-    /// Calls refused because the MAC was missing or wrong.
+    /// Calls rejected because the MAC was missing or wrong.
     rejected_mac,
-    /// Calls refused because they were signed too long ago.
+    /// Calls rejected because they were signed too long ago.
     rejected_time,
-    /// Calls refused because they were too large.
+    /// Calls rejected because they were too large.
     rejected_size,
     /// Calls from a process that a later one of the same VM has replaced.
     rejected_incarnation,
@@ -55,31 +56,31 @@
     table_bytes,
     /// Reads of the table that failed.
     table_failed,
-    /// Epochs first learned from the table.
+    /// Epochs first received from the table.
     epoch_from_table,
-    /// Epochs first learned from a peer.
+    /// Epochs first received from a peer.
     epoch_from_peer,
     /// Documents received as a delta.
     delta_applied,
-    /// Deltas that didn't give the document they promised.
+    /// Deltas that didn't result in the intended document.
     delta_rejected,
-    /// Documents received whole.
+    /// Documents received in full.
     document_full,
-    /// Documents offered by someone with an epoch that isn't higher.
+    /// Documents received with an epoch that isn't higher.
     document_not_newer,
     /// Bill lines held by two peers when acknowledged.
     line_replicated,
     /// Bill lines in the object store when acknowledged.
     line_stored,
-    /// Bill lines held by this node alone when acknowledged.
+    /// Bill lines held by this node only when acknowledged.
     line_alone,
-    /// Segments that this node stored for itself.
+    /// Segments of its own lines that this node stored.
     segment_stored,
-    /// Segments that this node stored for a silent owner.
+    /// Segments that this node stored for an owner that was gone.
     segment_taken_over,
-    /// Puts that failed and will be tried again.
+    /// Puts that failed and will be retried.
     store_failed,
-    /// Replicas refused for want of memory.
+    /// Batches of peers' lines rejected for lack of memory.
     replica_full,
 }
 
