--- a/crates/curranthook_peers/src/demand.rs
+++ b/crates/curranthook_peers/src/demand.rs
@@ -1,7 +1,7 @@
-//! How much of an account's limit this node may use.
+//! How much of an account's rate limit this node may use.
 //!
-//! A limit holds for all nodes of a site together. Each node tells its rate of requests for each
-//! account, and takes the part of the limit that its rate is of the sum.
+//! A limit applies to all nodes of a site together. Each node reports its request rate for each
+//! account and gets the share of the limit that its rate has in the sum of all rates.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -15,31 +15,32 @@
 
 /// A report older than this is left out of the sum.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(60);
-/// The weight of the latest second in the rate.
+/// The weight of the latest interval, about a second, in the moving average of the rate.
 const SMOOTHING_FACTOR: f64 = 0.3;
-/// Added to each node's rate, in requests a second. Without it a node that has had no request
-/// for an account would have no share, and would refuse the first one.
+/// Added to each node's rate, in requests per second. Without it a node that has had no request for
+/// an account would have no share and would reject the first one.
 const BASE_RATE: f64 = 0.5;
 /// How many peers' reports are kept.
 const MAX_REPORTS: usize = 2_048;
 /// How many accounts one report may name.
 const MAX_ACCOUNTS_PER_REPORT: usize = 64;
-/// How many accounts are reported at a time.
+/// How many accounts are reported in one entry.
 const ACCOUNTS_PER_ENTRY: usize = 3;
 
-/// Some of a node's rates as a digest carries them: VM, incarnation, time, and rates in tenths
-/// of a request a second by account.
+/// Some of a node's rates as they appear in a digest: VM, incarnation, time in milliseconds since
+/// 1970, and the rates by account in tenths of a request per second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub vm::Id, pub vm::Incarnation, pub u64, pub BTreeMap<account::Id, u64>);
 
-/// A rate and when it was reported, in milliseconds since 1970.
+/// A rate in tenths of a request per second, and when it was reported, in milliseconds since 1970.
 #[derive(Debug, Clone, Copy)]
 struct ReportedRate {
     tenths_per_second: u64,
     at_millis: u64,
 }
 
-/// What one process has reported. Its accounts come a few at a time, each with its own time.
+/// The rates that one process has reported. They arrive a few accounts at a time, each with its own
+/// time.
 #[derive(Debug, Default)]
 struct Report {
     incarnation: vm::Incarnation,
@@ -55,7 +56,7 @@
     cursor: usize,
 }
 
-/// Demand of this node and, as reported, of the site's others.
+/// The demand at this node and, as reported, at the other nodes of the site.
 #[derive(Debug)]
 pub struct Demand {
     vm: vm::Id,
@@ -65,17 +66,17 @@
 }
 
 impl Demand {
-    /// No demand yet.
+    /// Creates a table without any demand.
     pub fn new(vm: vm::Id, incarnation: vm::Incarnation, clock: Arc<dyn Clock>) -> Self {
         Self { vm, incarnation, clock, state: Mutex::default() }
     }
 
-    /// Counts a request of an account, whether or not it's let in.
+    /// Counts a request of an account, whether or not it is admitted.
     pub fn record_request(&self, account: &account::Id) {
         *self.state.lock().request_counts.entry(account.clone()).or_default() += 1;
     }
 
-    /// Turns what was request_counts over `elapsed` into rates.
+    /// Updates the rates with the requests that were counted during `elapsed`.
     pub fn update_rates(&self, elapsed: Duration) {
         let mut state = self.state.lock();
         let request_counts = std::mem::take(&mut state.request_counts);
@@ -90,7 +91,7 @@
         });
     }
 
-    /// This node's part of the account's limit, given how many nodes share it.
+    /// This node's share of the account's limit, given the number of nodes that share it.
     pub fn share(&self, account: &account::Id, site_nodes: usize) -> f64 {
         let now = self.clock.unix_millis();
         let state = self.state.lock();
@@ -100,13 +101,14 @@
         let (n_others, sum) = rates.fold((0_usize, 0.0), |(n, sum), rate| (n + 1, sum + rate));
         let n_reporting = n_others + 1;
         let n_nodes = site_nodes.max(n_reporting);
-        // Nodes that haven't been heard of are taken to have the average demand; leaving them out
-        // would let the others exceed the limit by what these let in.
+        // Nodes without a report are assumed to have the average demand; if they were left out, the
+        // others would exceed the limit by the requests that these nodes admit.
         let total = (own_rate + sum) * n_nodes as f64 / n_reporting as f64;
         (own_rate + BASE_RATE) / (total + BASE_RATE * n_nodes as f64)
     }
 
-    /// Takes in a peer's report; of two for one account the later process's, then the later one.
+    /// Merges a peer's report. Of two reports for one account, the one of the later process wins,
+    /// then the later one.
     pub fn merge(&self, entry: &Entry) {
         let now = self.clock.unix_millis();
         let Entry(vm, incarnation, at_millis, rates) = entry;
@@ -130,12 +132,12 @@
         }
     }
 
-    /// Forgets a VM that left.
+    /// Removes the reports of a VM that has left.
     pub fn remove(&self, vm: &vm::Id) {
         self.state.lock().reports.remove(vm);
     }
 
-    /// Some of this node's rates and, in turn, of one other's, as long as they fit.
+    /// Some of this node's rates and, in rotation, those of one other node, as far as they fit.
     pub fn select_entries(&self, mut fits: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
         let now = self.clock.unix_millis();
         let mut state = self.state.lock();
@@ -149,7 +151,7 @@
             let (vm, report) = recent[index];
             report.entry(vm, cursor / recent.len())
         });
-        // A report that doesn't fit goes with fewer accounts: otherwise long names would keep a
+        // An entry that doesn't fit is sent with fewer accounts: otherwise long names could keep a
         // node's demand from ever being reported.
         let shrink = |mut entry: Entry| {
             while !fits(&entry) {
@@ -157,8 +159,8 @@
             }
             Some(entry)
         };
-        // A node without demand tells that too: of one that says nothing, others assume the
-        // average, and would leave its part of the limit unused.
+        // A node without demand reports that too: other nodes would assume the average for it, and
+        // its share of the limit would go unused.
         [Some(own_entry), other_entry].into_iter().flatten().filter_map(shrink).collect()
     }
 }
@@ -183,7 +185,8 @@
         self.rates.retain(|_, it| is_recent(it.at_millis, now_millis));
     }
 
-    /// Rates reported at one time go on as they came; those of other times wait for their turn.
+    /// Rates that were reported at the same time are forwarded together; `cursor` rotates through
+    /// the different times.
     fn entry(&self, vm: &vm::Id, cursor: usize) -> Entry {
         let times: BTreeSet<_> = self.rates.values().map(|it| it.at_millis).collect();
         let index = cursor.checked_rem(times.len()).and_then(|index| times.iter().nth(index));
@@ -195,7 +198,7 @@
     }
 }
 
-/// A few accounts, others at each turn.
+/// The rates of a few accounts; `cursor` rotates through all accounts.
 fn rates_at<T>(
     rates: &BTreeMap<account::Id, T>,
     cursor: usize,
