--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -1,7 +1,8 @@
-//! What two nodes tell each other in an exchange.
+//! The state that two nodes send each other in an exchange.
 //!
-//! A frame has a budget of bytes, whatever the fleet's size; what doesn't fit waits its n_frames.
-//! Everything in it merges idempotently, so a frame may be lost, repeated or overtaken.
+//! A frame has a fixed budget of bytes, whatever the size of the fleet; entries that don't fit are
+//! sent in a later frame. All contents merge idempotently, so a frame may be lost, repeated or
+//! reordered.
 
 use std::net::SocketAddr;
 
@@ -18,43 +19,44 @@
     tuning::{Mechanism, Trust},
 };
 
-/// Bytes of a frame's sections together. With the HTTP heads, one exchange made and one
-/// answered a second stay within 2 KB, both ways together.
+/// Bytes of all sections of a frame together. Including HTTP heads, one exchange initiated and one
+/// answered per second stay within 2 KB, both directions together.
 const FRAME_BUDGET_BYTES: usize = 125;
-/// The largest delta that goes along with an answer, in bytes.
+/// The largest delta that is included in an answer, in bytes.
 const MAX_INLINE_TRANSFER_BYTES: usize = 2_048;
-/// Entries looked at when a section is filled.
+/// How many poison entries are considered for a frame.
 const MAX_POISON_ENTRIES: usize = 8;
 
-/// One side's part of an exchange. Field names are short because each byte is paid for once a
-/// second by every node.
+/// One side's part of an exchange. Field names are short because every node sends each byte once a
+/// second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Who speaks.
+    /// The sender.
     #[serde(rename = "i")]
     pub from: Identity,
-    /// The newest epoch that it has; zero for none.
+    /// The newest epoch that the sender has; zero for none.
     #[serde(rename = "c")]
     pub epoch: Epoch,
     /// Suspect versions.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<suspect::Entry>,
-    /// Charged fingerprints.
+    /// Fingerprints of requests under which endpoints crashed.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub poison: Vec<poison::Entry>,
-    /// Demand of nodes of the speaker's site.
+    /// Demand at nodes of the sender's site.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub demand: Vec<demand::Entry>,
     /// Evidence on versions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<evidence::Entry>,
-    /// Peers that the speaker reaches.
+    /// Peers that the sender reaches.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<Identity>,
-    /// In an answer, what the caller lacks of the newest document, if that's small.
+    /// In an answer, the changes that the caller lacks to get to the newest document, if they are
+    /// small.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub transfer: Option<Transfer>,
-    /// Peers that the speaker can't reach.
+    /// Peers that the sender can't reach.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub unreachable: Vec<SocketAddr>,
 }
@@ -79,8 +81,8 @@
     }
 }
 
-/// What a frame is mainly for. The sections take turns in being first: in a fixed order a busy
-/// one would leave those behind it too few bytes for a single entry, for good.
+/// A section of a frame. The sections take turns in being first: in a fixed order, a busy section
+/// would never leave those behind it enough bytes for a single entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Topic {
     Evidence,
@@ -92,8 +94,8 @@
 const TOPIC_ROTATION: [Topic; 6] =
     [Topic::Evidence, Topic::Demand, Topic::Alarms, Topic::Evidence, Topic::Demand, Topic::Members];
 
-/// The answer to a caller that has epoch `peer_epoch`. A small delta goes along: a call of its own for
-/// it would cost more bytes in heads than the delta has.
+/// The answer to a caller that has epoch `peer_epoch`. It includes a small delta, because the HTTP
+/// heads of a separate call would take more bytes than the delta itself.
 pub(crate) fn answer(node: &Node, peer_epoch: Epoch) -> Frame {
     let mut frame = build(node);
     if node.is_enabled(Mechanism::PushPull)
@@ -107,7 +109,7 @@
     frame
 }
 
-/// A frame of what is most worth telling now.
+/// Builds a frame of the most urgent entries.
 pub(crate) fn build(node: &Node) -> Frame {
     let n_frames = node.next_sequence();
     let mut frame = Frame {
@@ -155,7 +157,7 @@
     }
 }
 
-/// Takes in a frame.
+/// Merges a peer's frame.
 pub(crate) fn merge(node: &Node, frame: &Frame) {
     for entry in &frame.suspects {
         node.suspects().merge(entry);
@@ -179,7 +181,8 @@
     }
 }
 
-/// One peer, another each time: the VM list lags, and during an outage there's nothing else.
+/// One live peer, in rotation. Peers name each other because the VM list lags and can't be read
+/// during an outage.
 fn next_member(node: &Node, n_frames: usize) -> Vec<Identity> {
     let alive = node.members().alive();
     let index = n_frames.checked_rem(alive.len());
