--- a/crates/curranthook_peers/src/documents.rs
+++ b/crates/curranthook_peers/src/documents.rs
@@ -1,8 +1,8 @@
-//! The newest published configuration, and how it gets to peers.
+//! The newest published configuration, and its transfer to peers.
 //!
-//! Only ever a higher epoch replaces the one in force. Between near epochs a delta travels in
-//! place of the document. The receiver checks that the delta starts from the document it has and
-//! gives the one that was meant; else it asks for the whole.
+//! The document in force is only ever replaced by one with a higher epoch. Between nearby epochs a
+//! delta is sent in place of the document. The receiver checks that the delta starts from the
+//! document it has and results in the intended one; otherwise it requests the full document.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,62 +20,64 @@
 use serde_with::{hex::Hex, serde_as};
 use sha2::{Digest, Sha256};
 
-/// For how many epochs back deltas are kept.
+/// How many past changes are kept to build deltas from.
 const MAX_CHANGES: usize = 16;
-/// Operations of a change past which it counts as a new document. Its delta would be about as
-/// long as the whole, and a few of them would take more memory than all else in a node.
+/// A change with more operations than this is sent as a full document. Its delta would be about as
+/// long as the document, and a few such deltas would take more memory than the rest of the node.
 const MAX_DELTA_OPERATIONS: usize = 1_024;
 
-/// What one peer sends another that has an older epoch.
+/// What a peer sends to another that has an older epoch.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Transfer {
-    /// Nothing newer.
+    /// There is no newer document.
     #[serde(rename = "nothing")]
     UpToDate,
     /// The change since `base`.
     Delta {
-        /// The epoch that it applies to.
+        /// The epoch to which the delta applies.
         base: Epoch,
-        /// The changes.
+        /// The changes as a JSON Patch.
         patch: json_patch::Patch,
-        /// SHA-256 of the document that results, written as JSON.
+        /// SHA-256 of the resulting document, written as JSON.
         #[serde_as(as = "Hex")]
         hash: [u8; 32],
-        /// The state of the table's row.
+        /// The tag of the table row that holds the resulting document.
         tag: Option<Tag>,
     },
-    /// The whole document.
+    /// The full document.
     Full {
         /// The document.
         document: Box<Document>,
-        /// The state of the table's row.
+        /// The tag of the table row that holds the document.
         tag: Option<Tag>,
     },
 }
 
-/// A delta can't be used: it starts from another epoch, or doesn't give what it should.
+/// A delta can't be applied: it starts from another epoch, or doesn't result in the intended
+/// document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the delta doesn't fit")]
 pub struct Mismatch;
 
 #[derive(Debug, Default)]
 struct History {
-    /// The state of the table's row that holds the newest document, if known. It travels with
-    /// the document: a node that has an epoch from a peer would otherwise read the whole row at
-    /// its next poll, only to find what it has.
+    /// The tag of the table row that holds the newest document, if known. It is sent with the
+    /// document: a node that got an epoch from a peer would otherwise read the full row at its next
+    /// poll, only to find the document it already has.
     tag: Option<Tag>,
-    /// The newest document as JSON, which deltas are made from and applied to. Earlier ones
-    /// aren't kept: as JSON, one of 10,000 endpoints takes tens of megabytes.
+    /// The newest document as JSON, from which deltas are made and to which they are applied.
+    /// Earlier ones aren't kept: as JSON, a document of 10,000 endpoints takes tens of megabytes.
     json: Value,
-    /// The changes up to the newest, oldest first; each begins where the one before ends.
+    /// The changes up to the newest document, oldest first; each begins where the previous one
+    /// ends.
     changes: VecDeque<Change>,
     deltas: HashMap<Epoch, Transfer>,
     waiters: Vec<Sender<()>>,
 }
 
-/// What changed from one epoch to the next one that this node had.
+/// The change from one epoch to the next one that this node had.
 #[derive(Debug)]
 struct Change {
     base: Epoch,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// All changes since `peer_epoch`, one after the other.
+    /// All changes since `peer_epoch`, concatenated.
     fn changes_since(&self, peer_epoch: Epoch) -> Option<json_patch::Patch> {
         let start = self.changes.iter().position(|it| it.base == peer_epoch)?;
         let changes = self.changes.iter().skip(start);
@@ -102,7 +104,7 @@
     }
 }
 
-/// The newest document that a node knows.
+/// The newest document that a node knows, with the changes that led to it.
 #[derive(Debug, Default)]
 pub struct Documents {
     newest: ArcSwapOption<Document>,
@@ -115,12 +117,12 @@
         self.newest.load_full()
     }
 
-    /// The newest epoch; zero when none is known.
+    /// The newest epoch; zero if none is known.
     pub fn epoch(&self) -> Epoch {
         self.newest_epoch().unwrap_or_default()
     }
 
-    /// Waits for a document of a higher epoch than `after`.
+    /// Waits for a document with a higher epoch than `after`.
     pub async fn wait_for_newer(&self, after: Epoch) -> Arc<Document> {
         loop {
             let (tx, rx) = async_channel::bounded::<()>(1);
@@ -132,14 +134,15 @@
         }
     }
 
-    /// The state of the table's row that holds the newest document.
+    /// The tag of the table row that holds the newest document.
     pub fn tag(&self) -> Option<Tag> {
         self.history.lock().tag.clone()
     }
 
-    /// Takes over `document` if its epoch is higher, and says whether it did.
+    /// Installs `document` if its epoch is higher, and returns whether it did.
     pub fn offer(&self, document: Document, tag: Option<Tag>) -> bool {
-        // The lock orders writers: of two offers at once the lower must not land last.
+        // The lock orders writers: of two concurrent offers the lower epoch must not be installed
+        // last.
         let mut history = self.history.lock();
         let current = self.newest_epoch();
         if current.is_some_and(|it| document.epoch <= it) {
@@ -158,7 +161,7 @@
         true
     }
 
-    /// What someone who has epoch `peer_epoch` needs; `peer_epoch` is zero to ask for the whole.
+    /// The transfer for a peer that has epoch `peer_epoch`; zero requests the full document.
     pub fn transfer(&self, peer_epoch: Epoch) -> Transfer {
         let Some(newest) = self.document() else { return Transfer::UpToDate };
         if newest.epoch <= peer_epoch {
@@ -170,7 +173,7 @@
         })
     }
 
-    /// Takes over what a peer sent; `Ok(false)` if it's nothing newer.
+    /// Applies a peer's transfer; returns `Ok(false)` if it contains nothing newer.
     pub fn apply(&self, transfer: Transfer) -> Result<bool, Mismatch> {
         match transfer {
             Transfer::UpToDate => Ok(false),
@@ -190,11 +193,11 @@
         let Some(newest) = self.document().filter(|it| it.epoch == base) else {
             return Err(Mismatch);
         };
-        // A patch that fails undoes what it did.
+        // A patch that fails is rolled back.
         json_patch::patch(&mut history.json, &patch).map_err(|_| Mismatch)?;
         let document = Document::deserialize(&history.json).ok();
-        // A node that holds another document under the base's epoch, or lost a digit of a number
-        // on the way, would go on with a configuration nobody published.
+        // If a node had a different document under the base epoch, or a number lost a digit in
+        // transit, it would continue with a configuration that nobody published.
         let document = document.filter(|it| base < it.epoch && sha256(it) == hash);
         let Some(document) = document else {
             history.json = to_value(&newest);
@@ -205,12 +208,12 @@
         Ok(true)
     }
 
-    /// Puts `document` in force; `history` is up to date but for the tag and those that wait.
+    /// Puts `document` in force. Apart from the tag and the waiters, `history` must be up to date.
     fn install(&self, history: &mut History, document: Document, tag: Option<Tag>) {
         history.tag = tag;
         history.deltas.clear();
         self.newest.store(Some(Arc::new(document)));
-        // Dropping the senders wakes all that wait.
+        // Dropping the senders wakes all waiters.
         history.waiters.clear();
     }
 
@@ -218,14 +221,15 @@
         self.newest.load().as_ref().map(|it| it.epoch)
     }
 
-    /// The tag, unless a newer document has come meanwhile.
+    /// The tag, unless a newer document has been installed in the meantime.
     fn tag_for(&self, epoch: Epoch) -> Option<Tag> {
         let history = self.history.lock();
         history.tag.clone().filter(|_| self.newest_epoch() == Some(epoch))
     }
 
     fn delta(&self, peer_epoch: Epoch) -> Option<Transfer> {
-        // Under the lock no newer document can come: patch, hash and tag belong to one epoch.
+        // No newer document can be installed while the lock is held, so patch, hash and tag belong
+        // to the same epoch.
         let mut history = self.history.lock();
         if let Some(delta) = history.deltas.get(&peer_epoch) {
             return Some(delta.clone());
