--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -1,7 +1,7 @@
-//! Evidence on versions, counted by each node and summed over nodes.
+//! Evidence on the quality of versions, counted by each node and summed over all nodes.
 //!
-//! Each origin's counters only grow, and merging keeps the higher of each. So a digest that
-//! arrives twice, late or out of order counts nothing twice.
+//! The counters of each origin only grow, and a merge keeps the higher value of each. A digest that
+//! arrives twice, late or out of order is therefore never counted twice.
 
 use std::{
     cmp::Reverse,
@@ -13,15 +13,15 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// How many entries (origin and version) are kept: 1,800 nodes and 7 versions with room for
-/// the nodes replaced in a day.
+/// How many records are kept, one for each origin, version and kind of work. Sized for 1,800 nodes
+/// and 7 versions, with room for the nodes that are replaced within a day.
 const MAX_RECORDS: usize = 20_000;
-/// How often a last_changed entry is passed on before it gives way to others.
+/// How often a changed record is sent before it gives way to others.
 const SENDS_PER_CHANGE: u32 = 4;
-/// Entries tried for one frame; more don't fit.
+/// Records considered for one frame; more don't fit.
 const MAX_CANDIDATES: usize = 12;
 
-/// The higher of each field of two.
+/// The higher value of each field.
 fn max_counts(one: &Counts, other: &Counts) -> Counts {
     Counts {
         n: one.n.max(other.n),
@@ -34,7 +34,7 @@
     }
 }
 
-/// One failure in ten, or ratings below a half.
+/// More than one failure in ten calls, or a mean rating below one half.
 fn is_suspicious(counts: &Counts) -> bool {
     counts.calls < counts.errors.saturating_mul(10) || counts.sum < counts.n as f64 * 0.5
 }
@@ -43,8 +43,8 @@
     counts.errors <= counts.calls && counts.n <= counts.calls
 }
 
-/// What evidence is about: a version at a kind of work. A version may be good at one kind and
-/// poor at another.
+/// The subject of evidence: a version at a kind of work. A version may be good at one kind and poor
+/// at another.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Subject {
     /// The version.
@@ -53,18 +53,18 @@
     pub kind: kind::Id,
 }
 
-/// One origin's counters for one subject, as a digest carries them: VM and incarnation of the
+/// One origin's counters for one subject as they appear in a digest: VM and incarnation of the
 /// origin, version, kind, counters.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub vm::Id, pub vm::Incarnation, pub version::Id, pub kind::Id, pub WireCounts);
 
-/// [`Counts`] without field names, in their order, ratings in rounded ten-thousandths: a sum such
-/// as 20.800000000000004 would cost more bytes than all other fields.
+/// [`Counts`] as a tuple without field names, with ratings in whole ten-thousandths: a sum such as
+/// 20.800000000000004 would take more bytes than all other fields.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WireCounts(u64, u64, u64, u64, u64, u64, u64);
 
 const RATING_UNIT: f64 = 10_000.0;
-/// Lengths are sums over answers and need no more than hundredths.
+/// Lengths are sums over responses, for which hundredths are precise enough.
 const LENGTH_UNIT: f64 = 100.0;
 
 impl From<Counts> for WireCounts {
@@ -94,9 +94,9 @@
 struct Record {
     counts: Counts,
     sends_left: u32,
-    /// When it last last_changed, in logical_time of the table's own count.
+    /// The logical time of the last change.
     last_changed: u64,
-    /// When it was last last_sent, likewise.
+    /// The logical time of the last send.
     last_sent: u64,
 }
 
@@ -107,7 +107,7 @@
     logical_time: u64,
 }
 
-/// All that a node knows of versions.
+/// The evidence that a node has on all versions.
 #[derive(Debug)]
 pub struct Evidence {
     own: Origin,
@@ -115,12 +115,12 @@
 }
 
 impl Evidence {
-    /// No evidence yet; `own` is the origin of what is added here.
+    /// Creates an empty table. `own` is the origin of the evidence that is recorded here.
     pub fn new(own: Origin) -> Self {
         Self { own, records: Mutex::default() }
     }
 
-    /// Counts what an answer to this node showed.
+    /// Records the result of one response to this node.
     pub fn record(&self, version: &version::Id, kind: &kind::Id, sample: Sample) {
         let subject = Subject { version: version.clone(), kind: kind.clone() };
         self.records
@@ -146,7 +146,7 @@
         sums.into_iter().map(|(origin, counts)| (origin.clone(), counts)).collect()
     }
 
-    /// For each subject what all other nodes together have counted.
+    /// For each subject, the sum of the counts of all other nodes.
     pub fn peer_totals(&self) -> Vec<(Subject, Counts)> {
         let records = self.records.lock();
         let others = |origins: &HashMap<Origin, Record>| {
@@ -158,20 +158,20 @@
         records.by_subject.iter().map(|(subject, it)| (subject.clone(), others(it))).collect()
     }
 
-    /// The totals of every version that was seen.
+    /// The totals of every version with evidence.
     pub fn totals(&self) -> Vec<(version::Id, Counts)> {
         let versions: BTreeSet<_> =
             self.records.lock().by_subject.keys().map(|it| it.version.clone()).collect();
         versions.into_iter().map(|it| (it.clone(), self.total(&it))).collect()
     }
 
-    /// Takes in a peer's entry.
+    /// Merges a peer's entry.
     pub fn merge(&self, entry: &Entry) {
         let Entry(vm, incarnation, version, kind, wire) = entry;
         let origin = Origin { vm: vm.clone(), incarnation: *incarnation };
         let reported = Counts::from(*wire);
-        // Only this process counts for its own origin; what peers
-        // pass on of it brings nothing new.
+        // Only this process updates the counters of its own origin; entries that peers forward for
+        // it contain nothing new.
         if origin == self.own || !is_consistent(&reported) {
             return;
         }
@@ -179,9 +179,9 @@
         self.records.lock().update(&subject, &origin, |known| max_counts(known, &reported));
     }
 
-    /// The entries worth sending next, as long as they fit: what last_changed lately, the most
-    /// suspicious first, and then all others in turn. A change that is passed on a few times
-    /// only, and never again, misses some nodes for good.
+    /// The entries to send next, as far as they fit: recent changes first, the most suspicious of
+    /// them before the others, then all other records in rotation. A change that was sent only a
+    /// few times and never again could miss some nodes permanently.
     pub fn select_entries(&self, mut fits: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
         let mut records = self.records.lock();
         records.logical_time += 1;
@@ -215,7 +215,7 @@
 }
 
 impl Record {
-    /// The lowest is sent first.
+    /// The sort key for sending; the lowest is sent first.
     fn send_order(&self) -> impl Ord + use<> {
         let is_pending = 0 < self.sends_left;
         (
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Forgets the entry that last_changed longest ago: that of a process long gone.
+    /// Removes the record that changed longest ago, which is likely that of a process long gone.
     fn evict(&mut self) {
         let oldest = self
             .by_subject
