--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -1,8 +1,8 @@
-//! This node's bill lines, from the answer until they are stored.
+//! This node's bill lines, from the response until they are in the object store.
 //!
-//! A line is safe once two peers in other failure domains hold it, or the object store does.
-//! Lines that come within a few milliseconds go to the peers together; the store gets larger
-//! segments, less often. Once stored, the peers are told to drop them.
+//! A line is durable once two peers in other failure domains hold it, or the object store does.
+//! Lines that arrive within a few milliseconds are sent to the peers together; the store gets
+//! larger segments, less often. Once lines are stored, the peers are told to drop them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,20 +21,20 @@
     store,
 };
 
-/// How many bytes of lines are kept while they can't be stored: at 26 lines a second, an outage
-/// of about an hour. Past it the node is to refuse new work; a line is never dropped.
+/// How many bytes of lines are kept while they can't be stored: an outage of about an hour at 26
+/// lines per second. Above it the node is to reject new work; a line is never dropped.
 pub const MAX_BYTES: usize = 24 * 1024 * 1024;
 /// How many lines go into one object.
 const MAX_LINES_PER_OBJECT: usize = 2_000;
 
-/// How safe a line is.
+/// How durable a line is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Durability {
-    /// So many peers in other failure domains hold it.
+    /// Held by this many peers in other failure domains.
     Replicated(usize),
-    /// The object store holds it.
+    /// Held by the object store.
     Stored,
-    /// Only this node holds it; it goes on trying.
+    /// Held by this node only, which keeps trying to store it.
     LocalOnly,
 }
 
@@ -48,22 +48,22 @@
 struct State {
     next_sequence: u64,
     lines: BTreeMap<u64, Line>,
-    /// Lines with fewer copies than there should be.
+    /// Lines with fewer copies than intended.
     under_replicated: BTreeSet<u64>,
     n_bytes: usize,
     waiters: Vec<Waiter>,
 }
 
-/// Lines that go to the peers together.
+/// Lines that are sent to the peers together.
 #[derive(Debug)]
 pub struct Group {
-    /// What the peers get.
+    /// The batch for the peers.
     pub batch: Batch,
     waiters: Vec<Waiter>,
 }
 
 impl Group {
-    /// Tells all that wait for these lines, and closes the group.
+    /// Reports the durability to all callers that wait for these lines.
     pub fn close(self, durability: Durability, counters: &Counters) {
         let n_lines = self.batch.lines.len() as u64;
         match durability {
@@ -85,12 +85,13 @@
     state: Mutex<State>,
     lines_added: (Sender<()>, Receiver<()>),
     flush_requests: (Sender<()>, Receiver<()>),
-    /// One flush at a time; a second would find the first one's keys taken and read them back.
+    /// Held during a flush. A second flush at the same time would find the keys of the first one
+    /// taken and read its objects back.
     flush_lock: async_lock::Mutex<()>,
 }
 
 impl Journal {
-    /// An empty journal.
+    /// Creates an empty journal.
     pub fn new(origin: Origin, counters: Arc<Counters>) -> Self {
         Self {
             origin,
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Writes a line down and waits until it's safe, or until there's no hope that it soon is.
+    /// Adds a line and waits until it is durable, or until the attempts to replicate and store it
+    /// have failed.
     pub async fn record(&self, line: Line) -> Durability {
         let (durability_tx, durability_rx) = async_channel::bounded(1);
         {
@@ -117,7 +119,7 @@
         durability_rx.recv().await.unwrap_or(Durability::LocalOnly)
     }
 
-    /// Whether so many lines wait to be stored that the node must take no new work.
+    /// Whether so many lines wait to be stored that the node must accept no new work.
     pub fn is_full(&self) -> bool {
         MAX_BYTES <= self.state.lock().n_bytes
     }
@@ -127,28 +129,28 @@
         self.state.lock().lines.len()
     }
 
-    /// Waits until there are lines that no peer has.
+    /// Waits until there are lines that have not been sent to peers.
     pub async fn wait_for_lines(&self) {
         let _closed = self.lines_added.1.recv().await;
     }
 
-    /// Waits until the next flush shouldn't wait.
+    /// Waits until a flush is requested.
     pub async fn wait_for_flush_request(&self) {
         let _closed = self.flush_requests.1.recv().await;
     }
 
-    /// Asks for a flush now, because a replica has failed and lines have one copy less.
+    /// Requests a flush now, because a replica has failed and lines have one copy less.
     pub fn request_flush(&self) {
         let _already_requested = self.flush_requests.0.try_send(());
     }
 
-    /// The lines that came since the last call.
+    /// The lines that were added since the last call.
     pub fn take_group(&self) -> Option<Group> {
         let mut state = self.state.lock();
         let waiters = std::mem::take(&mut state.waiters);
         let first = waiters.first()?.sequence;
-        // A flush may have stored the first of them already. Numbering the rest from the first
-        // that waited would give them the stored ones' numbers.
+        // A flush may already have stored the first of these lines. Numbering the rest from the
+        // first waiter's sequence number would give them the numbers of the stored lines.
         let first = state
             .lines
             .range(first..)
@@ -166,7 +168,7 @@
         segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
-    /// Notes that a batch has too few copies.
+    /// Records that a batch has too few copies.
     pub fn mark_under_replicated(&self, batch: &Batch) {
         let mut state = self.state.lock();
         let sequences = (batch.first..).take(batch.lines.len());
@@ -174,13 +176,14 @@
         state.under_replicated.extend(unstored);
     }
 
-    /// Notes that a peer is lost that held lines, perhaps all.
+    /// Records that a peer is lost that held some or all of the lines.
     pub fn mark_all_under_replicated(&self) {
         let state = &mut *self.state.lock();
         state.under_replicated.extend(state.lines.keys());
     }
 
-    /// The lines with too few copies, in batches; they count as having enough from now on.
+    /// Takes the lines with too few copies, in batches; they are no longer marked as
+    /// under-replicated.
     pub fn take_under_replicated(&self) -> Vec<Batch> {
         let mut state = self.state.lock();
         let under_replicated = std::mem::take(&mut state.under_replicated);
@@ -192,7 +195,7 @@
         segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
-    /// A batch without lines: what is stored, and that this node lives.
+    /// A batch without lines, which tells the peers what is stored and that this node is alive.
     pub fn heartbeat(&self) -> Batch {
         let state = self.state.lock();
         self.batch(&state, state.next_sequence, Vec::new())
@@ -216,7 +219,7 @@
         true
     }
 
-    /// Stores all lines; says whether none is left out.
+    /// Stores all lines and returns whether that succeeded.
     pub async fn flush(&self, objects: &dyn Objects) -> bool {
         let _flush_guard = self.flush_lock.lock().await;
         for batch in self.unstored() {
@@ -233,7 +236,7 @@
     }
 }
 
-/// How long a batch may take to reach a peer.
+/// How long sending a batch to a peer may take.
 pub const REPLICATE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long the second attempt, at other peers and the store at once, may take.
+/// How long the second attempt may take, which goes to other peers and the store at once.
 pub const FALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
