--- a/crates/curranthook_peers/src/lib.rs
+++ b/crates/curranthook_peers/src/lib.rs
@@ -1,10 +1,12 @@
-//! Nodes acting together: membership, digest, configuration documents, journal replicas.
+//! Peer-to-peer layer of the nodes: membership, gossip digests, distribution of the configuration,
+//! and replicas of the bill journal.
 //!
-//! [`node::Node`] is what a router embeds. Once a second it makes one [`digest`] exchange with
-//! one peer, chosen by [`member`], over [`rpc`]. [`documents`] brings the newest published
-//! configuration to every node, [`journal`] keeps bill lines on two peers until they are stored.
-//! Nothing here agrees on anything: what has to be agreed goes through the platform's table, and
-//! all that travels between peers merges by "highest wins" or by set union.
+//! A router embeds a [`node::Node`]. Once a second it exchanges a [`digest`] with one peer, which
+//! [`member`] selects, over [`rpc`]. [`documents`] brings the newest published configuration to
+//! every node, and [`journal`] keeps bill lines on two peers until they are in the object store.
+//!
+//! This crate runs no consensus protocol: decisions that need agreement go through the platform's
+//! table, and all state that peers exchange merges by "highest wins" or by set union.
 
 pub mod auth;
 pub mod counters;
