--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -1,11 +1,13 @@
-//! Which peers there are, and which of them this node reaches.
+//! Known peers, and which of them this node can reach.
 //!
-//! The platform's VM list lags and peers may be wrong about one another: two nodes that both
-//! reach a third may not reach each other. A node that believed others would remove peers it
-//! reaches, or call ones it doesn't. So the list and peers' words only name candidates; a peer is
-//! alive when a call of ours was answered lately, and stops being so when our calls fail.
+//! The platform's VM list lags, and peers may be wrong about one another: two nodes that both reach
+//! a third may not reach each other. A node that trusted such reports would drop peers that it
+//! reaches, or call peers that it doesn't. The VM list and the reports of peers therefore only
+//! supply candidates; a peer is alive when it has recently answered a call from this node, and
+//! stops being alive when calls from this node fail.
 //!
-//! Only a bounded view is called in turn, so the cost doesn't grow with the fleet.
+//! Only a view of bounded size is called in rotation, so the cost per node doesn't grow with the
+//! fleet.
 
 mod identity;
 mod joining;
@@ -33,17 +35,18 @@
 };
 use crate::tuning::Trust;
 
-/// How many peers of its own failure domain a node calls in turn.
+/// Maximum number of peers in the view from this node's own failure domain.
 const VIEW_SIZE_SAME_DOMAIN: usize = 6;
-/// How many peers of the site's other failure domains.
+/// Maximum number of peers in the view from other failure domains of this site.
 const VIEW_SIZE_SAME_SITE: usize = 6;
-/// How many peers of other sites, or of which nothing is known yet.
+/// Maximum number of peers in the view from other sites or from an unknown failure domain.
 const VIEW_SIZE_REMOTE: usize = 4;
-/// One peer of each full part of the view is exchanged after this many turns. With views that
-/// never change, a part of the fleet could end up in nobody else's view and miss every exchange.
+/// After this many calls, one peer in each full part of the view is replaced. If views never
+/// changed, some nodes could be in no other node's view and would miss every exchange.
 const CALLS_PER_SHUFFLE: u64 = 60;
 
-/// The process was replaced by a later one of the same VM, or has said that it leaves.
+/// The process has been replaced by a later one of the same VM, or has announced that it is
+/// leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a later process of this VM is known, or this one has left")]
 pub struct Stale;
@@ -79,7 +82,7 @@
 }
 
 impl Members {
-    /// No peers yet; `seed` feeds the choice of the view.
+    /// Creates an empty peer table. `seed` seeds the random selection of the view.
     pub fn new(own: Identity, trust: Trust, clock: Arc<dyn Clock>, seed: u64) -> Self {
         let state = Table {
             peers: BTreeMap::new(),
@@ -92,12 +95,12 @@
         Self { own, trust, clock, state: Mutex::new(state) }
     }
 
-    /// Who this node is.
+    /// The identity of this node.
     pub fn own_identity(&self) -> &Identity {
         &self.own
     }
 
-    /// Takes over a VM list. It makes no peer alive and removes none that answers.
+    /// Applies a new VM list. It marks no peer as alive and removes none that answers.
     pub fn update_vm_list(&self, vms: &[Vm]) {
         let mut state = self.state.lock();
         for peer in state.peers.values_mut() {
@@ -110,8 +113,9 @@
                 peer.domain = Some(vm.failure_domain.clone());
             }
         }
-        // A list read before this node's neighbours are on it doesn't name those that the settings
-        // do; without them the node would be alone until the next read.
+        // Seeds stay even if they are missing from the list: a list that was read before this
+        // node's neighbours were added to it would otherwise leave the node without peers until the
+        // next read.
         state.peers.retain(|_, it| it.is_listed || it.is_seed || it.in_view || it.is_alive);
     }
 
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Learns which failure domains belong to a site, from a configuration.
+    /// Records which failure domains belong to a site, as a configuration states them.
     pub fn add_site_domains<'a>(
         &self,
         site: &site::Id,
@@ -157,10 +161,10 @@
         }
     }
 
-    /// A call of ours to `addr` was answered by `identity`.
+    /// Records that `identity` answered a call from this node to `addr`.
     pub fn record_answer(&self, addr: SocketAddr, identity: &Identity) -> Result<(), Stale> {
         if identity.vm == self.own.vm {
-            // A seed may be this node's own address under another name.
+            // A seed may be another address of this node itself.
             self.state.lock().peers.remove(&addr);
             return Err(Stale);
         }
@@ -175,8 +179,8 @@
         Ok(())
     }
 
-    /// A peer called us. That it reaches us doesn't say that we reach it, so it's no more than a
-    /// candidate; but it's worth trying again at once.
+    /// Records a call from a peer. That the peer reaches this node doesn't prove the reverse, so
+    /// the peer is only a candidate, but if it was unreachable it may be called again at once.
     pub fn record_caller(&self, identity: &Identity) -> Result<(), Stale> {
         if identity.vm == self.own.vm {
             return if identity.incarnation == self.own.incarnation { Ok(()) } else { Err(Stale) };
@@ -192,15 +196,15 @@
         Ok(())
     }
 
-    /// A call of ours was answered by a peer that didn't say who it is. Failures before it don't
-    /// count any more: a few slow calls spread over many quick ones are no reason to drop a peer.
+    /// Records an answer that didn't identify the peer, and resets its failure count: a few
+    /// timeouts spread over many successful calls are no reason to drop a peer.
     pub fn reset_failures(&self, addr: SocketAddr) {
         if let Some(peer) = self.state.lock().peers.get_mut(&addr) {
             peer.failures = 0;
         }
     }
 
-    /// A call of ours failed.
+    /// Records that a call from this node failed.
     pub fn record_failure(&self, addr: SocketAddr) {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -208,7 +212,7 @@
         peer.record_failure(now);
     }
 
-    /// A peer says that it can't reach `addr`.
+    /// Records the report of a peer that it can't reach `addr`.
     pub fn record_unreachable_report(&self, addr: SocketAddr) {
         if self.trust == Trust::Own {
             return;
@@ -219,7 +223,7 @@
         }
     }
 
-    /// A peer said itself that it leaves.
+    /// Records that a peer has announced that it is leaving.
     pub fn record_departure(&self, identity: &Identity) {
         let mut state = self.state.lock();
         let departed = state.departed.entry(identity.vm.clone()).or_default();
@@ -227,8 +231,8 @@
         state.peers.remove(&identity.addr);
     }
 
-    /// The peer to call now: the parts of the view in turn, within each the one that failed
-    /// last time, or else the one that has waited longest.
+    /// The peer to call now. The parts of the view take turns; within a part, a peer whose last
+    /// call failed comes first, then the one that was called longest ago.
     pub fn next_peer(&self) -> Option<SocketAddr> {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -252,7 +256,7 @@
         })
     }
 
-    /// A few peers at random, for a start without a configuration.
+    /// Up to `n` random peers, to request the newest document from.
     pub fn random_peers(&self, n: usize) -> Vec<SocketAddr> {
         let mut state = self.state.lock();
         let mut candidates: Vec<_> = state.peers.keys().copied().collect();
@@ -273,8 +277,9 @@
         alive.filter_map(contact).collect()
     }
 
-    /// Peers that are alive, in other failure domains, best first: of this site, and then in an
-    /// order that is this node's own and stays the same, so that few peers hold its lines.
+    /// Live peers in other failure domains, best replica first: peers of this site before others,
+    /// those with fewer recent failures first, then by a hash that is specific to this node and
+    /// stable, so that few peers hold its lines.
     pub fn replica_candidates(&self) -> Vec<Identity> {
         let mut candidates: Vec<_> = self.alive();
         candidates.retain(|it| it.identity.domain != self.own.domain);
@@ -285,7 +290,7 @@
         interleave_domains(candidates.into_iter().map(|it| it.identity))
     }
 
-    /// An estimate of the nodes in the fleet, this one included.
+    /// An estimate of the number of nodes in the fleet, including this one.
     pub fn fleet_size(&self) -> usize {
         let state = self.state.lock();
         let n_listed = state.peers.values().filter(|it| it.is_listed).count();
@@ -293,8 +298,8 @@
         n_listed.max(n_alive) + 1
     }
 
-    /// An estimate of the live nodes in this site, this one included: those that are listed or
-    /// answered, without those that this node has found unreachable.
+    /// An estimate of the number of live nodes in this site, including this one: nodes that are
+    /// listed or have answered, except those that this node has found unreachable.
     pub fn site_nodes(&self) -> usize {
         let state = self.state.lock();
         let is_counted = |it: &&Peer| {
@@ -305,7 +310,7 @@
         state.peers.values().filter(is_counted).count() + 1
     }
 
-    /// What this node sees.
+    /// The fleet as this node sees it.
     pub fn view(&self) -> View {
         View {
             fleet: self.fleet_size(),
@@ -321,7 +326,7 @@
         state.peers.iter().filter(|(_, it)| it.retry_after.is_some()).map(|it| *it.0).collect()
     }
 
-    /// Whether a later process of this VM is known, or this one has left.
+    /// Whether a later process of this VM is known, or this process has left.
     pub fn is_replaced(&self, vm: &vm::Id, incarnation: vm::Incarnation) -> bool {
         let state = self.state.lock();
         state.incarnations.get(vm).is_some_and(|it| incarnation < *it)
@@ -363,8 +368,8 @@
     fn shuffle_view(&self, state: &mut Table, now: Instant) {
         for proximity in [Proximity::SameDomain, Proximity::SameSite, Proximity::Remote] {
             let has_proximity = |it: &Peer| self.proximity(&state.sites, it) == proximity;
-            // An unreachable peer is no spare. Taken for one, it would push a live peer out of
-            // the view without being able to take its place.
+            // An unreachable peer is not eligible: it would evict a live peer from the view without
+            // being able to replace it.
             let is_eligible = |it: &&Peer| has_proximity(it) && !it.in_view && it.may_call(now);
             let n_eligible = state.peers.values().filter(is_eligible).count();
             let view: Vec<_> = state
@@ -373,13 +378,13 @@
                 .filter(|(_, it)| has_proximity(it) && it.in_view)
                 .map(|it| *it.0)
                 .collect();
-            // A view with room takes in a spare without giving anybody up for it.
+            // A view with free slots takes in candidates without evicting a peer.
             if view.len() < proximity.view_size() || n_eligible == 0 {
                 continue;
             }
             let addr = view[state.rng.random_range(0..view.len())];
             if let Some(peer) = state.peers.get_mut(&addr) {
-                // It isn't called any more, so nothing would tell when it goes.
+                // The peer isn't called any more, so its failure would go unnoticed.
                 peer.in_view = false;
                 peer.is_alive = false;
             }
@@ -387,7 +392,7 @@
     }
 }
 
-/// Brings the first of each failure domain to the front.
+/// Moves the first node of each failure domain to the front.
 fn interleave_domains(nodes: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
     let mut ordered: Vec<Identity> = Vec::new();
     let mut rest = Vec::new();
