--- a/crates/curranthook_peers/src/member/identity.rs
+++ b/crates/curranthook_peers/src/member/identity.rs
@@ -1,27 +1,27 @@
-//! Who a node is.
+//! The identity of a node.
 
 use std::net::SocketAddr;
 
 use curranthook_types::{domain, site, vm};
 use serde::{Deserialize, Serialize};
 
-/// Who a node is, as it says itself.
+/// The identity of a node, as the node itself states it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Fields", into = "Fields")]
 pub struct Identity {
-    /// Its VM.
+    /// The VM of the node.
     pub vm: vm::Id,
-    /// Which process of that VM.
+    /// The process of that VM.
     pub incarnation: vm::Incarnation,
-    /// Where peers reach it.
+    /// The address at which peers reach the node.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// The failure domain of the node.
     pub domain: domain::Id,
-    /// Its site.
+    /// The site of the node.
     pub site: site::Id,
 }
 
-/// On the wire names would cost more than the values.
+/// Serialized as a tuple, because field names would take more bytes than the values.
 type Fields = (vm::Id, vm::Incarnation, SocketAddr, domain::Id, site::Id);
 
 impl From<Fields> for Identity {
