--- a/crates/curranthook_peers/src/member/joining.rs
+++ b/crates/curranthook_peers/src/member/joining.rs
@@ -1,14 +1,14 @@
-//! Whether a node that has started still has peers to meet.
+//! Whether a node that has just started still has peers to contact.
 
 use super::Members;
 
-/// With so many peers in other failure domains a node's bill lines are safe.
+/// With this many live peers in other failure domains, the bill lines of a node are safe.
 const MIN_REPLICAS: usize = 2;
 
 impl Members {
-    /// Whether too few peers are known to be alive and some have been neither met nor missed.
+    /// Whether too few live peers are known while some have not yet been called.
     ///
-    /// An answer given now would have its bill line on this VM alone.
+    /// The bill line of a response that is served now would be on this VM only.
     pub fn is_joining(&self) -> bool {
         if MIN_REPLICAS <= self.replica_candidates().len() {
             return false;
