--- a/crates/curranthook_peers/src/member/orphan_replicas.rs
+++ b/crates/curranthook_peers/src/member/orphan_replicas.rs
@@ -1,15 +1,15 @@
-//! Who keeps the bill lines of a VM that is gone.
+//! The nodes that keep the bill lines of a VM that is gone.
 
 use curranthook_types::vm;
 
 use super::{Identity, Members, interleave_domains, rendezvous_hash};
 
-/// How many nodes keep them.
+/// How many nodes keep the lines of a VM that is gone.
 const ORPHAN_REPLICAS: usize = 2;
 
 impl Members {
-    /// The nodes that keep the lines of `gone`, this one perhaps among them. Nodes that see the
-    /// same peers name the same ones, so lines don't spread over the fleet.
+    /// The nodes that keep the lines of `lost_vm`, possibly including this one. Nodes that see the
+    /// same peers select the same ones, so the lines don't spread over the fleet.
     pub fn orphan_replicas(&self, lost_vm: &vm::Id) -> Vec<Identity> {
         let mut candidates: Vec<_> = self.alive().into_iter().map(|it| it.identity).collect();
         candidates.push(self.own.clone());
