--- a/crates/curranthook_peers/src/member/table.rs
+++ b/crates/curranthook_peers/src/member/table.rs
@@ -1,4 +1,4 @@
-//! All peers that a node has heard of.
+//! The table of all known peers.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -11,36 +11,37 @@
 
 use crate::member::{Identity, Stale};
 
-/// Calls that fail in a row before a peer counts as unreachable. One may be bad luck.
+/// Consecutive failed calls after which a peer is unreachable. A single failure may be transient.
 const MAX_FAILURES: u32 = 2;
-/// How long an unreachable peer is left alone at first; doubles up to the longest.
+/// How long an unreachable peer is not called at first; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_secs(5);
-/// The longest time an unreachable peer is left alone.
+/// The longest time for which an unreachable peer is not called.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// How many candidates are remembered.
+/// How many peers and candidates are kept.
 const MAX_PEERS: usize = 4_096;
+
 #[derive(Debug, Default)]
 pub(super) struct Peer {
     pub(super) identity: Option<Identity>,
-    /// What the VM list says of its place, before it has answered.
+    /// The failure domain according to the VM list, until the peer has answered.
     pub(super) domain: Option<domain::Id>,
     pub(super) is_listed: bool,
-    /// Whether the settings name it.
+    /// Whether the settings name the peer as a seed.
     pub(super) is_seed: bool,
     pub(super) in_view: bool,
     pub(super) is_alive: bool,
     pub(super) failures: u32,
     pub(super) last_call: Option<Instant>,
-    /// When it may be last_call again, for an unreachable one.
+    /// For an unreachable peer: when it may be called again, and the current backoff.
     pub(super) retry_after: Option<(Instant, Duration)>,
 }
 
 #[derive(Debug)]
 pub(super) struct Table {
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
-    /// The highest incarnation met of each VM.
+    /// The highest incarnation seen of each VM.
     pub(super) incarnations: HashMap<vm::Id, vm::Incarnation>,
-    /// Processes that said they leave.
+    /// The last process of each VM that announced its departure.
     pub(super) departed: HashMap<vm::Id, vm::Incarnation>,
     pub(super) sites: HashMap<domain::Id, site::Id>,
     pub(super) n_calls: u64,
@@ -61,8 +62,8 @@
         is_older || self.departed.get(&identity.vm).is_some_and(|it| identity.incarnation <= *it)
     }
 
-    /// Direct contact. A replaced VM may keep its id and address while the old process still has
-    /// calls under way; those must not pass for the new one's.
+    /// Records direct contact with a process. A replaced VM may keep its id and address while the
+    /// old process still has calls in flight; those must not be attributed to the new process.
     pub(super) fn record_contact(&mut self, identity: &Identity) -> Result<(), Stale> {
         if self.is_stale(identity) {
             return Err(Stale);
