--- a/crates/curranthook_peers/src/member/view.rs
+++ b/crates/curranthook_peers/src/member/view.rs
@@ -1,4 +1,4 @@
-//! What a node sees of the fleet, for `/status`.
+//! The fleet as a node sees it, for `/status`.
 
 use std::net::SocketAddr;
 
@@ -9,20 +9,20 @@
 /// A peer that is alive.
 #[derive(Debug, Clone, Serialize)]
 pub struct Contact {
-    /// Who it is.
+    /// The identity of the peer.
     pub identity: Identity,
-    /// Calls to it that have failed since the last answer.
+    /// Calls to it that have failed since its last answer.
     pub failures: u32,
 }
 
-/// What a node sees of the fleet.
+/// The fleet as a node sees it.
 #[derive(Debug, Clone, Serialize)]
 pub struct View {
-    /// An estimate of the nodes in the fleet, this one included.
+    /// An estimate of the number of nodes in the fleet, including this one.
     pub fleet: usize,
-    /// An estimate of the live nodes in this site, this one included.
+    /// An estimate of the number of live nodes in this site, including this one.
     pub site_nodes: usize,
-    /// Peers that answered this node's calls lately.
+    /// Peers that recently answered calls from this node.
     pub alive: Vec<Contact>,
     /// Peers that this node can't reach.
     pub unreachable: Vec<SocketAddr>,
