--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: what a router embeds.
+//! A node: the part of the peer-to-peer layer that a router embeds.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -43,17 +43,17 @@
 /// What a node needs to start.
 #[derive(Debug)]
 pub struct Setup {
-    /// The VM's settings.
+    /// The settings of the VM.
     pub settings: Settings,
-    /// Which process of the VM this is.
+    /// The process of the VM.
     pub incarnation: vm::Incarnation,
-    /// Where peers reach it: the bound address, with its real port.
+    /// The address at which peers reach this node: the bound address, with its actual port.
     pub peer_addr: SocketAddr,
-    /// Where its tasks run.
+    /// The executor for the node's tasks.
     pub ex: runtime::Handle,
-    /// Connections to peers.
+    /// The connection pool for calls to peers.
     pub pool: Arc<Pool>,
-    /// Time.
+    /// The source of time.
     pub clock: Arc<dyn Clock>,
     /// The platform's table.
     pub table: Arc<dyn Table>,
@@ -61,26 +61,26 @@
     pub objects: Arc<dyn Objects>,
     /// The platform's list of VMs.
     pub vms: Arc<dyn Vms>,
-    /// Feeds the choice of peers and the jitter.
+    /// Seeds the random selection of peers.
     pub seed: u64,
 }
 
-/// What `/status` shows.
+/// The status that `/status` shows.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
     /// The epoch in force; zero for none.
     pub epoch: Epoch,
-    /// The peers.
+    /// The fleet as this node sees it.
     pub view: member::View,
-    /// This node's bill lines that aren't stored yet.
+    /// Bill lines of this node that aren't stored yet.
     pub journal_lines: usize,
-    /// Peers' bill lines kept here.
+    /// Bill lines of peers that this node keeps.
     pub replica_lines: usize,
     /// All counters.
     pub counters: BTreeMap<&'static str, u64>,
 }
 
-/// One of many nodes that act together.
+/// One node of the fleet.
 #[derive(Debug)]
 pub struct Node {
     pub(crate) setup: Setup,
@@ -98,9 +98,9 @@
     replicas: Replicas,
     /// Peers that hold lines of this node's journal.
     pub(crate) replica_holders: Mutex<BTreeSet<SocketAddr>>,
-    /// Which owners' lines were passed on to which processes.
+    /// Pairs of an owner that is gone and the process to which all its lines have been sent.
     pub(crate) replicated_orphans: Mutex<BTreeSet<(Origin, Origin)>>,
-    /// One fetch of a document at a time; peers often tell the same news at once.
+    /// Held during the fetch of a document; several peers often announce the same epoch at once.
     pub(crate) fetch_lock: async_lock::Mutex<()>,
     sequence: AtomicUsize,
     module: RpcModule<Weak<Self>>,
@@ -114,7 +114,7 @@
         Self::start_with(setup, Tuning::default())
     }
 
-    /// Starts a node that differs from the usual one.
+    /// Starts a node with a tuning other than the default.
     pub fn start_with(setup: Setup, tuning: Tuning) -> Arc<Self> {
         let node = Arc::new_cyclic(|weak| Self::new(setup, tuning, weak));
         for addr in &node.setup.settings.seeds {
@@ -161,43 +161,45 @@
         }
     }
 
-    /// The newest document that this node knows. It never goes back to a lower epoch.
+    /// The newest document that this node knows. Its epoch never decreases.
     pub fn document(&self) -> Option<Arc<Document>> {
         self.documents.document()
     }
 
-    /// Waits for a document of a higher epoch than `after`.
+    /// Waits for a document with a higher epoch than `after`.
     pub async fn next_document(&self, after: Epoch) -> Arc<Document> {
         self.documents.wait_for_newer(after).await
     }
 
-    /// Answers a peer's call. The router's peer listener hands over every call to [`rpc::PATH`].
+    /// Answers a peer's call. The router's peer listener passes every call of [`rpc::PATH`] to
+    /// this.
     pub async fn handle(&self, head: &http::request::Parts, body: Bytes) -> http::Response<Body> {
         rpc::handle(self, &self.module, head, &body).await
     }
 
-    /// Takes over a document that came another way than from the table or a peer, if its epoch
-    /// is higher, and says whether it did.
+    /// Installs a document that came from elsewhere than the table or a peer, if its epoch is
+    /// higher, and returns whether it did.
     pub fn offer(&self, document: Document) -> bool {
         self.documents.offer(document, None)
     }
 
-    /// Asks a few peers for a newer document, after a pause in which none could come.
+    /// Requests a newer document from a few peers, after a period in which none could arrive.
     pub async fn refresh(&self) {
         task::documents::refresh(self).await;
     }
 
-    /// Meets the next peer ahead of its round, with news that can't wait.
+    /// Makes an exchange with the next peer at once, for updates that can't wait for the next
+    /// interval.
     pub async fn exchange(&self) {
         task::gossip::exchange(self).await;
     }
 
-    /// Who this node is to its peers.
+    /// The identity of this node.
     pub fn identity(&self) -> &Identity {
         self.members.own_identity()
     }
 
-    /// This node's bill lines.
+    /// The journal of this node's bill lines.
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
@@ -207,7 +209,7 @@
         &self.evidence
     }
 
-    /// Requests that take endpoints down.
+    /// Requests that crash endpoints.
     pub fn poison(&self) -> &Poison {
         &self.poison
     }
@@ -217,37 +219,37 @@
         &self.suspects
     }
 
-    /// Demand for each account.
+    /// Demand by account.
     pub fn demand(&self) -> &Demand {
         &self.demand
     }
 
-    /// An estimate of the live nodes in this site, this one included.
+    /// An estimate of the number of live nodes in this site, including this one.
     pub fn site_nodes(&self) -> usize {
         self.members.site_nodes()
     }
 
-    /// This node's part of the account's limit, from 0 to 1.
+    /// This node's share of the account's limit, from 0 to 1.
     pub fn share(&self, account: &account::Id) -> f64 {
         self.demand.share(account, self.site_nodes())
     }
 
-    /// Whether it has just started and still has peers to meet.
+    /// Whether the node has just started and still has peers to contact.
     pub fn is_joining(&self) -> bool {
         self.members.is_joining()
     }
 
-    /// What this node sees of the fleet.
+    /// The fleet as this node sees it.
     pub fn view(&self) -> member::View {
         self.members.view()
     }
 
-    /// What this node did and met.
+    /// The counters of this node.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// What `/status` shows.
+    /// The status that `/status` shows.
     pub fn status(&self) -> Status {
         Status {
             epoch: self.epoch(),
@@ -258,13 +260,13 @@
         }
     }
 
-    /// Hands the journal over, tells the peers and stops the tasks.
+    /// Hands over the journal, announces the departure to the peers and stops the tasks.
     pub async fn leave(&self) {
         task::leave(self).await;
         self.stop.0.set();
     }
 
-    /// Stops the tasks and tells nobody, as when the process is killed. For tests.
+    /// Stops the tasks without telling the peers, as if the process had been killed. For tests.
     pub fn kill(&self) {
         self.stop.0.set();
     }
@@ -285,9 +287,9 @@
         !self.tuning.disabled.contains(&mechanism)
     }
 
-    /// What a peer that has epoch `peer_epoch` gets.
+    /// The transfer for a peer that has epoch `peer_epoch`.
     pub(crate) fn transfer(&self, peer_epoch: Epoch) -> Transfer {
-        // A peer's epoch of zero asks for the whole.
+        // An epoch of zero requests the full document.
         let is_newer = peer_epoch < self.epoch();
         let base = if self.is_enabled(Mechanism::Delta) || !is_newer {
             peer_epoch
@@ -321,7 +323,7 @@
         self.sequence.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A peer said that it has `epoch`; if that's newer, it's fetched.
+    /// Fetches `epoch`, which a peer has announced, if it is newer than this node's.
     pub(crate) fn fetch_if_newer(&self, addr: SocketAddr, epoch: Epoch) {
         if epoch <= self.epoch() {
             return;
@@ -332,13 +334,13 @@
         }
     }
 
-    /// A peer said itself that it leaves.
+    /// Records that a peer has announced that it is leaving.
     pub(crate) fn peer_left(&self, identity: &Identity) {
         self.members.record_departure(identity);
         self.demand.remove(&identity.vm);
     }
 
-    /// Calls a peer; whether it answered is noted.
+    /// Calls a peer and records whether it answered.
     pub(crate) async fn call<R: DeserializeOwned + Clone + 'static>(
         &self,
         addr: SocketAddr,
@@ -353,7 +355,7 @@
             counters: &self.counters,
         };
         let result = client.call(addr, method, param, timeout).await;
-        // A refusal is an answer; anything else says that the peer can't be used.
+        // A rejection is still an answer; any other error means that the peer can't be used.
         match result {
             Ok(_) | Err(rpc::Error::Refused(_)) => self.members.reset_failures(addr),
             Err(_) => self.members.record_failure(addr),
