--- a/crates/curranthook_peers/src/poison.rs
+++ b/crates/curranthook_peers/src/poison.rs
@@ -1,10 +1,10 @@
-//! Requests that take endpoints down.
+//! Requests that crash the endpoints that run them.
 //!
-//! Now and then one request crashes each endpoint that runs it, and its caller sends it again,
-//! perhaps over another router. One notices endpoints dying one after the other. The body's
-//! fingerprint is charged with each endpoint that died under it; after two it is refused
-//! everywhere, because charges travel with the digest. The policy's [`Register`] decides; this
-//! adds the clock and the form in which charges travel.
+//! A request may crash every endpoint that runs it, and its caller may retry it, possibly through
+//! another router; endpoints then crash one after the other. Each crash is recorded under the
+//! fingerprint of the request body. After two endpoints the request is rejected by all nodes,
+//! because the records travel with the digest. The [`Register`] of the policy crate decides; this
+//! module adds the clock and the wire format.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -17,8 +17,8 @@
 /// How many fingerprints are kept.
 const MAX_FINGERPRINTS: usize = 1_024;
 
-/// A charge as a digest carries it: fingerprint, endpoints, time of the first charge in
-/// milliseconds since 1970, whether it stands.
+/// A record as it appears in a digest: fingerprint, endpoints, time of the first crash in
+/// milliseconds since 1970, and whether the record is still active.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(
@@ -28,7 +28,7 @@
     pub State,
 );
 
-/// The fingerprints charged lately.
+/// The fingerprints with recent crashes.
 #[derive(Debug)]
 pub struct Poison {
     clock: Arc<dyn Clock>,
@@ -36,28 +36,28 @@
 }
 
 impl Poison {
-    /// No charges yet.
+    /// Creates an empty set.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self { clock, register: Mutex::new(Register::new(MAX_FINGERPRINTS)) }
     }
 
-    /// Charges a fingerprint with an endpoint that died under it.
+    /// Records that an endpoint crashed while it ran the request.
     pub fn record_crash(&self, fingerprint: Fingerprint, endpoint: &endpoint::Id) {
         self.register.lock().record_crash(fingerprint, endpoint, self.clock.now());
     }
 
-    /// Takes a fingerprint's charges back: an endpoint answered the request, so those that died
-    /// had another cause, such as a restart.
+    /// Clears the record of a fingerprint: an endpoint has answered the request, so the crashes had
+    /// another cause, such as a restart.
     pub fn clear(&self, fingerprint: &Fingerprint) {
         self.register.lock().clear(*fingerprint);
     }
 
-    /// Whether enough endpoints died under it.
+    /// Whether enough endpoints have crashed under the request.
     pub fn is_poison(&self, fingerprint: &Fingerprint) -> bool {
         self.register.lock().is_poison(*fingerprint, self.clock.now())
     }
 
-    /// Takes in a peer's charge.
+    /// Merges a peer's record.
     pub fn merge(&self, entry: &Entry) {
         let Entry(fingerprint, endpoints, at_millis, state) = entry.clone();
         let age = Duration::from_millis(self.clock.unix_millis().saturating_sub(at_millis));
@@ -65,7 +65,7 @@
         self.register.lock().merge([entry], self.clock.now());
     }
 
-    /// The `n` latest charges, beginning after the first `skip`.
+    /// The `n` most recent records after the first `skip`.
     pub fn recent_entries(&self, skip: usize, n: usize) -> Vec<Entry> {
         let now_millis = self.clock.unix_millis();
         let mut live = self.register.lock().export(self.clock.now());
