--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -1,8 +1,9 @@
 //! Bill lines that this node keeps for peers until they are stored.
 //!
-//! When the owner's VM is lost between an answer and the next put, its lines are nowhere else.
-//! A replica notices by the owner's silence and stores them itself. Should the owner be alive
-//! after all, the store holds each line twice at most under names that tell so.
+//! If the owner's VM is lost between a response and the next put, its lines exist on its replicas
+//! only. A replica detects this by the silence of the owner and stores the lines itself. If the
+//! owner is alive after all, the store holds each line at most twice, under names that identify the
+//! duplicates.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -27,35 +28,36 @@
     store,
 };
 
-/// How many bytes of peers' lines are kept; past it new ones are refused, and their owner turns
-/// to another peer or the store.
+/// How many bytes of peers' lines are kept. Above it new lines are rejected, and their owner tries
+/// another peer or the store.
 const MAX_BYTES: usize = 32 * 1024 * 1024;
 /// How many lines go into one object.
 const MAX_LINES_PER_OBJECT: usize = 2_000;
-/// Puts a second by all nodes together; the platform gives several hundred.
+/// Puts per second by all nodes together; the platform allows several hundred.
 pub const MAX_FLEET_PUTS_PER_SECOND: f64 = 100.0;
-/// How long an owner may be silent while the store is thought to work.
+/// How long an owner may be silent while the store is believed to be up.
 const SHORT_OWNER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// An owner that missed so many flushes counts as silent.
+/// An owner that missed this many flushes counts as silent.
 const MAX_MISSED_FLUSHES: u32 = 3;
-/// How long an origin without lines is remembered, so that a batch that arrives late isn't kept
-/// anew.
+/// How long an owner without lines is remembered, so that a batch that arrives late isn't kept
+/// again.
 const OWNER_RETENTION: Duration = Duration::from_secs(300);
 
-/// Lines for a replica to keep.
+/// Bill lines for a replica to keep.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Batch {
-    /// Whose lines.
+    /// The owner of the lines.
     pub origin: Origin,
-    /// All lines below this one are stored and can be dropped.
+    /// All lines below this sequence number are stored and can be dropped.
     pub stored_below: u64,
     /// The sequence number of the first line.
     pub first: u64,
-    /// The lines; none, when this only tells what is stored and that the owner lives.
+    /// The lines; empty in a heartbeat, which only tells what is stored and that the owner is
+    /// alive.
     pub lines: Vec<Line>,
 }
 
-/// There is no memory for more.
+/// The memory limit for lines of peers is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no room for more lines")]
 pub struct Full;
@@ -84,7 +86,7 @@
 }
 
 impl Replicas {
-    /// None yet. An owner that is silent for `silence` is taken for gone.
+    /// Creates an empty set. An owner that is silent for `owner_timeout` is presumed lost.
     pub fn new(clock: Arc<dyn Clock>, counters: Arc<Counters>, owner_timeout: Duration) -> Self {
         Self {
             clock,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Keeps a batch and drops what its owner has stored.
+    /// Keeps a batch and drops the lines that its owner has stored.
     pub fn insert(&self, batch: Batch) -> Result<(), Full> {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -112,7 +114,7 @@
         owner.last_heard = now;
         owner.stored_below = owner.stored_below.max(batch.stored_below);
         for (sequence, line) in (batch.first..).zip(batch.lines) {
-            // A batch that was overtaken by the news of its storage isn't kept again.
+            // A batch that arrives after the message that its lines are stored isn't kept.
             if owner.stored_below <= sequence && !owner.lines.contains_key(&sequence) {
                 *n_bytes += estimated_size(&line);
                 owner.lines.insert(sequence, line);
@@ -130,7 +132,7 @@
     }
 
     /// Stores the lines of owners that left, were replaced or have been silent too long, and
-    /// says whether all could be stored.
+    /// returns whether all could be stored.
     pub async fn store_orphans(&self, members: &Members, objects: &dyn Objects) -> bool {
         for (origin, lines) in self.orphaned_lines(members) {
             for (first, lines) in store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT) {
@@ -148,7 +150,7 @@
         true
     }
 
-    /// All lines kept, in batches, for a node that leaves and hands them to other peers.
+    /// All lines kept, in batches, for a leaving node that hands them to other peers.
     pub fn batches(&self) -> Vec<Batch> {
         let state = self.state.lock();
         let lines = state.owners.iter().map(|(origin, it)| (origin.clone(), it.lines.clone()));
@@ -165,7 +167,7 @@
         batches_by_owner.collect()
     }
 
-    /// Stores everything, for a node that leaves; the owners' other replicas may do it too.
+    /// Stores all lines of a leaving node; the owners' other replicas may do so too.
     pub async fn flush(&self, objects: &dyn Objects) {
         let all: Vec<_> = {
             let state = self.state.lock();
@@ -183,13 +185,14 @@
 
     fn orphaned_lines(&self, members: &Members) -> Vec<(Origin, BTreeMap<u64, Line>)> {
         let now = self.clock.now();
-        // Owners flush less often in a large fleet. Replicas that didn't wait for that would
-        // store every line of the fleet three times.
+        // Owners flush less often in a large fleet. If replicas didn't allow for that, every line
+        // of the fleet would be stored three times.
         let flush_interval =
             Duration::from_secs_f64(members.fleet_size() as f64 / MAX_FLEET_PUTS_PER_SECOND);
         let base_timeout = match self.is_store_down.load(Ordering::Relaxed) {
             true => self.owner_timeout,
-            // Storing lines twice is harmless, and each second counts when VMs are lost together.
+            // Storing lines twice is harmless, and each second counts when several VMs are lost at
+            // once.
             false => self.owner_timeout.min(SHORT_OWNER_TIMEOUT),
         };
         let timeout = base_timeout.max(flush_interval * MAX_MISSED_FLUSHES);
@@ -220,7 +223,7 @@
 
 fn batches(origin: &Origin, lines: BTreeMap<u64, Line>) -> Vec<Batch> {
     let to_batch = |(first, lines)| {
-        // What is stored below is the owner's to say; a lower bound does no harm.
+        // Only the owner knows what is stored; a lower bound does no harm.
         Batch { origin: origin.clone(), stored_below: 0, first, lines }
     };
     store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT)
@@ -229,7 +232,7 @@
         .collect()
 }
 
-/// About how many bytes a line takes in memory.
+/// Approximately how many bytes a line takes in memory.
 pub fn estimated_size(line: &Line) -> usize {
     const MAP_ENTRY_BYTES: usize = 64;
     size_of::<Line>()
