--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -11,8 +11,9 @@
 //! | `fleet` | null | about how many nodes there are |
 //! | `origins` | null | list of version, [`Origin`] and [`Counts`] |
 //!
-//! A call carries its time and a MAC over time and body; the answer a MAC over the call's MAC
-//! and the body, so that a process at a forerunner's address can't pass for it.
+//! A call carries its time and a MAC over time and body. The answer carries a MAC over the call's
+//! MAC and the answer's body, so that another process at the address of a former peer can't
+//! impersonate it.
 
 use std::{net::SocketAddr, sync::Weak, time::Duration};
 
@@ -40,14 +41,14 @@
 
 /// The path of all calls.
 pub const PATH: &str = "/rpc";
-/// The largest call that is read, in bytes.
+/// The largest call that is accepted, in bytes.
 pub const MAX_CALL_BYTES: usize = 2 * 1024 * 1024;
-/// How long a small call may take. A frozen peer holds up one round, no more.
+/// How long a small call may take. A frozen peer delays a node by one exchange at most.
 pub const TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a document may take.
+/// How long the transfer of a document may take.
 pub const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// About the bytes of the head of a call and of an answer, as `hyper` writes them.
+/// Approximate bytes of the HTTP head of a call and of an answer, as `hyper` writes them.
 const CALL_HEAD_BYTES: usize = 165;
 const ANSWER_HEAD_BYTES: usize = 140;
 
@@ -55,10 +56,10 @@
 const FULL_CODE: i32 = 2;
 const STOPPED_CODE: i32 = 3;
 
-/// The caller has a newer epoch.
+/// Announces that the sender has a newer epoch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Who has it.
+    /// The sender.
     #[serde(rename = "i")]
     pub from: Identity,
     /// The epoch.
@@ -66,24 +67,24 @@
     pub epoch: Epoch,
 }
 
-/// Why a call brought no result.
+/// Why a call returned no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No answer.
+    /// There was no usable answer.
     #[error(transparent)]
     Transport(#[from] crate::transport::Error),
-    /// The answer isn't a peer's.
+    /// The answer's MAC is wrong, so it isn't from a peer.
     #[error("the answer's MAC is wrong")]
     InvalidMac,
-    /// The peer refused.
+    /// The peer rejected the call.
     #[error("the peer refused: {0}")]
     Refused(String),
-    /// The answer can't be read.
+    /// The answer can't be parsed.
     #[error("the answer can't be read: {0}")]
     Malformed(String),
 }
 
-/// What a call is counted as.
+/// The kind of traffic as which a call is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Traffic {
     Control,
@@ -111,13 +112,13 @@
 /// Calls peers.
 #[derive(Debug)]
 pub struct Client<'a> {
-    /// The way to them.
+    /// The transport to the peers.
     pub transport: &'a dyn Transport,
     /// The key that all nodes share.
     pub key: &'a auth::Key,
-    /// The wall clock, in milliseconds since 1970.
+    /// The wall-clock time, in milliseconds since 1970.
     pub now_millis: u64,
-    /// Where traffic is counted.
+    /// The counters of the traffic.
     pub counters: &'a Counters,
 }
 
