--- a/crates/curranthook_peers/src/store.rs
+++ b/crates/curranthook_peers/src/store.rs
@@ -1,14 +1,14 @@
-//! Bill lines in the object store.
+//! Writing bill lines to the object store.
 
 use curranthook_platform::{Error, Objects, Write};
 use curranthook_types::bill::{Line, Origin, Segment};
 
-/// Stores lines that follow one another from sequence number `first` on.
+/// Stores consecutive lines that start at sequence number `first`.
 ///
-/// Owner and replicas may store the same lines, and not cut them alike: a replica may have got
-/// fewer. Whoever comes second finds the key taken. Were that taken for success, the lines
-/// beyond the shorter object would be lost; so the object is read, and what it lacks goes under
-/// the key of the first missing line.
+/// The owner and its replicas may store the same lines in different segments, since a replica may
+/// have received fewer. Whoever writes second finds the key taken. If that counted as success,
+/// lines beyond a shorter object would be lost, so the object is read and the lines that it lacks
+/// are stored under the key of the first missing line.
 pub async fn put(
     objects: &dyn Objects,
     origin: &Origin,
@@ -41,7 +41,7 @@
     Ok(stored.lines.len())
 }
 
-/// Splits lines by sequence number into runs without a gap, each of at most `max` lines.
+/// Splits lines by sequence number into runs without gaps, each of at most `max` lines.
 pub fn contiguous_runs(
     lines: impl Iterator<Item = (u64, Line)>,
     max: usize,
