--- a/crates/curranthook_peers/src/suspect.rs
+++ b/crates/curranthook_peers/src/suspect.rs
@@ -1,7 +1,7 @@
-//! Versions that some node's own test found bad.
+//! Versions that the health check of some node has found bad.
 //!
-//! A version can turn bad while serving. Until a steward has withdrawn it for all, the node that
-//! noticed first tells its peers, which then stop using it too.
+//! A version can turn bad while it is serving. Until a steward has withdrawn it for all nodes, the
+//! node that noticed first tells its peers, which then stop using it too.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -10,16 +10,16 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// How long a declaration holds unless it's made again.
+/// How long a declaration is valid unless it is repeated.
 const DECLARATION_TTL: Duration = Duration::from_secs(600);
 /// How many versions can be suspect at once.
 const MAX_SUSPECTS: usize = 64;
 
-/// A declaration as a digest carries it: the version and the time, in milliseconds since 1970.
+/// A declaration as it appears in a digest: the version and the time, in milliseconds since 1970.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub version::Id, pub u64);
 
-/// The versions declared suspect lately.
+/// The versions that were recently declared suspect.
 #[derive(Debug)]
 pub struct Suspects {
     clock: Arc<dyn Clock>,
@@ -27,17 +27,17 @@
 }
 
 impl Suspects {
-    /// None yet.
+    /// Creates an empty set.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self { clock, declared_at_millis: Mutex::default() }
     }
 
-    /// Declares a version suspect from now on.
+    /// Declares a version suspect as of now.
     pub fn declare(&self, version: &version::Id) {
         self.merge(&Entry(version.clone(), self.clock.unix_millis()));
     }
 
-    /// Whether a node declared it suspect, and that holds.
+    /// Whether a node has declared the version suspect and the declaration is still valid.
     pub fn contains(&self, version: &version::Id) -> bool {
         let now = self.clock.unix_millis();
         self.declared_at_millis
@@ -46,7 +46,7 @@
             .is_some_and(|at_millis| !is_expired(*at_millis, now))
     }
 
-    /// Takes in a peer's declaration.
+    /// Merges a peer's declaration.
     pub fn merge(&self, entry: &Entry) {
         let now = self.clock.unix_millis();
         let Entry(version, at_millis) = entry;
@@ -61,7 +61,8 @@
         *known = (*known).max((*at_millis).min(now));
     }
 
-    /// Forgets what the document withdraws, as that is stronger, and what expired.
+    /// Removes versions that the document withdraws, since withdrawal is the stronger measure, and
+    /// declarations that have expired.
     pub fn prune(&self, document: &Document) {
         let now = self.clock.unix_millis();
         let mut declarations = self.declared_at_millis.lock();
@@ -70,7 +71,7 @@
         });
     }
 
-    /// All that hold.
+    /// All declarations that are still valid.
     pub fn active_entries(&self) -> Vec<Entry> {
         let now = self.clock.unix_millis();
         let declarations = self.declared_at_millis.lock();
