--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -1,4 +1,4 @@
-//! What a node does by itself.
+//! Background tasks of a node.
 
 pub(crate) mod documents;
 pub(crate) mod gossip;
@@ -13,15 +13,16 @@
 
 use crate::{member::Identity, node::Node, rpc};
 
-/// How long a leaving node goes on trying to store its lines before it hands them to peers.
+/// How long one attempt of a leaving node to store its lines may take before it hands them to
+/// peers.
 const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a leaving node looks for someone to take its lines; with the store out and no peer
-/// in reach they are lost after that.
+/// How long a leaving node tries to hand over its lines; if the store is down and no peer is
+/// reachable, they are lost after that.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause between two looks.
+/// The pause between two attempts to hand over lines.
 const HANDOVER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How far pauses are stretched or shortened, so that nodes started together don't all
-/// call at once.
+/// The largest relative deviation of a pause from its nominal length, so that nodes that were
+/// started together don't all call at once.
 const JITTER_RATIO: f64 = 0.2;
 
 /// Starts all tasks; each ends when the node stops.
@@ -45,13 +46,13 @@
     node.setup.ex.spawn(future::or(async move { stop.wait().await }, task)).detach();
 }
 
-/// Waits for about `pause`.
+/// Sleeps for `duration`, with jitter.
 pub(crate) async fn sleep_with_jitter(duration: Duration) {
     let factor = rand::rng().random_range(1.0 - JITTER_RATIO..=1.0 + JITTER_RATIO);
     Timer::after(duration.mul_f64(factor)).await;
 }
 
-/// Hands everything over.
+/// Hands over all bill lines and announces the departure to the peers.
 pub(crate) async fn leave(node: &Node) {
     let start = node.setup.clock.now();
     while !is_handed_over(node).await {
@@ -61,7 +62,7 @@
             log::error!("{n_lines} bill lines reached neither the store nor a peer");
             break;
         }
-        // Peers that were started a moment ago may not have been met yet.
+        // Peers that started recently may not have been contacted yet.
         gossip::exchange(node).await;
         sleep_with_jitter(HANDOVER_RETRY_INTERVAL).await;
     }
@@ -74,7 +75,8 @@
     join_all(calls).await;
 }
 
-/// Stores all lines or, while the store is out, brings them to peers.
+/// Stores all lines or, while the store is down, replicates them to peers. Returns whether no line
+/// is on this node only.
 async fn is_handed_over(node: &Node) -> bool {
     let objects = &*node.setup.objects;
     let flush = async {
@@ -92,7 +94,7 @@
     let _best_effort = node.call::<()>(peer.addr, "leaving", &own, rpc::TIMEOUT).await;
 }
 
-/// Runs futures side by side and gives their results in order.
+/// Runs futures concurrently and returns their outputs in order.
 pub(crate) async fn join_all<F: Future>(futures: impl Iterator<Item = F>) -> Vec<F::Output> {
     let mut running: Vec<_> = futures.map(|it| (Box::pin(it), None)).collect();
     future::poll_fn(|cx| {
