--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -1,4 +1,4 @@
-//! Bringing the newest document here and passing the announcement on.
+//! Fetching the newest document and announcing it to peers.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,15 +14,16 @@
     tuning::Mechanism,
 };
 
-/// Reads of the table a second by all nodes together; the platform gives about two thousand.
+/// Reads of the table per second by all nodes together; the platform allows about two thousand.
 const MAX_FLEET_READS_PER_SECOND: f64 = 200.0;
-/// How many peers are targets of an epoch at once, by a node that has it from the table. The others
-/// leave it to the next exchange: by then most know, and telling them would cost bytes only.
+/// How many peers a node that read a new epoch from the table announces it to at once. The others
+/// wait for their next exchange: by then most have the epoch, and announcing it further would only
+/// cost bytes.
 const ANNOUNCEMENT_FANOUT: usize = 2;
-/// How many peers are requests by a node that starts without a document.
+/// How many peers are asked for the full document at once, at the start of a node or by `refresh`.
 const QUERY_FANOUT: usize = 4;
 
-/// Reads the table, at a rate that doesn't grow with the fleet.
+/// Polls the table, at a total rate that doesn't grow with the fleet.
 pub(crate) async fn poll_table(node: Arc<Node>) {
     loop {
         read_table(&node).await;
@@ -61,8 +62,9 @@
     }
 }
 
-/// Takes the highest epoch of a few peers. Taking the first answer would start with an old
-/// configuration when that peer has been cut off; the platform may be out and set nothing right.
+/// Gets a first document: the one with the highest epoch among a few peers. Using the first answer
+/// could start the node with an old configuration if that peer has been cut off, and during an
+/// outage of the platform nothing would correct it.
 pub(crate) async fn bootstrap(node: Arc<Node>) {
     while node.document().is_none() {
         let requests = node.members().random_peers(QUERY_FANOUT);
@@ -80,8 +82,9 @@
     node.call(addr, "document", &none, rpc::DOCUMENT_TIMEOUT).await.ok()
 }
 
-/// Asks a few peers for the whole document and takes each newer one over as it comes: what is
-/// in force is old already, and a peer that is gone mustn't hold back the others' announcement.
+/// Requests the full document from a few peers and applies each newer one as it arrives: the
+/// configuration in force is already old, and a peer that is gone must not delay the answers of the
+/// others.
 pub(crate) async fn refresh(node: &Node) {
     let requests = node.members().random_peers(QUERY_FANOUT).into_iter().map(|addr| async move {
         if let Some(transfer) = request_document(node, addr).await {
@@ -91,11 +94,11 @@
     join_all(requests).await;
 }
 
-/// Fetches what is missing up to `epoch` from a peer that has it.
+/// Fetches the changes up to `epoch` from a peer that has it.
 pub(crate) async fn fetch(node: &Node, addr: SocketAddr, epoch: Epoch) {
     let _fetch_guard = node.fetch_lock.lock().await;
     let own_epoch = node.epoch();
-    // The first document comes from several peers, by `bootstrap`.
+    // The first document comes from several peers, through `bootstrap`.
     if own_epoch == Epoch::default() || epoch <= own_epoch {
         return;
     }
@@ -109,7 +112,7 @@
     }
 }
 
-/// Applies a transfer; `false` if it doesn't fit and the whole is needed.
+/// Applies a transfer. Returns `false` if the delta doesn't match and the full document is needed.
 pub(crate) fn apply_transfer(node: &Node, transfer: Transfer) -> bool {
     let counters = node.counters();
     let counter = match transfer {
@@ -149,6 +152,6 @@
     alive.rotate_left(start);
     let targets = alive.iter().take(ANNOUNCEMENT_FANOUT).map(|it| it.identity.addr);
     let calls = targets.map(|addr| node.call::<()>(addr, "news", &announcement, rpc::TIMEOUT));
-    // A peer that misses the announcement gets the epoch by an exchange or from the table.
+    // A peer that misses the announcement gets the epoch in an exchange or from the table.
     let _best_effort = join_all(calls).await;
 }
