--- a/crates/curranthook_peers/src/task/gossip.rs
+++ b/crates/curranthook_peers/src/task/gossip.rs
@@ -1,4 +1,4 @@
-//! One exchange a round, and the VM list now and then.
+//! Periodic exchanges with peers and polling of the VM list.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,18 +15,19 @@
 
 /// The shortest time between reads of the VM list.
 const MIN_LIST_INTERVAL: Duration = Duration::from_secs(10);
-/// The time between reads for each VM listed. An entry takes about 120 bytes, so reading costs a
-/// node 200 bytes a second whatever the fleet's size; in between, peers name each other.
+/// The time between reads per VM on the list. An entry takes about 120 bytes, so reading costs a
+/// node 200 bytes per second whatever the size of the fleet; between reads, peers name each other.
 const LIST_INTERVAL_PER_VM: Duration = Duration::from_millis(600);
-/// The pause after a read that failed or that showed no other node.
+/// The pause after a read that failed or that listed no other node.
 const LIST_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// For this long after the start peers are met in quick turn.
+/// How long after its start a node contacts peers at [`JOIN_INTERVAL`].
 const JOIN_PERIOD: Duration = Duration::from_secs(5);
-/// The pause between two meetings then.
+/// The pause between two exchanges of a node that is joining.
 const JOIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Meets the first peers. At one a round it would be seconds until bill lines have two copies.
+/// Contacts the first peers. At the usual interval it would take seconds until bill lines have two
+/// copies.
 pub(crate) async fn join(node: Arc<Node>) {
     let start = node.setup.clock.now();
     while node.setup.clock.now().saturating_duration_since(start) < JOIN_PERIOD {
@@ -37,7 +38,7 @@
     }
 }
 
-/// Makes exchanges.
+/// Makes an exchange at each interval.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut last = node.setup.clock.now();
     loop {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Calls the next peer whose turn it is.
+/// Makes an exchange with the next peer of the view.
 pub(crate) async fn exchange(node: &Node) {
     let Some(addr) = node.members().next_peer() else { return };
     let ours = digest::build(node);
@@ -74,7 +75,7 @@
     }
 }
 
-/// Reads the VM list.
+/// Reads the VM list periodically.
 pub(crate) async fn poll_vm_list(node: Arc<Node>) {
     loop {
         match node.setup.vms.all().await {
@@ -82,8 +83,8 @@
                 vms.retain(|it| it.role == Role::Entry);
                 node.members().update_vm_list(&vms);
                 if vms.len() < 2 {
-                    // The list lags behind a site that just started. A node that took this for
-                    // the whole truth would tell nobody anything until the next read.
+                    // The list lags behind a site that has just started. A node that waited for the
+                    // usual interval would contact no peer until the next read.
                     sleep_with_jitter(LIST_RETRY_INTERVAL).await;
                     continue;
                 }
