--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -1,4 +1,4 @@
-//! Bringing bill lines to peers and into the store.
+//! Replicating bill lines to peers and writing them to the object store.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,22 +14,22 @@
     task::{join_all, sleep_with_jitter},
 };
 
-/// How long lines are gathered while earlier ones are on their way to the peers. Callers wait for
-/// this, so a line that finds none on its way goes at once: each in a call of its own while there
-/// are few, many in one call while there are many.
+/// How long lines are collected into a batch while earlier lines are in flight to the peers.
+/// Callers wait for this, so a line that finds none in flight is sent at once: under low load each
+/// line gets a call of its own, under high load one call carries many.
 const BATCH_DELAY: Duration = Duration::from_millis(1);
 /// How many peers hold each line.
 const REPLICATION_FACTOR: usize = 2;
-/// How long lines that are with this node alone are held for a peer or the store to come back.
+/// How long to retry for lines that are on this node only, until a peer or the store is back.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
-/// The pause between two attempts then.
+/// The pause between two retries.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The time between looks for silent owners.
+/// The time between checks for silent owners.
 const ORPHAN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends new lines to peers.
 pub(crate) async fn replicate(node: Arc<Node>) {
-    // Each group on its way holds a clone.
+    // Each group in flight holds a clone.
     let in_flight = Arc::new(());
     loop {
         node.journal().wait_for_lines().await;
@@ -38,7 +38,7 @@
         }
         let Some(group) = node.journal().take_group() else { continue };
         let node = Arc::clone(&node);
-        // A frozen peer must not hold up the lines that come after these.
+        // A frozen peer must not delay the lines that come after these.
         let (ex, in_flight_guard) = (Arc::clone(&node.setup.ex), Arc::clone(&in_flight));
         ex.spawn(async move {
             replicate_group(&node, group).await;
@@ -57,11 +57,11 @@
     group.close(durability, node.counters());
 }
 
-/// Brings lines to safety and tries again for a while when nobody can be reached.
+/// Makes lines durable, and retries for a while when neither a peer nor the store can be reached.
 ///
-/// Peers that are replaced or paused are back within a second or two, and a VM that is lost
-/// before would take answers along that callers have and nobody pays for. A node that knows no
-/// other waits for nothing.
+/// Peers that are replaced or paused are back within a second or two. If this VM were lost before
+/// that, the bill lines of responses that callers already have would be lost with it. A node that
+/// knows no peers doesn't wait.
 async fn persist_with_retry(node: &Node, batch: &Batch) -> Durability {
     let start = node.setup.clock.now();
     loop {
@@ -77,7 +77,8 @@
     }
 }
 
-/// Two peers, else other peers and the store at once; then there's nothing left to try.
+/// Sends lines to two peers; if that fails, to other peers and the store at once. There is no third
+/// attempt.
 async fn persist(node: &Node, batch: &Batch) -> Durability {
     let peers: Vec<_> = node.members().replica_candidates().into_iter().map(|it| it.addr).collect();
     let (first, others) = peers.split_at(REPLICATION_FACTOR.min(peers.len()));
@@ -113,7 +114,7 @@
     join_all(calls).await.into_iter().filter(Result::is_ok).count()
 }
 
-/// Stores lines, at a rate of puts that doesn't grow with the fleet.
+/// Stores lines, at a total rate of puts that doesn't grow with the fleet.
 pub(crate) async fn flush(node: Arc<Node>) {
     loop {
         let min_interval =
@@ -127,32 +128,35 @@
         send_heartbeats(&node).await;
         if !flushed {
             re_replicate(&node).await;
-            // The store is out; a hurry must not turn this into a loop without a pause.
+            // The store is down; flush requests must not turn this into a loop without a pause.
             sleep_with_jitter(node.tuning().flush_interval).await;
         }
     }
 }
 
-/// Tells the holders what is stored. Also when nothing could be: while the store is out they
-/// hear that the owner lives, and don't all try to store its lines too.
+/// Tells the replicas which lines are stored. This also happens when the store failed: during an
+/// outage the heartbeat shows that the owner is alive, so that its replicas don't all try to store
+/// its lines too.
 async fn send_heartbeats(node: &Node) {
     let heartbeat = node.journal().heartbeat();
-    // Taken, not read: a peer that gets new lines while this runs must not be forgotten below.
+    // Taken rather than read, because a peer that gets new lines while this runs must remain in the
+    // set.
     let holders = std::mem::take(&mut *node.replica_holders.lock());
     let calls =
         holders.iter().map(|addr| node.call::<()>(*addr, "replicate", &heartbeat, rpc::TIMEOUT));
-    // One that misses this takes the owner for silent and stores the lines again, harmlessly.
+    // A peer that misses the heartbeat assumes that the owner is silent and stores the lines again,
+    // which is harmless.
     let _best_effort = join_all(calls).await;
     if 0 < node.journal().n_lines() {
         node.replica_holders.lock().extend(holders);
     }
 }
 
-/// Brings lines to peers again that have lost copies or never had enough.
+/// Replicates lines again that have lost copies or never had enough.
 ///
-/// An outage of the store lasts longer than some VMs do. Were lines copied only once, those that
-/// were written down while no peer was in reach, or whose holders have been replaced since,
-/// would be lost with this VM.
+/// An outage of the store may last longer than some VMs live. If lines were replicated only once,
+/// those that were recorded while no peer was reachable, or whose replicas have been replaced
+/// since, would be lost with this VM.
 async fn re_replicate(node: &Node) {
     let alive: BTreeSet<_> =
         node.members().alive().into_iter().map(|it| it.identity.addr).collect();
@@ -175,8 +179,9 @@
     }
 }
 
-/// How many copies lines should have. Peers that are known and not met yet count: they may be
-/// reached a moment later, and lines left with one copy till then would keep only that one.
+/// How many copies lines should have. Peers that are known but not contacted yet count: they may
+/// become reachable a moment later, and lines that were given one copy until then would keep only
+/// that one.
 fn target_copies(node: &Node) -> usize {
     node.members().fleet_size().saturating_sub(1).clamp(1, REPLICATION_FACTOR)
 }
@@ -191,10 +196,10 @@
     }
 }
 
-/// Brings lines of owners that are gone to the nodes that keep them.
+/// Sends the lines of owners that are gone to the nodes that are to keep them.
 ///
-/// While the store is out such lines live on replicas only, and those are lost or replaced like
-/// any other VM. Nobody would copy the lines anew, and they would get fewer until none is left.
+/// While the store is down such lines exist on replicas only, and those VMs may be lost or replaced
+/// like any other. Without this the number of copies would shrink until none is left.
 async fn replicate_orphans(node: &Node) {
     let orphans = node.replicas().orphans(node.members());
     node.replicated_orphans.lock().retain(|(origin, _)| orphans.iter().any(|(it, _)| it == origin));
@@ -218,12 +223,12 @@
     }
 }
 
-/// Brings the lines that can't be stored to peers before this node leaves: its own, and those
-/// that it keeps for others. Says whether each has a peer that keeps it.
+/// Sends the lines that can't be stored to peers before this node leaves: its own, and those that
+/// it keeps for others. Returns whether a peer keeps each of them.
 ///
-/// An owner that is gone has no copies but its replicas'. While the store is out, VMs are
-/// replaced as on any other day; were a replica's lines left behind with it, the last
-/// replacement of the owner's two replicas would take them off the bill.
+/// The lines of an owner that is gone exist on its replicas only. VMs are replaced during an outage
+/// of the store too; if a replica left without handing over its lines, they would be lost from the
+/// bill with the replacement of the owner's second replica.
 pub(crate) async fn hand_over(node: &Node) -> bool {
     let peers: Vec<_> = node.members().replica_candidates().into_iter().map(|it| it.addr).collect();
     let mut all_replicated = true;
