--- a/crates/curranthook_peers/src/transport.rs
+++ b/crates/curranthook_peers/src/transport.rs
@@ -1,4 +1,4 @@
-//! The way to a peer.
+//! The transport of calls to peers.
 
 use std::{fmt::Debug, future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
 /// A signed call.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// To whom.
+    /// The address of the peer.
     pub addr: SocketAddr,
     /// When it was signed, in milliseconds since 1970.
     pub time: String,
@@ -17,7 +17,7 @@
     pub mac: String,
     /// The JSON-RPC request.
     pub body: Bytes,
-    /// The limit on the whole call.
+    /// The time limit of the whole call.
     pub timeout: Duration,
 }
 
@@ -30,15 +30,15 @@
     pub body: Bytes,
 }
 
-/// The peer gave no answer that can be used.
+/// The peer gave no usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the peer gave no answer: {0}")]
 pub struct Error(pub String);
 
-/// A future of a call.
+/// The future of a reply.
 pub type ReplyFuture<'a> = Pin<Box<dyn Future<Output = Result<Reply, Error>> + Send + 'a>>;
 
-/// Carries calls to peers.
+/// Transports calls to peers.
 pub trait Transport: Debug + Send + Sync {
     /// Makes one call.
     fn call(&self, call: Call) -> ReplyFuture<'_>;
@@ -49,7 +49,7 @@
 pub struct Http(Arc<Pool>);
 
 impl Http {
-    /// Calls that take their connections from `pool`.
+    /// Creates a transport that takes its connections from `pool`.
     pub fn new(pool: Arc<Pool>) -> Self {
         Self(pool)
     }
@@ -65,8 +65,8 @@
                 .with_timeout(call.timeout);
             let result = exchange.run(&self.0).await;
             let res = result.map_err(|e| {
-                // The peer may have frozen, or something in between lost track of the
-                // connection. The next call shall not wait on the same ones.
+                // The peer may have frozen, or a network device may have dropped the state of the
+                // connection. The next call must not reuse these connections.
                 self.0.close_idle(call.addr);
                 Error(e.to_string())
             })?;
