--- a/crates/curranthook_peers/src/tuning.rs
+++ b/crates/curranthook_peers/src/tuning.rs
@@ -1,53 +1,54 @@
-//! Numbers and switches that tests and measurements change.
+//! Intervals and switches that only tests and measurements change.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use crate::transport::Transport;
 
-/// An owner with lines is heard of after each flush. With the store out that takes a put that
-/// times out, two pauses and a call, 5.2 s at most; replicas that lose patience sooner would all
-/// try to store its lines and make an outage worse.
+/// Must exceed the longest time between two messages of a live owner. An owner that holds lines
+/// sends a heartbeat after each flush. While the object store is down, that takes a put that times
+/// out, two pauses and a call, 5.2 s at most. With a shorter timeout all replicas would try to
+/// store the lines of live owners and make an outage worse.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Whose word on reachability a node takes.
+/// Whose observations of reachability a node acts on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Trust {
-    /// Only its own contact counts.
+    /// Only calls of the node itself count.
     #[default]
     Own,
-    /// A peer's report that another can't be reached counts as much as its own failed call.
-    /// Kept to be measured against [`Trust::Own`]; it removes peers that are up.
+    /// A peer's report that another is unreachable counts as much as a failed call of the node
+    /// itself. Kept for comparison with [`Trust::Own`]; it removes peers that are up.
     Others,
 }
 
-/// A part of what brings a configuration to every node. Each can be left out, to measure what it
-/// is worth.
+/// A mechanism that distributes the configuration to all nodes. Each can be disabled to measure its
+/// effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Exchanges compare epochs, and who has the older one gets the newer.
+    /// Peers compare epochs in each exchange, and the one with the older epoch gets the newer.
     PushPull,
-    /// Who has a new epoch from the table tells a few peers at once.
+    /// A node that read a new epoch from the table announces it to a few peers at once.
     Announcement,
-    /// Between near epochs the change travels, not the whole document.
+    /// Between nearby epochs a delta is sent instead of the full document.
     Delta,
 }
 
-/// How a node behaves where it isn't told by its settings.
+/// Behaviour of a node that its settings don't determine.
 #[derive(Debug, Clone)]
 pub struct Tuning {
-    /// Whose word on reachability it takes.
+    /// Whose observations of reachability the node acts on.
     pub trust: Trust,
     /// The time between exchanges.
     pub exchange_interval: Duration,
     /// The shortest time between reads of the table.
     pub poll_interval: Duration,
-    /// The shortest time between puts of the journal.
+    /// The shortest time between flushes of the journal to the object store.
     pub flush_interval: Duration,
     /// How long an owner may be silent before its replicas store its lines.
     pub owner_timeout: Duration,
-    /// Parts of the spread of configurations that are left out.
+    /// Mechanisms of configuration distribution that are disabled.
     pub disabled: BTreeSet<Mechanism>,
-    /// The way to peers; HTTP if not set.
+    /// The transport to peers; HTTP if not set.
     pub transport: Option<Arc<dyn Transport>>,
 }
 
