--- a/crates/curranthook_peers/tests/peers/calls.rs
+++ b/crates/curranthook_peers/tests/peers/calls.rs
@@ -1,4 +1,4 @@
-//! Who may call.
+//! Authentication of calls between peers.
 
 use curranthook_peers::auth::Key;
 use curranthook_types::{Clock, clock};
@@ -8,8 +8,8 @@
 
 const REQUEST: &[u8] = br#"{"jsonrpc":"2.0","id":0,"method":"evidence","params":[null]}"#;
 
-/// Someone on the network makes a call without the key, or records one and sends it again later.
-/// Were it taken, they could withdraw trust in versions or bring forged bill lines.
+/// An attacker on the network makes a call without the key, or records a call and replays it later.
+/// If it were accepted, the attacker could mark versions as suspect or add forged bill lines.
 #[parameterized(
     valid = { VALID_KEY, 0, 200 },
     wrong_key = { b"another key", 0, 403 },
@@ -31,7 +31,8 @@
 
 const VALID_KEY: &[u8] = support::PEER_KEY;
 
-/// A call is altered on its way, or is no JSON-RPC at all. A node must neither act on it nor fall.
+/// A call is altered in transit, or isn't valid JSON-RPC. The node must neither execute it nor
+/// crash.
 #[test]
 fn an_altered_or_malformed_call_is_rejected() {
     async_io::block_on(async {
