--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -1,4 +1,4 @@
-//! What travels with the digest merges idempotently.
+//! The contents of digests merge idempotently.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,7 +18,8 @@
     Origin { vm: format!("vm-{n}").as_str().into(), incarnation: 1 }
 }
 
-/// What three nodes tell as their counters grow, each state entries_sent twice.
+/// The entries that three nodes send as their counters grow, each state sent twice, and the total
+/// of the counters.
 fn entries_sent(ratings: &[(u8, f64)], version: &version::Id) -> (Vec<Entry>, Counts) {
     let nodes: Vec<_> = (0..3).map(|it| Evidence::new(origin(it))).collect();
     let mut entries = Vec::new();
@@ -38,8 +39,9 @@
 }
 
 proptest! {
-    /// Digests are repeated, overtake each other and go round over several peers. If a repeat
-    /// counted again, a few bad answers would look like many and a good version be withdrawn.
+    /// Digests are repeated, reordered and forwarded by several peers. If a repeated entry were
+    /// counted again, a few bad responses would look like many, and a good version would be
+    /// withdrawn.
     #[test]
     fn evidence_repeated_and_reordered_counts_once(
         ratings in prop::collection::vec((0_u8..3, 0_u8..=4), 1..30),
@@ -62,8 +64,8 @@
     }
 }
 
-/// One request takes down an endpoint of one router and then, sent again, one of another's. No
-/// router alone has seen two die.
+/// One request crashes an endpoint of one router and, when it is retried, an endpoint of another.
+/// No single router has seen two crashes.
 #[test]
 fn crashes_seen_by_two_nodes_mark_a_request_as_poison_until_they_expire() {
     let clock = Arc::new(clock::Manual::default());
@@ -84,8 +86,8 @@
     assert!(!nodes[2].is_poison(&fingerprint));
 }
 
-/// A version that a node suspects is withdrawn for all. The suspicion is over with that, so that
-/// a later return of the version isn't held up by it.
+/// A version that a node suspects is withdrawn for all nodes. That ends the suspicion, which must
+/// not block a later return of the version.
 #[test]
 fn withdrawing_a_version_clears_the_suspicion() {
     let suspects = Suspects::new(Arc::new(clock::Manual::default()));
@@ -98,8 +100,8 @@
     assert!(!suspects.contains(&version));
 }
 
-/// Two nodes get an account's requests at unlike rates. If each took half of the limit, one would
-/// refuse what the other leaves unused.
+/// Two nodes get an account's requests at different rates. If each took half of the limit, one
+/// would reject requests while the other leaves capacity unused.
 #[test]
 fn shares_follow_demand_and_sum_to_one() {
     let clock = Arc::new(clock::Manual::default());
@@ -121,8 +123,8 @@
     assert!((shares.iter().sum::<f64>() - 1.0).abs() < 0.02, "{shares:?}");
 }
 
-/// A version turns bad, and each router sees only a few of its answers. Together they have seen
-/// enough, if the counts reach everyone.
+/// A version turns bad, and each router sees only a few of its responses. Together they have seen
+/// enough, provided that the counts reach every node.
 #[test]
 fn evidence_and_suspicions_reach_every_node() {
     async_io::block_on(async {
@@ -146,8 +148,9 @@
     });
 }
 
-/// All requests for an account come to one router, as its callers keep their connections. If the
-/// idle routers kept silent, that one would take them for as busy as itself and use a part only.
+/// All requests for an account arrive at one router, since its callers reuse their connections. If
+/// idle routers didn't report, that router would assume that they are as busy as itself and use
+/// only a part of the limit.
 #[test]
 fn a_node_with_all_the_demand_gets_nearly_the_whole_limit() {
     let clock = Arc::new(clock::Manual::default());
