--- a/crates/curranthook_peers/tests/peers/document.rs
+++ b/crates/curranthook_peers/tests/peers/document.rs
@@ -1,4 +1,4 @@
-//! The newest configuration reaches every node and never goes back.
+//! The newest configuration reaches every node, and a node never goes back to an older one.
 
 use std::{collections::BTreeSet, sync::atomic::Ordering, time::Duration};
 
@@ -13,7 +13,8 @@
     Document { epoch: Epoch(epoch), by, ..Document::default() }
 }
 
-/// A peer that was cut off offers the configuration it still has, after a newer one arrived.
+/// A peer that was cut off offers the configuration that it still has after a newer one has
+/// arrived.
 #[test]
 fn a_lower_epoch_never_replaces_a_higher_one() {
     let documents = Documents::default();
@@ -26,8 +27,8 @@
     assert_eq!(documents.epoch(), Epoch(5));
 }
 
-/// A node's document differs from what the sender takes it for. The delta would then give a
-/// configuration that nobody published.
+/// A node's document differs from the one that the sender assumes. Applying the delta would result
+/// in a configuration that nobody published.
 #[test]
 fn a_delta_is_applied_only_to_its_base_document() {
     let (sender, same, other) = (Documents::default(), Documents::default(), Documents::default());
@@ -44,8 +45,8 @@
     assert!(matches!(sender.transfer(Epoch(0)), Transfer::Full { .. }));
 }
 
-/// A node was cut off while several epochs were published, and the peer that it meets had some of
-/// them from the table and some as deltas itself.
+/// A node was cut off while several epochs were published. The peer that it reaches first received
+/// some of them from the table and some as deltas.
 #[test]
 fn a_delta_spans_several_epochs() {
     let (sender, middle, late) = (Documents::default(), Documents::default(), Documents::default());
@@ -62,8 +63,8 @@
     assert_eq!(late.document(), sender.document());
 }
 
-/// After a delta that didn't fit, a node's next deltas would all fail, or worse, if it went on
-/// from the half of it.
+/// If a rejected delta left a partially patched document behind, the node's next deltas would all
+/// fail or result in a wrong configuration.
 #[test]
 fn a_rejected_delta_leaves_the_document_unchanged() {
     let (sender, other) = (Documents::default(), Documents::default());
@@ -82,8 +83,8 @@
     assert_eq!(other.document().as_deref(), Some(&next));
 }
 
-/// Every node asks for the change since the epoch that it has. One that changes nearly everything
-/// goes out whole.
+/// Nodes request the change since the epoch that they have. If the change replaces nearly the whole
+/// document, the full document is sent.
 #[test]
 fn a_large_change_is_sent_as_a_full_document() {
     const N_VERSIONS: usize = 5_000;
@@ -95,7 +96,7 @@
     assert!(matches!(documents.transfer(Epoch(1)), Transfer::Full { .. }));
 }
 
-/// The platform's table is out for all nodes but one: they get each epoch from their peers.
+/// The platform's table is down for all nodes but one; the others get each epoch from their peers.
 #[test]
 fn peers_distribute_epochs_while_the_table_is_down() {
     async_io::block_on(async {
@@ -116,8 +117,8 @@
     });
 }
 
-/// A VM is replaced while the platform is out. Its peers have unlike epochs, as one has been cut
-/// off; the node must start with the newest of them.
+/// A VM is replaced during an outage of the platform. Its peers have different epochs, as one of
+/// them has been cut off; the node must start with the newest.
 #[test]
 fn a_node_started_during_an_outage_takes_the_newest_epoch_of_its_peers() {
     async_io::block_on(async {
