--- a/crates/curranthook_peers/tests/peers/journal.rs
+++ b/crates/curranthook_peers/tests/peers/journal.rs
@@ -1,4 +1,4 @@
-//! A line that was recorded is stored_line_counts, whatever is lost.
+//! A recorded line is billed whatever fails afterwards.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -18,8 +18,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The store is out, and the VM that recorded lines is lost before it's back. Its replicas bring
-/// the lines to the store, each once.
+/// The store is down, and the VM that recorded lines is lost before the store is back. Its replicas
+/// write the lines to the store, each once.
 #[test]
 fn lines_of_a_killed_owner_are_stored_once() {
     async_io::block_on(async {
@@ -44,8 +44,8 @@
     });
 }
 
-/// The store is out for a while, and then answers of its writes are lost though they took
-/// effect. Each line ends up stored, and the replicas are told to drop it.
+/// The store is down for a while; afterwards the answers of its writes are lost although the writes
+/// took effect. Each line ends up stored once, and the replicas are told to drop it.
 #[test]
 fn lost_write_answers_neither_lose_nor_duplicate_lines() {
     async_io::block_on(async {
@@ -76,8 +76,8 @@
     });
 }
 
-/// A node reaches no peer. Its lines go straight to the store; with that out too, the router is
-/// told that only this node holds them, and they're stored later.
+/// A node reaches no peer, so its lines go directly to the store. If the store is down too, the
+/// router is told that only this node holds them, and they are stored later.
 #[test]
 fn without_peers_lines_are_stored_or_wait_for_the_store() {
     async_io::block_on(async {
@@ -93,7 +93,7 @@
     });
 }
 
-/// A node is shut down while the store is out. Its peers take the lines over and store them as
+/// A node is shut down while the store is down. Its peers take over the lines and store them as
 /// soon as they can.
 #[test]
 fn a_leaving_node_hands_over_its_lines() {
@@ -117,9 +117,9 @@
     });
 }
 
-/// A replica takes the owner for dead and stores the lines it has; the owner was only frozen,
-/// wakes, and stores under the same key a segment that holds more. The key is taken, and the
-/// lines beyond the replica's would be lost if that were taken for done.
+/// A replica presumes the owner dead and stores the lines that it has; but the owner was only
+/// frozen, resumes, and stores a longer segment under the same key. If the taken key counted as
+/// success, the lines beyond those of the replica would be lost.
 #[test]
 fn lines_beyond_an_existing_segment_are_stored() {
     async_io::block_on(async {
@@ -135,8 +135,8 @@
     });
 }
 
-/// The store is out for hours. The journal says that it's full, so that the router takes no more
-/// work; it drops nothing, and is empty again after the outage.
+/// The store is down for hours. The journal reports that it is full, so that the router accepts no
+/// more work; it drops no lines, and is empty again after the outage.
 #[test]
 fn a_full_journal_reports_it_and_drops_no_lines() {
     async_io::block_on(async {
@@ -146,7 +146,7 @@
         platform.objects_down.store(true, Ordering::SeqCst);
         let mut n_lines = 0;
         while !journal.is_full() {
-            // The router's caller is gone; the line stays.
+            // The caller stops waiting; the line stays in the journal.
             let _dropped =
                 future::poll_once(journal.record(bill_line(&format!("r-{n_lines}")))).await;
             n_lines += 1;
