--- a/crates/curranthook_peers/tests/peers/main.rs
+++ b/crates/curranthook_peers/tests/peers/main.rs
@@ -1,4 +1,4 @@
-//! Nodes acting together, in one process over links that can be cut.
+//! Tests of the peer-to-peer layer: several nodes in one process, over transports that can be cut.
 
 mod calls;
 mod digest;
