--- a/crates/curranthook_peers/tests/peers/membership.rs
+++ b/crates/curranthook_peers/tests/peers/membership.rs
@@ -1,4 +1,4 @@
-//! A peer counts as alive by this node's own contact only.
+//! A node considers a peer alive on the basis of its own calls only.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,8 +24,9 @@
     assert!(connected.await.is_some(), "nodes didn't find each other");
 }
 
-/// Two nodes lose each other, in one direction or both, while all others reach both. Who can't
-/// call the other must notice; the others must not drop anyone because of what these two see.
+/// Two nodes can't reach each other, in one direction or both, while all others reach both. The
+/// node whose calls fail must notice; the others must drop no peer because of the failure between
+/// these two.
 #[parameterized(one_way = { &[(0, 1)] }, both_ways = { &[(0, 1), (1, 0)] })]
 fn a_cut_affects_only_the_nodes_on_either_side(cuts: &[(usize, usize)]) {
     async_io::block_on(async {
@@ -51,8 +52,8 @@
     });
 }
 
-/// A VM is replaced, and the new one gets its id and address. The old process, which had only
-/// been frozen, wakes and calls: it must not pass for the new one.
+/// A VM is replaced, and the new one gets its id and address. The old process, which was only
+/// frozen, resumes and calls its peers: it must not pass for the new process.
 #[test]
 fn calls_of_a_replaced_process_are_rejected() {
     async_io::block_on(async {
@@ -78,7 +79,8 @@
     });
 }
 
-/// A VM dies. It's still on the list, which lags; limits must be shared among those that live.
+/// A VM dies but remains on the VM list, which lags. Limits must be shared among the live nodes
+/// only.
 #[test]
 fn a_dead_node_is_not_counted_in_the_site() {
     async_io::block_on(async {
@@ -92,9 +94,10 @@
     });
 }
 
-/// A VM starts before its neighbour, which its settings name and the list doesn't. The neighbour
-/// comes up, but can't call. Were it forgotten at the first read of the list, the VM would be alone
-/// until the next one, and its bill lines would have no copies.
+/// A VM starts before its neighbour, which the settings name as a seed but the VM list doesn't
+/// contain. The neighbour starts later and can't call this VM. If the seed were dropped at the
+/// first read of the list, the VM would have no peers until the next read, and its bill lines would
+/// have no copies.
 #[test]
 fn a_seed_missing_from_the_vm_list_is_found_once_it_starts() {
     async_io::block_on(async {
@@ -109,8 +112,8 @@
     });
 }
 
-/// Guards against a live peer that is dropped for one that can't be reached, the moment that is due to be
-/// tried again, though the view has room for both.
+/// Guards against a fault where a live peer was dropped for an unreachable one at the moment that
+/// its retry was due, although the view had room for both.
 #[test]
 fn retrying_an_unreachable_peer_evicts_no_live_peer_from_a_view_with_room() {
     let identity = |n: u8| Identity {
@@ -132,7 +135,7 @@
             }
             _ => members.record_failure(addr),
         }
-        // Longer than an unreachable peer is left alone.
+        // Longer than the maximum backoff of an unreachable peer.
         clock.advance(Duration::from_secs(61));
     };
     (0..20).for_each(|_| call(false));
