--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -1,4 +1,4 @@
-//! Nodes in one process, an in-memory platform, and links that can be cut.
+//! Test support: nodes in one process, an in-memory platform, and a network whose links can be cut.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -27,7 +27,7 @@
 
 pub const PEER_KEY: &[u8] = b"a key for tests";
 
-/// The platform's services, each of which can be out.
+/// The platform's services, each of which can be down.
 #[derive(Debug, Default)]
 pub struct Platform {
     pub document: Mutex<Option<Document>>,
@@ -45,8 +45,8 @@
         *self.document.lock() = Some(document);
     }
 
-    /// How often each request id was stored, over all segments without a repeated origin and
-    /// sequence number.
+    /// How many stored lines each request id has; a line that is stored again with the same origin
+    /// and sequence number counts once.
     pub fn stored_line_counts(&self) -> BTreeMap<String, usize> {
         let mut seen = HashSet::new();
         let mut stored_line_counts = BTreeMap::new();
@@ -142,7 +142,7 @@
     }
 }
 
-/// The network between nodes: who is reachable where, and what is cut.
+/// The network between the nodes: the node at each address, and the links that are cut.
 #[derive(Debug, Default)]
 pub struct Network {
     pub nodes: Mutex<HashMap<SocketAddr, Arc<Node>>>,
@@ -155,12 +155,12 @@
         self.cuts.lock().insert((node_address(a), node_address(b)));
     }
 
-    /// Cuts the calls of node `a` to node `b`, which needn't have started.
+    /// Cuts the calls of node `a` to node `b`, even if these nodes have not started yet.
     pub fn cut_before_start(&self, a: u16, b: u16) {
         self.cuts.lock().insert((address(a), address(b)));
     }
 
-    /// As when a process is killed: nobody is told, and it answers no more.
+    /// Simulates the kill of a process: no peer is told, and the node stops answering.
     pub fn kill(&self, node: &Node) {
         node.kill();
         self.nodes.lock().remove(&node_address(node));
@@ -192,7 +192,7 @@
     }
 }
 
-/// Hands a call to a node as its listener would.
+/// Passes a call to a node as its listener would.
 pub async fn post(node: &Node, time: &str, mac: &str, body: Bytes) -> http::Response<Bytes> {
     let req = http::Request::post("/rpc")
         .header("x-curranthook-time", time)
@@ -204,7 +204,7 @@
     http::Response::from_parts(head, body.collect().await.expect("a whole body").to_bytes())
 }
 
-/// Nodes and what they stand on.
+/// The nodes under test, with their executor, platform and network.
 pub struct Fleet {
     pub ex: runtime::Handle,
     pub platform: Arc<Platform>,
@@ -213,7 +213,7 @@
 }
 
 impl Fleet {
-    /// No nodes yet; rounds are 20 times as interval as in service.
+    /// Creates a fleet without nodes; the intervals are 20 times shorter than by default.
     pub fn new() -> Self {
         let interval = Duration::from_millis(50);
         let owner_timeout = Duration::from_millis(600);
@@ -227,7 +227,7 @@
         Self { ex: runtime::start(4), platform: Arc::default(), network: Arc::default(), tuning }
     }
 
-    /// Starts `n` nodes in three failure domains, all on the VM list.
+    /// Starts `n` nodes in three failure domains and adds all to the VM list.
     pub fn start(&self, n: u16) -> Vec<Arc<Node>> {
         (0..n).for_each(|it| self.add_to_list(it));
         (0..n).map(|it| self.node(it, 1)).collect()
@@ -244,7 +244,7 @@
         self.platform.vms.lock().push(vm);
     }
 
-    /// Starts one node, seeded with two others.
+    /// Starts one node, with the addresses of nodes 0 and 1 as seeds.
     pub fn node(&self, n: u16, incarnation: u64) -> Arc<Node> {
         let clock = Arc::new(clock::System);
         let transport = InMemoryTransport { from: address(n), network: Arc::clone(&self.network) };
@@ -319,7 +319,7 @@
     }
 }
 
-/// Waits until `condition`, for at most `timeout`; gives the time it took.
+/// Waits until `condition` holds, for at most `timeout`, and returns the time it took.
 pub async fn wait_until(
     timeout: Duration,
     mut condition: impl FnMut() -> bool,
