--- a/crates/curranthook_peers/examples/membership_cuts.rs
+++ b/crates/curranthook_peers/examples/membership_cuts.rs
@@ -49,9 +49,7 @@
         ("one pair, both ways", both_ways(&[(0, 1)])),
         ("non-transitive, four pairs", both_ways(&[(0, 1), (2, 4), (3, 8), (5, 7)])),
     ];
-    println!(
-        "| cut | trust | false removals | cut links still taken for whole | all noticed after |"
-    );
+    println!("| cut | trust | false removals | undetected cuts | all detected after |");
     println!("|---|---|---|---|---|");
     for (name, cuts) in &cases {
         for trust in [Trust::Own, Trust::Others] {
--- a/crates/curranthook_peers/src/documents.rs
+++ b/crates/curranthook_peers/src/documents.rs
@@ -58,7 +58,7 @@
 /// A delta can't be applied: it starts from another epoch, or doesn't result in the intended
 /// document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the delta doesn't fit")]
+#[error("the delta does not match the current document")]
 pub struct Mismatch;
 
 #[derive(Debug, Default)]
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -357,7 +357,7 @@
         let result = client.call(addr, method, param, timeout).await;
         // A rejection is still an answer; any other error means that the peer can't be used.
         match result {
-            Ok(_) | Err(rpc::Error::Refused(_)) => self.members.reset_failures(addr),
+            Ok(_) | Err(rpc::Error::Rejected(_)) => self.members.reset_failures(addr),
             Err(_) => self.members.record_failure(addr),
         }
         result
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -74,13 +74,13 @@
     #[error(transparent)]
     Transport(#[from] crate::transport::Error),
     /// The answer's MAC is wrong, so it isn't from a peer.
-    #[error("the answer's MAC is wrong")]
+    #[error("the MAC of the answer is wrong")]
     InvalidMac,
     /// The peer rejected the call.
-    #[error("the peer refused: {0}")]
-    Refused(String),
+    #[error("the peer rejected the call: {0}")]
+    Rejected(String),
     /// The answer can't be parsed.
-    #[error("the answer can't be read: {0}")]
+    #[error("cannot parse the answer: {0}")]
     Malformed(String),
 }
 
@@ -146,7 +146,7 @@
         self.key.verify(&mac, &reply.body, &reply.mac).map_err(|_| Error::InvalidMac)?;
         let response: Response<'_, R> = serde_json::from_slice(&reply.body).map_err(malformed)?;
         let success = ResponseSuccess::try_from(response);
-        Ok(success.map_err(|e| Error::Refused(e.message().to_owned()))?.result)
+        Ok(success.map_err(|e| Error::Rejected(e.message().to_owned()))?.result)
     }
 }
 
--- a/crates/curranthook_peers/src/store.rs
+++ b/crates/curranthook_peers/src/store.rs
@@ -33,10 +33,13 @@
 async fn count_stored(objects: &dyn Objects, segment: &Segment) -> Result<usize, Error> {
     let key = segment.key();
     let invalid = |reason: &str| Error::Garbled(format!("{key}: {reason}"));
-    let bytes = objects.get(&key).await?.ok_or_else(|| invalid("taken, and not there"))?;
+    let bytes = objects
+        .get(&key)
+        .await?
+        .ok_or_else(|| invalid("the key exists, but the object is missing"))?;
     let stored: Segment = serde_json::from_slice(&bytes).map_err(|e| invalid(&e.to_string()))?;
     if stored.lines.is_empty() {
-        return Err(invalid("no lines"));
+        return Err(invalid("the segment has no lines"));
     }
     Ok(stored.lines.len())
 }
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -59,7 +59,9 @@
         let elapsed = node.setup.clock.now().saturating_duration_since(start);
         if HANDOVER_TIMEOUT < elapsed {
             let n_lines = node.journal().n_lines() + node.replicas().n_lines();
-            log::error!("{n_lines} bill lines reached neither the store nor a peer");
+            log::error!(
+                "{n_lines} bill lines could be neither stored nor handed over to a peer before shutdown"
+            );
             break;
         }
         // Peers that started recently may not have been contacted yet.
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -48,7 +48,7 @@
     };
     bump(&node.counters().table_bytes, row.value.len() as u64);
     let Ok(document) = serde_json::from_slice::<Document>(&row.value) else {
-        log::error!("the published document can't be read");
+        log::error!("cannot parse the published document in the table");
         return;
     };
     if node.documents().offer(document, Some(row.tag)) {
--- a/crates/curranthook_peers/src/transport.rs
+++ b/crates/curranthook_peers/src/transport.rs
@@ -32,7 +32,7 @@
 
 /// The peer gave no usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("the peer gave no answer: {0}")]
+#[error("no usable answer from the peer: {0}")]
 pub struct Error(pub String);
 
 /// The future of a reply.
