--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -50,11 +50,11 @@
         let version = version::Id::new("tally-llm@1");
         let ratings: Vec<_> = ratings.iter().map(|(n, it)| (*n, f64::from(*it) / 4.0)).collect();
         let (mut entries, expected) = entries_sent(&ratings, &version);
-        for at in order {
-            let entry = at.get(&entries).clone();
+        for index in order {
+            let entry = index.get(&entries).clone();
             entries.push(entry);
-            let at = at.index(entries.len());
-            entries.swap(0, at);
+            let index = index.index(entries.len());
+            entries.swap(0, index);
         }
         let receiver = Evidence::new(origin(9));
         entries.iter().for_each(|it| receiver.merge(it));
@@ -73,16 +73,16 @@
     let fingerprint = [7; 16];
     nodes[0].record_crash(fingerprint, &endpoint::Id::new("e-1"));
     nodes[0].record_crash(fingerprint, &endpoint::Id::new("e-1"));
-    assert!(!nodes[0].is_poison(&fingerprint), "one endpoint may die of something else");
+    assert!(!nodes[0].is_poison(&fingerprint), "one endpoint may have crashed for another reason");
     nodes[1].record_crash(fingerprint, &endpoint::Id::new("e-2"));
-    for from in &nodes[..2] {
-        from.recent_entries(0, 8).iter().for_each(|it| nodes[2].merge(it));
+    for sender in &nodes[..2] {
+        sender.recent_entries(0, 8).iter().for_each(|it| nodes[2].merge(it));
     }
     assert!(nodes[2].is_poison(&fingerprint));
-    let entries_sent = nodes[2].recent_entries(0, 8);
+    let entries = nodes[2].recent_entries(0, 8);
     clock.advance(Duration::from_secs(601));
-    entries_sent.iter().for_each(|it| nodes[0].merge(it));
-    assert!(!nodes[0].is_poison(&fingerprint), "a charge must not go round for ever");
+    entries.iter().for_each(|it| nodes[0].merge(it));
+    assert!(!nodes[0].is_poison(&fingerprint), "an expired record must not be accepted again");
     assert!(!nodes[2].is_poison(&fingerprint));
 }
 
@@ -113,11 +113,10 @@
         (0..10).for_each(|_| nodes[1].record_request(&account));
         nodes.iter().for_each(|it| it.update_rates(Duration::from_secs(1)));
     }
-    let entries_sent: Vec<_> =
-        nodes.iter().map(|it| it.select_entries(|_| true).remove(0)).collect();
-    nodes[0].merge(&entries_sent[1]);
-    nodes[0].merge(&entries_sent[1]);
-    nodes[1].merge(&entries_sent[0]);
+    let entries: Vec<_> = nodes.iter().map(|it| it.select_entries(|_| true).remove(0)).collect();
+    nodes[0].merge(&entries[1]);
+    nodes[0].merge(&entries[1]);
+    nodes[1].merge(&entries[0]);
     let shares: Vec<_> = nodes.iter().map(|it| it.share(&account, 2)).collect();
     assert!((shares[0] - 0.75).abs() < 0.02, "{shares:?}");
     assert!((shares.iter().sum::<f64>() - 1.0).abs() < 0.02, "{shares:?}");
@@ -163,7 +162,7 @@
         (0..60).for_each(|_| nodes[0].record_request(&account));
         nodes[0].update_rates(Duration::from_secs(1));
     }
-    assert!(nodes[0].share(&account, 3) < 0.4, "nothing is known of the others yet");
+    assert!(nodes[0].share(&account, 3) < 0.4, "no reports of the others yet");
     for idle in &nodes[1..] {
         idle.select_entries(|_| true).iter().for_each(|it| nodes[0].merge(it));
     }
--- a/crates/curranthook_peers/tests/peers/document.rs
+++ b/crates/curranthook_peers/tests/peers/document.rs
@@ -31,17 +31,18 @@
 /// in a configuration that nobody published.
 #[test]
 fn a_delta_is_applied_only_to_its_base_document() {
-    let (sender, same, other) = (Documents::default(), Documents::default(), Documents::default());
+    let (sender, same_base, other_base) =
+        (Documents::default(), Documents::default(), Documents::default());
     sender.offer(document(1), None);
     sender.offer(document(2), None);
-    same.offer(document(1), None);
-    other.offer(Document { at_millis: 77, ..document(1) }, None);
+    same_base.offer(document(1), None);
+    other_base.offer(Document { at_millis: 77, ..document(1) }, None);
     let delta = sender.transfer(Epoch(1));
     assert!(matches!(delta, Transfer::Delta { .. }));
-    assert_eq!(same.apply(delta.clone()), Ok(true));
-    assert_eq!(same.document(), sender.document());
-    assert_eq!(other.apply(delta), Err(Mismatch));
-    assert_eq!(other.epoch(), Epoch(1));
+    assert_eq!(same_base.apply(delta.clone()), Ok(true));
+    assert_eq!(same_base.document(), sender.document());
+    assert_eq!(other_base.apply(delta), Err(Mismatch));
+    assert_eq!(other_base.epoch(), Epoch(1));
     assert!(matches!(sender.transfer(Epoch(0)), Transfer::Full { .. }));
 }
 
@@ -49,38 +50,39 @@
 /// some of them from the table and some as deltas.
 #[test]
 fn a_delta_spans_several_epochs() {
-    let (sender, middle, late) = (Documents::default(), Documents::default(), Documents::default());
-    for documents in [&sender, &middle, &late] {
+    let (sender, intermediate, late_node) =
+        (Documents::default(), Documents::default(), Documents::default());
+    for documents in [&sender, &intermediate, &late_node] {
         documents.offer(document(1), None);
     }
     for epoch in 2..=5 {
         sender.offer(document(epoch), None);
-        assert_eq!(middle.apply(sender.transfer(Epoch(epoch - 1))), Ok(true));
+        assert_eq!(intermediate.apply(sender.transfer(Epoch(epoch - 1))), Ok(true));
     }
-    let delta = middle.transfer(Epoch(1));
+    let delta = intermediate.transfer(Epoch(1));
     assert!(matches!(delta, Transfer::Delta { .. }));
-    assert_eq!(late.apply(delta), Ok(true));
-    assert_eq!(late.document(), sender.document());
+    assert_eq!(late_node.apply(delta), Ok(true));
+    assert_eq!(late_node.document(), sender.document());
 }
 
 /// If a rejected delta left a partially patched document behind, the node's next deltas would all
 /// fail or result in a wrong configuration.
 #[test]
 fn a_rejected_delta_leaves_the_document_unchanged() {
-    let (sender, other) = (Documents::default(), Documents::default());
+    let (sender, other_base) = (Documents::default(), Documents::default());
     sender.offer(document(1), None);
     sender.offer(document(2), None);
     let changed = Document { at_millis: 77, ..document(1) };
-    other.offer(changed.clone(), None);
-    assert_eq!(other.apply(sender.transfer(Epoch(1))), Err(Mismatch));
-    assert_eq!(other.document().as_deref(), Some(&changed));
+    other_base.offer(changed.clone(), None);
+    assert_eq!(other_base.apply(sender.transfer(Epoch(1))), Err(Mismatch));
+    assert_eq!(other_base.document().as_deref(), Some(&changed));
 
-    let third = Documents::default();
-    third.offer(changed.clone(), None);
+    let other_sender = Documents::default();
+    other_sender.offer(changed.clone(), None);
     let next = Document { epoch: Epoch(2), ..changed };
-    third.offer(next.clone(), None);
-    assert_eq!(other.apply(third.transfer(Epoch(1))), Ok(true));
-    assert_eq!(other.document().as_deref(), Some(&next));
+    other_sender.offer(next.clone(), None);
+    assert_eq!(other_base.apply(other_sender.transfer(Epoch(1))), Ok(true));
+    assert_eq!(other_base.document().as_deref(), Some(&next));
 }
 
 /// Nodes request the change since the epoch that they have. If the change replaces nearly the whole
@@ -106,13 +108,13 @@
         for epoch in 1..=5 {
             fleet.platform.publish(epoch);
             fleet.platform.table_down.store(false, Ordering::SeqCst);
-            let first = nodes[0].next_document(Epoch(epoch - 1)).await;
+            let document = nodes[0].next_document(Epoch(epoch - 1)).await;
             fleet.platform.table_down.store(true, Ordering::SeqCst);
-            assert!(Epoch(epoch) <= first.epoch);
+            assert!(Epoch(epoch) <= document.epoch);
             let all_updated = wait_until(Duration::from_secs(10), || {
                 nodes.iter().all(|it| it.document().is_some_and(|it| it.epoch == Epoch(epoch)))
             });
-            assert!(all_updated.await.is_some(), "epoch {epoch} didn't get all_updated");
+            assert!(all_updated.await.is_some(), "epoch {epoch} didn't reach every node");
         }
     });
 }
@@ -132,9 +134,9 @@
         }
         fleet.platform.table_down.store(true, Ordering::SeqCst);
         nodes[1].offer(document(9));
-        let late = fleet.node(2, 1);
-        let first = late.next_document(Epoch(0)).await;
-        assert_eq!(first.epoch, Epoch(9));
+        let late_node = fleet.node(2, 1);
+        let document = late_node.next_document(Epoch(0)).await;
+        assert_eq!(document.epoch, Epoch(9));
         assert_eq!(nodes[0].document().map(|it| it.epoch), Some(Epoch(3)));
     });
 }
--- a/crates/curranthook_peers/tests/peers/journal.rs
+++ b/crates/curranthook_peers/tests/peers/journal.rs
@@ -27,7 +27,7 @@
         let nodes = fleet.start(6);
         wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() == 5))
             .await
-            .expect("met");
+            .expect("all nodes connected");
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
         for n in 0..50 {
             let durability = nodes[0].journal().record(bill_line(&format!("r-{n}"))).await;
@@ -36,11 +36,15 @@
         fleet.network.kill(&nodes[0]);
         fleet.platform.objects_down.store(false, Ordering::SeqCst);
         let stored = wait_until(TIMEOUT, || fleet.platform.stored_line_counts().len() == 50).await;
-        assert!(stored.is_some(), "{} lines of 50", fleet.platform.stored_line_counts().len());
+        assert!(
+            stored.is_some(),
+            "{} of 50 lines stored",
+            fleet.platform.stored_line_counts().len()
+        );
         assert!(fleet.platform.stored_line_counts().values().all(|it| *it == 1));
         wait_until(TIMEOUT, || nodes[1..].iter().all(|it| it.status().replica_lines == 0))
             .await
-            .expect("replicas drop what is stored");
+            .expect("replicas drop stored lines");
     });
 }
 
@@ -53,7 +57,7 @@
         let nodes = fleet.start(6);
         wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() == 5))
             .await
-            .expect("met");
+            .expect("all nodes connected");
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
         for n in 0..20 {
             nodes[n % 6].journal().record(bill_line(&format!("r-{n}"))).await;
@@ -69,7 +73,7 @@
         fleet.platform.write_answers_lost.store(false, Ordering::SeqCst);
         wait_until(TIMEOUT, || nodes.iter().all(|it| it.journal().n_lines() == 0))
             .await
-            .expect("settled");
+            .expect("all journals empty");
         let stored_line_counts = fleet.platform.stored_line_counts();
         assert_eq!(stored_line_counts.len(), 40);
         assert!(stored_line_counts.values().all(|it| *it == 1));
@@ -102,7 +106,7 @@
         let nodes = fleet.start(6);
         wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() == 5))
             .await
-            .expect("met");
+            .expect("all nodes connected");
         fleet.platform.objects_down.store(true, Ordering::SeqCst);
         nodes[0].journal().record(bill_line("r-1")).await;
         nodes[0].leave().await;
@@ -113,7 +117,10 @@
             .expect("stored by a peer");
         let is_still_known =
             |it: &Arc<Node>| it.view().alive.iter().any(|it| it.identity.vm.as_str() == "vm-0");
-        assert!(!nodes[1..].iter().any(is_still_known), "a node that left isn't called any more");
+        assert!(
+            !nodes[1..].iter().any(is_still_known),
+            "a node that left must not be alive in any view"
+        );
     });
 }
 
@@ -126,9 +133,13 @@
         let platform = Platform::default();
         let origin = Origin { vm: "vm-0".into(), incarnation: 1 };
         let lines: Vec<_> = (0..5).map(|it| bill_line(&format!("r-{it}"))).collect();
-        store::put(&platform, &origin, 0, lines[..2].to_vec()).await.expect("by the replica");
-        store::put(&platform, &origin, 0, lines.clone()).await.expect("by the owner");
-        store::put(&platform, &origin, 0, lines[..4].to_vec()).await.expect("by another replica");
+        store::put(&platform, &origin, 0, lines[..2].to_vec())
+            .await
+            .expect("stored by the replica");
+        store::put(&platform, &origin, 0, lines.clone()).await.expect("stored by the owner");
+        store::put(&platform, &origin, 0, lines[..4].to_vec())
+            .await
+            .expect("stored by another replica");
         assert_eq!(platform.objects.lock().len(), 2);
         assert_eq!(platform.stored_line_counts().len(), 5);
         assert!(platform.stored_line_counts().values().all(|it| *it == 1));
--- a/crates/curranthook_peers/tests/peers/membership.rs
+++ b/crates/curranthook_peers/tests/peers/membership.rs
@@ -21,7 +21,7 @@
 async fn wait_until_connected(nodes: &[Arc<Node>]) {
     let connected =
         wait_until(TIMEOUT, || nodes.iter().all(|it| it.view().alive.len() + 1 == nodes.len()));
-    assert!(connected.await.is_some(), "nodes didn't find each other");
+    assert!(connected.await.is_some(), "nodes didn't connect");
 }
 
 /// Two nodes can't reach each other, in one direction or both, while all others reach both. The
@@ -36,10 +36,10 @@
         for (a, b) in cuts {
             fleet.network.cut(&nodes[*a], &nodes[*b]);
         }
-        let noticed = wait_until(TIMEOUT, || {
+        let detected = wait_until(TIMEOUT, || {
             cuts.iter().all(|(a, b)| !considers_alive(&nodes[*a], &nodes[*b]))
         });
-        assert!(noticed.await.is_some(), "the cut wasn't noticed");
+        assert!(detected.await.is_some(), "the cut wasn't detected");
         async_io::Timer::after(Duration::from_secs(2)).await;
         for (a, node) in nodes.iter().enumerate() {
             for (b, other) in nodes.iter().enumerate().filter(|(b, _)| *b != a) {
@@ -67,13 +67,13 @@
                 |it: &Arc<Node>| it.view().alive.iter().any(|it| it.identity.incarnation == 2);
             nodes[..2].iter().all(knows_successor)
         });
-        assert!(connected.await.is_some(), "the successor wasn't met");
+        assert!(connected.await.is_some(), "the successor was not contacted");
         let old_process = fleet.node(2, 1);
-        let refused = wait_until(TIMEOUT, || {
-            let n = |it: &Arc<Node>| it.status().counters["rejected_incarnation"];
-            0 < nodes[..2].iter().map(n).sum::<u64>()
+        let rejected = wait_until(TIMEOUT, || {
+            let n_rejected = |it: &Arc<Node>| it.status().counters["rejected_incarnation"];
+            0 < nodes[..2].iter().map(n_rejected).sum::<u64>()
         });
-        assert!(refused.await.is_some(), "the old process was heard");
+        assert!(rejected.await.is_some(), "the calls of the old process were accepted");
         old_process.kill();
         successor.kill();
     });
@@ -89,8 +89,8 @@
         wait_until_connected(&nodes).await;
         assert!(nodes.iter().all(|it| it.site_nodes() == 6));
         fleet.network.kill(&nodes[5]);
-        let noticed = wait_until(TIMEOUT, || nodes[..5].iter().all(|it| it.site_nodes() == 5));
-        assert!(noticed.await.is_some(), "still counted");
+        let detected = wait_until(TIMEOUT, || nodes[..5].iter().all(|it| it.site_nodes() == 5));
+        assert!(detected.await.is_some(), "the dead node is still counted");
     });
 }
 
@@ -103,12 +103,12 @@
     async_io::block_on(async {
         let fleet = Fleet::new();
         fleet.add_to_list(9);
-        let early = fleet.node(0, 1);
+        let first_node = fleet.node(0, 1);
         async_io::Timer::after(Duration::from_secs(1)).await;
-        fleet.network.cut_before_start(1, 0);
-        let late = fleet.node(1, 1);
-        let connected = wait_until(TIMEOUT, || considers_alive(&early, &late));
-        assert!(connected.await.is_some(), "the neighbour was forgotten");
+        fleet.network.cut_by_index(1, 0);
+        let second_node = fleet.node(1, 1);
+        let connected = wait_until(TIMEOUT, || considers_alive(&first_node, &second_node));
+        assert!(connected.await.is_some(), "the neighbour was not found");
     });
 }
 
@@ -141,9 +141,9 @@
     (0..20).for_each(|_| call(false));
     (0..20).for_each(|_| call(true));
     let before: Vec<_> = members.alive().into_iter().map(|it| it.identity.vm).collect();
-    for turn in 0..120 {
+    for n_calls in 0..120 {
         call(true);
         let alive: Vec<_> = members.alive().into_iter().map(|it| it.identity.vm).collect();
-        assert_eq!(alive, before, "turn {turn}");
+        assert_eq!(alive, before, "call {n_calls}");
     }
 }
--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -49,19 +49,19 @@
     /// and sequence number counts once.
     pub fn stored_line_counts(&self) -> BTreeMap<String, usize> {
         let mut seen = HashSet::new();
-        let mut stored_line_counts = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for json in self.objects.lock().values() {
             let segment: bill::Segment = serde_json::from_slice(json).expect("a segment");
             for (sequence, line) in (segment.first..).zip(&segment.lines) {
                 if seen.insert((segment.origin.clone(), sequence)) {
-                    *stored_line_counts.entry(line.request.as_str().to_owned()).or_default() += 1;
+                    *counts.entry(line.request.as_str().to_owned()).or_default() += 1;
                 }
             }
         }
-        stored_line_counts
+        counts
     }
 
-    fn check_up(down: &AtomicBool) -> Result<(), Error> {
+    fn check_available(down: &AtomicBool) -> Result<(), Error> {
         if down.load(Ordering::SeqCst) { Err(Error::Down("out".to_owned())) } else { Ok(()) }
     }
 }
@@ -78,7 +78,7 @@
         known: Option<&'a Tag>,
     ) -> platform::Answer<'a, Option<Row>> {
         Box::pin(async move {
-            Self::check_up(&self.table_down)?;
+            Self::check_available(&self.table_down)?;
             let Some(document) = self.document.lock().clone() else { return Ok(None) };
             let tag = Tag(document.epoch.to_string());
             if known == Some(&tag) {
@@ -111,7 +111,7 @@
 impl Objects for Platform {
     fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> platform::Answer<'a, Write> {
         Box::pin(async move {
-            Self::check_up(&self.objects_down)?;
+            Self::check_available(&self.objects_down)?;
             let mut objects = self.objects.lock();
             if objects.contains_key(key) {
                 return Ok(Write::Conflict);
@@ -126,7 +126,7 @@
 
     fn get<'a>(&'a self, key: &'a str) -> platform::Answer<'a, Option<Bytes>> {
         Box::pin(async move {
-            Self::check_up(&self.objects_down)?;
+            Self::check_available(&self.objects_down)?;
             Ok(self.objects.lock().get(key).cloned())
         })
     }
@@ -156,7 +156,7 @@
     }
 
     /// Cuts the calls of node `a` to node `b`, even if these nodes have not started yet.
-    pub fn cut_before_start(&self, a: u16, b: u16) {
+    pub fn cut_by_index(&self, a: u16, b: u16) {
         self.cuts.lock().insert((address(a), address(b)));
     }
 
@@ -201,7 +201,7 @@
         .expect("a valid request");
     let res = node.handle(&req.into_parts().0, body).await;
     let (head, body) = res.into_parts();
-    http::Response::from_parts(head, body.collect().await.expect("a whole body").to_bytes())
+    http::Response::from_parts(head, body.collect().await.expect("a complete body").to_bytes())
 }
 
 /// The nodes under test, with their executor, platform and network.
