--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -167,9 +167,9 @@
 
     /// Merges a peer's entry.
     pub fn merge(&self, entry: &Entry) {
-        let Entry(vm, incarnation, version, kind, wire) = entry;
+        let Entry(vm, incarnation, version, kind, wire_counts) = entry;
         let origin = Origin { vm: vm.clone(), incarnation: *incarnation };
-        let reported = Counts::from(*wire);
+        let reported = Counts::from(*wire_counts);
         // Only this process updates the counters of its own origin; entries that peers forward for
         // it contain nothing new.
         if origin == self.own || !is_consistent(&reported) {
@@ -202,8 +202,8 @@
         let mut selected = Vec::new();
         for (subject, origin, record) in candidates {
             let (version, kind) = (subject.version.clone(), subject.kind.clone());
-            let wire = record.counts.into();
-            let entry = Entry(origin.vm.clone(), origin.incarnation, version, kind, wire);
+            let wire_counts = record.counts.into();
+            let entry = Entry(origin.vm.clone(), origin.incarnation, version, kind, wire_counts);
             if fits(&entry) {
                 record.sends_left = record.sends_left.saturating_sub(1);
                 record.last_sent = logical_time;
--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -313,7 +313,7 @@
     /// The fleet as this node sees it.
     pub fn view(&self) -> View {
         View {
-            fleet: self.fleet_size(),
+            fleet_size: self.fleet_size(),
             site_nodes: self.site_nodes(),
             alive: self.alive(),
             unreachable: self.unreachable(),
--- a/crates/curranthook_peers/src/member/view.rs
+++ b/crates/curranthook_peers/src/member/view.rs
@@ -19,7 +19,8 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct View {
     /// An estimate of the number of nodes in the fleet, including this one.
-    pub fleet: usize,
+    #[serde(rename = "fleet")]
+    pub fleet_size: usize,
     /// An estimate of the number of live nodes in this site, including this one.
     pub site_nodes: usize,
     /// Peers that recently answered calls from this node.
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -103,8 +103,8 @@
     /// Held during the fetch of a document; several peers often announce the same epoch at once.
     pub(crate) fetch_lock: async_lock::Mutex<()>,
     sequence: AtomicUsize,
-    module: RpcModule<Weak<Self>>,
-    weak: Weak<Self>,
+    rpc_module: RpcModule<Weak<Self>>,
+    self_ref: Weak<Self>,
     stop: (Trigger, Stop),
 }
 
@@ -152,8 +152,8 @@
             replicated_orphans: Mutex::default(),
             fetch_lock: async_lock::Mutex::new(()),
             sequence: AtomicUsize::new(0),
-            module: rpc::module(Weak::clone(weak)),
-            weak: Weak::clone(weak),
+            rpc_module: rpc::module(Weak::clone(weak)),
+            self_ref: Weak::clone(weak),
             stop: stop::new(),
             counters,
             tuning,
@@ -174,7 +174,7 @@
     /// Answers a peer's call. The router's peer listener passes every call of [`rpc::PATH`] to
     /// this.
     pub async fn handle(&self, head: &http::request::Parts, body: Bytes) -> http::Response<Body> {
-        rpc::handle(self, &self.module, head, &body).await
+        rpc::handle(self, &self.rpc_module, head, &body).await
     }
 
     /// Installs a document that came from elsewhere than the table or a peer, if its epoch is
@@ -328,7 +328,7 @@
         if epoch <= self.epoch() {
             return;
         }
-        if let Some(node) = self.weak.upgrade() {
+        if let Some(node) = self.self_ref.upgrade() {
             let fetch = async move { task::documents::fetch(&node, addr, epoch).await };
             self.setup.ex.spawn(fetch).detach();
         }
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -52,9 +52,9 @@
 const CALL_HEAD_BYTES: usize = 165;
 const ANSWER_HEAD_BYTES: usize = 140;
 
-const STALE_CODE: i32 = 1;
-const FULL_CODE: i32 = 2;
-const STOPPED_CODE: i32 = 3;
+const STALE_PROCESS_CODE: i32 = 1;
+const MEMORY_FULL_CODE: i32 = 2;
+const NODE_STOPPED_CODE: i32 = 3;
 
 /// Announces that the sender has a newer epoch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -153,8 +153,8 @@
 /// The methods that a node answers.
 pub(crate) fn module(node: Weak<Node>) -> RpcModule<Weak<Node>> {
     let mut module = RpcModule::new(node);
-    let registered = register(&mut module);
-    registered.expect("no two methods have the same name");
+    let result = register(&mut module);
+    result.expect("no two methods have the same name");
     module
 }
 
@@ -183,7 +183,7 @@
     module.register_method("replicate", |params, node, _| {
         let (node, batch) = (upgrade_node(node)?, params.one::<Batch>()?);
         let inserted = node.replicas().insert(batch);
-        inserted.map_err(|e| error_object(FULL_CODE, &e.to_string()))
+        inserted.map_err(|e| error_object(MEMORY_FULL_CODE, &e.to_string()))
     })?;
     module.register_method("leaving", |params, node, _| {
         let (node, identity) = (upgrade_node(node)?, params.one::<Identity>()?);
@@ -212,13 +212,13 @@
 }
 
 fn upgrade_node(node: &Weak<Node>) -> Result<std::sync::Arc<Node>, ErrorObjectOwned> {
-    node.upgrade().ok_or_else(|| error_object(STOPPED_CODE, "stopped"))
+    node.upgrade().ok_or_else(|| error_object(NODE_STOPPED_CODE, "stopped"))
 }
 
 fn check_caller(node: &Node, identity: &Identity) -> Result<(), ErrorObjectOwned> {
     node.members().record_caller(identity).map_err(|e| {
         bump(&node.counters().rejected_incarnation, 1);
-        error_object(STALE_CODE, &e.to_string())
+        error_object(STALE_PROCESS_CODE, &e.to_string())
     })
 }
 
