--- a/crates/curranthook_peers/examples/membership_cuts.rs
+++ b/crates/curranthook_peers/examples/membership_cuts.rs
@@ -18,9 +18,13 @@
 };
 use support::{Fleet, wait_until};
 
+/// Nodes in the fleet.
 const N_NODES: u16 = 9;
+/// Samples taken after a cut.
 const N_SAMPLES: usize = 100;
+/// The time between samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+/// The time limit for all nodes to connect, and for all cuts to be detected.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pairs of nodes of which the first can't call the second.
@@ -32,7 +36,9 @@
     n_false_removals: usize,
     /// Samples of cut links whose peer was still considered alive.
     n_undetected_cuts: usize,
+    /// Samples of intact links.
     n_intact_samples: usize,
+    /// Samples of cut links.
     n_cut_samples: usize,
     /// The time until every cut link was detected at least once.
     detection_time: Option<Duration>,
--- a/crates/curranthook_peers/src/demand.rs
+++ b/crates/curranthook_peers/src/demand.rs
@@ -86,6 +86,7 @@
         }
         state.rates.retain(|account, rate| {
             let n_requests = request_counts.get(account).copied().unwrap_or(0);
+            // An exponential moving average; an account is dropped when its rate is near zero.
             *rate += SMOOTHING_FACTOR * (n_requests as f64 / seconds - *rate);
             0.05 < *rate
         });
--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -63,8 +63,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WireCounts(u64, u64, u64, u64, u64, u64, u64);
 
+/// Ratings are sent in units of 1/10,000.
 const RATING_UNIT: f64 = 10_000.0;
-/// Lengths are sums over responses, for which hundredths are precise enough.
+/// Lengths are sent in units of 1/100, which is precise enough for sums over responses.
 const LENGTH_UNIT: f64 = 100.0;
 
 impl From<Counts> for WireCounts {
@@ -93,6 +94,7 @@
 #[derive(Debug, Default)]
 struct Record {
     counts: Counts,
+    /// How often the last change is still to be sent before other records.
     sends_left: u32,
     /// The logical time of the last change.
     last_changed: u64,
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -234,6 +234,7 @@
 
 /// Approximately how many bytes a line takes in memory.
 pub fn estimated_size(line: &Line) -> usize {
+    /// Approximate overhead of an entry of the map.
     const MAP_ENTRY_BYTES: usize = 64;
     size_of::<Line>()
         + MAP_ENTRY_BYTES
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -52,8 +52,11 @@
 const CALL_HEAD_BYTES: usize = 165;
 const ANSWER_HEAD_BYTES: usize = 140;
 
+/// JSON-RPC error code: the caller has been replaced by a later process of its VM, or has left.
 const STALE_PROCESS_CODE: i32 = 1;
+/// JSON-RPC error code: no memory is left for lines of peers.
 const MEMORY_FULL_CODE: i32 = 2;
+/// JSON-RPC error code: the node has stopped.
 const NODE_STOPPED_CODE: i32 = 3;
 
 /// Announces that the sender has a newer epoch.
@@ -265,9 +268,10 @@
 async fn dispatch(module: &RpcModule<Weak<Node>>, call: &Bytes) -> Option<(String, String)> {
     let text = std::str::from_utf8(call).ok()?;
     let method = serde_json::from_str::<Request<'_>>(text).ok()?.method.into_owned();
-    // No method is a subscription, so no messages follow the answer.
-    const NO_SUBSCRIPTIONS: usize = 1;
-    let (answer, _) = module.raw_json_request(text, NO_SUBSCRIPTIONS).await.ok()?;
+    // Messages buffered for subscriptions. No method is a subscription, so no messages follow the
+    // answer.
+    const SUBSCRIPTION_BUFFER: usize = 1;
+    let (answer, _) = module.raw_json_request(text, SUBSCRIPTION_BUFFER).await.ok()?;
     Some((method, answer.get().to_owned()))
 }
 
