--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -140,7 +140,7 @@
 fn add_section(node: &Node, topic: Topic, n_frames: usize, budget: &mut Budget, frame: &mut Frame) {
     match topic {
         Topic::Evidence => {
-            frame.evidence = node.evidence().select_entries(|it| budget.try_reserve(it))
+            frame.evidence = node.evidence().select_entries(|it| budget.try_reserve(it));
         }
         Topic::Demand => frame.demand = node.demand().select_entries(|it| budget.try_reserve(it)),
         Topic::Alarms => {
@@ -152,7 +152,7 @@
                 budget.select(node.poison().recent_entries(n_frames, MAX_POISON_ENTRIES));
         }
         Topic::Members => {
-            frame.members = budget.select(next_member(node, n_frames / TOPIC_ROTATION.len()))
+            frame.members = budget.select(next_member(node, n_frames / TOPIC_ROTATION.len()));
         }
     }
 }
