--- a/crates/curranthook_peers/src/counters.rs
+++ b/crates/curranthook_peers/src/counters.rs
@@ -14,9 +14,9 @@
             /// The name and value of every counter, for export as metrics.
             ///
             /// ```
-            /// # use curranthook_peers::counters::{Counters, bump};
+            /// # use curranthook_peers::counters::{Counters, increment};
             /// let counters = Counters::default();
-            /// bump(&counters.messages, 2);
+            /// increment(&counters.messages, 2);
             /// assert!(counters.all().contains(&("messages", 2)));
             /// ```
             pub fn all(&self) -> Vec<(&'static str, u64)> {
@@ -85,6 +85,6 @@
 }
 
 /// Adds `n` to a counter.
-pub fn bump(counter: &AtomicU64, n: u64) {
+pub fn increment(counter: &AtomicU64, n: u64) {
     counter.fetch_add(n, Ordering::Relaxed);
 }
--- a/crates/curranthook_peers/src/demand.rs
+++ b/crates/curranthook_peers/src/demand.rs
@@ -144,7 +144,7 @@
         let mut state = self.state.lock();
         state.cursor += 1;
         let cursor = state.cursor;
-        let own_rates = rates_at(&state.rates, cursor, |rate| (rate * 10.0).round() as u64);
+        let own_rates = rates_at_cursor(&state.rates, cursor, |rate| (rate * 10.0).round() as u64);
         let own_entry = Entry(self.vm.clone(), self.incarnation, now, own_rates);
         let recent: Vec<_> =
             state.reports.iter().filter(|(_, it)| is_recent(it.at_millis, now)).collect();
@@ -200,7 +200,7 @@
 }
 
 /// The rates of a few accounts; `cursor` rotates through all accounts.
-fn rates_at<T>(
+fn rates_at_cursor<T>(
     rates: &BTreeMap<account::Id, T>,
     cursor: usize,
     to_tenths: impl Fn(&T) -> u64,
--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -22,15 +22,15 @@
 const MAX_CANDIDATES: usize = 12;
 
 /// The higher value of each field.
-fn max_counts(one: &Counts, other: &Counts) -> Counts {
+fn max_counts(a: &Counts, b: &Counts) -> Counts {
     Counts {
-        n: one.n.max(other.n),
-        sum: one.sum.max(other.sum),
-        squares: one.squares.max(other.squares),
-        calls: one.calls.max(other.calls),
-        errors: one.errors.max(other.errors),
-        tokens: one.tokens.max(other.tokens),
-        lengths: one.lengths.max(other.lengths),
+        n: a.n.max(b.n),
+        sum: a.sum.max(b.sum),
+        squares: a.squares.max(b.squares),
+        calls: a.calls.max(b.calls),
+        errors: a.errors.max(b.errors),
+        tokens: a.tokens.max(b.tokens),
+        lengths: a.lengths.max(b.lengths),
     }
 }
 
--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -16,7 +16,7 @@
 use parking_lot::Mutex;
 
 use crate::{
-    counters::{Counters, bump},
+    counters::{Counters, increment},
     replica::{self, Batch},
     store,
 };
@@ -67,9 +67,9 @@
     pub fn close(self, durability: Durability, counters: &Counters) {
         let n_lines = self.batch.lines.len() as u64;
         match durability {
-            Durability::Replicated(_) => bump(&counters.line_replicated, n_lines),
-            Durability::Stored => bump(&counters.line_stored, n_lines),
-            Durability::LocalOnly => bump(&counters.line_alone, n_lines),
+            Durability::Replicated(_) => increment(&counters.line_replicated, n_lines),
+            Durability::Stored => increment(&counters.line_stored, n_lines),
+            Durability::LocalOnly => increment(&counters.line_alone, n_lines),
         }
         for waiter in self.waiters {
             let _receiver_dropped = waiter.durability_tx.try_send(durability);
@@ -205,10 +205,10 @@
     pub async fn store(&self, batch: &Batch, objects: &dyn Objects) -> bool {
         let stored = store::put(objects, &self.origin, batch.first, batch.lines.clone()).await;
         if stored.is_err() {
-            bump(&self.counters.store_failed, 1);
+            increment(&self.counters.store_failed, 1);
             return false;
         }
-        bump(&self.counters.segment_stored, 1);
+        increment(&self.counters.segment_stored, 1);
         let mut state = self.state.lock();
         for sequence in (batch.first..).take(batch.lines.len()) {
             state.under_replicated.remove(&sequence);
--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -287,7 +287,7 @@
             let is_remote = it.identity.site != self.own.site;
             (is_remote, it.failures, rendezvous_hash(&self.own.vm, &it.identity.vm))
         });
-        interleave_domains(candidates.into_iter().map(|it| it.identity))
+        distinct_domains_first(candidates.into_iter().map(|it| it.identity))
     }
 
     /// An estimate of the number of nodes in the fleet, including this one.
@@ -393,7 +393,7 @@
 }
 
 /// Moves the first node of each failure domain to the front.
-fn interleave_domains(nodes: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
+fn distinct_domains_first(nodes: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
     let mut ordered: Vec<Identity> = Vec::new();
     let mut rest = Vec::new();
     for identity in nodes {
--- a/crates/curranthook_peers/src/member/orphan_replicas.rs
+++ b/crates/curranthook_peers/src/member/orphan_replicas.rs
@@ -2,7 +2,7 @@
 
 use curranthook_types::vm;
 
-use super::{Identity, Members, interleave_domains, rendezvous_hash};
+use super::{Identity, Members, distinct_domains_first, rendezvous_hash};
 
 /// How many nodes keep the lines of a VM that is gone.
 const ORPHAN_REPLICAS: usize = 2;
@@ -14,7 +14,7 @@
         let mut candidates: Vec<_> = self.alive().into_iter().map(|it| it.identity).collect();
         candidates.push(self.own.clone());
         candidates.sort_by_cached_key(|it| rendezvous_hash(lost_vm, &it.vm));
-        let mut nodes = interleave_domains(candidates);
+        let mut nodes = distinct_domains_first(candidates);
         nodes.truncate(ORPHAN_REPLICAS);
         nodes
     }
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -23,7 +23,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    counters::{Counters, bump},
+    counters::{Counters, increment},
     member::Members,
     store,
 };
@@ -103,7 +103,7 @@
         let mut state = self.state.lock();
         let State { owners, n_bytes } = &mut *state;
         if !batch.lines.is_empty() && MAX_BYTES <= *n_bytes {
-            bump(&self.counters.replica_full, 1);
+            increment(&self.counters.replica_full, 1);
             return Err(Full);
         }
         let owner = owners.entry(batch.origin).or_insert_with(|| Owner {
@@ -138,11 +138,11 @@
             for (first, lines) in store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT) {
                 let end = first + lines.len() as u64;
                 if store::put(objects, &origin, first, lines).await.is_err() {
-                    bump(&self.counters.store_failed, 1);
+                    increment(&self.counters.store_failed, 1);
                     self.is_store_down.store(true, Ordering::Relaxed);
                     return false;
                 }
-                bump(&self.counters.segment_taken_over, 1);
+                increment(&self.counters.segment_taken_over, 1);
                 self.is_store_down.store(false, Ordering::Relaxed);
                 self.drop_lines(&origin, first, end);
             }
--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -29,7 +29,7 @@
 
 use crate::{
     auth,
-    counters::{Counters, bump},
+    counters::{Counters, increment},
     digest::{self, Frame},
     evidence::Counts,
     member::Identity,
@@ -104,10 +104,10 @@
             Self::Control => (&counters.bytes_in, &counters.bytes_out),
             Self::Journal => (&counters.journal_bytes_in, &counters.journal_bytes_out),
         };
-        bump(bytes_in, bytes_received as u64);
-        bump(bytes_out, bytes_sent as u64);
+        increment(bytes_in, bytes_received as u64);
+        increment(bytes_out, bytes_sent as u64);
         if self == Self::Control {
-            bump(&counters.messages, 1);
+            increment(&counters.messages, 1);
         }
     }
 }
@@ -220,7 +220,7 @@
 
 fn check_caller(node: &Node, identity: &Identity) -> Result<(), ErrorObjectOwned> {
     node.members().record_caller(identity).map_err(|e| {
-        bump(&node.counters().rejected_incarnation, 1);
+        increment(&node.counters().rejected_incarnation, 1);
         error_object(STALE_PROCESS_CODE, &e.to_string())
     })
 }
@@ -241,7 +241,7 @@
     }
     let counters = node.counters();
     if MAX_CALL_BYTES < call.len() {
-        bump(&counters.rejected_size, 1);
+        increment(&counters.rejected_size, 1);
         return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let text = |name| head.headers.get(name).and_then(|it| it.to_str().ok()).unwrap_or_default();
@@ -251,7 +251,7 @@
             auth::Error::Mac => &counters.rejected_mac,
             auth::Error::Time => &counters.rejected_time,
         };
-        bump(counter, 1);
+        increment(counter, 1);
         return empty_response(StatusCode::FORBIDDEN);
     }
     let Some((method, json)) = dispatch(module, call).await else {
--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -32,7 +32,7 @@
     spawn(node, gossip::poll_vm_list);
     spawn(node, documents::poll_table);
     spawn(node, documents::bootstrap);
-    spawn(node, journal::replicate);
+    spawn(node, journal::replicate_new_lines);
     spawn(node, journal::flush);
     spawn(node, journal::store_orphans);
 }
--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -6,7 +6,7 @@
 use curranthook_types::Epoch;
 
 use crate::{
-    counters::bump,
+    counters::increment,
     documents::Transfer,
     node::Node,
     rpc::{self, Announcement},
@@ -37,28 +37,28 @@
 async fn read_table(node: &Node) {
     let tag = node.documents().tag();
     let (table, key) = document::ROW;
-    bump(&node.counters().table_reads, 1);
+    increment(&node.counters().table_reads, 1);
     let row = match node.setup.table.get_newer(table, key, tag.as_ref()).await {
         Ok(Some(row)) => row,
         Ok(None) => return,
         Err(_) => {
-            bump(&node.counters().table_failed, 1);
+            increment(&node.counters().table_failed, 1);
             return;
         }
     };
-    bump(&node.counters().table_bytes, row.value.len() as u64);
+    increment(&node.counters().table_bytes, row.value.len() as u64);
     let Ok(document) = serde_json::from_slice::<Document>(&row.value) else {
         log::error!("cannot parse the published document in the table");
         return;
     };
     if node.documents().offer(document, Some(row.tag)) {
-        bump(&node.counters().epoch_from_table, 1);
+        increment(&node.counters().epoch_from_table, 1);
         apply_document(node);
         if node.is_enabled(Mechanism::Announcement) {
             announce(node).await;
         }
     } else {
-        bump(&node.counters().document_not_newer, 1);
+        increment(&node.counters().document_not_newer, 1);
     }
 }
 
@@ -122,13 +122,13 @@
     };
     match node.documents().apply(transfer) {
         Ok(true) => {
-            bump(counter, 1);
-            bump(&counters.epoch_from_peer, 1);
+            increment(counter, 1);
+            increment(&counters.epoch_from_peer, 1);
             apply_document(node);
         }
-        Ok(false) => bump(&counters.document_not_newer, 1),
+        Ok(false) => increment(&counters.document_not_newer, 1),
         Err(_) => {
-            bump(&counters.delta_rejected, 1);
+            increment(&counters.delta_rejected, 1);
             return false;
         }
     }
--- a/crates/curranthook_peers/src/task/gossip.rs
+++ b/crates/curranthook_peers/src/task/gossip.rs
@@ -5,7 +5,7 @@
 use curranthook_platform::Role;
 
 use crate::{
-    counters::bump,
+    counters::increment,
     digest::{self, Frame},
     node::Node,
     rpc,
@@ -40,12 +40,12 @@
 
 /// Makes an exchange at each interval.
 pub(crate) async fn run(node: Arc<Node>) {
-    let mut last = node.setup.clock.now();
+    let mut last_update = node.setup.clock.now();
     loop {
         sleep_with_jitter(node.tuning().exchange_interval).await;
         let now = node.setup.clock.now();
-        node.demand().update_rates(now.saturating_duration_since(last));
-        last = now;
+        node.demand().update_rates(now.saturating_duration_since(last_update));
+        last_update = now;
         if let Some(document) = node.document() {
             node.suspects().prune(&document);
         }
@@ -56,22 +56,23 @@
 /// Makes an exchange with the next peer of the view.
 pub(crate) async fn exchange(node: &Node) {
     let Some(addr) = node.members().next_peer() else { return };
-    let ours = digest::build(node);
-    let Ok(theirs) = node.call::<Frame>(addr, "exchange", &ours, rpc::TIMEOUT).await else {
-        bump(&node.counters().exchange_failed, 1);
+    let own_frame = digest::build(node);
+    let Ok(peer_frame) = node.call::<Frame>(addr, "exchange", &own_frame, rpc::TIMEOUT).await
+    else {
+        increment(&node.counters().exchange_failed, 1);
         return;
     };
-    if node.members().record_answer(addr, &theirs.from).is_err() {
-        bump(&node.counters().rejected_incarnation, 1);
+    if node.members().record_answer(addr, &peer_frame.from).is_err() {
+        increment(&node.counters().rejected_incarnation, 1);
         return;
     }
-    bump(&node.counters().exchange_ok, 1);
-    digest::merge(node, &theirs);
-    if let Some(transfer) = theirs.transfer {
+    increment(&node.counters().exchange_ok, 1);
+    digest::merge(node, &peer_frame);
+    if let Some(transfer) = peer_frame.transfer {
         documents::apply_transfer(node, transfer);
     }
     if node.is_enabled(Mechanism::PushPull) {
-        node.fetch_if_newer(addr, theirs.epoch);
+        node.fetch_if_newer(addr, peer_frame.epoch);
     }
 }
 
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -28,7 +28,7 @@
 const ORPHAN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends new lines to peers.
-pub(crate) async fn replicate(node: Arc<Node>) {
+pub(crate) async fn replicate_new_lines(node: Arc<Node>) {
     // Each group in flight holds a clone.
     let in_flight = Arc::new(());
     loop {
@@ -239,8 +239,8 @@
 }
 
 async fn hand_over_batch(node: &Node, peers: &[SocketAddr], batch: &Batch) -> bool {
-    for pair in peers.chunks(REPLICATION_FACTOR) {
-        if 0 < replicate_to(node, pair, batch, rpc::TIMEOUT).await {
+    for targets in peers.chunks(REPLICATION_FACTOR) {
+        if 0 < replicate_to(node, targets, batch, rpc::TIMEOUT).await {
             return true;
         }
     }
