--- a/crates/curranthook_peers/src/bin/curranthook-peer.rs
+++ b/crates/curranthook_peers/src/bin/curranthook-peer.rs
@@ -1,6 +1,7 @@
-//! A node without a router, to measure how nodes act together.
+//! A node without a router, for measurements of the peer-to-peer layer.
 //!
-//! Prints one line of JSON when it's bound, answers `GET /status`, and leaves on SIGTERM.
+//! Prints one line of JSON when its listener is bound, answers `GET /status`, and leaves the fleet
+//! on SIGTERM or SIGINT.
 
 use std::{
     fs,
@@ -41,21 +42,21 @@
     /// The VM's settings, in YAML.
     #[arg(long)]
     settings: PathBuf,
-    /// Requests a second to make up, each with a bill line, evidence and demand.
+    /// Synthetic requests per second, each with a bill line, evidence and demand.
     #[arg(long, default_value_t = 0.0)]
     load: f64,
-    /// The shortest time between reads of the table, in milliseconds: as long as in a large
-    /// fleet, to see what peers do for one another.
+    /// The shortest time between reads of the table, in milliseconds: set as long as in a large
+    /// fleet to measure what the exchanges between peers contribute.
     #[arg(long, hide = true)]
     poll_ms: Option<u64>,
-    /// Parts of the spread of configurations to leave out.
+    /// Mechanisms of configuration distribution to disable.
     #[arg(long, hide = true, value_enum)]
-    without: Vec<Part>,
+    without: Vec<Mechanism>,
 }
 
-/// What can be left out.
+/// The mechanisms of configuration distribution that can be disabled.
 #[derive(Debug, Clone, Copy, ValueEnum)]
-enum Part {
+enum Mechanism {
     PushPull,
     News,
     Delta,
@@ -63,16 +64,16 @@
 
 impl Args {
     fn tuning(&self) -> Tuning {
-        let usual = Tuning::default();
-        let part = |it: &Part| match it {
-            Part::PushPull => tuning::Part::PushPull,
-            Part::News => tuning::Part::News,
-            Part::Delta => tuning::Part::Delta,
+        let default = Tuning::default();
+        let mechanism = |it: &Mechanism| match it {
+            Mechanism::PushPull => tuning::Mechanism::PushPull,
+            Mechanism::News => tuning::Mechanism::Announcement,
+            Mechanism::Delta => tuning::Mechanism::Delta,
         };
         Tuning {
-            poll: self.poll_ms.map_or(usual.poll, Duration::from_millis),
-            without: self.without.iter().map(part).collect(),
-            ..usual
+            poll_interval: self.poll_ms.map_or(default.poll_interval, Duration::from_millis),
+            disabled: self.without.iter().map(mechanism).collect(),
+            ..default
         }
     }
 }
@@ -80,11 +81,11 @@
 fn main() -> anyhow::Result<()> {
     let args = Args::parse();
     let _logger = Logger::try_with_env_or_str("info")?.start()?;
-    let settings = read(&args.settings)?;
+    let settings = read_settings(&args.settings)?;
     runtime::run(settings.threads, |ex| serve(ex, settings, args))
 }
 
-fn read(path: &Path) -> anyhow::Result<Settings> {
+fn read_settings(path: &Path) -> anyhow::Result<Settings> {
     let text = fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
     serde_saphyr::from_str(&text).with_context(|| format!("in {}", path.display()))
 }
@@ -97,18 +98,18 @@
 
     let (trigger, stop) = stop::new();
     let listener = Arc::new(Listener(Arc::clone(&node)));
-    let serving = {
+    let server_task = {
         let ex = Arc::clone(&ex);
         ex.clone().spawn(async move { server.serve(&ex, listener, stop).await })
     };
     if 0.0 < args.load {
         let node = Arc::clone(&node);
-        ex.spawn(make_up(node, args.load)).detach();
+        ex.spawn(generate_load(node, args.load)).detach();
     }
     Signals::new([Signal::Term, Signal::Int])?.next().await;
     node.leave().await;
     trigger.set();
-    serving.await;
+    server_task.await;
     Ok(())
 }
 
@@ -130,18 +131,18 @@
     }
 }
 
-/// Requests as a router would report them.
-async fn make_up(node: Arc<Node>, load: f64) {
+/// Records synthetic requests as a router would.
+async fn generate_load(node: Arc<Node>, requests_per_second: f64) {
     const VERSIONS: u64 = 7;
     const ACCOUNTS: u64 = 10;
     let vm = node.identity().vm.clone();
     for n in 0_u64.. {
-        async_io::Timer::after(Duration::from_secs_f64(1.0 / load)).await;
+        async_io::Timer::after(Duration::from_secs_f64(1.0 / requests_per_second)).await;
         let version = format!("tally-llm@{}", n % VERSIONS);
         let account = format!("account-{}", n % ACCOUNTS);
-        node.demand().add(&account.as_str().into());
+        node.demand().record_request(&account.as_str().into());
         let sample = Sample { rating: Some(0.8), outcome: Outcome::Answered, tokens: 360 };
-        node.evidence().add(&version.as_str().into(), &"summary".into(), sample);
+        node.evidence().record(&version.as_str().into(), &"summary".into(), sample);
         let line = bill::Line {
             request: format!("{vm}-{n:012}").as_str().into(),
             account: account.as_str().into(),
@@ -151,7 +152,7 @@
             cost: price::Micros(1_500),
             at_millis: clock::System.unix_millis(),
         };
-        let _counted = node.journal().record(line).await;
+        let _durability = node.journal().record(line).await;
     }
 }
 
@@ -164,15 +165,15 @@
             if head.method == Method::GET && head.uri.path() == "/status" {
                 return body::json(200, &self.0.status());
             }
-            match body::read(incoming, rpc::MAX_CALL).await {
+            match body::read(incoming, rpc::MAX_CALL_BYTES).await {
                 Ok(call) => self.0.handle(&head, call).await,
-                Err(_) => refused(StatusCode::PAYLOAD_TOO_LARGE),
+                Err(_) => empty_response(StatusCode::PAYLOAD_TOO_LARGE),
             }
         })
     }
 }
 
-fn refused(status: StatusCode) -> http::Response<Body> {
+fn empty_response(status: StatusCode) -> http::Response<Body> {
     let mut res = http::Response::new(body::full(Bytes::new()));
     *res.status_mut() = status;
     res
--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -1,7 +1,8 @@
-//! What two nodes tell each other in an exchange.
+//! The state that two nodes send each other in an exchange.
 //!
-//! A frame has a budget of bytes, whatever the fleet's size; what doesn't fit waits its turn.
-//! Everything in it merges idempotently, so a frame may be lost, repeated or overtaken.
+//! A frame has a fixed budget of bytes, whatever the size of the fleet; entries that don't fit are
+//! sent in a later frame. All contents merge idempotently, so a frame may be lost, repeated or
+//! reordered.
 
 use std::net::SocketAddr;
 
@@ -9,52 +10,53 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    demand, evidence,
+    demand,
+    documents::Transfer,
+    evidence,
     member::Identity,
     node::Node,
-    poison,
-    spread::Transfer,
-    suspect,
-    tuning::{Part, Trust},
+    poison, suspect,
+    tuning::{Mechanism, Trust},
 };
 
-/// Bytes of a frame's sections together. With the HTTP heads, one exchange made and one
-/// answered a second stay within 2 KB, both ways together.
-const BUDGET: usize = 125;
-/// The largest delta that goes along with an answer, in bytes.
-const MAX_TRANSFER: usize = 2_048;
-/// Entries looked at when a section is filled.
-const MAX_PICKED: usize = 8;
+/// Bytes of all sections of a frame together. Including HTTP heads, one exchange initiated and one
+/// answered per second stay within 2 KB, both directions together.
+const FRAME_BUDGET_BYTES: usize = 125;
+/// The largest delta that is included in an answer, in bytes.
+const MAX_INLINE_TRANSFER_BYTES: usize = 2_048;
+/// How many poison entries are considered for a frame.
+const MAX_POISON_ENTRIES: usize = 8;
 
-/// One side's part of an exchange. Field names are short because each byte is paid for once a
-/// second by every node.
+/// One side's part of an exchange. Field names are short because every node sends each byte once a
+/// second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Who speaks.
+    /// The sender.
     #[serde(rename = "i")]
     pub from: Identity,
-    /// The newest epoch that it has; zero for none.
+    /// The newest epoch that the sender has; zero for none.
     #[serde(rename = "c")]
     pub epoch: Epoch,
     /// Suspect versions.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<suspect::Entry>,
-    /// Charged fingerprints.
+    /// Fingerprints of requests under which endpoints crashed.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub poison: Vec<poison::Entry>,
-    /// Demand of nodes of the speaker's site.
+    /// Demand at nodes of the sender's site.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub demand: Vec<demand::Entry>,
     /// Evidence on versions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<evidence::Entry>,
-    /// Peers that the speaker reaches.
+    /// Peers that the sender reaches.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<Identity>,
-    /// In an answer, what the caller lacks of the newest document, if that's small.
+    /// In an answer, the changes that the caller lacks to get to the newest document, if they are
+    /// small.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub transfer: Option<Transfer>,
-    /// Peers that the speaker can't reach.
+    /// Peers that the sender can't reach.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub unreachable: Vec<SocketAddr>,
 }
@@ -64,7 +66,7 @@
 struct Budget(usize);
 
 impl Budget {
-    fn take(&mut self, entry: &impl Serialize) -> bool {
+    fn try_reserve(&mut self, entry: &impl Serialize) -> bool {
         let json = serde_json::to_vec(entry).expect("an entry can be written as JSON");
         let size = json.len() + 1;
         if self.0 < size {
@@ -74,13 +76,13 @@
         true
     }
 
-    fn fill<T: Serialize>(&mut self, entries: Vec<T>) -> Vec<T> {
-        entries.into_iter().filter(|it| self.take(it)).collect()
+    fn select<T: Serialize>(&mut self, entries: Vec<T>) -> Vec<T> {
+        entries.into_iter().filter(|it| self.try_reserve(it)).collect()
     }
 }
 
-/// What a frame is mainly for. The sections take turns in being first: in a fixed order a busy
-/// one would leave those behind it too few bytes for a single entry, for good.
+/// A section of a frame. The sections take turns in being first: in a fixed order, a busy section
+/// would never leave those behind it enough bytes for a single entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Topic {
     Evidence,
@@ -89,26 +91,29 @@
     Members,
 }
 
-const TOPICS: [Topic; 6] =
+const TOPIC_ROTATION: [Topic; 6] =
     [Topic::Evidence, Topic::Demand, Topic::Alarms, Topic::Evidence, Topic::Demand, Topic::Members];
 
-/// The answer to a caller that has epoch `have`. A small delta goes along: a call of its own for
-/// it would cost more bytes in heads than the delta has.
-pub(crate) fn answer(node: &Node, have: Epoch) -> Frame {
+/// The answer to a caller that has epoch `peer_epoch`. It includes a small delta, because the HTTP
+/// heads of a separate call would take more bytes than the delta itself.
+pub(crate) fn answer(node: &Node, peer_epoch: Epoch) -> Frame {
     let mut frame = build(node);
-    if node.has(Part::PushPull) && have != Epoch::default() && have < frame.epoch {
-        let transfer = node.transfer(have);
+    if node.is_enabled(Mechanism::PushPull)
+        && peer_epoch != Epoch::default()
+        && peer_epoch < frame.epoch
+    {
+        let transfer = node.transfer(peer_epoch);
         let json = serde_json::to_vec(&transfer).expect("a transfer can be written as JSON");
-        frame.transfer = Some(transfer).filter(|_| json.len() <= MAX_TRANSFER);
+        frame.transfer = Some(transfer).filter(|_| json.len() <= MAX_INLINE_TRANSFER_BYTES);
     }
     frame
 }
 
-/// A frame of what is most worth telling now.
+/// Builds a frame of the most urgent entries.
 pub(crate) fn build(node: &Node) -> Frame {
-    let turn = node.next_turn();
+    let n_frames = node.next_sequence();
     let mut frame = Frame {
-        from: node.members().own().clone(),
+        from: node.members().own_identity().clone(),
         epoch: node.epoch(),
         suspects: Vec::new(),
         poison: Vec::new(),
@@ -121,33 +126,38 @@
     if node.tuning().trust == Trust::Others {
         frame.unreachable = node.members().unreachable();
     }
-    let mut budget = Budget(BUDGET);
-    let first = TOPICS[turn % TOPICS.len()];
-    add(node, first, turn, &mut budget, &mut frame);
+    let mut budget = Budget(FRAME_BUDGET_BYTES);
+    let first = TOPIC_ROTATION[n_frames % TOPIC_ROTATION.len()];
+    add_section(node, first, n_frames, &mut budget, &mut frame);
     for topic in [Topic::Alarms, Topic::Evidence, Topic::Demand] {
         if topic != first {
-            add(node, topic, turn, &mut budget, &mut frame);
+            add_section(node, topic, n_frames, &mut budget, &mut frame);
         }
     }
     frame
 }
 
-fn add(node: &Node, topic: Topic, turn: usize, budget: &mut Budget, frame: &mut Frame) {
+fn add_section(node: &Node, topic: Topic, n_frames: usize, budget: &mut Budget, frame: &mut Frame) {
     match topic {
-        Topic::Evidence => frame.evidence = node.evidence().pick(|it| budget.take(it)),
-        Topic::Demand => frame.demand = node.demand().pick(|it| budget.take(it)),
+        Topic::Evidence => {
+            frame.evidence = node.evidence().select_entries(|it| budget.try_reserve(it));
+        }
+        Topic::Demand => frame.demand = node.demand().select_entries(|it| budget.try_reserve(it)),
         Topic::Alarms => {
-            let mut suspects = node.suspects().all();
-            let start = turn.checked_rem(suspects.len()).unwrap_or(0);
+            let mut suspects = node.suspects().active_entries();
+            let start = n_frames.checked_rem(suspects.len()).unwrap_or(0);
             suspects.rotate_left(start);
-            frame.suspects = budget.fill(suspects);
-            frame.poison = budget.fill(node.poison().pick(turn, MAX_PICKED));
+            frame.suspects = budget.select(suspects);
+            frame.poison =
+                budget.select(node.poison().recent_entries(n_frames, MAX_POISON_ENTRIES));
+        }
+        Topic::Members => {
+            frame.members = budget.select(next_member(node, n_frames / TOPIC_ROTATION.len()));
         }
-        Topic::Members => frame.members = budget.fill(hints(node, turn / TOPICS.len())),
     }
 }
 
-/// Takes in a frame.
+/// Merges a peer's frame.
 pub(crate) fn merge(node: &Node, frame: &Frame) {
     for entry in &frame.suspects {
         node.suspects().merge(entry);
@@ -158,22 +168,23 @@
     for entry in &frame.evidence {
         node.evidence().merge(entry);
     }
-    if frame.from.site == node.members().own().site {
+    if frame.from.site == node.members().own_identity().site {
         for entry in &frame.demand {
             node.demand().merge(entry);
         }
     }
     for identity in &frame.members {
-        node.members().hint(identity);
+        node.members().add_candidate(identity);
     }
     for addr in &frame.unreachable {
-        node.members().reported(*addr);
+        node.members().record_unreachable_report(*addr);
     }
 }
 
-/// One peer, another each time: the VM list lags, and during an outage there's nothing else.
-fn hints(node: &Node, turn: usize) -> Vec<Identity> {
+/// One live peer, in rotation. Peers name each other because the VM list lags and can't be read
+/// during an outage.
+fn next_member(node: &Node, n_frames: usize) -> Vec<Identity> {
     let alive = node.members().alive();
-    let at = turn.checked_rem(alive.len());
-    at.map(|at| alive[at].identity.clone()).into_iter().collect()
+    let index = n_frames.checked_rem(alive.len());
+    index.map(|index| alive[index].identity.clone()).into_iter().collect()
 }
--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -1,8 +1,8 @@
-//! This node's bill lines, from the answer until they are stored.
+//! This node's bill lines, from the response until they are in the object store.
 //!
-//! A line is safe once two peers in other failure domains hold it, or the object store does.
-//! Lines that come within a few milliseconds go to the peers together; the store gets larger
-//! segments, less often. Once stored, the peers are told to drop them.
+//! A line is durable once two peers in other failure domains hold it, or the object store does.
+//! Lines that arrive within a few milliseconds are sent to the peers together; the store gets
+//! larger segments, less often. Once lines are stored, the peers are told to drop them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,63 +16,63 @@
 use parking_lot::Mutex;
 
 use crate::{
-    counters::{Counters, bump},
+    counters::{Counters, increment},
     replica::{self, Batch},
     store,
 };
 
-/// How many bytes of lines are kept while they can't be stored: at 26 lines a second, an outage
-/// of about an hour. Past it the node is to refuse new work; a line is never dropped.
+/// How many bytes of lines are kept while they can't be stored: an outage of about an hour at 26
+/// lines per second. Above it the node is to reject new work; a line is never dropped.
 pub const MAX_BYTES: usize = 24 * 1024 * 1024;
 /// How many lines go into one object.
-const MAX_RUN: usize = 2_000;
+const MAX_LINES_PER_OBJECT: usize = 2_000;
 
-/// How safe a line is.
+/// How durable a line is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Durability {
-    /// So many peers in other failure domains hold it.
+    /// Held by this many peers in other failure domains.
     Replicated(usize),
-    /// The object store holds it.
+    /// Held by the object store.
     Stored,
-    /// Only this node holds it; it goes on trying.
-    Alone,
+    /// Held by this node only, which keeps trying to store it.
+    LocalOnly,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct Waiter {
     sequence: u64,
-    done: Sender<Durability>,
+    durability_tx: Sender<Durability>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    next: u64,
+    next_sequence: u64,
     lines: BTreeMap<u64, Line>,
-    /// Lines with fewer copies than there should be.
-    thin: BTreeSet<u64>,
+    /// Lines with fewer copies than intended.
+    under_replicated: BTreeSet<u64>,
     n_bytes: usize,
-    waiting: Vec<Waiting>,
+    waiters: Vec<Waiter>,
 }
 
-/// Lines that go to the peers together.
+/// Lines that are sent to the peers together.
 #[derive(Debug)]
 pub struct Group {
-    /// What the peers get.
+    /// The batch for the peers.
     pub batch: Batch,
-    waiting: Vec<Waiting>,
+    waiters: Vec<Waiter>,
 }
 
 impl Group {
-    /// Tells all that wait for these lines, and closes the group.
+    /// Reports the durability to all callers that wait for these lines.
     pub fn close(self, durability: Durability, counters: &Counters) {
         let n_lines = self.batch.lines.len() as u64;
         match durability {
-            Durability::Replicated(_) => bump(&counters.line_replicated, n_lines),
-            Durability::Stored => bump(&counters.line_stored, n_lines),
-            Durability::Alone => bump(&counters.line_alone, n_lines),
+            Durability::Replicated(_) => increment(&counters.line_replicated, n_lines),
+            Durability::Stored => increment(&counters.line_stored, n_lines),
+            Durability::LocalOnly => increment(&counters.line_alone, n_lines),
         }
-        for waiting in self.waiting {
-            let _caller_gone = waiting.done.try_send(durability);
+        for waiter in self.waiters {
+            let _receiver_dropped = waiter.durability_tx.try_send(durability);
         }
     }
 }
@@ -83,41 +83,43 @@
     origin: Origin,
     counters: Arc<Counters>,
     state: Mutex<State>,
-    recorded: (Sender<()>, Receiver<()>),
-    hurry: (Sender<()>, Receiver<()>),
-    /// One flush at a time; a second would find the first one's keys taken and read them back.
-    flushing: async_lock::Mutex<()>,
+    lines_added: (Sender<()>, Receiver<()>),
+    flush_requests: (Sender<()>, Receiver<()>),
+    /// Held during a flush. A second flush at the same time would find the keys of the first one
+    /// taken and read its objects back.
+    flush_lock: async_lock::Mutex<()>,
 }
 
 impl Journal {
-    /// An empty journal.
+    /// Creates an empty journal.
     pub fn new(origin: Origin, counters: Arc<Counters>) -> Self {
         Self {
             origin,
             counters,
             state: Mutex::default(),
-            recorded: async_channel::bounded(1),
-            hurry: async_channel::bounded(1),
-            flushing: async_lock::Mutex::new(()),
+            lines_added: async_channel::bounded(1),
+            flush_requests: async_channel::bounded(1),
+            flush_lock: async_lock::Mutex::new(()),
         }
     }
 
-    /// Writes a line down and waits until it's safe, or until there's no hope that it soon is.
+    /// Adds a line and waits until it is durable, or until the attempts to replicate and store it
+    /// have failed.
     pub async fn record(&self, line: Line) -> Durability {
-        let (done, result) = async_channel::bounded(1);
+        let (durability_tx, durability_rx) = async_channel::bounded(1);
         {
             let mut state = self.state.lock();
-            let sequence = state.next;
-            state.next += 1;
-            state.n_bytes += replica::size(&line);
+            let sequence = state.next_sequence;
+            state.next_sequence += 1;
+            state.n_bytes += replica::estimated_size(&line);
             state.lines.insert(sequence, line);
-            state.waiting.push(Waiting { sequence, done });
+            state.waiters.push(Waiter { sequence, durability_tx });
         }
-        let _already_woken = self.recorded.0.try_send(());
-        result.recv().await.unwrap_or(Durability::Alone)
+        let _already_signalled = self.lines_added.0.try_send(());
+        durability_rx.recv().await.unwrap_or(Durability::LocalOnly)
     }
 
-    /// Whether so many lines wait to be stored that the node must take no new work.
+    /// Whether so many lines wait to be stored that the node must accept no new work.
     pub fn is_full(&self) -> bool {
         MAX_BYTES <= self.state.lock().n_bytes
     }
@@ -127,91 +129,99 @@
         self.state.lock().lines.len()
     }
 
-    /// Waits until there are lines that no peer has.
-    pub async fn wait_recorded(&self) {
-        let _closed = self.recorded.1.recv().await;
+    /// Waits until there are lines that have not been sent to peers.
+    pub async fn wait_for_lines(&self) {
+        let _closed = self.lines_added.1.recv().await;
     }
 
-    /// Waits until the next flush shouldn't wait.
-    pub async fn wait_hurry(&self) {
-        let _closed = self.hurry.1.recv().await;
+    /// Waits until a flush is requested.
+    pub async fn wait_for_flush_request(&self) {
+        let _closed = self.flush_requests.1.recv().await;
     }
 
-    /// Asks for a flush now, because a replica has failed and lines have one copy less.
-    pub fn hurry(&self) {
-        let _already_asked = self.hurry.0.try_send(());
+    /// Requests a flush now, because a replica has failed and lines have one copy less.
+    pub fn request_flush(&self) {
+        let _already_requested = self.flush_requests.0.try_send(());
     }
 
-    /// The lines that came since the last call.
+    /// The lines that were added since the last call.
     pub fn take_group(&self) -> Option<Group> {
         let mut state = self.state.lock();
-        let waiting = std::mem::take(&mut state.waiting);
-        let first = waiting.first()?.sequence;
-        // A flush may have stored the first of them already. Numbering the rest from the first
-        // that waited would give them the stored ones' numbers.
-        let first = state.lines.range(first..).next().map_or(state.next, |(sequence, _)| *sequence);
+        let waiters = std::mem::take(&mut state.waiters);
+        let first = waiters.first()?.sequence;
+        // A flush may already have stored the first of these lines. Numbering the rest from the
+        // first waiter's sequence number would give them the numbers of the stored lines.
+        let first = state
+            .lines
+            .range(first..)
+            .next()
+            .map_or(state.next_sequence, |(sequence, _)| *sequence);
         let lines = state.lines.range(first..).map(|(_, line)| line.clone()).collect();
-        Some(Group { batch: self.batch(&state, first, lines), waiting })
+        Some(Group { batch: self.batch(&state, first, lines), waiters })
     }
 
     /// All lines that aren't stored, in batches, to hand over to peers.
     pub fn unstored(&self) -> Vec<Batch> {
         let state = self.state.lock();
         let lines = state.lines.iter().map(|(sequence, line)| (*sequence, line.clone()));
-        let runs = store::runs(lines, MAX_RUN);
-        runs.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
+        let segments = store::contiguous_runs(lines, MAX_LINES_PER_OBJECT);
+        segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
-    /// Notes that a batch has too few copies.
-    pub fn set_thin(&self, batch: &Batch) {
+    /// Records that a batch has too few copies.
+    pub fn mark_under_replicated(&self, batch: &Batch) {
         let mut state = self.state.lock();
         let sequences = (batch.first..).take(batch.lines.len());
         let unstored: Vec<_> = sequences.filter(|it| state.lines.contains_key(it)).collect();
-        state.thin.extend(unstored);
+        state.under_replicated.extend(unstored);
     }
 
-    /// Notes that a peer is lost that held lines, perhaps all.
-    pub fn set_all_thin(&self) {
+    /// Records that a peer is lost that held some or all of the lines.
+    pub fn mark_all_under_replicated(&self) {
         let state = &mut *self.state.lock();
-        state.thin.extend(state.lines.keys());
+        state.under_replicated.extend(state.lines.keys());
     }
 
-    /// The lines with too few copies, in batches; they count as having enough from now on.
-    pub fn take_thin(&self) -> Vec<Batch> {
+    /// Takes the lines with too few copies, in batches; they are no longer marked as
+    /// under-replicated.
+    pub fn take_under_replicated(&self) -> Vec<Batch> {
         let mut state = self.state.lock();
-        let thin = std::mem::take(&mut state.thin);
-        let line = |it: &u64| Some((*it, state.lines.get(it)?.clone()));
-        let runs = store::runs(thin.iter().filter_map(line), MAX_RUN);
-        runs.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
+        let under_replicated = std::mem::take(&mut state.under_replicated);
+        let numbered_line = |it: &u64| Some((*it, state.lines.get(it)?.clone()));
+        let segments = store::contiguous_runs(
+            under_replicated.iter().filter_map(numbered_line),
+            MAX_LINES_PER_OBJECT,
+        );
+        segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
-    /// A batch without lines: what is stored, and that this node lives.
-    pub fn mark(&self) -> Batch {
+    /// A batch without lines, which tells the peers what is stored and that this node is alive.
+    pub fn heartbeat(&self) -> Batch {
         let state = self.state.lock();
-        self.batch(&state, state.next, Vec::new())
+        self.batch(&state, state.next_sequence, Vec::new())
     }
 
     /// Stores the lines of one batch.
     pub async fn store(&self, batch: &Batch, objects: &dyn Objects) -> bool {
         let stored = store::put(objects, &self.origin, batch.first, batch.lines.clone()).await;
         if stored.is_err() {
-            bump(&self.counters.store_failed, 1);
+            increment(&self.counters.store_failed, 1);
             return false;
         }
-        bump(&self.counters.segment_stored, 1);
+        increment(&self.counters.segment_stored, 1);
         let mut state = self.state.lock();
         for sequence in (batch.first..).take(batch.lines.len()) {
-            state.thin.remove(&sequence);
+            state.under_replicated.remove(&sequence);
             if let Some(line) = state.lines.remove(&sequence) {
-                state.n_bytes -= replica::size(&line);
+                state.n_bytes -= replica::estimated_size(&line);
             }
         }
         true
     }
 
-    /// Stores all lines; says whether none is left out.
+    /// Stores all lines and returns whether that succeeded.
     pub async fn flush(&self, objects: &dyn Objects) -> bool {
-        let _one_at_a_time = self.flushing.lock().await;
+        let _flush_guard = self.flush_lock.lock().await;
         for batch in self.unstored() {
             if !self.store(&batch, objects).await {
                 return false;
@@ -221,12 +231,12 @@
     }
 
     fn batch(&self, state: &State, first: u64, lines: Vec<Line>) -> Batch {
-        let stored_below = state.lines.keys().next().copied().unwrap_or(state.next);
+        let stored_below = state.lines.keys().next().copied().unwrap_or(state.next_sequence);
         Batch { origin: self.origin.clone(), stored_below, first, lines }
     }
 }
 
-/// How long a batch may take to reach a peer.
+/// How long sending a batch to a peer may take.
 pub const REPLICATE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long the second attempt, at other peers and the store at once, may take.
-pub const SECOND_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long the second attempt may take, which goes to other peers and the store at once.
+pub const FALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -1,15 +1,17 @@
-//! Which peers there are, and which of them this node reaches.
+//! Known peers, and which of them this node can reach.
 //!
-//! The platform's VM list lags and peers may be wrong about one another: two nodes that both
-//! reach a third may not reach each other. A node that believed others would remove peers it
-//! reaches, or call ones it doesn't. So the list and peers' words only name candidates; a peer is
-//! alive when a call of ours was answered lately, and stops being so when our calls fail.
+//! The platform's VM list lags, and peers may be wrong about one another: two nodes that both reach
+//! a third may not reach each other. A node that trusted such reports would drop peers that it
+//! reaches, or call peers that it doesn't. The VM list and the reports of peers therefore only
+//! supply candidates; a peer is alive when it has recently answered a call from this node, and
+//! stops being alive when calls from this node fail.
 //!
-//! Only a bounded view is called in turn, so the cost doesn't grow with the fleet.
+//! Only a view of bounded size is called in rotation, so the cost per node doesn't grow with the
+//! fleet.
 
 mod identity;
 mod joining;
-mod keepers;
+mod orphan_replicas;
 mod table;
 mod view;
 
@@ -33,40 +35,42 @@
 };
 use crate::tuning::Trust;
 
-/// How many peers of its own failure domain a node calls in turn.
-const VIEW_DOMAIN: usize = 6;
-/// How many peers of the site's other failure domains.
-const VIEW_SITE: usize = 6;
-/// How many peers of other sites, or of which nothing is known yet.
-const VIEW_FAR: usize = 4;
-/// One peer of each full part of the view is exchanged after this many turns. With views that
-/// never change, a part of the fleet could end up in nobody else's view and miss every exchange.
-const TURNS_PER_SHUFFLE: u64 = 60;
-
-/// The process was replaced by a later one of the same VM, or has said that it leaves.
+/// Maximum number of peers in the view from this node's own failure domain.
+const VIEW_SIZE_SAME_DOMAIN: usize = 6;
+/// Maximum number of peers in the view from other failure domains of this site.
+const VIEW_SIZE_SAME_SITE: usize = 6;
+/// Maximum number of peers in the view from other sites or from an unknown failure domain.
+const VIEW_SIZE_REMOTE: usize = 4;
+/// After this many calls, one peer in each full part of the view is replaced. If views never
+/// changed, some nodes could be in no other node's view and would miss every exchange.
+const CALLS_PER_SHUFFLE: u64 = 60;
+
+/// The process has been replaced by a later one of the same VM, or has announced that it is
+/// leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a later process of this VM is known, or this one has left")]
 pub struct Stale;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Group {
-    Domain,
-    Site,
-    Far,
+enum Proximity {
+    SameDomain,
+    SameSite,
+    Remote,
 }
 
-impl Group {
-    fn room(self) -> usize {
+impl Proximity {
+    fn view_size(self) -> usize {
         match self {
-            Self::Domain => VIEW_DOMAIN,
-            Self::Site => VIEW_SITE,
-            Self::Far => VIEW_FAR,
+            Self::SameDomain => VIEW_SIZE_SAME_DOMAIN,
+            Self::SameSite => VIEW_SIZE_SAME_SITE,
+            Self::Remote => VIEW_SIZE_REMOTE,
         }
     }
 }
 
 /// The order in which the parts of the view are called.
-const TURNS: [Group; 4] = [Group::Domain, Group::Site, Group::Domain, Group::Far];
+const CALL_ORDER: [Proximity; 4] =
+    [Proximity::SameDomain, Proximity::SameSite, Proximity::SameDomain, Proximity::Remote];
 
 /// The peers of one node.
 #[derive(Debug)]
@@ -78,54 +82,55 @@
 }
 
 impl Members {
-    /// No peers yet; `seed` feeds the choice of the view.
+    /// Creates an empty peer table. `seed` seeds the random selection of the view.
     pub fn new(own: Identity, trust: Trust, clock: Arc<dyn Clock>, seed: u64) -> Self {
         let state = Table {
-            known: BTreeMap::new(),
+            peers: BTreeMap::new(),
             incarnations: HashMap::new(),
-            left: HashMap::new(),
+            departed: HashMap::new(),
             sites: HashMap::from([(own.domain.clone(), own.site.clone())]),
-            turn: 0,
+            n_calls: 0,
             rng: Pcg64::seed_from_u64(seed),
         };
         Self { own, trust, clock, state: Mutex::new(state) }
     }
 
-    /// Who this node is.
-    pub fn own(&self) -> &Identity {
+    /// The identity of this node.
+    pub fn own_identity(&self) -> &Identity {
         &self.own
     }
 
-    /// Takes over a VM list. It makes no peer alive and removes none that answers.
-    pub fn list(&self, vms: &[Vm]) {
+    /// Applies a new VM list. It marks no peer as alive and removes none that answers.
+    pub fn update_vm_list(&self, vms: &[Vm]) {
         let mut state = self.state.lock();
-        for peer in state.known.values_mut() {
+        for peer in state.peers.values_mut() {
             peer.is_listed = false;
         }
-        let staying = vms.iter().filter(|it| it.state == VmState::Live && it.id != self.own.vm);
-        for vm in staying {
-            if let Some(peer) = state.entry(vm.address) {
+        let listed = vms.iter().filter(|it| it.state == VmState::Live && it.id != self.own.vm);
+        for vm in listed {
+            if let Some(peer) = state.get_or_insert(vm.address) {
                 peer.is_listed = true;
                 peer.domain = Some(vm.failure_domain.clone());
             }
         }
-        // A list read before this node's neighbours are on it doesn't name those that the settings
-        // do; without them the node would be alone until the next read.
-        state.known.retain(|_, it| it.is_listed || it.is_seed || it.in_view || it.is_alive);
+        // Seeds stay even if they are missing from the list: a list that was read before this
+        // node's neighbours were added to it would otherwise leave the node without peers until the
+        // next read.
+        state.peers.retain(|_, it| it.is_listed || it.is_seed || it.in_view || it.is_alive);
     }
 
     /// Adds a candidate of which only the address is known.
-    pub fn seed(&self, addr: SocketAddr) {
+    pub fn add_seed(&self, addr: SocketAddr) {
         if addr == self.own.addr {
             return;
         }
-        if let Some(peer) = self.state.lock().entry(addr) {
+        if let Some(peer) = self.state.lock().get_or_insert(addr) {
             peer.is_seed = true;
         }
     }
 
     /// Adds a candidate that a peer named.
-    pub fn hint(&self, identity: &Identity) {
+    pub fn add_candidate(&self, identity: &Identity) {
         if identity.vm == self.own.vm || identity.addr == self.own.addr {
             return;
         }
@@ -134,174 +139,181 @@
             return;
         }
         state.sites.insert(identity.domain.clone(), identity.site.clone());
-        let believe = self.trust == Trust::Others;
-        let Some(peer) = state.entry(identity.addr) else { return };
+        let trusts_reports = self.trust == Trust::Others;
+        let Some(peer) = state.get_or_insert(identity.addr) else { return };
         peer.domain.get_or_insert_with(|| identity.domain.clone());
-        if believe && peer.identity.is_none() {
+        if trusts_reports && peer.identity.is_none() {
             peer.identity = Some(identity.clone());
             peer.is_alive = true;
             peer.in_view = true;
         }
     }
 
-    /// Learns which failure domains belong to a site, from a configuration.
-    pub fn place<'a>(&self, site: &site::Id, domains: impl Iterator<Item = &'a domain::Id>) {
+    /// Records which failure domains belong to a site, as a configuration states them.
+    pub fn add_site_domains<'a>(
+        &self,
+        site: &site::Id,
+        domains: impl Iterator<Item = &'a domain::Id>,
+    ) {
         let mut state = self.state.lock();
         for domain in domains {
             state.sites.entry(domain.clone()).or_insert_with(|| site.clone());
         }
     }
 
-    /// A call of ours to `addr` was answered by `identity`.
-    pub fn answered(&self, addr: SocketAddr, identity: &Identity) -> Result<(), Stale> {
+    /// Records that `identity` answered a call from this node to `addr`.
+    pub fn record_answer(&self, addr: SocketAddr, identity: &Identity) -> Result<(), Stale> {
         if identity.vm == self.own.vm {
-            // A seed may be this node's own address under another name.
-            self.state.lock().known.remove(&addr);
+            // A seed may be another address of this node itself.
+            self.state.lock().peers.remove(&addr);
             return Err(Stale);
         }
         let mut state = self.state.lock();
-        state.meet(identity)?;
-        let Some(peer) = state.entry(addr) else { return Ok(()) };
+        state.record_contact(identity)?;
+        let Some(peer) = state.get_or_insert(addr) else { return Ok(()) };
         peer.identity = Some(identity.clone());
         peer.domain = Some(identity.domain.clone());
         peer.is_alive = true;
         peer.failures = 0;
-        peer.retry = None;
+        peer.retry_after = None;
         Ok(())
     }
 
-    /// A peer called us. That it reaches us doesn't say that we reach it, so it's no more than a
-    /// candidate; but it's worth trying again at once.
-    pub fn called_by(&self, identity: &Identity) -> Result<(), Stale> {
+    /// Records a call from a peer. That the peer reaches this node doesn't prove the reverse, so
+    /// the peer is only a candidate, but if it was unreachable it may be called again at once.
+    pub fn record_caller(&self, identity: &Identity) -> Result<(), Stale> {
         if identity.vm == self.own.vm {
             return if identity.incarnation == self.own.incarnation { Ok(()) } else { Err(Stale) };
         }
         let mut state = self.state.lock();
-        state.meet(identity)?;
-        if let Some(peer) = state.entry(identity.addr) {
+        state.record_contact(identity)?;
+        if let Some(peer) = state.get_or_insert(identity.addr) {
             peer.domain = Some(identity.domain.clone());
-            if let Some((_, backoff)) = peer.retry {
-                peer.retry = Some((self.clock.now(), backoff));
+            if let Some((_, backoff)) = peer.retry_after {
+                peer.retry_after = Some((self.clock.now(), backoff));
             }
         }
         Ok(())
     }
 
-    /// A call of ours was answered by a peer that didn't say who it is. Failures before it don't
-    /// count any more: a few slow calls spread over many quick ones are no reason to drop a peer.
-    pub fn reached(&self, addr: SocketAddr) {
-        if let Some(peer) = self.state.lock().known.get_mut(&addr) {
+    /// Records an answer that didn't identify the peer, and resets its failure count: a few
+    /// timeouts spread over many successful calls are no reason to drop a peer.
+    pub fn reset_failures(&self, addr: SocketAddr) {
+        if let Some(peer) = self.state.lock().peers.get_mut(&addr) {
             peer.failures = 0;
         }
     }
 
-    /// A call of ours failed.
-    pub fn failed(&self, addr: SocketAddr) {
+    /// Records that a call from this node failed.
+    pub fn record_failure(&self, addr: SocketAddr) {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        let Some(peer) = state.known.get_mut(&addr) else { return };
-        peer.fail(now);
+        let Some(peer) = state.peers.get_mut(&addr) else { return };
+        peer.record_failure(now);
     }
 
-    /// A peer says that it can't reach `addr`.
-    pub fn reported(&self, addr: SocketAddr) {
+    /// Records the report of a peer that it can't reach `addr`.
+    pub fn record_unreachable_report(&self, addr: SocketAddr) {
         if self.trust == Trust::Own {
             return;
         }
         let now = self.clock.now();
-        if let Some(peer) = self.state.lock().known.get_mut(&addr) {
-            peer.give_up(now);
+        if let Some(peer) = self.state.lock().peers.get_mut(&addr) {
+            peer.mark_unreachable(now);
         }
     }
 
-    /// A peer said itself that it leaves.
-    pub fn left(&self, identity: &Identity) {
+    /// Records that a peer has announced that it is leaving.
+    pub fn record_departure(&self, identity: &Identity) {
         let mut state = self.state.lock();
-        let left = state.left.entry(identity.vm.clone()).or_default();
-        *left = (*left).max(identity.incarnation);
-        state.known.remove(&identity.addr);
+        let departed = state.departed.entry(identity.vm.clone()).or_default();
+        *departed = (*departed).max(identity.incarnation);
+        state.peers.remove(&identity.addr);
     }
 
-    /// The peer to call now: the parts of the view in turn, within each the one that failed
-    /// last time, or else the one that has waited longest.
-    pub fn next(&self) -> Option<SocketAddr> {
+    /// The peer to call now. The parts of the view take turns; within a part, a peer whose last
+    /// call failed comes first, then the one that was called longest ago.
+    pub fn next_peer(&self) -> Option<SocketAddr> {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        state.turn += 1;
-        if state.turn.is_multiple_of(TURNS_PER_SHUFFLE) {
-            self.shuffle(&mut state, now);
+        state.n_calls += 1;
+        if state.n_calls.is_multiple_of(CALLS_PER_SHUFFLE) {
+            self.shuffle_view(&mut state, now);
         }
-        self.fill(&mut state, now);
-        let start = state.turn as usize;
-        (0..TURNS.len()).find_map(|n| {
-            let group = TURNS[(start + n) % TURNS.len()];
-            let waiting = state
-                .known
+        self.fill_view(&mut state, now);
+        let start = state.n_calls as usize;
+        (0..CALL_ORDER.len()).find_map(|n| {
+            let proximity = CALL_ORDER[(start + n) % CALL_ORDER.len()];
+            let candidates = state
+                .peers
                 .iter()
-                .filter(|(_, it)| it.in_view && self.group(&state.sites, it) == group);
-            let addr =
-                waiting.min_by_key(|(_, it)| (it.failures == 0, it.tried)).map(|it| *it.0)?;
-            state.known.get_mut(&addr)?.tried = Some(now);
+                .filter(|(_, it)| it.in_view && self.proximity(&state.sites, it) == proximity);
+            let addr = candidates
+                .min_by_key(|(_, it)| (it.failures == 0, it.last_call))
+                .map(|it| *it.0)?;
+            state.peers.get_mut(&addr)?.last_call = Some(now);
             Some(addr)
         })
     }
 
-    /// A few peers at random, for a start without a configuration.
-    pub fn some(&self, n: usize) -> Vec<SocketAddr> {
+    /// Up to `n` random peers, to request the newest document from.
+    pub fn random_peers(&self, n: usize) -> Vec<SocketAddr> {
         let mut state = self.state.lock();
-        let mut all: Vec<_> = state.known.keys().copied().collect();
-        let mut picked = Vec::new();
-        while picked.len() < n && !all.is_empty() {
-            let at = state.rng.random_range(0..all.len());
-            picked.push(all.swap_remove(at));
+        let mut candidates: Vec<_> = state.peers.keys().copied().collect();
+        let mut selected = Vec::new();
+        while selected.len() < n && !candidates.is_empty() {
+            let index = state.rng.random_range(0..candidates.len());
+            selected.push(candidates.swap_remove(index));
         }
-        picked
+        selected
     }
 
     /// Peers that are alive.
     pub fn alive(&self) -> Vec<Contact> {
         let state = self.state.lock();
-        let alive = state.known.values().filter(|it| it.is_alive);
+        let alive = state.peers.values().filter(|it| it.is_alive);
         let contact =
             |it: &Peer| Some(Contact { identity: it.identity.clone()?, failures: it.failures });
         alive.filter_map(contact).collect()
     }
 
-    /// Peers that are alive, in other failure domains, best first: of this site, and then in an
-    /// order that is this node's own and stays the same, so that few peers hold its lines.
-    pub fn replicas(&self) -> Vec<Identity> {
-        let mut all: Vec<_> = self.alive();
-        all.retain(|it| it.identity.domain != self.own.domain);
-        all.sort_by_cached_key(|it| {
-            let far = it.identity.site != self.own.site;
-            (far, it.failures, rank(&self.own.vm, &it.identity.vm))
+    /// Live peers in other failure domains, best replica first: peers of this site before others,
+    /// those with fewer recent failures first, then by a hash that is specific to this node and
+    /// stable, so that few peers hold its lines.
+    pub fn replica_candidates(&self) -> Vec<Identity> {
+        let mut candidates: Vec<_> = self.alive();
+        candidates.retain(|it| it.identity.domain != self.own.domain);
+        candidates.sort_by_cached_key(|it| {
+            let is_remote = it.identity.site != self.own.site;
+            (is_remote, it.failures, rendezvous_hash(&self.own.vm, &it.identity.vm))
         });
-        domains_first(all.into_iter().map(|it| it.identity))
+        distinct_domains_first(candidates.into_iter().map(|it| it.identity))
     }
 
-    /// An estimate of the nodes in the fleet, this one included.
-    pub fn fleet(&self) -> usize {
+    /// An estimate of the number of nodes in the fleet, including this one.
+    pub fn fleet_size(&self) -> usize {
         let state = self.state.lock();
-        let n_listed = state.known.values().filter(|it| it.is_listed).count();
-        let n_alive = state.known.values().filter(|it| it.is_alive).count();
+        let n_listed = state.peers.values().filter(|it| it.is_listed).count();
+        let n_alive = state.peers.values().filter(|it| it.is_alive).count();
         n_listed.max(n_alive) + 1
     }
 
-    /// An estimate of the live nodes in this site, this one included: those that are listed or
-    /// answered, without those that this node has found unreachable.
+    /// An estimate of the number of live nodes in this site, including this one: nodes that are
+    /// listed or have answered, except those that this node has found unreachable.
     pub fn site_nodes(&self) -> usize {
         let state = self.state.lock();
         let is_counted = |it: &&Peer| {
-            let group = self.group(&state.sites, it);
-            group != Group::Far && (it.is_alive || it.is_listed && it.retry.is_none())
+            let proximity = self.proximity(&state.sites, it);
+            proximity != Proximity::Remote
+                && (it.is_alive || it.is_listed && it.retry_after.is_none())
         };
-        state.known.values().filter(is_counted).count() + 1
+        state.peers.values().filter(is_counted).count() + 1
     }
 
-    /// What this node sees.
+    /// The fleet as this node sees it.
     pub fn view(&self) -> View {
         View {
-            fleet: self.fleet(),
+            fleet_size: self.fleet_size(),
             site_nodes: self.site_nodes(),
             alive: self.alive(),
             unreachable: self.unreachable(),
@@ -311,68 +323,68 @@
     /// Peers that this node can't reach.
     pub fn unreachable(&self) -> Vec<SocketAddr> {
         let state = self.state.lock();
-        state.known.iter().filter(|(_, it)| it.retry.is_some()).map(|it| *it.0).collect()
+        state.peers.iter().filter(|(_, it)| it.retry_after.is_some()).map(|it| *it.0).collect()
     }
 
-    /// Whether a later process of this VM is known, or this one has left.
+    /// Whether a later process of this VM is known, or this process has left.
     pub fn is_replaced(&self, vm: &vm::Id, incarnation: vm::Incarnation) -> bool {
         let state = self.state.lock();
         state.incarnations.get(vm).is_some_and(|it| incarnation < *it)
-            || state.left.get(vm).is_some_and(|it| incarnation <= *it)
+            || state.departed.get(vm).is_some_and(|it| incarnation <= *it)
     }
 
-    fn group(&self, sites: &HashMap<domain::Id, site::Id>, peer: &Peer) -> Group {
+    fn proximity(&self, sites: &HashMap<domain::Id, site::Id>, peer: &Peer) -> Proximity {
         match &peer.domain {
-            Some(domain) if *domain == self.own.domain => Group::Domain,
-            Some(domain) if sites.get(domain) == Some(&self.own.site) => Group::Site,
-            _ => Group::Far,
+            Some(domain) if *domain == self.own.domain => Proximity::SameDomain,
+            Some(domain) if sites.get(domain) == Some(&self.own.site) => Proximity::SameSite,
+            _ => Proximity::Remote,
         }
     }
 
-    fn fill(&self, state: &mut Table, now: Instant) {
-        for group in [Group::Domain, Group::Site, Group::Far] {
-            let in_group: Vec<_> = state
-                .known
+    fn fill_view(&self, state: &mut Table, now: Instant) {
+        for proximity in [Proximity::SameDomain, Proximity::SameSite, Proximity::Remote] {
+            let group: Vec<_> = state
+                .peers
                 .iter()
-                .filter(|(_, it)| self.group(&state.sites, it) == group)
-                .map(|(addr, it)| (*addr, it.in_view, it.may_try(now)))
+                .filter(|(_, it)| self.proximity(&state.sites, it) == proximity)
+                .map(|(addr, it)| (*addr, it.in_view, it.may_call(now)))
                 .collect();
-            let n_in_view = in_group.iter().filter(|it| it.1).count();
+            let n_in_view = group.iter().filter(|it| it.1).count();
             let mut candidates: Vec<_> =
-                in_group.iter().filter(|it| !it.1 && it.2).map(|it| it.0).collect();
-            for _ in n_in_view..group.room() {
+                group.iter().filter(|it| !it.1 && it.2).map(|it| it.0).collect();
+            for _ in n_in_view..proximity.view_size() {
                 if candidates.is_empty() {
                     break;
                 }
-                let at = state.rng.random_range(0..candidates.len());
-                let addr = candidates.swap_remove(at);
-                if let Some(peer) = state.known.get_mut(&addr) {
+                let index = state.rng.random_range(0..candidates.len());
+                let addr = candidates.swap_remove(index);
+                if let Some(peer) = state.peers.get_mut(&addr) {
                     peer.in_view = true;
                 }
             }
         }
     }
 
-    fn shuffle(&self, state: &mut Table, now: Instant) {
-        for group in [Group::Domain, Group::Site, Group::Far] {
-            let in_group = |it: &Peer| self.group(&state.sites, it) == group;
-            // An unreachable peer is no spare. Taken for one, it would push a live peer out of
-            // the view without being able to take its place.
-            let is_spare = |it: &&Peer| in_group(it) && !it.in_view && it.may_try(now);
-            let n_spare = state.known.values().filter(is_spare).count();
+    fn shuffle_view(&self, state: &mut Table, now: Instant) {
+        for proximity in [Proximity::SameDomain, Proximity::SameSite, Proximity::Remote] {
+            let has_proximity = |it: &Peer| self.proximity(&state.sites, it) == proximity;
+            // An unreachable peer is not eligible: it would evict a live peer from the view without
+            // being able to replace it.
+            let is_eligible = |it: &&Peer| has_proximity(it) && !it.in_view && it.may_call(now);
+            let n_eligible = state.peers.values().filter(is_eligible).count();
             let view: Vec<_> = state
-                .known
+                .peers
                 .iter()
-                .filter(|(_, it)| in_group(it) && it.in_view)
+                .filter(|(_, it)| has_proximity(it) && it.in_view)
                 .map(|it| *it.0)
                 .collect();
-            // A view with room takes in a spare without giving anybody up for it.
-            if view.len() < group.room() || n_spare == 0 {
+            // A view with free slots takes in candidates without evicting a peer.
+            if view.len() < proximity.view_size() || n_eligible == 0 {
                 continue;
             }
             let addr = view[state.rng.random_range(0..view.len())];
-            if let Some(peer) = state.known.get_mut(&addr) {
-                // It isn't called any more, so nothing would tell when it goes.
+            if let Some(peer) = state.peers.get_mut(&addr) {
+                // The peer isn't called any more, so its failure would go unnoticed.
                 peer.in_view = false;
                 peer.is_alive = false;
             }
@@ -380,11 +392,11 @@
     }
 }
 
-/// Brings the first of each failure domain to the front.
-fn domains_first(all: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
+/// Moves the first node of each failure domain to the front.
+fn distinct_domains_first(nodes: impl IntoIterator<Item = Identity>) -> Vec<Identity> {
     let mut ordered: Vec<Identity> = Vec::new();
     let mut rest = Vec::new();
-    for identity in all {
+    for identity in nodes {
         let is_new = ordered.iter().all(|it| it.domain != identity.domain);
         if is_new { ordered.push(identity) } else { rest.push(identity) }
     }
@@ -392,7 +404,7 @@
     ordered
 }
 
-fn rank(own: &vm::Id, other: &vm::Id) -> u64 {
+fn rendezvous_hash(own: &vm::Id, other: &vm::Id) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     (own, other).hash(&mut hasher);
--- a/crates/curranthook_peers/src/member/joining.rs
+++ b/crates/curranthook_peers/src/member/joining.rs
@@ -1,21 +1,21 @@
-//! Whether a node that has started still has peers to meet.
+//! Whether a node that has just started still has peers to contact.
 
 use super::Members;
 
-/// With so many peers in other failure domains a node's bill lines are safe.
-const ENOUGH: usize = 2;
+/// With this many live peers in other failure domains, the bill lines of a node are safe.
+const MIN_REPLICAS: usize = 2;
 
 impl Members {
-    /// Whether too few peers are known to be alive and some have been neither met nor missed.
+    /// Whether too few live peers are known while some have not yet been called.
     ///
-    /// An answer given now would have its bill line on this VM alone.
+    /// The bill line of a response that is served now would be on this VM only.
     pub fn is_joining(&self) -> bool {
-        if ENOUGH <= self.replicas().len() {
+        if MIN_REPLICAS <= self.replica_candidates().len() {
             return false;
         }
         let state = self.state.lock();
-        let mut elsewhere =
-            state.known.values().filter(|it| it.domain.as_ref() != Some(&self.own.domain));
-        elsewhere.any(|it| it.identity.is_none() && it.failures == 0)
+        let mut other_domains =
+            state.peers.values().filter(|it| it.domain.as_ref() != Some(&self.own.domain));
+        other_domains.any(|it| it.identity.is_none() && it.failures == 0)
     }
 }
--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: what a router embeds.
+//! A node: the part of the peer-to-peer layer that a router embeds.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,33 +27,33 @@
     auth,
     counters::Counters,
     demand::Demand,
+    documents::{Documents, Transfer},
     evidence::Evidence,
     journal::Journal,
-    link::{Http, Link},
     member::{self, Identity, Members},
     poison::Poison,
     replica::Replicas,
     rpc,
-    spread::{Spread, Transfer},
     suspect::Suspects,
     task,
-    tuning::{Part, Tuning},
+    transport::{Http, Transport},
+    tuning::{Mechanism, Tuning},
 };
 
 /// What a node needs to start.
 #[derive(Debug)]
 pub struct Setup {
-    /// The VM's settings.
+    /// The settings of the VM.
     pub settings: Settings,
-    /// Which process of the VM this is.
+    /// The process of the VM.
     pub incarnation: vm::Incarnation,
-    /// Where peers reach it: the bound address, with its real port.
+    /// The address at which peers reach this node: the bound address, with its actual port.
     pub peer_addr: SocketAddr,
-    /// Where its tasks run.
+    /// The executor for the node's tasks.
     pub ex: runtime::Handle,
-    /// Connections to peers.
+    /// The connection pool for calls to peers.
     pub pool: Arc<Pool>,
-    /// Time.
+    /// The source of time.
     pub clock: Arc<dyn Clock>,
     /// The platform's table.
     pub table: Arc<dyn Table>,
@@ -61,35 +61,35 @@
     pub objects: Arc<dyn Objects>,
     /// The platform's list of VMs.
     pub vms: Arc<dyn Vms>,
-    /// Feeds the choice of peers and the jitter.
+    /// Seeds the random selection of peers.
     pub seed: u64,
 }
 
-/// What `/status` shows.
+/// The status that `/status` shows.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
     /// The epoch in force; zero for none.
     pub epoch: Epoch,
-    /// The peers.
+    /// The fleet as this node sees it.
     pub view: member::View,
-    /// This node's bill lines that aren't stored yet.
+    /// Bill lines of this node that aren't stored yet.
     pub journal_lines: usize,
-    /// Peers' bill lines kept here.
+    /// Bill lines of peers that this node keeps.
     pub replica_lines: usize,
     /// All counters.
     pub counters: BTreeMap<&'static str, u64>,
 }
 
-/// One of many nodes that act together.
+/// One node of the fleet.
 #[derive(Debug)]
 pub struct Node {
     pub(crate) setup: Setup,
     tuning: Tuning,
     key: auth::Key,
-    link: Arc<dyn Link>,
+    transport: Arc<dyn Transport>,
     counters: Arc<Counters>,
     members: Members,
-    spread: Spread,
+    documents: Documents,
     evidence: Evidence,
     poison: Poison,
     suspects: Suspects,
@@ -97,14 +97,14 @@
     journal: Journal,
     replicas: Replicas,
     /// Peers that hold lines of this node's journal.
-    pub(crate) holders: Mutex<BTreeSet<SocketAddr>>,
-    /// Which owners' lines were passed on to which processes.
-    pub(crate) passed: Mutex<BTreeSet<(Origin, Origin)>>,
-    /// One fetch of a document at a time; peers often tell the same news at once.
-    pub(crate) fetching: async_lock::Mutex<()>,
-    turn: AtomicUsize,
-    module: RpcModule<Weak<Self>>,
-    weak: Weak<Self>,
+    pub(crate) replica_holders: Mutex<BTreeSet<SocketAddr>>,
+    /// Pairs of an owner that is gone and the process to which all its lines have been sent.
+    pub(crate) replicated_orphans: Mutex<BTreeSet<(Origin, Origin)>>,
+    /// Held during the fetch of a document; several peers often announce the same epoch at once.
+    pub(crate) fetch_lock: async_lock::Mutex<()>,
+    sequence: AtomicUsize,
+    rpc_module: RpcModule<Weak<Self>>,
+    self_ref: Weak<Self>,
     stop: (Trigger, Stop),
 }
 
@@ -114,13 +114,13 @@
         Self::start_with(setup, Tuning::default())
     }
 
-    /// Starts a node that differs from the usual one.
+    /// Starts a node with a tuning other than the default.
     pub fn start_with(setup: Setup, tuning: Tuning) -> Arc<Self> {
         let node = Arc::new_cyclic(|weak| Self::new(setup, tuning, weak));
         for addr in &node.setup.settings.seeds {
-            node.members.seed(*addr);
+            node.members.add_seed(*addr);
         }
-        task::start(&node);
+        task::spawn_all(&node);
         node
     }
 
@@ -136,24 +136,24 @@
         };
         let origin = Origin { vm: own.vm.clone(), incarnation: own.incarnation };
         let counters = Arc::new(Counters::default());
-        let link = tuning.link.clone();
+        let transport = tuning.transport.clone();
         Self {
             key: auth::Key::new(&settings.peer_key),
-            link: link.unwrap_or_else(|| Arc::new(Http::new(Arc::clone(&setup.pool)))),
+            transport: transport.unwrap_or_else(|| Arc::new(Http::new(Arc::clone(&setup.pool)))),
             evidence: Evidence::new(origin.clone()),
             poison: Poison::new(Arc::clone(clock)),
             suspects: Suspects::new(Arc::clone(clock)),
             demand: Demand::new(own.vm.clone(), own.incarnation, Arc::clone(clock)),
             journal: Journal::new(origin, Arc::clone(&counters)),
-            replicas: Replicas::new(Arc::clone(clock), Arc::clone(&counters), tuning.owner_silence),
+            replicas: Replicas::new(Arc::clone(clock), Arc::clone(&counters), tuning.owner_timeout),
             members: Members::new(own, tuning.trust, Arc::clone(clock), setup.seed),
-            spread: Spread::default(),
-            holders: Mutex::default(),
-            passed: Mutex::default(),
-            fetching: async_lock::Mutex::new(()),
-            turn: AtomicUsize::new(0),
-            module: rpc::module(Weak::clone(weak)),
-            weak: Weak::clone(weak),
+            documents: Documents::default(),
+            replica_holders: Mutex::default(),
+            replicated_orphans: Mutex::default(),
+            fetch_lock: async_lock::Mutex::new(()),
+            sequence: AtomicUsize::new(0),
+            rpc_module: rpc::module(Weak::clone(weak)),
+            self_ref: Weak::clone(weak),
             stop: stop::new(),
             counters,
             tuning,
@@ -161,43 +161,45 @@
         }
     }
 
-    /// The newest document that this node knows. It never goes back to a lower epoch.
+    /// The newest document that this node knows. Its epoch never decreases.
     pub fn document(&self) -> Option<Arc<Document>> {
-        self.spread.document()
+        self.documents.document()
     }
 
-    /// Waits for a document of a higher epoch than `after`.
+    /// Waits for a document with a higher epoch than `after`.
     pub async fn next_document(&self, after: Epoch) -> Arc<Document> {
-        self.spread.next(after).await
+        self.documents.wait_for_newer(after).await
     }
 
-    /// Answers a peer's call. The router's peer listener hands over every call to [`rpc::PATH`].
+    /// Answers a peer's call. The router's peer listener passes every call of [`rpc::PATH`] to
+    /// this.
     pub async fn handle(&self, head: &http::request::Parts, body: Bytes) -> http::Response<Body> {
-        rpc::handle(self, &self.module, head, &body).await
+        rpc::handle(self, &self.rpc_module, head, &body).await
     }
 
-    /// Takes over a document that came another way than from the table or a peer, if its epoch
-    /// is higher, and says whether it did.
+    /// Installs a document that came from elsewhere than the table or a peer, if its epoch is
+    /// higher, and returns whether it did.
     pub fn offer(&self, document: Document) -> bool {
-        self.spread.offer(document, None)
+        self.documents.offer(document, None)
     }
 
-    /// Asks a few peers for a newer document, after a pause in which none could come.
+    /// Requests a newer document from a few peers, after a period in which none could arrive.
     pub async fn refresh(&self) {
-        task::spread::refresh(self).await;
+        task::documents::refresh(self).await;
     }
 
-    /// Meets the next peer ahead of its round, with news that can't wait.
+    /// Makes an exchange with the next peer at once, for updates that can't wait for the next
+    /// interval.
     pub async fn exchange(&self) {
-        task::round::exchange(self).await;
+        task::gossip::exchange(self).await;
     }
 
-    /// Who this node is to its peers.
+    /// The identity of this node.
     pub fn identity(&self) -> &Identity {
-        self.members.own()
+        self.members.own_identity()
     }
 
-    /// This node's bill lines.
+    /// The journal of this node's bill lines.
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
@@ -207,7 +209,7 @@
         &self.evidence
     }
 
-    /// Requests that take endpoints down.
+    /// Requests that crash endpoints.
     pub fn poison(&self) -> &Poison {
         &self.poison
     }
@@ -217,37 +219,37 @@
         &self.suspects
     }
 
-    /// Demand for each account.
+    /// Demand by account.
     pub fn demand(&self) -> &Demand {
         &self.demand
     }
 
-    /// An estimate of the live nodes in this site, this one included.
+    /// An estimate of the number of live nodes in this site, including this one.
     pub fn site_nodes(&self) -> usize {
         self.members.site_nodes()
     }
 
-    /// This node's part of the account's limit, from 0 to 1.
+    /// This node's share of the account's limit, from 0 to 1.
     pub fn share(&self, account: &account::Id) -> f64 {
         self.demand.share(account, self.site_nodes())
     }
 
-    /// Whether it has just started and still has peers to meet.
+    /// Whether the node has just started and still has peers to contact.
     pub fn is_joining(&self) -> bool {
         self.members.is_joining()
     }
 
-    /// What this node sees of the fleet.
+    /// The fleet as this node sees it.
     pub fn view(&self) -> member::View {
         self.members.view()
     }
 
-    /// What this node did and met.
+    /// The counters of this node.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// What `/status` shows.
+    /// The status that `/status` shows.
     pub fn status(&self) -> Status {
         Status {
             epoch: self.epoch(),
@@ -258,19 +260,19 @@
         }
     }
 
-    /// Hands the journal over, tells the peers and stops the tasks.
+    /// Hands over the journal, announces the departure to the peers and stops the tasks.
     pub async fn leave(&self) {
         task::leave(self).await;
         self.stop.0.set();
     }
 
-    /// Stops the tasks and tells nobody, as when the process is killed. For tests.
+    /// Stops the tasks without telling the peers, as if the process had been killed. For tests.
     pub fn kill(&self) {
         self.stop.0.set();
     }
 
     pub(crate) fn epoch(&self) -> Epoch {
-        self.spread.epoch()
+        self.documents.epoch()
     }
 
     pub(crate) fn stop(&self) -> &Stop {
@@ -281,24 +283,28 @@
         &self.tuning
     }
 
-    pub(crate) fn has(&self, part: Part) -> bool {
-        !self.tuning.without.contains(&part)
+    pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.tuning.disabled.contains(&mechanism)
     }
 
-    /// What a peer that has epoch `have` gets.
-    pub(crate) fn transfer(&self, have: Epoch) -> Transfer {
-        // A peer's epoch of zero asks for the whole.
-        let is_newer = have < self.epoch();
-        let base = if self.has(Part::Delta) || !is_newer { have } else { Epoch::default() };
-        self.spread.transfer(base)
+    /// The transfer for a peer that has epoch `peer_epoch`.
+    pub(crate) fn transfer(&self, peer_epoch: Epoch) -> Transfer {
+        // An epoch of zero requests the full document.
+        let is_newer = peer_epoch < self.epoch();
+        let base = if self.is_enabled(Mechanism::Delta) || !is_newer {
+            peer_epoch
+        } else {
+            Epoch::default()
+        };
+        self.documents.transfer(base)
     }
 
     pub(crate) fn members(&self) -> &Members {
         &self.members
     }
 
-    pub(crate) fn spread(&self) -> &Spread {
-        &self.spread
+    pub(crate) fn documents(&self) -> &Documents {
+        &self.documents
     }
 
     pub(crate) fn replicas(&self) -> &Replicas {
@@ -313,28 +319,28 @@
         self.setup.clock.unix_millis()
     }
 
-    pub(crate) fn next_turn(&self) -> usize {
-        self.turn.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_sequence(&self) -> usize {
+        self.sequence.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A peer said that it has `epoch`; if that's newer, it's fetched.
-    pub(crate) fn heard_of(&self, addr: SocketAddr, epoch: Epoch) {
+    /// Fetches `epoch`, which a peer has announced, if it is newer than this node's.
+    pub(crate) fn fetch_if_newer(&self, addr: SocketAddr, epoch: Epoch) {
         if epoch <= self.epoch() {
             return;
         }
-        if let Some(node) = self.weak.upgrade() {
-            let fetch = async move { task::spread::fetch(&node, addr, epoch).await };
+        if let Some(node) = self.self_ref.upgrade() {
+            let fetch = async move { task::documents::fetch(&node, addr, epoch).await };
             self.setup.ex.spawn(fetch).detach();
         }
     }
 
-    /// A peer said itself that it leaves.
+    /// Records that a peer has announced that it is leaving.
     pub(crate) fn peer_left(&self, identity: &Identity) {
-        self.members.left(identity);
-        self.demand.forget(&identity.vm);
+        self.members.record_departure(identity);
+        self.demand.remove(&identity.vm);
     }
 
-    /// Calls a peer; whether it answered is noted.
+    /// Calls a peer and records whether it answered.
     pub(crate) async fn call<R: DeserializeOwned + Clone + 'static>(
         &self,
         addr: SocketAddr,
@@ -343,16 +349,16 @@
         timeout: std::time::Duration,
     ) -> Result<R, rpc::Error> {
         let client = rpc::Client {
-            link: &*self.link,
+            transport: &*self.transport,
             key: &self.key,
             now_millis: self.now_millis(),
             counters: &self.counters,
         };
         let result = client.call(addr, method, param, timeout).await;
-        // A refusal is an answer; anything else says that the peer can't be used.
+        // A rejection is still an answer; any other error means that the peer can't be used.
         match result {
-            Ok(_) | Err(rpc::Error::Refused(_)) => self.members.reached(addr),
-            Err(_) => self.members.failed(addr),
+            Ok(_) | Err(rpc::Error::Rejected(_)) => self.members.reset_failures(addr),
+            Err(_) => self.members.record_failure(addr),
         }
         result
     }
--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -1,8 +1,9 @@
 //! Bill lines that this node keeps for peers until they are stored.
 //!
-//! When the owner's VM is lost between an answer and the next put, its lines are nowhere else.
-//! A replica notices by the owner's silence and stores them itself. Should the owner be alive
-//! after all, the store holds each line twice at most under names that tell so.
+//! If the owner's VM is lost between a response and the next put, its lines exist on its replicas
+//! only. A replica detects this by the silence of the owner and stores the lines itself. If the
+//! owner is alive after all, the store holds each line at most twice, under names that identify the
+//! duplicates.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -22,40 +23,41 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    counters::{Counters, bump},
+    counters::{Counters, increment},
     member::Members,
     store,
 };
 
-/// How many bytes of peers' lines are kept; past it new ones are refused, and their owner turns
-/// to another peer or the store.
+/// How many bytes of peers' lines are kept. Above it new lines are rejected, and their owner tries
+/// another peer or the store.
 const MAX_BYTES: usize = 32 * 1024 * 1024;
 /// How many lines go into one object.
-const MAX_RUN: usize = 2_000;
-/// Puts a second by all nodes together; the platform gives several hundred.
-pub const FLEET_PUTS: f64 = 100.0;
-/// How long an owner may be silent while the store is thought to work.
-const QUICK: Duration = Duration::from_millis(2_500);
-/// An owner that missed so many flushes counts as silent.
-const FLUSHES_MISSED: u32 = 3;
-/// How long an origin without lines is remembered, so that a batch that arrives late isn't kept
-/// anew.
-const FORGET: Duration = Duration::from_secs(300);
-
-/// Lines for a replica to keep.
+const MAX_LINES_PER_OBJECT: usize = 2_000;
+/// Puts per second by all nodes together; the platform allows several hundred.
+pub const MAX_FLEET_PUTS_PER_SECOND: f64 = 100.0;
+/// How long an owner may be silent while the store is believed to be up.
+const SHORT_OWNER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// An owner that missed this many flushes counts as silent.
+const MAX_MISSED_FLUSHES: u32 = 3;
+/// How long an owner without lines is remembered, so that a batch that arrives late isn't kept
+/// again.
+const OWNER_RETENTION: Duration = Duration::from_secs(300);
+
+/// Bill lines for a replica to keep.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Batch {
-    /// Whose lines.
+    /// The owner of the lines.
     pub origin: Origin,
-    /// All lines below this one are stored and can be dropped.
+    /// All lines below this sequence number are stored and can be dropped.
     pub stored_below: u64,
     /// The sequence number of the first line.
     pub first: u64,
-    /// The lines; none, when this only tells what is stored and that the owner lives.
+    /// The lines; empty in a heartbeat, which only tells what is stored and that the owner is
+    /// alive.
     pub lines: Vec<Line>,
 }
 
-/// There is no memory for more.
+/// The memory limit for lines of peers is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no room for more lines")]
 pub struct Full;
@@ -64,7 +66,7 @@
 struct Owner {
     lines: BTreeMap<u64, Line>,
     stored_below: u64,
-    heard: Instant,
+    last_heard: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -78,49 +80,49 @@
 pub struct Replicas {
     clock: Arc<dyn Clock>,
     counters: Arc<Counters>,
-    silence: Duration,
-    is_store_out: AtomicBool,
+    owner_timeout: Duration,
+    is_store_down: AtomicBool,
     state: Mutex<State>,
 }
 
 impl Replicas {
-    /// None yet. An owner that is silent for `silence` is taken for gone.
-    pub fn new(clock: Arc<dyn Clock>, counters: Arc<Counters>, silence: Duration) -> Self {
+    /// Creates an empty set. An owner that is silent for `owner_timeout` is presumed lost.
+    pub fn new(clock: Arc<dyn Clock>, counters: Arc<Counters>, owner_timeout: Duration) -> Self {
         Self {
             clock,
             counters,
-            silence,
-            is_store_out: AtomicBool::default(),
+            owner_timeout,
+            is_store_down: AtomicBool::default(),
             state: Mutex::default(),
         }
     }
 
-    /// Keeps a batch and drops what its owner has stored.
-    pub fn keep(&self, batch: Batch) -> Result<(), Full> {
+    /// Keeps a batch and drops the lines that its owner has stored.
+    pub fn insert(&self, batch: Batch) -> Result<(), Full> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let State { owners, n_bytes } = &mut *state;
         if !batch.lines.is_empty() && MAX_BYTES <= *n_bytes {
-            bump(&self.counters.replica_full, 1);
+            increment(&self.counters.replica_full, 1);
             return Err(Full);
         }
         let owner = owners.entry(batch.origin).or_insert_with(|| Owner {
             lines: BTreeMap::new(),
             stored_below: 0,
-            heard: now,
+            last_heard: now,
         });
-        owner.heard = now;
+        owner.last_heard = now;
         owner.stored_below = owner.stored_below.max(batch.stored_below);
         for (sequence, line) in (batch.first..).zip(batch.lines) {
-            // A batch that was overtaken by the news of its storage isn't kept again.
+            // A batch that arrives after the message that its lines are stored isn't kept.
             if owner.stored_below <= sequence && !owner.lines.contains_key(&sequence) {
-                *n_bytes += size(&line);
+                *n_bytes += estimated_size(&line);
                 owner.lines.insert(sequence, line);
             }
         }
-        let kept = owner.lines.split_off(&owner.stored_below);
-        let dropped = std::mem::replace(&mut owner.lines, kept);
-        *n_bytes -= dropped.values().map(size).sum::<usize>();
+        let retained = owner.lines.split_off(&owner.stored_below);
+        let dropped = std::mem::replace(&mut owner.lines, retained);
+        *n_bytes -= dropped.values().map(estimated_size).sum::<usize>();
         Ok(())
     }
 
@@ -130,25 +132,25 @@
     }
 
     /// Stores the lines of owners that left, were replaced or have been silent too long, and
-    /// says whether all could be stored.
-    pub async fn sweep(&self, members: &Members, objects: &dyn Objects) -> bool {
-        for (origin, lines) in self.abandoned(members) {
-            for (first, run) in store::runs(lines.into_iter(), MAX_RUN) {
-                let end = first + run.len() as u64;
-                if store::put(objects, &origin, first, run).await.is_err() {
-                    bump(&self.counters.store_failed, 1);
-                    self.is_store_out.store(true, Ordering::Relaxed);
+    /// returns whether all could be stored.
+    pub async fn store_orphans(&self, members: &Members, objects: &dyn Objects) -> bool {
+        for (origin, lines) in self.orphaned_lines(members) {
+            for (first, lines) in store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT) {
+                let end = first + lines.len() as u64;
+                if store::put(objects, &origin, first, lines).await.is_err() {
+                    increment(&self.counters.store_failed, 1);
+                    self.is_store_down.store(true, Ordering::Relaxed);
                     return false;
                 }
-                bump(&self.counters.segment_taken_over, 1);
-                self.is_store_out.store(false, Ordering::Relaxed);
+                increment(&self.counters.segment_taken_over, 1);
+                self.is_store_down.store(false, Ordering::Relaxed);
                 self.drop_lines(&origin, first, end);
             }
         }
         true
     }
 
-    /// All lines kept, in batches, for a node that leaves and hands them to other peers.
+    /// All lines kept, in batches, for a leaving node that hands them to other peers.
     pub fn batches(&self) -> Vec<Batch> {
         let state = self.state.lock();
         let lines = state.owners.iter().map(|(origin, it)| (origin.clone(), it.lines.clone()));
@@ -157,52 +159,54 @@
 
     /// The lines of owners that are gone, in batches, by owner.
     pub fn orphans(&self, members: &Members) -> Vec<(Origin, Vec<Batch>)> {
-        let abandoned = self.abandoned(members).into_iter();
-        let batched = abandoned.map(|(origin, lines)| {
+        let orphaned = self.orphaned_lines(members).into_iter();
+        let batches_by_owner = orphaned.map(|(origin, lines)| {
             let batches = batches(&origin, lines);
             (origin, batches)
         });
-        batched.collect()
+        batches_by_owner.collect()
     }
 
-    /// Stores everything, for a node that leaves; the owners' other replicas may do it too.
+    /// Stores all lines of a leaving node; the owners' other replicas may do so too.
     pub async fn flush(&self, objects: &dyn Objects) {
         let all: Vec<_> = {
             let state = self.state.lock();
             state.owners.iter().map(|(origin, it)| (origin.clone(), it.lines.clone())).collect()
         };
         for (origin, lines) in all {
-            for (first, run) in store::runs(lines.into_iter(), MAX_RUN) {
-                let end = first + run.len() as u64;
-                if store::put(objects, &origin, first, run).await.is_ok() {
+            for (first, lines) in store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT) {
+                let end = first + lines.len() as u64;
+                if store::put(objects, &origin, first, lines).await.is_ok() {
                     self.drop_lines(&origin, first, end);
                 }
             }
         }
     }
 
-    fn abandoned(&self, members: &Members) -> Vec<(Origin, BTreeMap<u64, Line>)> {
+    fn orphaned_lines(&self, members: &Members) -> Vec<(Origin, BTreeMap<u64, Line>)> {
         let now = self.clock.now();
-        // Owners flush less often in a large fleet. Replicas that didn't wait for that would
-        // store every line of the fleet three times.
-        let flush = Duration::from_secs_f64(members.fleet() as f64 / FLEET_PUTS);
-        let patience = match self.is_store_out.load(Ordering::Relaxed) {
-            true => self.silence,
-            // Storing lines twice is harmless, and each second counts when VMs are lost together.
-            false => self.silence.min(QUICK),
+        // Owners flush less often in a large fleet. If replicas didn't allow for that, every line
+        // of the fleet would be stored three times.
+        let flush_interval =
+            Duration::from_secs_f64(members.fleet_size() as f64 / MAX_FLEET_PUTS_PER_SECOND);
+        let base_timeout = match self.is_store_down.load(Ordering::Relaxed) {
+            true => self.owner_timeout,
+            // Storing lines twice is harmless, and each second counts when several VMs are lost at
+            // once.
+            false => self.owner_timeout.min(SHORT_OWNER_TIMEOUT),
         };
-        let silence = patience.max(flush * FLUSHES_MISSED);
+        let timeout = base_timeout.max(flush_interval * MAX_MISSED_FLUSHES);
         let mut state = self.state.lock();
         state.owners.retain(|_, it| {
-            !it.lines.is_empty() || now.saturating_duration_since(it.heard) < FORGET
+            !it.lines.is_empty() || now.saturating_duration_since(it.last_heard) < OWNER_RETENTION
         });
-        let is_abandoned = |origin: &Origin, owner: &Owner| {
+        let is_orphaned = |origin: &Origin, owner: &Owner| {
             !owner.lines.is_empty()
-                && (silence < now.saturating_duration_since(owner.heard)
+                && (timeout < now.saturating_duration_since(owner.last_heard)
                     || members.is_replaced(&origin.vm, origin.incarnation))
         };
-        let abandoned = state.owners.iter().filter(|(origin, it)| is_abandoned(origin, it));
-        abandoned.map(|(origin, it)| (origin.clone(), it.lines.clone())).collect()
+        let orphaned = state.owners.iter().filter(|(origin, it)| is_orphaned(origin, it));
+        orphaned.map(|(origin, it)| (origin.clone(), it.lines.clone())).collect()
     }
 
     fn drop_lines(&self, origin: &Origin, first: u64, end: u64) {
@@ -211,25 +215,29 @@
         let Some(owner) = owners.get_mut(origin) else { return };
         for sequence in first..end {
             if let Some(line) = owner.lines.remove(&sequence) {
-                *n_bytes -= size(&line);
+                *n_bytes -= estimated_size(&line);
             }
         }
     }
 }
 
 fn batches(origin: &Origin, lines: BTreeMap<u64, Line>) -> Vec<Batch> {
-    let batch = |(first, lines)| {
-        // What is stored below is the owner's to say; a lower bound does no harm.
+    let to_batch = |(first, lines)| {
+        // Only the owner knows what is stored; a lower bound does no harm.
         Batch { origin: origin.clone(), stored_below: 0, first, lines }
     };
-    store::runs(lines.into_iter(), MAX_RUN).into_iter().map(batch).collect()
+    store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT)
+        .into_iter()
+        .map(to_batch)
+        .collect()
 }
 
-/// About how many bytes a line takes in memory.
-pub fn size(line: &Line) -> usize {
-    const TREE_NODE: usize = 64;
+/// Approximately how many bytes a line takes in memory.
+pub fn estimated_size(line: &Line) -> usize {
+    /// Approximate overhead of an entry of the map.
+    const MAP_ENTRY_BYTES: usize = 64;
     size_of::<Line>()
-        + TREE_NODE
+        + MAP_ENTRY_BYTES
         + line.request.as_str().len()
         + line.account.as_str().len()
         + line.served_by.len()
--- a/crates/curranthook_peers/src/store.rs
+++ b/crates/curranthook_peers/src/store.rs
@@ -1,14 +1,14 @@
-//! Bill lines in the object store.
+//! Writing bill lines to the object store.
 
 use curranthook_platform::{Error, Objects, Write};
 use curranthook_types::bill::{Line, Origin, Segment};
 
-/// Stores lines that follow one another from sequence number `first` on.
+/// Stores consecutive lines that start at sequence number `first`.
 ///
-/// Owner and replicas may store the same lines, and not cut them alike: a replica may have got
-/// fewer. Whoever comes second finds the key taken. Were that taken for success, the lines
-/// beyond the shorter object would be lost; so the object is read, and what it lacks goes under
-/// the key of the first missing line.
+/// The owner and its replicas may store the same lines in different segments, since a replica may
+/// have received fewer. Whoever writes second finds the key taken. If that counted as success,
+/// lines beyond a shorter object would be lost, so the object is read and the lines that it lacks
+/// are stored under the key of the first missing line.
 pub async fn put(
     objects: &dyn Objects,
     origin: &Origin,
@@ -21,7 +21,7 @@
         match objects.put_if_absent(&segment.key(), json.into()).await? {
             Write::Done(_) => return Ok(()),
             Write::Conflict => {
-                let n_stored = stored(objects, &segment).await?;
+                let n_stored = count_stored(objects, &segment).await?;
                 segment.lines.drain(..n_stored.min(segment.lines.len()));
                 segment.first += n_stored as u64;
             }
@@ -30,19 +30,25 @@
     Ok(())
 }
 
-async fn stored(objects: &dyn Objects, segment: &Segment) -> Result<usize, Error> {
+async fn count_stored(objects: &dyn Objects, segment: &Segment) -> Result<usize, Error> {
     let key = segment.key();
-    let garbled = |why: &str| Error::Garbled(format!("{key}: {why}"));
-    let bytes = objects.get(&key).await?.ok_or_else(|| garbled("taken, and not there"))?;
-    let stored: Segment = serde_json::from_slice(&bytes).map_err(|e| garbled(&e.to_string()))?;
+    let invalid = |reason: &str| Error::Garbled(format!("{key}: {reason}"));
+    let bytes = objects
+        .get(&key)
+        .await?
+        .ok_or_else(|| invalid("the key exists, but the object is missing"))?;
+    let stored: Segment = serde_json::from_slice(&bytes).map_err(|e| invalid(&e.to_string()))?;
     if stored.lines.is_empty() {
-        return Err(garbled("no lines"));
+        return Err(invalid("the segment has no lines"));
     }
     Ok(stored.lines.len())
 }
 
-/// Splits lines by sequence number into runs without a gap, each of at most `max` lines.
-pub fn runs(lines: impl Iterator<Item = (u64, Line)>, max: usize) -> Vec<(u64, Vec<Line>)> {
+/// Splits lines by sequence number into runs without gaps, each of at most `max` lines.
+pub fn contiguous_runs(
+    lines: impl Iterator<Item = (u64, Line)>,
+    max: usize,
+) -> Vec<(u64, Vec<Line>)> {
     let mut runs: Vec<(u64, Vec<Line>)> = Vec::new();
     for (sequence, line) in lines {
         match runs.last_mut() {
--- a/crates/curranthook_peers/src/suspect.rs
+++ b/crates/curranthook_peers/src/suspect.rs
@@ -1,7 +1,7 @@
-//! Versions that some node's own test found bad.
+//! Versions that the health check of some node has found bad.
 //!
-//! A version can turn bad while serving. Until a steward has withdrawn it for all, the node that
-//! noticed first tells its peers, which then stop using it too.
+//! A version can turn bad while it is serving. Until a steward has withdrawn it for all nodes, the
+//! node that noticed first tells its peers, which then stop using it too.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -10,70 +10,76 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// How long a declaration holds unless it's made again.
-const EXPIRY: Duration = Duration::from_secs(600);
+/// How long a declaration is valid unless it is repeated.
+const DECLARATION_TTL: Duration = Duration::from_secs(600);
 /// How many versions can be suspect at once.
-const MAX_ENTRIES: usize = 64;
+const MAX_SUSPECTS: usize = 64;
 
-/// A declaration as a digest carries it: the version and the time, in milliseconds since 1970.
+/// A declaration as it appears in a digest: the version and the time, in milliseconds since 1970.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub version::Id, pub u64);
 
-/// The versions declared suspect lately.
+/// The versions that were recently declared suspect.
 #[derive(Debug)]
 pub struct Suspects {
     clock: Arc<dyn Clock>,
-    at_millis: Mutex<HashMap<version::Id, u64>>,
+    declared_at_millis: Mutex<HashMap<version::Id, u64>>,
 }
 
 impl Suspects {
-    /// None yet.
+    /// Creates an empty set.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
-        Self { clock, at_millis: Mutex::default() }
+        Self { clock, declared_at_millis: Mutex::default() }
     }
 
-    /// Declares a version suspect from now on.
+    /// Declares a version suspect as of now.
     pub fn declare(&self, version: &version::Id) {
         self.merge(&Entry(version.clone(), self.clock.unix_millis()));
     }
 
-    /// Whether a node declared it suspect, and that holds.
+    /// Whether a node has declared the version suspect and the declaration is still valid.
     pub fn contains(&self, version: &version::Id) -> bool {
         let now = self.clock.unix_millis();
-        self.at_millis.lock().get(version).is_some_and(|at| !is_expired(*at, now))
+        self.declared_at_millis
+            .lock()
+            .get(version)
+            .is_some_and(|at_millis| !is_expired(*at_millis, now))
     }
 
-    /// Takes in a peer's declaration.
+    /// Merges a peer's declaration.
     pub fn merge(&self, entry: &Entry) {
         let now = self.clock.unix_millis();
-        let Entry(version, at) = entry;
-        if is_expired(*at, now) {
+        let Entry(version, at_millis) = entry;
+        if is_expired(*at_millis, now) {
             return;
         }
-        let mut all = self.at_millis.lock();
-        if MAX_ENTRIES <= all.len() && !all.contains_key(version) {
+        let mut declarations = self.declared_at_millis.lock();
+        if MAX_SUSPECTS <= declarations.len() && !declarations.contains_key(version) {
             return;
         }
-        let known = all.entry(version.clone()).or_default();
-        *known = (*known).max((*at).min(now));
+        let known = declarations.entry(version.clone()).or_default();
+        *known = (*known).max((*at_millis).min(now));
     }
 
-    /// Forgets what the document withdraws, as that is stronger, and what expired.
-    pub fn settle(&self, document: &Document) {
+    /// Removes versions that the document withdraws, since withdrawal is the stronger measure, and
+    /// declarations that have expired.
+    pub fn prune(&self, document: &Document) {
         let now = self.clock.unix_millis();
-        let mut all = self.at_millis.lock();
-        all.retain(|version, at| !is_expired(*at, now) && !document.withdrawn.contains(version));
+        let mut declarations = self.declared_at_millis.lock();
+        declarations.retain(|version, at_millis| {
+            !is_expired(*at_millis, now) && !document.withdrawn.contains(version)
+        });
     }
 
-    /// All that hold.
-    pub fn all(&self) -> Vec<Entry> {
+    /// All declarations that are still valid.
+    pub fn active_entries(&self) -> Vec<Entry> {
         let now = self.clock.unix_millis();
-        let all = self.at_millis.lock();
-        let live = all.iter().filter(|(_, at)| !is_expired(**at, now));
-        live.map(|(version, at)| Entry(version.clone(), *at)).collect()
+        let declarations = self.declared_at_millis.lock();
+        let active = declarations.iter().filter(|(_, at_millis)| !is_expired(**at_millis, now));
+        active.map(|(version, at_millis)| Entry(version.clone(), *at_millis)).collect()
     }
 }
 
 fn is_expired(at_millis: u64, now_millis: u64) -> bool {
-    EXPIRY < Duration::from_millis(now_millis.saturating_sub(at_millis))
+    DECLARATION_TTL < Duration::from_millis(now_millis.saturating_sub(at_millis))
 }
--- a/crates/curranthook_router/src/chat.rs
+++ b/crates/curranthook_router/src/chat.rs
@@ -271,7 +271,7 @@
     async fn record_bill(&self, version: &version::Id) {
         let metadata = &self.call.chat().metadata;
         let bill_line = self.cost.to_bill_line(metadata, version, &*self.router.clock);
-        self.router.node.poison().release(&metadata.fingerprint);
+        self.router.node.poison().clear(&metadata.fingerprint);
         // The line must survive the loss of this VM before the caller can know that it has the
         // whole response: otherwise the work would not be billed if the VM failed in between.
         self.router.record_bill(bill_line).await;
--- a/crates/curranthook_router/src/router.rs
+++ b/crates/curranthook_router/src/router.rs
@@ -108,7 +108,7 @@
         snapshot: &Snapshot,
         account: &account::Id,
     ) -> Result<(), Refusal> {
-        self.node.demand().add(account);
+        self.node.demand().record_request(account);
         let Some(settings) = snapshot.account_settings(account) else { return Ok(()) };
         let (now, nodes) = (self.clock.now(), self.node.site_nodes());
         let share = self.node.share(account);
@@ -132,7 +132,7 @@
             journal::Durability::Stored => self.metrics.count("bill.stored"),
             // No other node can be reached. The response is not delayed for that: the line stays in
             // memory and is sent as soon as another node answers.
-            journal::Durability::Alone => self.metrics.count("bill.alone"),
+            journal::Durability::LocalOnly => self.metrics.count("bill.alone"),
         }
     }
 
@@ -184,6 +184,6 @@
     }
 
     fn add_sample(&self, kind: &kind::Id, version: &version::Id, sample: Sample) {
-        self.node.evidence().add(version, kind, sample);
+        self.node.evidence().record(version, kind, sample);
     }
 }
