--- a/crates/curranthook_steward/src/serve.rs
+++ b/crates/curranthook_steward/src/serve.rs
@@ -127,7 +127,7 @@
         shard.await;
     }
     server_task.await;
-    log::info!("shutdown complete");
+    log::info!("ended");
     Ok(())
 }
 
