--- a/crates/curranthook_peers/examples/membership_cuts.rs
+++ b/crates/curranthook_peers/examples/membership_cuts.rs
@@ -18,9 +18,9 @@
 };
 use support::{Fleet, wait_until};
 
-/// Nodes in the fleet.
+/// Number of nodes in the fleet.
 const N_NODES: u16 = 9;
-/// Samples taken after a cut.
+/// Number of times that all links are sampled after a cut.
 const N_SAMPLES: usize = 100;
 /// The time between samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
@@ -32,13 +32,13 @@
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Samples of intact links whose peer was considered unreachable.
+    /// Number of samples of intact links whose peer was considered unreachable.
     n_false_removals: usize,
-    /// Samples of cut links whose peer was still considered alive.
+    /// Number of samples of cut links whose peer was still considered alive.
     n_undetected_cuts: usize,
-    /// Samples of intact links.
+    /// Number of samples of intact links, one per link and interval.
     n_intact_samples: usize,
-    /// Samples of cut links.
+    /// Number of samples of cut links, one per link and interval.
     n_cut_samples: usize,
     /// The time until every cut link was detected at least once.
     detection_time: Option<Duration>,
@@ -81,8 +81,8 @@
     let mut fleet = Fleet::new();
     fleet.tuning = Tuning { trust, ..fleet.tuning.clone() };
     let nodes = fleet.start(N_NODES);
-    // Under `Trust::Others` a first failed call can separate a pair for long, so this may time out,
-    // which is part of the measurement.
+    // Under `Trust::Others` a first failed call can make two nodes consider each other unreachable
+    // for long, so this may time out, which is part of the measurement.
     wait_until(TIMEOUT, || all_connected(&nodes)).await;
     for (a, b) in cuts {
         fleet.network.cut(&nodes[*a], &nodes[*b]);
