--- a/crates/curranthook_peers/src/auth.rs
+++ b/crates/curranthook_peers/src/auth.rs
@@ -8,8 +8,8 @@
 /// The largest difference between the time of a call and the receiver's clock, in either direction.
 /// Replaying a recorded call within it does no harm, as all methods merge idempotently.
 pub const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_secs(30);
-/// Bytes of a MAC. HMAC-SHA256 is truncated to 128 bits (RFC 4868) because every byte counts
-/// against the budget of control traffic.
+/// Length of a MAC in bytes. HMAC-SHA256 is truncated to 128 bits (RFC 4868) because every byte
+/// counts against the budget of control traffic.
 const MAC_BYTES: usize = 16;
 
 /// Why a call is rejected.
@@ -55,7 +55,7 @@
         hex::encode(&tag[..MAC_BYTES])
     }
 
-    /// Verifies in constant time, so that the time taken tells a forger nothing.
+    /// Verifies in constant time, so that an attacker learns nothing from the time it takes.
     pub fn verify(&self, context: &str, body: &[u8], mac: &str) -> Result<(), Error> {
         let tag = hex::decode(mac).map_err(|_| Error::Mac)?;
         if tag.len() != MAC_BYTES {
