--- a/crates/curranthook_peers/src/counters.rs
+++ b/crates/curranthook_peers/src/counters.rs
@@ -31,7 +31,7 @@
     bytes_in,
     /// Bytes of control traffic sent, including HTTP heads.
     bytes_out,
-    /// Control calls made and answered.
+    /// Control calls sent and received.
     messages,
     /// Bytes of journal replication received. They grow with requests, not with the fleet, and so
     /// are counted apart from control traffic.
@@ -44,7 +44,7 @@
     exchange_failed,
     /// Calls rejected because the MAC was missing or wrong.
     rejected_mac,
-    /// Calls rejected because they were signed too long ago.
+    /// Calls rejected because their time differed too much from this node's clock.
     rejected_time,
     /// Calls rejected because they were too large.
     rejected_size,
@@ -62,23 +62,23 @@
     epoch_from_peer,
     /// Documents received as a delta.
     delta_applied,
-    /// Deltas that didn't result in the intended document.
+    /// Deltas rejected because they started from, or resulted in, another document than intended.
     delta_rejected,
     /// Documents received in full.
     document_full,
-    /// Documents received with an epoch that isn't higher.
+    /// Documents received whose epoch wasn't higher than the current one.
     document_not_newer,
-    /// Bill lines held by two peers when acknowledged.
+    /// Bill lines that had been replicated to peers when `Journal::record` returned.
     line_replicated,
-    /// Bill lines in the object store when acknowledged.
+    /// Bill lines that were in the object store when `Journal::record` returned.
     line_stored,
-    /// Bill lines held by this node only when acknowledged.
+    /// Bill lines that existed on this node only when `Journal::record` returned.
     line_alone,
     /// Segments of its own lines that this node stored.
     segment_stored,
-    /// Segments that this node stored for an owner that was gone.
+    /// Segments of another node's lines that this node stored because the owner was presumed lost.
     segment_taken_over,
-    /// Puts that failed and will be retried.
+    /// Writes to the object store that failed and will be retried.
     store_failed,
     /// Batches of peers' lines rejected for lack of memory.
     replica_full,
