--- a/crates/curranthook_peers/src/demand.rs
+++ b/crates/curranthook_peers/src/demand.rs
@@ -13,22 +13,22 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// A report older than this is left out of the sum.
+/// Reports older than this don't count towards the sum of rates.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(60);
 /// The weight of the latest interval, about a second, in the moving average of the rate.
 const SMOOTHING_FACTOR: f64 = 0.3;
 /// Added to each node's rate, in requests per second. Without it a node that has had no request for
 /// an account would have no share and would reject the first one.
 const BASE_RATE: f64 = 0.5;
-/// How many peers' reports are kept.
+/// Maximum number of VMs whose reports are stored.
 const MAX_REPORTS: usize = 2_048;
-/// How many accounts one report may name.
+/// Maximum number of accounts in an entry from a peer; larger entries are ignored.
 const MAX_ACCOUNTS_PER_REPORT: usize = 64;
-/// How many accounts are reported in one entry.
+/// Maximum number of accounts in an entry that this node sends about itself.
 const ACCOUNTS_PER_ENTRY: usize = 3;
 
-/// Some of a node's rates as they appear in a digest: VM, incarnation, time in milliseconds since
-/// 1970, and the rates by account in tenths of a request per second.
+/// A part of a node's request rates as it appears in a digest: VM, incarnation, time in
+/// milliseconds since 1970, and the rates by account in tenths of a request per second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub vm::Id, pub vm::Incarnation, pub u64, pub BTreeMap<account::Id, u64>);
 
@@ -56,7 +56,7 @@
     cursor: usize,
 }
 
-/// The demand at this node and, as reported, at the other nodes of the site.
+/// The request rates by account at this node and, as reported, at the other nodes of the site.
 #[derive(Debug)]
 pub struct Demand {
     vm: vm::Id,
@@ -66,7 +66,7 @@
 }
 
 impl Demand {
-    /// Creates a table without any demand.
+    /// Creates an empty table of rates.
     pub fn new(vm: vm::Id, incarnation: vm::Incarnation, clock: Arc<dyn Clock>) -> Self {
         Self { vm, incarnation, clock, state: Mutex::default() }
     }
@@ -152,8 +152,8 @@
             let (vm, report) = recent[index];
             report.entry(vm, cursor / recent.len())
         });
-        // An entry that doesn't fit is sent with fewer accounts: otherwise long names could keep a
-        // node's demand from ever being reported.
+        // An entry that doesn't fit is sent with fewer accounts. Otherwise a node whose account
+        // names are long might never report its demand.
         let shrink = |mut entry: Entry| {
             while !fits(&entry) {
                 entry.3.pop_last()?;
