--- a/crates/curranthook_peers/src/digest.rs
+++ b/crates/curranthook_peers/src/digest.rs
@@ -19,12 +19,13 @@
     tuning::{Mechanism, Trust},
 };
 
-/// Bytes of all sections of a frame together. Including HTTP heads, one exchange initiated and one
-/// answered per second stay within 2 KB, both directions together.
+/// Limit on the total size of a frame's sections, in bytes. With it, a node that initiates one
+/// exchange and answers one per second stays within 2 KB per second, sent and received, including
+/// HTTP heads.
 const FRAME_BUDGET_BYTES: usize = 125;
 /// The largest delta that is included in an answer, in bytes.
 const MAX_INLINE_TRANSFER_BYTES: usize = 2_048;
-/// How many poison entries are considered for a frame.
+/// Maximum number of poison entries considered for one frame.
 const MAX_POISON_ENTRIES: usize = 8;
 
 /// One side's part of an exchange. Field names are short because every node sends each byte once a
@@ -37,23 +38,22 @@
     /// The newest epoch that the sender has; zero for none.
     #[serde(rename = "c")]
     pub epoch: Epoch,
-    /// Suspect versions.
+    /// Versions that were declared suspect.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<suspect::Entry>,
     /// Fingerprints of requests under which endpoints crashed.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub poison: Vec<poison::Entry>,
-    /// Demand at nodes of the sender's site.
+    /// Request rates by account at nodes of the sender's site.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub demand: Vec<demand::Entry>,
-    /// Evidence on versions.
+    /// Counts of calls, errors and ratings by origin, version and kind of work.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<evidence::Entry>,
     /// Peers that the sender reaches.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<Identity>,
-    /// In an answer, the changes that the caller lacks to get to the newest document, if they are
-    /// small.
+    /// In an answer, the delta from the caller's document to the newest one, if it is small.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub transfer: Option<Transfer>,
     /// Peers that the sender can't reach.
@@ -81,8 +81,9 @@
     }
 }
 
-/// A section of a frame. The sections take turns in being first: in a fixed order, a busy section
-/// would never leave those behind it enough bytes for a single entry.
+/// A section of a frame. The section that is filled first rotates: in a fixed order, a large
+/// section could always use up the budget, and later sections would never have room for a single
+/// entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Topic {
     Evidence,
@@ -91,6 +92,7 @@
     Members,
 }
 
+/// The section that is filled first, in successive frames.
 const TOPIC_ROTATION: [Topic; 6] =
     [Topic::Evidence, Topic::Demand, Topic::Alarms, Topic::Evidence, Topic::Demand, Topic::Members];
 
@@ -109,7 +111,7 @@
     frame
 }
 
-/// Builds a frame of the most urgent entries.
+/// Builds a frame, with as many entries as fit into the budget.
 pub(crate) fn build(node: &Node) -> Frame {
     let n_frames = node.next_sequence();
     let mut frame = Frame {
@@ -181,8 +183,8 @@
     }
 }
 
-/// One live peer, in rotation. Peers name each other because the VM list lags and can't be read
-/// during an outage.
+/// Selects one live peer, in rotation. Peers report each other because the VM list lags and can't
+/// be read during an outage of the platform.
 fn next_member(node: &Node, n_frames: usize) -> Vec<Identity> {
     let alive = node.members().alive();
     let index = n_frames.checked_rem(alive.len());
