--- a/crates/curranthook_peers/src/documents.rs
+++ b/crates/curranthook_peers/src/documents.rs
@@ -20,7 +20,7 @@
 use serde_with::{hex::Hex, serde_as};
 use sha2::{Digest, Sha256};
 
-/// How many past changes are kept to build deltas from.
+/// Maximum number of past changes that are retained to build deltas from.
 const MAX_CHANGES: usize = 16;
 /// A change with more operations than this is sent as a full document. Its delta would be about as
 /// long as the document, and a few such deltas would take more memory than the rest of the node.
@@ -68,7 +68,8 @@
     /// poll, only to find the document it already has.
     tag: Option<Tag>,
     /// The newest document as JSON, from which deltas are made and to which they are applied.
-    /// Earlier ones aren't kept: as JSON, a document of 10,000 endpoints takes tens of megabytes.
+    /// Earlier ones are not retained: as JSON, a document of 10,000 endpoints takes tens of
+    /// megabytes.
     json: Value,
     /// The changes up to the newest document, oldest first; each begins where the previous one
     /// ends.
@@ -161,7 +162,7 @@
         true
     }
 
-    /// The transfer for a peer that has epoch `peer_epoch`; zero requests the full document.
+    /// Builds the transfer for a peer that has epoch `peer_epoch`; zero requests the full document.
     pub fn transfer(&self, peer_epoch: Epoch) -> Transfer {
         let Some(newest) = self.document() else { return Transfer::UpToDate };
         if newest.epoch <= peer_epoch {
@@ -208,7 +209,8 @@
         Ok(true)
     }
 
-    /// Puts `document` in force. Apart from the tag and the waiters, `history` must be up to date.
+    /// Makes `document` the newest one, updates the tag and wakes the waiters. The caller has
+    /// already updated the JSON and the changes in `history`.
     fn install(&self, history: &mut History, document: Document, tag: Option<Tag>) {
         history.tag = tag;
         history.deltas.clear();
