--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -13,15 +13,15 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// How many records are kept, one for each origin, version and kind of work. Sized for 1,800 nodes
+/// Maximum number of records, one for each origin, version and kind of work. Sized for 1,800 nodes
 /// and 7 versions, with room for the nodes that are replaced within a day.
 const MAX_RECORDS: usize = 20_000;
-/// How often a changed record is sent before it gives way to others.
+/// Number of times that a changed record is sent with priority over unchanged ones.
 const SENDS_PER_CHANGE: u32 = 4;
-/// Records considered for one frame; more don't fit.
+/// Maximum number of records considered for one frame; more would not fit.
 const MAX_CANDIDATES: usize = 12;
 
-/// The higher value of each field.
+/// Merges two states of one origin's counters: the higher value of each field.
 fn max_counts(a: &Counts, b: &Counts) -> Counts {
     Counts {
         n: a.n.max(b.n),
@@ -34,17 +34,18 @@
     }
 }
 
-/// More than one failure in ten calls, or a mean rating below one half.
+/// Whether there is more than one failure in ten calls, or a mean rating below one half.
 fn is_suspicious(counts: &Counts) -> bool {
     counts.calls < counts.errors.saturating_mul(10) || counts.sum < counts.n as f64 * 0.5
 }
 
+/// Whether neither errors nor ratings outnumber the calls; other entries are ignored.
 fn is_consistent(counts: &Counts) -> bool {
     counts.errors <= counts.calls && counts.n <= counts.calls
 }
 
-/// The subject of evidence: a version at a kind of work. A version may be good at one kind and poor
-/// at another.
+/// The subject of evidence: a version performing a kind of work. A version may be good at one kind
+/// and poor at another.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Subject {
     /// The version.
@@ -94,7 +95,7 @@
 #[derive(Debug, Default)]
 struct Record {
     counts: Counts,
-    /// How often the last change is still to be sent before other records.
+    /// How many more times the last change is to be sent with priority.
     sends_left: u32,
     /// The logical time of the last change.
     last_changed: u64,
@@ -109,7 +110,7 @@
     logical_time: u64,
 }
 
-/// The evidence that a node has on all versions.
+/// The counts of all versions and origins that a node knows.
 #[derive(Debug)]
 pub struct Evidence {
     own: Origin,
@@ -117,12 +118,12 @@
 }
 
 impl Evidence {
-    /// Creates an empty table. `own` is the origin of the evidence that is recorded here.
+    /// Creates an empty table. `own` is the origin of the responses that [`Self::record`] counts.
     pub fn new(own: Origin) -> Self {
         Self { own, records: Mutex::default() }
     }
 
-    /// Records the result of one response to this node.
+    /// Counts the outcome and rating of one response that this node received.
     pub fn record(&self, version: &version::Id, kind: &kind::Id, sample: Sample) {
         let subject = Subject { version: version.clone(), kind: kind.clone() };
         self.records
@@ -130,13 +131,13 @@
             .update(&subject, &self.own, |counts| counts.plus(&Counts::from(sample)));
     }
 
-    /// The sum over all origins and kinds of work.
+    /// The counts of a version, summed over all origins and kinds of work.
     pub fn total(&self, version: &version::Id) -> Counts {
         let rows = self.by_origin(version);
         rows.iter().fold(Counts::default(), |sum, (_, counts)| sum.plus(counts))
     }
 
-    /// The counts of each origin, over all kinds of work.
+    /// The counts of a version by origin, summed over all kinds of work.
     pub fn by_origin(&self, version: &version::Id) -> Vec<(Origin, Counts)> {
         let records = self.records.lock();
         let mut sums: HashMap<&Origin, Counts> = HashMap::new();
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Removes the record that changed longest ago, which is likely that of a process long gone.
+    /// Removes the record that changed longest ago, whose origin has most likely stopped.
     fn evict(&mut self) {
         let oldest = self
             .by_subject
