--- a/crates/curranthook_peers/src/journal.rs
+++ b/crates/curranthook_peers/src/journal.rs
@@ -2,7 +2,7 @@
 //!
 //! A line is durable once two peers in other failure domains hold it, or the object store does.
 //! Lines that arrive within a few milliseconds are sent to the peers together; the store gets
-//! larger segments, less often. Once lines are stored, the peers are told to drop them.
+//! larger segments, less often. Once lines are stored, a heartbeat lets the peers drop them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,20 +21,21 @@
     store,
 };
 
-/// How many bytes of lines are kept while they can't be stored: an outage of about an hour at 26
-/// lines per second. Above it the node is to reject new work; a line is never dropped.
+/// Limit on the memory for bill lines that aren't stored yet, in bytes: enough for an outage of the
+/// object store of about an hour at 26 lines per second. Above it the router must reject new
+/// requests; a line is never dropped.
 pub const MAX_BYTES: usize = 24 * 1024 * 1024;
-/// How many lines go into one object.
+/// Maximum number of bill lines in one object of the store.
 const MAX_LINES_PER_OBJECT: usize = 2_000;
 
-/// How durable a line is.
+/// Where copies of a bill line exist when [`Journal::record`] returns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Durability {
     /// Held by this many peers in other failure domains.
     Replicated(usize),
     /// Held by the object store.
     Stored,
-    /// Held by this node only, which keeps trying to store it.
+    /// Held by this node only, which will retry to store and replicate it.
     LocalOnly,
 }
 
@@ -119,7 +120,8 @@
         durability_rx.recv().await.unwrap_or(Durability::LocalOnly)
     }
 
-    /// Whether so many lines wait to be stored that the node must accept no new work.
+    /// Whether the unstored lines have reached [`MAX_BYTES`], so that the router must reject new
+    /// requests.
     pub fn is_full(&self) -> bool {
         MAX_BYTES <= self.state.lock().n_bytes
     }
@@ -139,12 +141,12 @@
         let _closed = self.flush_requests.1.recv().await;
     }
 
-    /// Requests a flush now, because a replica has failed and lines have one copy less.
+    /// Requests an immediate flush, for when replication has failed and lines lack a copy.
     pub fn request_flush(&self) {
         let _already_requested = self.flush_requests.0.try_send(());
     }
 
-    /// The lines that were added since the last call.
+    /// Takes the lines that were added since the last call, to replicate them.
     pub fn take_group(&self) -> Option<Group> {
         let mut state = self.state.lock();
         let waiters = std::mem::take(&mut state.waiters);
@@ -176,7 +178,7 @@
         state.under_replicated.extend(unstored);
     }
 
-    /// Records that a peer is lost that held some or all of the lines.
+    /// Records that a replica was lost, which may have held any of the lines.
     pub fn mark_all_under_replicated(&self) {
         let state = &mut *self.state.lock();
         state.under_replicated.extend(state.lines.keys());
@@ -195,7 +197,8 @@
         segments.into_iter().map(|(first, lines)| self.batch(&state, first, lines)).collect()
     }
 
-    /// A batch without lines, which tells the peers what is stored and that this node is alive.
+    /// A batch without lines, which reports to the peers up to where lines are stored and that this
+    /// node is alive.
     pub fn heartbeat(&self) -> Batch {
         let state = self.state.lock();
         self.batch(&state, state.next_sequence, Vec::new())
@@ -236,7 +239,8 @@
     }
 }
 
-/// How long sending a batch to a peer may take.
+/// Timeout of the first attempt to send a batch to a peer.
 pub const REPLICATE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long the second attempt may take, which goes to other peers and the store at once.
+/// Timeout of the second attempt, in which a batch is sent to other peers and the store
+/// concurrently.
 pub const FALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
