--- a/crates/curranthook_peers/src/lib.rs
+++ b/crates/curranthook_peers/src/lib.rs
@@ -2,8 +2,9 @@
 //! and replicas of the bill journal.
 //!
 //! A router embeds a [`node::Node`]. Once a second it exchanges a [`digest`] with one peer, which
-//! [`member`] selects, over [`rpc`]. [`documents`] brings the newest published configuration to
-//! every node, and [`journal`] keeps bill lines on two peers until they are in the object store.
+//! [`member`] selects, over [`rpc`]. [`documents`] distributes the newest published configuration
+//! to every node, and [`journal`] replicates bill lines to two peers until they are in the object
+//! store.
 //!
 //! This crate runs no consensus protocol: decisions that need agreement go through the platform's
 //! table, and all state that peers exchange merges by "highest wins" or by set union.
