--- a/crates/curranthook_peers/src/member.rs
+++ b/crates/curranthook_peers/src/member.rs
@@ -1,4 +1,4 @@
-//! Known peers, and which of them this node can reach.
+//! Membership: the known peers, and which of them this node can reach.
 //!
 //! The platform's VM list lags, and peers may be wrong about one another: two nodes that both reach
 //! a third may not reach each other. A node that trusted such reports would drop peers that it
@@ -68,7 +68,8 @@
     }
 }
 
-/// The order in which the parts of the view are called.
+/// The rotation in which the parts of the view are called. Peers of the same failure domain are
+/// called twice as often as those of each other part.
 const CALL_ORDER: [Proximity; 4] =
     [Proximity::SameDomain, Proximity::SameSite, Proximity::SameDomain, Proximity::Remote];
 
@@ -82,7 +83,7 @@
 }
 
 impl Members {
-    /// Creates an empty peer table. `seed` seeds the random selection of the view.
+    /// Creates an empty peer table. `seed` initializes the generator that selects peers at random.
     pub fn new(own: Identity, trust: Trust, clock: Arc<dyn Clock>, seed: u64) -> Self {
         let state = Table {
             peers: BTreeMap::new(),
@@ -100,7 +101,8 @@
         &self.own
     }
 
-    /// Applies a new VM list. It marks no peer as alive and removes none that answers.
+    /// Updates the candidates from a new VM list. Being listed doesn't mark a peer as alive, and a
+    /// live peer that isn't listed is not removed.
     pub fn update_vm_list(&self, vms: &[Vm]) {
         let mut state = self.state.lock();
         for peer in state.peers.values_mut() {
@@ -113,13 +115,13 @@
                 peer.domain = Some(vm.failure_domain.clone());
             }
         }
-        // Seeds stay even if they are missing from the list: a list that was read before this
-        // node's neighbours were added to it would otherwise leave the node without peers until the
-        // next read.
+        // Seeds are retained even if they are missing from the list: a list that was read before
+        // this node's neighbours were added to it would otherwise leave the node without peers
+        // until the next read.
         state.peers.retain(|_, it| it.is_listed || it.is_seed || it.in_view || it.is_alive);
     }
 
-    /// Adds a candidate of which only the address is known.
+    /// Adds a seed from the settings, of which only the address is known.
     pub fn add_seed(&self, addr: SocketAddr) {
         if addr == self.own.addr {
             return;
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Adds a candidate that a peer named.
+    /// Adds a candidate that a peer reported.
     pub fn add_candidate(&self, identity: &Identity) {
         if identity.vm == self.own.vm || identity.addr == self.own.addr {
             return;
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Records which failure domains belong to a site, as a configuration states them.
+    /// Records which failure domains belong to a site according to a configuration document.
     pub fn add_site_domains<'a>(
         &self,
         site: &site::Id,
@@ -196,7 +198,7 @@
         Ok(())
     }
 
-    /// Records an answer that didn't identify the peer, and resets its failure count: a few
+    /// Resets the failure count after an answer that didn't contain the peer's identity: a few
     /// timeouts spread over many successful calls are no reason to drop a peer.
     pub fn reset_failures(&self, addr: SocketAddr) {
         if let Some(peer) = self.state.lock().peers.get_mut(&addr) {
@@ -212,7 +214,7 @@
         peer.record_failure(now);
     }
 
-    /// Records the report of a peer that it can't reach `addr`.
+    /// Records that another peer has reported `addr` as unreachable. Ignored under [`Trust::Own`].
     pub fn record_unreachable_report(&self, addr: SocketAddr) {
         if self.trust == Trust::Own {
             return;
@@ -231,8 +233,8 @@
         state.peers.remove(&identity.addr);
     }
 
-    /// The peer to call now. The parts of the view take turns; within a part, a peer whose last
-    /// call failed comes first, then the one that was called longest ago.
+    /// Selects the peer to call now. The parts of the view are called in rotation; within a
+    /// part, a peer whose last call failed comes first, then the one that was called longest ago.
     pub fn next_peer(&self) -> Option<SocketAddr> {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -256,7 +258,7 @@
         })
     }
 
-    /// Up to `n` random peers, to request the newest document from.
+    /// Selects up to `n` known peers at random, whether or not they are alive.
     pub fn random_peers(&self, n: usize) -> Vec<SocketAddr> {
         let mut state = self.state.lock();
         let mut candidates: Vec<_> = state.peers.keys().copied().collect();
@@ -268,7 +270,7 @@
         selected
     }
 
-    /// Peers that are alive.
+    /// The peers that are alive, as seen by this node.
     pub fn alive(&self) -> Vec<Contact> {
         let state = self.state.lock();
         let alive = state.peers.values().filter(|it| it.is_alive);
