--- a/crates/curranthook_peers/src/member/joining.rs
+++ b/crates/curranthook_peers/src/member/joining.rs
@@ -2,13 +2,13 @@
 
 use super::Members;
 
-/// With this many live peers in other failure domains, the bill lines of a node are safe.
+/// Number of live peers in other failure domains that a node needs to replicate its bill lines.
 const MIN_REPLICAS: usize = 2;
 
 impl Members {
     /// Whether too few live peers are known while some have not yet been called.
     ///
-    /// The bill line of a response that is served now would be on this VM only.
+    /// The bill line of a response that is served in this state could exist on this VM only.
     pub fn is_joining(&self) -> bool {
         if MIN_REPLICAS <= self.replica_candidates().len() {
             return false;
