--- a/crates/curranthook_peers/src/member/table.rs
+++ b/crates/curranthook_peers/src/member/table.rs
@@ -13,18 +13,20 @@
 
 /// Consecutive failed calls after which a peer is unreachable. A single failure may be transient.
 const MAX_FAILURES: u32 = 2;
-/// How long an unreachable peer is not called at first; doubles up to [`MAX_BACKOFF`].
+/// The first backoff of an unreachable peer, during which it is not called. It doubles with each
+/// failed retry, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_secs(5);
-/// The longest time for which an unreachable peer is not called.
+/// The longest backoff of an unreachable peer.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// How many peers and candidates are kept.
+/// Maximum number of entries in the table, candidates included; others are ignored.
 const MAX_PEERS: usize = 4_096;
 
 #[derive(Debug, Default)]
 pub(super) struct Peer {
     pub(super) identity: Option<Identity>,
-    /// The failure domain according to the VM list, until the peer has answered.
+    /// The failure domain: from the VM list or another peer at first, then from the peer itself.
     pub(super) domain: Option<domain::Id>,
+    /// Whether the peer is on the last VM list that was read.
     pub(super) is_listed: bool,
     /// Whether the settings name the peer as a seed.
     pub(super) is_seed: bool,
