--- a/crates/curranthook_peers/src/member/view.rs
+++ b/crates/curranthook_peers/src/member/view.rs
@@ -11,7 +11,7 @@
 pub struct Contact {
     /// The identity of the peer.
     pub identity: Identity,
-    /// Calls to it that have failed since its last answer.
+    /// Number of calls to the peer that have failed since its last answer.
     pub failures: u32,
 }
 
@@ -25,6 +25,6 @@
     pub site_nodes: usize,
     /// Peers that recently answered calls from this node.
     pub alive: Vec<Contact>,
-    /// Peers that this node can't reach.
+    /// Addresses of peers that this node currently can't reach.
     pub unreachable: Vec<SocketAddr>,
 }
