--- a/crates/curranthook_peers/src/node.rs
+++ b/crates/curranthook_peers/src/node.rs
@@ -40,12 +40,12 @@
     tuning::{Mechanism, Tuning},
 };
 
-/// What a node needs to start.
+/// The settings of a node and the services that it depends on.
 #[derive(Debug)]
 pub struct Setup {
     /// The settings of the VM.
     pub settings: Settings,
-    /// The process of the VM.
+    /// Distinguishes this process from earlier and later ones of the same VM.
     pub incarnation: vm::Incarnation,
     /// The address at which peers reach this node: the bound address, with its actual port.
     pub peer_addr: SocketAddr,
@@ -72,11 +72,11 @@
     pub epoch: Epoch,
     /// The fleet as this node sees it.
     pub view: member::View,
-    /// Bill lines of this node that aren't stored yet.
+    /// Number of bill lines of this node that aren't in the object store yet.
     pub journal_lines: usize,
-    /// Bill lines of peers that this node keeps.
+    /// Number of peers' bill lines that this node holds as a replica.
     pub replica_lines: usize,
-    /// All counters.
+    /// The counters by name.
     pub counters: BTreeMap<&'static str, u64>,
 }
 
@@ -98,7 +98,7 @@
     replicas: Replicas,
     /// Peers that hold lines of this node's journal.
     pub(crate) replica_holders: Mutex<BTreeSet<SocketAddr>>,
-    /// Pairs of an owner that is gone and the process to which all its lines have been sent.
+    /// Pairs of a lost owner and a replica to which all its bill lines have been sent.
     pub(crate) replicated_orphans: Mutex<BTreeSet<(Origin, Origin)>>,
     /// Held during the fetch of a document; several peers often announce the same epoch at once.
     pub(crate) fetch_lock: async_lock::Mutex<()>,
@@ -177,13 +177,14 @@
         rpc::handle(self, &self.rpc_module, head, &body).await
     }
 
-    /// Installs a document that came from elsewhere than the table or a peer, if its epoch is
-    /// higher, and returns whether it did.
+    /// Installs a document from a source other than the table or a peer, if its epoch is higher
+    /// than the current one, and returns whether it was installed.
     pub fn offer(&self, document: Document) -> bool {
         self.documents.offer(document, None)
     }
 
-    /// Requests a newer document from a few peers, after a period in which none could arrive.
+    /// Requests a newer document from a few peers, after a period in which this process could not
+    /// receive any.
     pub async fn refresh(&self) {
         task::documents::refresh(self).await;
     }
@@ -204,7 +205,7 @@
         &self.journal
     }
 
-    /// Evidence on versions.
+    /// Ratings and error counts of model versions, from this node and its peers.
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
@@ -214,12 +215,12 @@
         &self.poison
     }
 
-    /// Versions that some node found bad.
+    /// Versions that the health check of some node has declared suspect.
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Demand by account.
+    /// Request rates by account, of this node and the other nodes of the site.
     pub fn demand(&self) -> &Demand {
         &self.demand
     }
@@ -234,7 +235,8 @@
         self.demand.share(account, self.site_nodes())
     }
 
-    /// Whether the node has just started and still has peers to contact.
+    /// Whether the node still lacks live peers to replicate bill lines to and has peers left to
+    /// contact.
     pub fn is_joining(&self) -> bool {
         self.members.is_joining()
     }
@@ -260,13 +262,15 @@
         }
     }
 
-    /// Hands over the journal, announces the departure to the peers and stops the tasks.
+    /// Stores or replicates all bill lines, announces the departure to the peers and stops the
+    /// tasks.
     pub async fn leave(&self) {
         task::leave(self).await;
         self.stop.0.set();
     }
 
-    /// Stops the tasks without telling the peers, as if the process had been killed. For tests.
+    /// Stops the tasks without announcing the departure, as if the process had been killed. For
+    /// tests.
     pub fn kill(&self) {
         self.stop.0.set();
     }
