--- a/crates/curranthook_peers/src/poison.rs
+++ b/crates/curranthook_peers/src/poison.rs
@@ -3,7 +3,7 @@
 //! A request may crash every endpoint that runs it, and its caller may retry it, possibly through
 //! another router; endpoints then crash one after the other. Each crash is recorded under the
 //! fingerprint of the request body. After two endpoints the request is rejected by all nodes,
-//! because the records travel with the digest. The [`Register`] of the policy crate decides; this
+//! because the records are part of the digest. The [`Register`] of the policy crate decides; this
 //! module adds the clock and the wire format.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{hex::Hex, serde_as};
 
-/// How many fingerprints are kept.
+/// Maximum number of fingerprints that are stored.
 const MAX_FINGERPRINTS: usize = 1_024;
 
 /// A record as it appears in a digest: fingerprint, endpoints, time of the first crash in
@@ -52,7 +52,7 @@
         self.register.lock().clear(*fingerprint);
     }
 
-    /// Whether enough endpoints have crashed under the request.
+    /// Whether enough endpoints have crashed while running the request to reject it.
     pub fn is_poison(&self, fingerprint: &Fingerprint) -> bool {
         self.register.lock().is_poison(*fingerprint, self.clock.now())
     }
