--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -1,4 +1,4 @@
-//! Bill lines that this node keeps for peers until they are stored.
+//! Bill lines that this node holds as a replica for peers until the object store has them.
 //!
 //! If the owner's VM is lost between a response and the next put, its lines exist on its replicas
 //! only. A replica detects this by the silence of the owner and stores the lines itself. If the
@@ -28,22 +28,23 @@
     store,
 };
 
-/// How many bytes of peers' lines are kept. Above it new lines are rejected, and their owner tries
-/// another peer or the store.
+/// Limit on the memory for peers' bill lines, in bytes. Above it new lines are rejected, and their
+/// owner tries another peer or the object store.
 const MAX_BYTES: usize = 32 * 1024 * 1024;
-/// How many lines go into one object.
+/// Maximum number of bill lines in one object of the store.
 const MAX_LINES_PER_OBJECT: usize = 2_000;
-/// Puts per second by all nodes together; the platform allows several hundred.
+/// Limit on writes to the object store per second by all nodes together; the platform allows
+/// several hundred.
 pub const MAX_FLEET_PUTS_PER_SECOND: f64 = 100.0;
-/// How long an owner may be silent while the store is believed to be up.
+/// Upper bound on the owner timeout, unless the last write of orphaned lines to the store failed.
 const SHORT_OWNER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// An owner that missed this many flushes counts as silent.
+/// An owner that sends no message for this many flush intervals is presumed lost.
 const MAX_MISSED_FLUSHES: u32 = 3;
-/// How long an owner without lines is remembered, so that a batch that arrives late isn't kept
-/// again.
+/// How long the record of an owner without lines is retained. Until then, a delayed batch whose
+/// lines are already in the store is recognized and discarded.
 const OWNER_RETENTION: Duration = Duration::from_secs(300);
 
-/// Bill lines for a replica to keep.
+/// Bill lines that an owner sends to a replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Batch {
     /// The owner of the lines.
@@ -52,7 +53,7 @@
     pub stored_below: u64,
     /// The sequence number of the first line.
     pub first: u64,
-    /// The lines; empty in a heartbeat, which only tells what is stored and that the owner is
+    /// The lines; empty in a heartbeat, which only reports `stored_below` and that the owner is
     /// alive.
     pub lines: Vec<Line>,
 }
@@ -75,7 +76,7 @@
     n_bytes: usize,
 }
 
-/// All lines kept for peers.
+/// The bill lines of peers that this node holds.
 #[derive(Debug)]
 pub struct Replicas {
     clock: Arc<dyn Clock>,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Keeps a batch and drops the lines that its owner has stored.
+    /// Adds the lines of a batch and drops those that its owner has stored.
     pub fn insert(&self, batch: Batch) -> Result<(), Full> {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -114,7 +115,7 @@
         owner.last_heard = now;
         owner.stored_below = owner.stored_below.max(batch.stored_below);
         for (sequence, line) in (batch.first..).zip(batch.lines) {
-            // A batch that arrives after the message that its lines are stored isn't kept.
+            // Lines that the owner has reported as stored are skipped; a batch may arrive late.
             if owner.stored_below <= sequence && !owner.lines.contains_key(&sequence) {
                 *n_bytes += estimated_size(&line);
                 owner.lines.insert(sequence, line);
@@ -126,13 +127,13 @@
         Ok(())
     }
 
-    /// How many lines are kept.
+    /// The number of lines held for peers.
     pub fn n_lines(&self) -> usize {
         self.state.lock().owners.values().map(|it| it.lines.len()).sum()
     }
 
-    /// Stores the lines of owners that left, were replaced or have been silent too long, and
-    /// returns whether all could be stored.
+    /// Stores the lines of owners that left, were replaced or sent no message within the timeout,
+    /// and returns whether all could be stored.
     pub async fn store_orphans(&self, members: &Members, objects: &dyn Objects) -> bool {
         for (origin, lines) in self.orphaned_lines(members) {
             for (first, lines) in store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT) {
@@ -150,7 +151,7 @@
         true
     }
 
-    /// All lines kept, in batches, for a leaving node that hands them to other peers.
+    /// All lines held for peers, in batches, for a leaving node that sends them to other peers.
     pub fn batches(&self) -> Vec<Batch> {
         let state = self.state.lock();
         let lines = state.owners.iter().map(|(origin, it)| (origin.clone(), it.lines.clone()));
@@ -167,7 +168,8 @@
         batches_by_owner.collect()
     }
 
-    /// Stores all lines of a leaving node; the owners' other replicas may do so too.
+    /// Stores all lines held for peers, before this node leaves; the owners' other replicas may
+    /// store them too.
     pub async fn flush(&self, objects: &dyn Objects) {
         let all: Vec<_> = {
             let state = self.state.lock();
@@ -223,7 +225,7 @@
 
 fn batches(origin: &Origin, lines: BTreeMap<u64, Line>) -> Vec<Batch> {
     let to_batch = |(first, lines)| {
-        // Only the owner knows what is stored; a lower bound does no harm.
+        // Only the owner knows which lines are stored; zero is a safe lower bound.
         Batch { origin: origin.clone(), stored_below: 0, first, lines }
     };
     store::contiguous_runs(lines.into_iter(), MAX_LINES_PER_OBJECT)
@@ -232,9 +234,9 @@
         .collect()
 }
 
-/// Approximately how many bytes a line takes in memory.
+/// Approximate memory use of a line, in bytes.
 pub fn estimated_size(line: &Line) -> usize {
-    /// Approximate overhead of an entry of the map.
+    /// Approximate overhead of a `BTreeMap` entry, in bytes.
     const MAP_ENTRY_BYTES: usize = 64;
     size_of::<Line>()
         + MAP_ENTRY_BYTES
