--- a/crates/curranthook_peers/src/rpc.rs
+++ b/crates/curranthook_peers/src/rpc.rs
@@ -4,11 +4,11 @@
 //! |---|---|---|
 //! | `exchange` | [`Frame`] | [`Frame`] |
 //! | `news` | [`Announcement`] | null |
-//! | `document` | [`Epoch`] that the caller has | [`Transfer`](crate::documents::Transfer) |
+//! | `document` | the caller's [`Epoch`] | [`Transfer`](crate::documents::Transfer) |
 //! | `replicate` | [`Batch`] | null |
 //! | `leaving` | [`Identity`] | null |
 //! | `evidence` | null | list of version and [`Counts`] |
-//! | `fleet` | null | about how many nodes there are |
+//! | `fleet` | null | estimated number of nodes in the fleet |
 //! | `origins` | null | list of version, [`Origin`] and [`Counts`] |
 //!
 //! A call carries its time and a MAC over time and body. The answer carries a MAC over the call's
@@ -39,33 +39,35 @@
     tuning::Mechanism,
 };
 
-/// The path of all calls.
+/// The HTTP path of all calls between peers.
 pub const PATH: &str = "/rpc";
 /// The largest call that is accepted, in bytes.
 pub const MAX_CALL_BYTES: usize = 2 * 1024 * 1024;
-/// How long a small call may take. A frozen peer delays a node by one exchange at most.
+/// Timeout of calls with a small answer. It is shorter than the default exchange interval of 1 s,
+/// so a frozen peer delays a node by one exchange at most.
 pub const TIMEOUT: Duration = Duration::from_millis(800);
-/// How long the transfer of a document may take.
+/// Timeout of a `document` call.
 pub const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Approximate bytes of the HTTP head of a call and of an answer, as `hyper` writes them.
+/// Approximate size of the HTTP head of a call as `hyper` writes it, in bytes.
 const CALL_HEAD_BYTES: usize = 165;
+/// Approximate size of the HTTP head of an answer, in bytes.
 const ANSWER_HEAD_BYTES: usize = 140;
 
 /// JSON-RPC error code: the caller has been replaced by a later process of its VM, or has left.
 const STALE_PROCESS_CODE: i32 = 1;
-/// JSON-RPC error code: no memory is left for lines of peers.
+/// JSON-RPC error code: the memory limit for peers' bill lines is reached.
 const MEMORY_FULL_CODE: i32 = 2;
 /// JSON-RPC error code: the node has stopped.
 const NODE_STOPPED_CODE: i32 = 3;
 
-/// Announces that the sender has a newer epoch.
+/// Announces that the sender has a newer configuration.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Announcement {
     /// The sender.
     #[serde(rename = "i")]
     pub from: Identity,
-    /// The epoch.
+    /// The epoch of that configuration.
     #[serde(rename = "c")]
     pub epoch: Epoch,
 }
@@ -87,7 +89,7 @@
     Malformed(String),
 }
 
-/// The kind of traffic as which a call is counted.
+/// The category of traffic under which the bytes of a call are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Traffic {
     Control,
@@ -112,7 +114,7 @@
     }
 }
 
-/// Calls peers.
+/// The calling side of the peer-to-peer protocol.
 #[derive(Debug)]
 pub struct Client<'a> {
     /// The transport to the peers.
@@ -126,7 +128,7 @@
 }
 
 impl Client<'_> {
-    /// Makes one call.
+    /// Signs and sends one call, verifies the MAC of the answer and parses the result.
     pub async fn call<R: DeserializeOwned + Clone + 'static>(
         &self,
         addr: SocketAddr,
@@ -153,7 +155,7 @@
     }
 }
 
-/// The methods that a node answers.
+/// Creates the JSON-RPC module with all methods.
 pub(crate) fn module(node: Weak<Node>) -> RpcModule<Weak<Node>> {
     let mut module = RpcModule::new(node);
     let result = register(&mut module);
@@ -229,7 +231,7 @@
     ErrorObjectOwned::owned(code, message, None::<()>)
 }
 
-/// Answers one call.
+/// Verifies one HTTP call and dispatches it to its method.
 pub(crate) async fn handle(
     node: &Node,
     module: &RpcModule<Weak<Node>>,
