--- a/crates/curranthook_peers/src/suspect.rs
+++ b/crates/curranthook_peers/src/suspect.rs
@@ -1,7 +1,7 @@
-//! Versions that the health check of some node has found bad.
+//! Model versions that failed the health check of some node.
 //!
 //! A version can turn bad while it is serving. Until a steward has withdrawn it for all nodes, the
-//! node that noticed first tells its peers, which then stop using it too.
+//! first node that detects it declares it suspect and informs its peers, which stop using it too.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -10,9 +10,9 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// How long a declaration is valid unless it is repeated.
+/// How long a version remains suspect unless the declaration is repeated.
 const DECLARATION_TTL: Duration = Duration::from_secs(600);
-/// How many versions can be suspect at once.
+/// Maximum number of suspect versions; further declarations are ignored.
 const MAX_SUSPECTS: usize = 64;
 
 /// A declaration as it appears in a digest: the version and the time, in milliseconds since 1970.
@@ -71,7 +71,7 @@
         });
     }
 
-    /// All declarations that are still valid.
+    /// All suspect versions whose declarations haven't expired.
     pub fn active_entries(&self) -> Vec<Entry> {
         let now = self.clock.unix_millis();
         let declarations = self.declared_at_millis.lock();
