--- a/crates/curranthook_peers/src/task.rs
+++ b/crates/curranthook_peers/src/task.rs
@@ -13,7 +13,7 @@
 
 use crate::{member::Identity, node::Node, rpc};
 
-/// How long one attempt of a leaving node to store its lines may take before it hands them to
+/// How long one attempt of a leaving node to store its lines may take before it sends them to
 /// peers.
 const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a leaving node tries to hand over its lines; if the store is down and no peer is
@@ -52,7 +52,7 @@
     Timer::after(duration.mul_f64(factor)).await;
 }
 
-/// Hands over all bill lines and announces the departure to the peers.
+/// Stores all bill lines or sends them to peers, and announces the departure to the peers.
 pub(crate) async fn leave(node: &Node) {
     let start = node.setup.clock.now();
     while !is_handed_over(node).await {
@@ -77,8 +77,8 @@
     join_all(calls).await;
 }
 
-/// Stores all lines or, while the store is down, replicates them to peers. Returns whether no line
-/// is on this node only.
+/// Stores all lines or, while the store is down, replicates them to peers. Returns whether each
+/// line is stored or has been replicated.
 async fn is_handed_over(node: &Node) -> bool {
     let objects = &*node.setup.objects;
     let flush = async {
