--- a/crates/curranthook_peers/src/task/documents.rs
+++ b/crates/curranthook_peers/src/task/documents.rs
@@ -14,7 +14,8 @@
     tuning::Mechanism,
 };
 
-/// Reads of the table per second by all nodes together; the platform allows about two thousand.
+/// Limit on reads of the table per second by all nodes together; the platform allows about two
+/// thousand.
 const MAX_FLEET_READS_PER_SECOND: f64 = 200.0;
 /// How many peers a node that read a new epoch from the table announces it to at once. The others
 /// wait for their next exchange: by then most have the epoch, and announcing it further would only
@@ -62,9 +63,9 @@
     }
 }
 
-/// Gets a first document: the one with the highest epoch among a few peers. Using the first answer
-/// could start the node with an old configuration if that peer has been cut off, and during an
-/// outage of the platform nothing would correct it.
+/// Fetches the first document: the one with the highest epoch among a few peers. Using the first
+/// answer could start the node with an old configuration if that peer has been cut off, and during
+/// an outage of the platform nothing would correct it.
 pub(crate) async fn bootstrap(node: Arc<Node>) {
     while node.document().is_none() {
         let requests = node.members().random_peers(QUERY_FANOUT);
@@ -83,8 +84,8 @@
 }
 
 /// Requests the full document from a few peers and applies each newer one as it arrives: the
-/// configuration in force is already old, and a peer that is gone must not delay the answers of the
-/// others.
+/// configuration in force is already old, and a peer that doesn't answer must not delay the
+/// documents of the others.
 pub(crate) async fn refresh(node: &Node) {
     let requests = node.members().random_peers(QUERY_FANOUT).into_iter().map(|addr| async move {
         if let Some(transfer) = request_document(node, addr).await {
