--- a/crates/curranthook_peers/src/task/gossip.rs
+++ b/crates/curranthook_peers/src/task/gossip.rs
@@ -16,7 +16,8 @@
 /// The shortest time between reads of the VM list.
 const MIN_LIST_INTERVAL: Duration = Duration::from_secs(10);
 /// The time between reads per VM on the list. An entry takes about 120 bytes, so reading costs a
-/// node 200 bytes per second whatever the size of the fleet; between reads, peers name each other.
+/// node 200 bytes per second whatever the size of the fleet; between reads, peers report each
+/// other.
 const LIST_INTERVAL_PER_VM: Duration = Duration::from_millis(600);
 /// The pause after a read that failed or that listed no other node.
 const LIST_RETRY_INTERVAL: Duration = Duration::from_secs(2);
@@ -38,7 +39,7 @@
     }
 }
 
-/// Makes an exchange at each interval.
+/// Initiates an exchange with one peer at each interval.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut last_update = node.setup.clock.now();
     loop {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Makes an exchange with the next peer of the view.
+/// Exchanges frames with the next peer of the view and merges the answer.
 pub(crate) async fn exchange(node: &Node) {
     let Some(addr) = node.members().next_peer() else { return };
     let own_frame = digest::build(node);
