--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -18,13 +18,13 @@
 /// Callers wait for this, so a line that finds none in flight is sent at once: under low load each
 /// line gets a call of its own, under high load one call carries many.
 const BATCH_DELAY: Duration = Duration::from_millis(1);
-/// How many peers hold each line.
+/// Number of peers to which each line is replicated.
 const REPLICATION_FACTOR: usize = 2;
-/// How long to retry for lines that are on this node only, until a peer or the store is back.
+/// How long a caller of `record` waits while lines exist on this node only and are retried.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
 /// The pause between two retries.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The time between checks for silent owners.
+/// The time between checks for owners that are presumed lost.
 const ORPHAN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends new lines to peers.
@@ -57,7 +57,8 @@
     group.close(durability, node.counters());
 }
 
-/// Makes lines durable, and retries for a while when neither a peer nor the store can be reached.
+/// Makes lines durable, and retries for [`RETRY_WINDOW`] when neither a peer nor the store can be
+/// reached.
 ///
 /// Peers that are replaced or paused are back within a second or two. If this VM were lost before
 /// that, the bill lines of responses that callers already have would be lost with it. A node that
@@ -134,7 +135,7 @@
     }
 }
 
-/// Tells the replicas which lines are stored. This also happens when the store failed: during an
+/// Notifies the replicas which lines are stored. This also happens when the store failed: during an
 /// outage the heartbeat shows that the owner is alive, so that its replicas don't all try to store
 /// its lines too.
 async fn send_heartbeats(node: &Node) {
@@ -180,13 +181,13 @@
 }
 
 /// How many copies lines should have. Peers that are known but not contacted yet count: they may
-/// become reachable a moment later, and lines that were given one copy until then would keep only
-/// that one.
+/// become reachable a moment later, and lines that had been replicated once until then would never
+/// get a second copy.
 fn target_copies(node: &Node) -> usize {
     node.members().fleet_size().saturating_sub(1).clamp(1, REPLICATION_FACTOR)
 }
 
-/// Stores the lines of owners that are gone.
+/// Stores the lines of owners that left, were replaced or are presumed lost.
 pub(crate) async fn store_orphans(node: Arc<Node>) {
     loop {
         sleep_with_jitter(ORPHAN_CHECK_INTERVAL).await;
@@ -196,7 +197,7 @@
     }
 }
 
-/// Sends the lines of owners that are gone to the nodes that are to keep them.
+/// Sends the lines of lost owners to the nodes that are selected to replicate them.
 ///
 /// While the store is down such lines exist on replicas only, and those VMs may be lost or replaced
 /// like any other. Without this the number of copies would shrink until none is left.
@@ -224,11 +225,11 @@
 }
 
 /// Sends the lines that can't be stored to peers before this node leaves: its own, and those that
-/// it keeps for others. Returns whether a peer keeps each of them.
+/// it holds for peers. Returns whether each of them was accepted by a peer.
 ///
-/// The lines of an owner that is gone exist on its replicas only. VMs are replaced during an outage
-/// of the store too; if a replica left without handing over its lines, they would be lost from the
-/// bill with the replacement of the owner's second replica.
+/// The lines of a lost owner exist on its replicas only. VMs are replaced during an outage of the
+/// store too; if a replica left without handing over its lines, they would be lost from the bill
+/// with the replacement of the owner's second replica.
 pub(crate) async fn hand_over(node: &Node) -> bool {
     let peers: Vec<_> = node.members().replica_candidates().into_iter().map(|it| it.addr).collect();
     let mut all_replicated = true;
