--- a/crates/curranthook_peers/src/transport.rs
+++ b/crates/curranthook_peers/src/transport.rs
@@ -38,9 +38,9 @@
 /// The future of a reply.
 pub type ReplyFuture<'a> = Pin<Box<dyn Future<Output = Result<Reply, Error>> + Send + 'a>>;
 
-/// Transports calls to peers.
+/// Sends calls to peers. Tests replace it with a simulated network.
 pub trait Transport: Debug + Send + Sync {
-    /// Makes one call.
+    /// Sends one call to a peer and returns its answer.
     fn call(&self, call: Call) -> ReplyFuture<'_>;
 }
 
