--- a/crates/curranthook_peers/src/tuning.rs
+++ b/crates/curranthook_peers/src/tuning.rs
@@ -4,10 +4,11 @@
 
 use crate::transport::Transport;
 
-/// Must exceed the longest time between two messages of a live owner. An owner that holds lines
-/// sends a heartbeat after each flush. While the object store is down, that takes a put that times
-/// out, two pauses and a call, 5.2 s at most. With a shorter timeout all replicas would try to
-/// store the lines of live owners and make an outage worse.
+/// The default of [`Tuning::owner_timeout`]. It must exceed the longest time between two messages
+/// of a live owner. An owner that holds lines sends a heartbeat after each flush. While the object
+/// store is down, that takes a put that times out, two pauses and a call, 5.2 s at most. With a
+/// shorter timeout all replicas would try to store the lines of live owners and make an outage
+/// worse.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Whose observations of reachability a node acts on.
@@ -17,7 +18,7 @@
     #[default]
     Own,
     /// A peer's report that another is unreachable counts as much as a failed call of the node
-    /// itself. Kept for comparison with [`Trust::Own`]; it removes peers that are up.
+    /// itself. Retained for comparison with [`Trust::Own`]; it removes peers that are up.
     Others,
 }
 
@@ -44,7 +45,7 @@
     pub poll_interval: Duration,
     /// The shortest time between flushes of the journal to the object store.
     pub flush_interval: Duration,
-    /// How long an owner may be silent before its replicas store its lines.
+    /// How long the replicas of a bill line wait for a message from its owner before they store it.
     pub owner_timeout: Duration,
     /// Mechanisms of configuration distribution that are disabled.
     pub disabled: BTreeSet<Mechanism>,
