--- a/crates/curranthook_peers/tests/peers/digest.rs
+++ b/crates/curranthook_peers/tests/peers/digest.rs
@@ -34,8 +34,8 @@
         entries.extend(node.select_entries(|_| true));
         entries.extend(node.select_entries(|_| true));
     }
-    let sum = nodes.iter().map(|it| it.total(version));
-    (entries, sum.fold(Counts::default(), |sum, it| sum.plus(&it)))
+    let totals = nodes.iter().map(|it| it.total(version));
+    (entries, totals.fold(Counts::default(), |sum, it| sum.plus(&it)))
 }
 
 proptest! {
