--- a/crates/curranthook_peers/tests/peers/journal.rs
+++ b/crates/curranthook_peers/tests/peers/journal.rs
@@ -1,4 +1,4 @@
-//! A recorded line is billed whatever fails afterwards.
+//! Bill lines survive the loss of their owner, outages of the object store and lost answers.
 
 use std::{
     sync::{Arc, atomic::Ordering},
