--- a/crates/curranthook_peers/tests/peers/membership.rs
+++ b/crates/curranthook_peers/tests/peers/membership.rs
@@ -53,7 +53,7 @@
 }
 
 /// A VM is replaced, and the new one gets its id and address. The old process, which was only
-/// frozen, resumes and calls its peers: it must not pass for the new process.
+/// frozen, resumes and calls its peers: these calls must not be attributed to the new process.
 #[test]
 fn calls_of_a_replaced_process_are_rejected() {
     async_io::block_on(async {
