--- a/crates/curranthook_peers/src/counters.rs
+++ b/crates/curranthook_peers/src/counters.rs
@@ -50,15 +50,15 @@
     rejected_size,
     /// Calls from a process that a later one of the same VM has replaced.
     rejected_incarnation,
-    /// Reads of the table for the configuration.
+    /// Reads of the platform's table for a new configuration.
     table_reads,
-    /// Bytes of documents read from the table.
+    /// Bytes of configuration documents read from the platform's table.
     table_bytes,
-    /// Reads of the table that failed.
+    /// Reads of the platform's table that failed.
     table_failed,
-    /// Epochs first received from the table.
+    /// Configuration epochs that this node received from the platform's table first.
     epoch_from_table,
-    /// Epochs first received from a peer.
+    /// Configuration epochs that this node received from a peer first.
     epoch_from_peer,
     /// Documents received as a delta.
     delta_applied,
--- a/crates/curranthook_peers/src/evidence.rs
+++ b/crates/curranthook_peers/src/evidence.rs
@@ -161,7 +161,7 @@
         records.by_subject.iter().map(|(subject, it)| (subject.clone(), others(it))).collect()
     }
 
-    /// The totals of every version with evidence.
+    /// The total counts of every version that has any.
     pub fn totals(&self) -> Vec<(version::Id, Counts)> {
         let versions: BTreeSet<_> =
             self.records.lock().by_subject.keys().map(|it| it.version.clone()).collect();
--- a/crates/curranthook_peers/src/task/journal.rs
+++ b/crates/curranthook_peers/src/task/journal.rs
@@ -140,8 +140,8 @@
 /// its lines too.
 async fn send_heartbeats(node: &Node) {
     let heartbeat = node.journal().heartbeat();
-    // Taken rather than read, because a peer that gets new lines while this runs must remain in the
-    // set.
+    // The set is emptied before the calls, so that a peer that gets new lines during them is added
+    // and remains in the set afterwards.
     let holders = std::mem::take(&mut *node.replica_holders.lock());
     let calls =
         holders.iter().map(|addr| node.call::<()>(*addr, "replicate", &heartbeat, rpc::TIMEOUT));
--- a/crates/curranthook_peers/src/tuning.rs
+++ b/crates/curranthook_peers/src/tuning.rs
@@ -41,7 +41,7 @@
     pub trust: Trust,
     /// The time between exchanges.
     pub exchange_interval: Duration,
-    /// The shortest time between reads of the table.
+    /// The shortest time between reads of the platform's table.
     pub poll_interval: Duration,
     /// The shortest time between flushes of the journal to the object store.
     pub flush_interval: Duration,
--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -45,7 +45,7 @@
         *self.document.lock() = Some(document);
     }
 
-    /// How many stored lines each request id has; a line that is stored again with the same origin
+    /// The number of stored lines by request id; a line that is stored again with the same origin
     /// and sequence number counts once.
     pub fn stored_line_counts(&self) -> BTreeMap<String, usize> {
         let mut seen = HashSet::new();
