--- a/crates/curranthook_cli/src/error.rs
+++ b/crates/curranthook_cli/src/error.rs
@@ -122,8 +122,8 @@
 pub(crate) fn findings_to_json(findings: &[Finding]) -> serde_json::Value {
     let one = |it: &Finding| {
         json!({
-            "file": &*it.place.file,
-            "line": it.place.line,
+            "file": &*it.location.file,
+            "line": it.location.line,
             "path": it.path,
             "severity": format!("{:?}", it.severity).to_lowercase(),
             "message": it.message,
--- a/crates/curranthook_settings/src/check.rs
+++ b/crates/curranthook_settings/src/check.rs
@@ -50,14 +50,14 @@
             Ok(config) => self.add_site(tree, config),
             // The shape check lets nothing through that the types refuse; should it ever, the
             // operator still gets an error and not a site that is silently left out.
-            Err(e) => self.findings.push(Finding::error(&tree.place, "", e.to_string())),
+            Err(e) => self.findings.push(Finding::error(&tree.location, "", e.to_string())),
         }
     }
 
     fn add_site(&mut self, tree: &Node, config: Config) {
         if self.sites.contains_key(&config.site) {
             let message = format!("site `{}` stands in another overlay already", config.site);
-            self.findings.push(Finding::error(&tree.place, "site", message));
+            self.findings.push(Finding::error(&tree.location, "site", message));
             return;
         }
         self.sites.insert(config.site.clone(), config);
@@ -103,7 +103,7 @@
 /// let base = source::parse("base.yaml", "site: a\nacounts: {}\n").unwrap();
 /// let report = check::trees(&base, &[]);
 /// let unknown = report.errors().find(|it| it.path == "acounts").unwrap();
-/// assert_eq!(unknown.place.line, 2);
+/// assert_eq!(unknown.location.line, 2);
 /// ```
 pub fn trees(base: &Node, overlays: &[Node]) -> Report {
     let mut report = Report::default();
@@ -129,7 +129,7 @@
 
 fn site(tree: &Node, base: &Node) -> Vec<Finding> {
     let mut findings = Vec::new();
-    shape::check(tree, &schema::CONFIG, Some(&base.place.file), &mut findings);
+    shape::check(tree, &schema::CONFIG, Some(&base.location.file), &mut findings);
     link::check(tree, &mut findings);
     quality::check(tree, &mut findings);
     findings
--- a/crates/curranthook_settings/src/check/finding.rs
+++ b/crates/curranthook_settings/src/check/finding.rs
@@ -1,6 +1,6 @@
 use std::fmt;
 
-use crate::source::{self, Place};
+use crate::source::{self, Location};
 
 /// How bad a finding is.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -15,7 +15,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// The file and line.
-    pub place: Place,
+    pub location: Location,
     /// The path within the merged configuration, empty for the file as a whole.
     pub path: String,
     /// What is wrong. Never quotes a secret.
@@ -25,16 +25,16 @@
 }
 
 impl Finding {
-    pub(crate) fn error(place: &Place, path: &str, message: impl Into<String>) -> Self {
-        Self::new(Severity::Error, place, path, message.into())
+    pub(crate) fn error(location: &Location, path: &str, message: impl Into<String>) -> Self {
+        Self::new(Severity::Error, location, path, message.into())
     }
 
-    pub(crate) fn warning(place: &Place, path: &str, message: impl Into<String>) -> Self {
-        Self::new(Severity::Warning, place, path, message.into())
+    pub(crate) fn warning(location: &Location, path: &str, message: impl Into<String>) -> Self {
+        Self::new(Severity::Warning, location, path, message.into())
     }
 
-    fn new(severity: Severity, place: &Place, path: &str, message: String) -> Self {
-        Self { place: place.clone(), path: path.to_owned(), message, severity }
+    fn new(severity: Severity, location: &Location, path: &str, message: String) -> Self {
+        Self { location: location.clone(), path: path.to_owned(), message, severity }
     }
 }
 
@@ -44,7 +44,7 @@
             Severity::Error => "error",
             Severity::Warning => "warning",
         };
-        write!(f, "{}: {severity}: ", self.place)?;
+        write!(f, "{}: {severity}: ", self.location)?;
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
         }
@@ -56,9 +56,9 @@
     fn from(e: source::Error) -> Self {
         match e {
             source::Error::Io { file, why } => {
-                Self::error(&Place { file: file.into(), line: 1 }, "", why)
+                Self::error(&Location { file: file.into(), line: 1 }, "", why)
             }
-            source::Error::Syntax { place, why } => Self::error(&place, "", why),
+            source::Error::Syntax { location, why } => Self::error(&location, "", why),
         }
     }
 }
--- a/crates/curranthook_settings/src/check/link.rs
+++ b/crates/curranthook_settings/src/check/link.rs
@@ -58,7 +58,7 @@
         && !names.services.contains(name)
     {
         let message = format!("unknown service `{name}`");
-        out.push(Finding::error(&node.place, &path::key(at, "service"), message));
+        out.push(Finding::error(&node.location, &path::key(at, "service"), message));
     }
     let has_versions = endpoint.get("versions").is_some_and(|it| !is_empty(it));
     let message = match (has_versions, service.is_some()) {
@@ -66,7 +66,7 @@
         (false, false) => "has neither versions nor a service",
         _ => return,
     };
-    out.push(Finding::error(&endpoint.place, at, message));
+    out.push(Finding::error(&endpoint.location, at, message));
 }
 
 fn check_account(account: &Node, at: &str, names: &Names<'_>, out: &mut Vec<Finding>) {
@@ -75,10 +75,10 @@
     keys_known(account, "quality", at, &names.kinds, out);
     let is_unused = |field| account.get(field).is_none_or(is_empty);
     if is_unused("versions") && is_unused("services") {
-        out.push(Finding::warning(&account.place, at, "may use no version and no service"));
+        out.push(Finding::warning(&account.location, at, "may use no version and no service"));
     }
     if account.get("key_hashes").is_some_and(is_empty) {
-        out.push(Finding::warning(&account.place, at, "has no key, so nobody can use it"));
+        out.push(Finding::warning(&account.location, at, "has no key, so nobody can use it"));
     }
 }
 
@@ -90,7 +90,7 @@
     let versions = tree.get("versions").into_iter().flat_map(Node::entries);
     for (name, version) in versions.filter(|(name, _)| !served.contains(name)) {
         let at = path::key("versions", name);
-        out.push(Finding::warning(&version.place, &at, "no endpoint serves this version"));
+        out.push(Finding::warning(&version.location, &at, "no endpoint serves this version"));
     }
 }
 
@@ -99,8 +99,8 @@
     for (section, message) in wanted {
         let section_node = tree.get(section);
         if section_node.is_none_or(is_empty) {
-            let place = section_node.map_or(&tree.place, |it| &it.place);
-            out.push(Finding::error(place, section, message));
+            let location = section_node.map_or(&tree.location, |it| &it.location);
+            out.push(Finding::error(location, section, message));
         }
     }
 }
@@ -121,7 +121,7 @@
             && !known.contains(name)
         {
             let message = format!("unknown {} `{name}`", field.trim_end_matches('s'));
-            out.push(Finding::error(&item.place, &path::index(&at, index), message));
+            out.push(Finding::error(&item.location, &path::index(&at, index), message));
         }
     }
 }
@@ -131,7 +131,7 @@
     for (kind, child) in node.get(field).into_iter().flat_map(Node::entries) {
         if !known.contains(kind) {
             let message = format!("unknown kind `{kind}`");
-            out.push(Finding::error(&child.place, &path::key(&at, kind), message));
+            out.push(Finding::error(&child.location, &path::key(&at, kind), message));
         }
     }
 }
@@ -159,7 +159,7 @@
         let Some(text) = node.text() else { continue };
         let text = text.to_ascii_lowercase();
         if let Some(first) = seen.get(&text) {
-            out.push(Finding::error(&node.place, &at, format!("the same {what} as at {first}")));
+            out.push(Finding::error(&node.location, &at, format!("the same {what} as at {first}")));
         } else {
             seen.insert(text, at);
         }
--- a/crates/curranthook_settings/src/check/quality.rs
+++ b/crates/curranthook_settings/src/check/quality.rs
@@ -35,17 +35,17 @@
         if let Some(own) = own {
             let at = path::key(&path::key(at, "quality"), kind);
             let message = format!("no allowed version declares a quality for `{kind}`");
-            out.push(Finding::error(&own.place, &at, message));
+            out.push(Finding::error(&own.location, &at, message));
         }
         return;
     };
     let message =
         format!("no allowed version meets {target} for `{kind}`; the best declares {best}");
-    let (place, field) = match own {
-        Some(own) => (&own.place, path::key("quality", kind)),
-        None => (&account.place, "versions".to_owned()),
+    let (location, field) = match own {
+        Some(own) => (&own.location, path::key("quality", kind)),
+        None => (&account.location, "versions".to_owned()),
     };
-    out.push(Finding::error(place, &path::key(at, &field), message));
+    out.push(Finding::error(location, &path::key(at, &field), message));
 }
 
 fn best(tree: &Node, account: &Node, kind: &str) -> Option<f64> {
--- a/crates/curranthook_settings/src/check/shape.rs
+++ b/crates/curranthook_settings/src/check/shape.rs
@@ -78,9 +78,9 @@
 
 impl Walk<'_> {
     fn node(&mut self, node: &Node, shape: &Shape, at: &str) {
-        for (key, place) in &node.repeated {
+        for (key, location) in &node.repeated {
             let message = "stands twice in the same map";
-            self.out.push(Finding::error(place, &path::key(at, key), message));
+            self.out.push(Finding::error(location, &path::key(at, key), message));
         }
         match (shape, &node.value) {
             (Shape::Record(fields), Value::Map(map)) => self.record(node, map, fields, at),
@@ -88,7 +88,7 @@
             (Shape::List(item), Value::List(list)) => self.list(list, item, at),
             (_, value) => {
                 if let Err(message) = scalar(shape, value) {
-                    self.out.push(Finding::error(&node.place, at, message));
+                    self.out.push(Finding::error(&node.location, at, message));
                 }
             }
         }
@@ -99,14 +99,14 @@
             let at = path::key(at, key);
             match fields.iter().find(|it| it.name == key) {
                 Some(field) => self.node(child, &field.shape, &at),
-                None => self.out.push(Finding::error(&child.place, &at, unknown(fields))),
+                None => self.out.push(Finding::error(&child.location, &at, unknown(fields))),
             }
         }
         let missing =
             fields.iter().filter(|it| it.need == Need::Required && !map.contains_key(it.name));
         for field in missing {
             let message = self.lacks(node, field.name, at);
-            self.out.push(Finding::error(&node.place, &path::key(at, field.name), message));
+            self.out.push(Finding::error(&node.location, &path::key(at, field.name), message));
         }
     }
 
@@ -114,7 +114,7 @@
         if name == "site" && at.is_empty() {
             return "lacks `site`, the site's name".to_owned();
         }
-        let is_from_base = self.base.is_none_or(|base| base == &*node.place.file);
+        let is_from_base = self.base.is_none_or(|base| base == &*node.location.file);
         if at.is_empty() || is_from_base {
             return format!("lacks `{name}`");
         }
@@ -125,7 +125,7 @@
         for (key, child) in map {
             let at = path::key(at, key);
             if let Err(message) = check_name(name, key) {
-                self.out.push(Finding::error(&child.place, &at, message));
+                self.out.push(Finding::error(&child.location, &at, message));
             }
             self.node(child, item, &at);
         }
--- a/crates/curranthook_settings/src/node.rs
+++ b/crates/curranthook_settings/src/node.rs
@@ -78,7 +78,7 @@
 /// # use curranthook_settings::{node, source};
 /// let tree = source::parse("node.yaml", "vm: vm-1\nthreads: none\n").unwrap();
 /// let findings = node::from_tree(&tree).unwrap_err();
-/// assert!(findings.iter().any(|it| it.path == "threads" && it.place.line == 2));
+/// assert!(findings.iter().any(|it| it.path == "threads" && it.location.line == 2));
 /// ```
 pub fn from_tree(node: &Node) -> Result<Settings, Vec<Finding>> {
     let findings = check::node(node);
@@ -86,7 +86,7 @@
         return Err(findings);
     }
     serde_json::from_value(node.to_json())
-        .map_err(|e| vec![Finding::error(&node.place, "", e.to_string())])
+        .map_err(|e| vec![Finding::error(&node.location, "", e.to_string())])
 }
 
 fn default_threads() -> usize {
--- a/crates/curranthook_settings/src/overlay.rs
+++ b/crates/curranthook_settings/src/overlay.rs
@@ -15,7 +15,7 @@
 /// A merged tree and what was found on the way.
 #[derive(Debug)]
 pub struct Merged {
-    /// The base with the overlay's changes. Each value keeps the place it came from.
+    /// The base with the overlay's changes. Each value keeps the location it came from.
     pub node: Node,
     /// Removals of what isn't there, values that repeat the base's, an overlay without effect.
     pub findings: Vec<Finding>,
@@ -35,15 +35,15 @@
     let mut findings = Vec::new();
     let mut node = merge_node(base, overlay, "", &mut findings);
     // What the whole lacks is the overlay's to add.
-    node.place = overlay.place.clone();
+    node.location = overlay.location.clone();
     if overlay.get(SITE).is_none() {
-        findings.push(Finding::error(&overlay.place, SITE, "lacks `site`, the site's name"));
+        findings.push(Finding::error(&overlay.location, SITE, "lacks `site`, the site's name"));
     }
     if !matches!(overlay.value, Value::Map(_)) {
-        findings.push(Finding::error(&overlay.place, "", "must be a map"));
+        findings.push(Finding::error(&overlay.location, "", "must be a map"));
     } else if without_site(&node) == without_site(base) {
         let message = "changes nothing; a site needs an overlay only for what differs there";
-        findings.push(Finding::error(&overlay.place, "", message));
+        findings.push(Finding::error(&overlay.location, "", message));
     }
     Merged { node, findings }
 }
@@ -60,11 +60,11 @@
     if let (Value::Map(old), Value::Map(new)) = (&base.value, &overlay.value) {
         let value = Value::Map(merge_map(old, new, at, findings));
         let repeated = base.repeated.iter().chain(&overlay.repeated).cloned().collect();
-        return Node { place: base.place.clone(), value, repeated };
+        return Node { location: base.location.clone(), value, repeated };
     }
     if at != SITE && !at.is_empty() && base.to_json() == overlay.to_json() {
         let message = "repeats the base file's value; leave it out";
-        findings.push(Finding::warning(&overlay.place, at, message));
+        findings.push(Finding::warning(&overlay.location, at, message));
     }
     match &overlay.value {
         // A map where the base has a scalar or nothing still has its nulls taken out.
@@ -88,7 +88,7 @@
         if matches!(node.value, Value::Null) {
             if merged.remove(key).is_none() {
                 let message = "isn't in the base file, so it can't be removed";
-                findings.push(Finding::error(&node.place, &at, message));
+                findings.push(Finding::error(&node.location, &at, message));
             }
             continue;
         }
--- a/crates/curranthook_settings/src/source.rs
+++ b/crates/curranthook_settings/src/source.rs
@@ -13,28 +13,28 @@
 
 /// Where a value stands.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Location {
     /// The file, as named on the command line.
     pub file: Arc<str>,
     /// The line, counted from 1.
     pub line: u64,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.file, self.line)
     }
 }
 
-/// A value and its place. The place of a map's entry is that of its key.
+/// A value and its location. The location of a map's entry is that of its key.
 #[derive(Debug, Clone)]
 pub struct Node {
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
     /// What it is.
     pub value: Value,
     /// The keys that stand in this map a second time, and where.
-    pub repeated: Vec<(String, Place)>,
+    pub repeated: Vec<(String, Location)>,
 }
 
 /// A YAML value.
@@ -66,10 +66,10 @@
         why: String,
     },
     /// It isn't YAML.
-    #[error("{place}: {why}")]
+    #[error("{location}: {why}")]
     Syntax {
         /// Where.
-        place: Place,
+        location: Location,
         /// What the parser said.
         why: String,
     },
@@ -94,7 +94,7 @@
 /// # use curranthook_settings::source;
 /// let node = source::parse("a.yaml", "site: vn-south\naccounts:\n  yard-7: {}\n").unwrap();
 /// let account = node.get("accounts").unwrap().get("yard-7").unwrap();
-/// assert_eq!(account.place.to_string(), "a.yaml:3");
+/// assert_eq!(account.location.to_string(), "a.yaml:3");
 /// ```
 pub fn parse(file: &str, text: &str) -> Result<Node, Error> {
     let file: Arc<str> = file.into();
@@ -111,7 +111,7 @@
     let raw = raw.map_err(|e| {
         let line = e.location().map_or(1, |it| it.line());
         let why = e.without_snippet().to_string();
-        Error::Syntax { place: Place { file: Arc::clone(&file), line }, why }
+        Error::Syntax { location: Location { file: Arc::clone(&file), line }, why }
     })?;
     Ok(raw_to_node(raw, &file))
 }
@@ -192,31 +192,31 @@
 
 fn raw_to_node(raw: Spanned<Raw>, file: &Arc<str>) -> Node {
     // A file with nothing in it has no line at all.
-    let place = Place { file: Arc::clone(file), line: raw.referenced.line().max(1) };
+    let location = Location { file: Arc::clone(file), line: raw.referenced.line().max(1) };
     let value = match raw.value {
         Raw::Null => Value::Null,
         Raw::Bool(it) => Value::Bool(it),
         Raw::Number(it) => Value::Number(it),
         Raw::Text(it) => Value::Text(it),
         Raw::List(list) => Value::List(list.into_iter().map(|it| raw_to_node(it, file)).collect()),
-        Raw::Map(entries) => return map_to_node(entries, place),
+        Raw::Map(entries) => return map_to_node(entries, location),
     };
-    Node { place, value, repeated: Vec::new() }
+    Node { location, value, repeated: Vec::new() }
 }
 
-fn map_to_node(entries: Vec<(Spanned<String>, Spanned<Raw>)>, place: Place) -> Node {
+fn map_to_node(entries: Vec<(Spanned<String>, Spanned<Raw>)>, location: Location) -> Node {
     let mut map = BTreeMap::new();
     let mut repeated = Vec::new();
     for (key, raw) in entries {
-        let at = Place { file: Arc::clone(&place.file), line: key.referenced.line() };
+        let at = Location { file: Arc::clone(&location.file), line: key.referenced.line() };
         if map.contains_key(&key.value) {
             repeated.push((key.value, at));
             continue;
         }
-        let node = raw_to_node(raw, &place.file);
-        map.insert(key.value, Node { place: at, ..node });
+        let node = raw_to_node(raw, &location.file);
+        map.insert(key.value, Node { location: at, ..node });
     }
-    Node { place, value: Value::Map(map), repeated }
+    Node { location, value: Value::Map(map), repeated }
 }
 
 impl<'de> Deserialize<'de> for Raw {
--- a/crates/curranthook_settings/tests/check.rs
+++ b/crates/curranthook_settings/tests/check.rs
@@ -40,12 +40,12 @@
     report.findings.iter().map(ToString::to_string).collect()
 }
 
-/// Asserts that exactly one finding begins with `place`, has `path`, and contains `message`.
-fn assert_found(report: &Report, place: &str, path: &str, message: &str) {
+/// Asserts that exactly one finding begins with `location`, has `path`, and contains `message`.
+fn assert_found(report: &Report, location: &str, path: &str, message: &str) {
     let n = report.findings.iter().filter(|it| {
-        it.place.to_string() == place && it.path == path && it.message.contains(message)
+        it.location.to_string() == location && it.path == path && it.message.contains(message)
     });
-    assert_eq!(n.count(), 1, "{place} {path} {message}: {:#?}", lines(report));
+    assert_eq!(n.count(), 1, "{location} {path} {message}: {:#?}", lines(report));
 }
 
 #[test]
@@ -116,18 +116,18 @@
     let base = BASE.replace("prompt: 1", "prompt: x").replace("services: [ledger]", "sevices: []");
     let overlay = OVERLAY.replace("10.0.0.2:80", "nowhere").replace("[m@1]", "[m@2]");
     let report = report(&base, &overlay);
-    let found: Vec<_> = report.errors().map(|it| (it.place.to_string(), &*it.path)).collect();
+    let found: Vec<_> = report.errors().map(|it| (it.location.to_string(), &*it.path)).collect();
     let expected = [
         ("base.yaml:3", "versions.m@1.price.prompt"),
         ("base.yaml:15", "accounts.yard-7.sevices"),
         ("south.yaml:3", "endpoints.e-1.versions[0]"),
         ("south.yaml:4", "endpoints.l-1.address"),
     ];
-    assert_eq!(found, expected.map(|(place, path)| (place.to_owned(), path)));
+    assert_eq!(found, expected.map(|(location, path)| (location.to_owned(), path)));
 }
 
 #[test]
-fn overlay_that_removes_all_accounts_leaves_their_place_in_the_base() {
+fn overlay_that_removes_all_accounts_is_reported_at_the_section_of_the_base() {
     let overlay = OVERLAY.replace("site: south\n", "site: south\naccounts: {yard-7: null}\n");
     assert_found(&report(BASE, &overlay), "base.yaml:11", "accounts", "no account");
 }
@@ -154,8 +154,8 @@
 #[test]
 fn broken_yaml_has_a_line() {
     let e = source::parse("a.yaml", "a: 1\nb: [1,\nc: 2\n").expect_err("not to be read");
-    let source::Error::Syntax { place, .. } = &e else { panic!("{e}") };
-    assert!(2 <= place.line, "{e}");
+    let source::Error::Syntax { location, .. } = &e else { panic!("{e}") };
+    assert!(2 <= location.line, "{e}");
 }
 
 #[parameterized(
@@ -169,7 +169,7 @@
     let tree = source::parse("node.yaml", text).expect("YAML");
     let findings = node::from_tree(&tree).expect_err("mistakes");
     let found = findings.iter().find(|it| it.path == path).expect("the mistake is found");
-    assert_eq!(found.place.to_string(), format!("node.yaml:{line}"));
+    assert_eq!(found.location.to_string(), format!("node.yaml:{line}"));
     assert!(!found.message.contains("sesame"));
 }
 
