--- a/crates/curranthook_cli/tests/fake/mod.rs
+++ b/crates/curranthook_cli/tests/fake/mod.rs
@@ -6,7 +6,7 @@
 };
 
 use bytes::Bytes;
-use curranthook_platform::{Answer, Error, Objects, Row, Table, Tag, Write};
+use curranthook_platform::{BoxFuture, Error, Objects, Row, Table, Tag, Write};
 use curranthook_settings::{Document, document::ROW};
 
 /// What another operator does.
@@ -128,7 +128,7 @@
 }
 
 impl Table for Platform {
-    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> Answer<'a, Option<Row>> {
+    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> BoxFuture<'a, Option<Row>> {
         let state = self.state();
         let row = if state.is_out {
             Err(Error::Down("503".to_owned()))
@@ -144,15 +144,15 @@
         table: &'a str,
         key: &'a str,
         _known: Option<&'a Tag>,
-    ) -> Answer<'a, Option<Row>> {
+    ) -> BoxFuture<'a, Option<Row>> {
         Table::get(self, table, key)
     }
 
-    fn list<'a>(&'a self, _table: &'a str, _prefix: &'a str) -> Answer<'a, Vec<Row>> {
+    fn list<'a>(&'a self, _table: &'a str, _prefix: &'a str) -> BoxFuture<'a, Vec<Row>> {
         Box::pin(std::future::ready(Ok(Vec::new())))
     }
 
-    fn insert<'a>(&'a self, _table: &'a str, _key: &'a str, value: Bytes) -> Answer<'a, Write> {
+    fn insert<'a>(&'a self, _table: &'a str, _key: &'a str, value: Bytes) -> BoxFuture<'a, Write> {
         Box::pin(std::future::ready(self.state().write(None, value)))
     }
 
@@ -162,22 +162,22 @@
         _key: &'a str,
         tag: &'a Tag,
         value: Bytes,
-    ) -> Answer<'a, Write> {
+    ) -> BoxFuture<'a, Write> {
         Box::pin(std::future::ready(self.state().write(Some(tag), value)))
     }
 }
 
 impl Objects for Platform {
-    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> Answer<'a, Write> {
+    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> BoxFuture<'a, Write> {
         self.state().objects.entry(key.to_owned()).or_insert(value);
         Box::pin(std::future::ready(Ok(Write::Done(Tag(String::new())))))
     }
 
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Bytes>> {
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Option<Bytes>> {
         Box::pin(std::future::ready(Ok(self.state().objects.get(key).cloned())))
     }
 
-    fn list<'a>(&'a self, prefix: &'a str) -> Answer<'a, Vec<String>> {
+    fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Vec<String>> {
         let state = self.state();
         let keys = state.objects.keys().filter(|it| it.starts_with(prefix)).cloned().collect();
         Box::pin(std::future::ready(Ok(keys)))
--- a/crates/curranthook_platform/src/client.rs
+++ b/crates/curranthook_platform/src/client.rs
@@ -21,7 +21,7 @@
 use parking_lot::Mutex;
 use serde::Deserialize;
 
-use crate::{Answer, Error, Objects, Row, Table, Tag, Vm, Vms, Write};
+use crate::{BoxFuture, Error, Objects, Row, Table, Tag, Vm, Vms, Write};
 
 /// How long one call may take. Longer waits would hold callers back during an outage.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -114,7 +114,7 @@
 }
 
 impl Table for Client {
-    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> Answer<'a, Option<Row>> {
+    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> BoxFuture<'a, Option<Row>> {
         self.get_newer(table, key, None)
     }
 
@@ -123,7 +123,7 @@
         table: &'a str,
         key: &'a str,
         known: Option<&'a Tag>,
-    ) -> Answer<'a, Option<Row>> {
+    ) -> BoxFuture<'a, Option<Row>> {
         Box::pin(async move {
             let condition = known.map(|tag| ("if-none-match", tag.0.as_str()));
             let path = format!("/table/{table}/{key}");
@@ -139,7 +139,7 @@
         })
     }
 
-    fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> Answer<'a, Vec<Row>> {
+    fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> BoxFuture<'a, Vec<Row>> {
         Box::pin(async move {
             let path = format!("/table/{table}?prefix={prefix}");
             let res = self.call(Method::GET, path, None, Bytes::new()).await?;
@@ -149,7 +149,7 @@
         })
     }
 
-    fn insert<'a>(&'a self, table: &'a str, key: &'a str, value: Bytes) -> Answer<'a, Write> {
+    fn insert<'a>(&'a self, table: &'a str, key: &'a str, value: Bytes) -> BoxFuture<'a, Write> {
         let path = format!("/table/{table}/{key}");
         Box::pin(self.write(path, ("if-none-match", "*"), value))
     }
@@ -160,18 +160,18 @@
         key: &'a str,
         tag: &'a Tag,
         value: Bytes,
-    ) -> Answer<'a, Write> {
+    ) -> BoxFuture<'a, Write> {
         let path = format!("/table/{table}/{key}");
         Box::pin(self.write(path, ("if-match", &tag.0), value))
     }
 }
 
 impl Objects for Client {
-    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> Answer<'a, Write> {
+    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> BoxFuture<'a, Write> {
         Box::pin(self.write(format!("/objects/{key}"), ("if-none-match", "*"), value))
     }
 
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Bytes>> {
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Option<Bytes>> {
         Box::pin(async move {
             let path = format!("/objects/{key}");
             let res = self.call(Method::GET, path, None, Bytes::new()).await?;
@@ -183,7 +183,7 @@
         })
     }
 
-    fn list<'a>(&'a self, prefix: &'a str) -> Answer<'a, Vec<String>> {
+    fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Vec<String>> {
         Box::pin(async move {
             let path = format!("/objects?prefix={prefix}");
             parse(&self.call(Method::GET, path, None, Bytes::new()).await?)
@@ -192,7 +192,7 @@
 }
 
 impl Vms for Client {
-    fn all(&self) -> Answer<'_, Vec<Vm>> {
+    fn all(&self) -> BoxFuture<'_, Vec<Vm>> {
         Box::pin(async move {
             let known = self.vms.lock().clone();
             let condition = known.as_ref().map(|it| ("if-none-match", it.tag.0.as_str()));
--- a/crates/curranthook_platform/src/lib.rs
+++ b/crates/curranthook_platform/src/lib.rs
@@ -10,4 +10,4 @@
 mod traits;
 
 pub use error::Error;
-pub use traits::{Answer, Objects, Role, Row, Table, Tag, Vm, VmState, Vms, Write};
+pub use traits::{BoxFuture, Objects, Role, Row, Table, Tag, Vm, VmState, Vms, Write};
--- a/crates/curranthook_platform/src/traits.rs
+++ b/crates/curranthook_platform/src/traits.rs
@@ -7,7 +7,7 @@
 use crate::Error;
 
 /// A future of a platform call.
-pub type Answer<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + Send + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + Send + 'a>>;
 
 /// The state of a row, changed by each write to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -37,18 +37,18 @@
 /// The transactional table service.
 pub trait Table: Debug + Send + Sync {
     /// Reads a row.
-    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> Answer<'a, Option<Row>>;
+    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> BoxFuture<'a, Option<Row>>;
     /// Reads a row unless its state is still `known`; `Ok(None)` then, and when there's no row.
     fn get_newer<'a>(
         &'a self,
         table: &'a str,
         key: &'a str,
         known: Option<&'a Tag>,
-    ) -> Answer<'a, Option<Row>>;
+    ) -> BoxFuture<'a, Option<Row>>;
     /// Reads the rows whose keys begin with `prefix`.
-    fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> Answer<'a, Vec<Row>>;
+    fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> BoxFuture<'a, Vec<Row>>;
     /// Writes a row that must not exist yet.
-    fn insert<'a>(&'a self, table: &'a str, key: &'a str, value: Bytes) -> Answer<'a, Write>;
+    fn insert<'a>(&'a self, table: &'a str, key: &'a str, value: Bytes) -> BoxFuture<'a, Write>;
     /// Replaces a row that must still be in state `tag`.
     fn replace<'a>(
         &'a self,
@@ -56,18 +56,18 @@
         key: &'a str,
         tag: &'a Tag,
         value: Bytes,
-    ) -> Answer<'a, Write>;
+    ) -> BoxFuture<'a, Write>;
 }
 
 /// The object store.
 pub trait Objects: Debug + Send + Sync {
     /// Stores an object unless there is one of that key; `Conflict` then, which for equal
     /// content is as good as done.
-    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> Answer<'a, Write>;
+    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> BoxFuture<'a, Write>;
     /// Reads an object.
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Bytes>>;
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Option<Bytes>>;
     /// The keys that begin with `prefix`, in order.
-    fn list<'a>(&'a self, prefix: &'a str) -> Answer<'a, Vec<String>>;
+    fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Vec<String>>;
 }
 
 /// Whether the platform means to keep a VM.
@@ -110,5 +110,5 @@
 /// The list of VMs.
 pub trait Vms: Debug + Send + Sync {
     /// The list as the platform knows it.
-    fn all(&self) -> Answer<'_, Vec<Vm>>;
+    fn all(&self) -> BoxFuture<'_, Vec<Vm>>;
 }
