--- a/crates/curranthook_peers/src/store.rs
+++ b/crates/curranthook_peers/src/store.rs
@@ -32,7 +32,7 @@
 
 async fn stored(objects: &dyn Objects, segment: &Segment) -> Result<usize, Error> {
     let key = segment.key();
-    let garbled = |why: &str| Error::Garbled(format!("{key}: {why}"));
+    let garbled = |why: &str| Error::Malformed(format!("{key}: {why}"));
     let bytes = objects.get(&key).await?.ok_or_else(|| garbled("taken, and not there"))?;
     let stored: Segment = serde_json::from_slice(&bytes).map_err(|e| garbled(&e.to_string()))?;
     if stored.lines.is_empty() {
--- a/crates/curranthook_platform/src/client.rs
+++ b/crates/curranthook_platform/src/client.rs
@@ -93,7 +93,7 @@
         match res.status() {
             StatusCode::OK | StatusCode::CREATED => Ok(Write::Done(tag(&res)?)),
             StatusCode::PRECONDITION_FAILED => Ok(Write::Conflict),
-            status => Err(Error::Garbled(status.to_string())),
+            status => Err(Error::Malformed(status.to_string())),
         }
     }
 }
@@ -106,11 +106,11 @@
 
 fn tag(res: &http::Response<Bytes>) -> Result<Tag, Error> {
     let etag = res.headers().get(header::ETAG).and_then(|it| it.to_str().ok());
-    etag.map(|it| Tag(it.to_owned())).ok_or_else(|| Error::Garbled("no ETag".to_owned()))
+    etag.map(|it| Tag(it.to_owned())).ok_or_else(|| Error::Malformed("no ETag".to_owned()))
 }
 
 fn parse<'a, T: Deserialize<'a>>(res: &'a http::Response<Bytes>) -> Result<T, Error> {
-    serde_json::from_slice(res.body()).map_err(|e| Error::Garbled(e.to_string()))
+    serde_json::from_slice(res.body()).map_err(|e| Error::Malformed(e.to_string()))
 }
 
 impl Table for Client {
@@ -134,7 +134,7 @@
                     Ok(Some(Row { key: key.to_owned(), tag, value: res.into_body() }))
                 }
                 StatusCode::NOT_MODIFIED | StatusCode::NOT_FOUND => Ok(None),
-                status => Err(Error::Garbled(status.to_string())),
+                status => Err(Error::Malformed(status.to_string())),
             }
         })
     }
@@ -178,7 +178,7 @@
             match res.status() {
                 StatusCode::OK => Ok(Some(res.into_body())),
                 StatusCode::NOT_FOUND => Ok(None),
-                status => Err(Error::Garbled(status.to_string())),
+                status => Err(Error::Malformed(status.to_string())),
             }
         })
     }
--- a/crates/curranthook_platform/src/error.rs
+++ b/crates/curranthook_platform/src/error.rs
@@ -9,5 +9,5 @@
     Lost(String),
     /// It answered something that can't be understood.
     #[error("the platform's answer can't be read: {0}")]
-    Garbled(String),
+    Malformed(String),
 }
--- a/crates/curranthook_publish/src/store.rs
+++ b/crates/curranthook_publish/src/store.rs
@@ -98,7 +98,7 @@
         match (&sent, fate) {
             (Ok(Write::Done(_)), _) => return Ok(Outcome::Done),
             (Err(e @ Platform::Down(_)), Fate::NotDone) => return Err(e.clone().into()),
-            (Err(Platform::Lost(_) | Platform::Garbled(_)), _) => fate = Fate::Unknown,
+            (Err(Platform::Lost(_) | Platform::Malformed(_)), _) => fate = Fate::Unknown,
             (Ok(Write::Conflict) | Err(Platform::Down(_)), _) => {}
         }
         match (judge(read(table).await, tag, next), &sent, fate) {
--- a/crates/curranthook_router/src/claim.rs
+++ b/crates/curranthook_router/src/claim.rs
@@ -273,5 +273,5 @@
 }
 
 fn decode(row: &Row) -> Result<Record, Error> {
-    serde_json::from_slice(&row.value).map_err(|e| Error::Garbled(e.to_string()))
+    serde_json::from_slice(&row.value).map_err(|e| Error::Malformed(e.to_string()))
 }
