--- a/crates/curranthook_cli/src/error.rs
+++ b/crates/curranthook_cli/src/error.rs
@@ -89,7 +89,7 @@
         match self {
             Self::Check(_) => Code::Check,
             Self::Conflict(_) => Code::Conflict,
-            Self::Store(store::Error::Unsettled { .. }) => Code::Unknown,
+            Self::Store(store::Error::Indeterminate { .. }) => Code::Unknown,
             // A read whose answer was lost did nothing, so there is nothing to be settled.
             Self::Store(store::Error::Platform(Platform::Down(_) | Platform::Lost(_)))
             | Self::Objects(Platform::Down(_) | Platform::Lost(_)) => Code::Down,
--- a/crates/curranthook_publish/src/store.rs
+++ b/crates/curranthook_publish/src/store.rs
@@ -20,7 +20,7 @@
         "unknown: the platform's answer to publication {publication} was lost, and whether it \
          took effect couldn't be settled; run the command again"
     )]
-    Unsettled {
+    Indeterminate {
         /// The id of the publication.
         publication: String,
     },
@@ -110,7 +110,7 @@
             (Verdict::Unsure, ..) => {}
         }
     }
-    Err(Error::Unsettled { publication: next.publication.clone() })
+    Err(Error::Indeterminate { publication: next.publication.clone() })
 }
 
 /// Whether an earlier attempt may have taken effect.
