--- a/crates/curranthook_cli/tests/publish.rs
+++ b/crates/curranthook_cli/tests/publish.rs
@@ -27,7 +27,7 @@
 fn context(fake: &Arc<fake::Platform>) -> Context {
     Context {
         platform: Some(Platform { table: Arc::clone(fake) as _, objects: Arc::clone(fake) as _ }),
-        retry: Retry { attempts: 4, pause: Duration::ZERO },
+        retry: Retry { max_attempts: 4, interval: Duration::ZERO },
         ..Context::new(Arc::new(clock::Manual::default()), "lan")
     }
 }
--- a/crates/curranthook_publish/src/store.rs
+++ b/crates/curranthook_publish/src/store.rs
@@ -48,16 +48,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Retry {
     /// How often a write is tried at most.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// The time between two tries.
-    pub pause: Duration,
+    pub interval: Duration,
 }
 
 impl Default for Retry {
     fn default() -> Self {
         // With the platform's own time limits this bears an outage of some seconds. An operator
         // sits in front of it and won't wait for much longer.
-        Self { attempts: 8, pause: Duration::from_millis(500) }
+        Self { max_attempts: 8, interval: Duration::from_millis(500) }
     }
 }
 
@@ -90,9 +90,9 @@
     retry: Retry,
 ) -> Result<Outcome, Error> {
     let mut fate = Fate::NotDone;
-    for attempt in 0..retry.attempts {
+    for attempt in 0..retry.max_attempts {
         if 0 < attempt {
-            Timer::after(retry.pause).await;
+            Timer::after(retry.interval).await;
         }
         let sent = send(table, tag, next).await;
         match (&sent, fate) {
