--- a/crates/curranthook_router/src/bin/curranthook-router.rs
+++ b/crates/curranthook_router/src/bin/curranthook-router.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use curranthook_http::runtime;
 use curranthook_router::serve;
-use curranthook_settings::startup::{self, Format};
+use curranthook_settings::startup::{self, LogFormat};
 
 /// Routes requests from clients to model endpoints; runs on each entry VM.
 #[derive(Debug, Parser)]
@@ -23,14 +23,14 @@
     #[arg(long, default_value_t = 1_000)]
     linger_ms: u64,
     /// The format of log lines: text for people or JSON for programs.
-    #[arg(long, value_enum, default_value_t = Format::Text)]
-    log: Format,
+    #[arg(long, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
 }
 
 fn main() -> anyhow::Result<()> {
     let arguments = Arguments::parse();
-    let _log = startup::log(arguments.log)?;
-    let settings = startup::settings(&arguments.settings)?;
+    let _log = startup::init_logging(arguments.log)?;
+    let settings = startup::load_settings(&arguments.settings)?;
     let options = serve::Options {
         policy: arguments.policy,
         linger: Duration::from_millis(arguments.linger_ms),
--- a/crates/curranthook_settings/src/startup.rs
+++ b/crates/curranthook_settings/src/startup.rs
@@ -10,7 +10,7 @@
 
 /// How log lines are written.
 #[derive(Debug, Clone, Copy, ValueEnum)]
-pub enum Format {
+pub enum LogFormat {
     /// For people.
     Text,
     /// For programs.
@@ -18,11 +18,11 @@
 }
 
 /// Starts the log, which ends when what is returned is dropped.
-pub fn log(format: Format) -> anyhow::Result<LoggerHandle> {
+pub fn init_logging(format: LogFormat) -> anyhow::Result<LoggerHandle> {
     let logger = Logger::try_with_env_or_str("info")?;
     let logger = match format {
-        Format::Text => logger.format(flexi_logger::detailed_format),
-        Format::Json => logger.format(flexi_logger::json_format),
+        LogFormat::Text => logger.format(flexi_logger::detailed_format),
+        LogFormat::Json => logger.format(flexi_logger::json_format),
     };
     Ok(logger.start()?)
 }
@@ -30,14 +30,14 @@
 /// Reads a node's settings; the error lists everything that is wrong with them.
 ///
 /// ```
-/// let missing = curranthook_settings::startup::settings("no/such/node.yaml".as_ref());
+/// let missing = curranthook_settings::startup::load_settings("no/such/node.yaml".as_ref());
 /// assert!(missing.unwrap_err().to_string().starts_with("the node settings have errors"));
 /// ```
-pub fn settings(path: &Path) -> anyhow::Result<node::Settings> {
-    node::read(path).map_err(listed)
+pub fn load_settings(path: &Path) -> anyhow::Result<node::Settings> {
+    node::read(path).map_err(join_findings)
 }
 
-fn listed(findings: Vec<Finding>) -> anyhow::Error {
+fn join_findings(findings: Vec<Finding>) -> anyhow::Error {
     let lines: Vec<_> = findings.iter().map(ToString::to_string).collect();
     anyhow!("the node settings have errors:\n{}", lines.join("\n"))
 }
--- a/crates/curranthook_steward/src/bin/curranthook-steward.rs
+++ b/crates/curranthook_steward/src/bin/curranthook-steward.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use curranthook_http::runtime;
 use curranthook_policy::rollout::Gate;
-use curranthook_settings::startup::{self, Format};
+use curranthook_settings::startup::{self, LogFormat};
 use curranthook_steward::serve;
 
 /// Runs control work under leases: one steward beside each router, all with the same role.
@@ -29,14 +29,14 @@
     #[arg(long, default_value_t = 30)]
     stage_ratings: u64,
     /// Log format: text for people or JSON for programs.
-    #[arg(long, value_enum, default_value_t = Format::Text)]
-    log: Format,
+    #[arg(long, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
 }
 
 fn main() -> anyhow::Result<()> {
     let arguments = Arguments::parse();
-    let _log = startup::log(arguments.log)?;
-    let settings = startup::settings(&arguments.settings)?;
+    let _log = startup::init_logging(arguments.log)?;
+    let settings = startup::load_settings(&arguments.settings)?;
     let options = serve::Options {
         router: arguments.router.unwrap_or(settings.peer_listen),
         gate: Gate {
