--- a/crates/curranthook_policy/examples/choice_study.rs
+++ b/crates/curranthook_policy/examples/choice_study.rs
@@ -7,7 +7,7 @@
 mod market;
 
 use curranthook_policy::{baseline::STRATEGIES, choice::Rater};
-use curranthook_settings::config::{Policy, Weigh};
+use curranthook_settings::config::{Objective, Policy};
 
 use crate::market::{Difficulty, Setup, TARGET_QUALITY, simulate};
 
@@ -18,7 +18,7 @@
     println!("|---|---|---|---|---|---|");
     for difficulty in [Difficulty::Independent, Difficulty::Shared] {
         for rater in [Rater::Up, Rater::Down] {
-            for weigh in [Weigh::Latency, Weigh::Exposure] {
+            for weigh in [Objective::Latency, Objective::Exposure] {
                 let setup = Setup { rater, difficulty, n_requests: 20_000 };
                 for name in STRATEGIES {
                     print_row(name, weigh, setup, seeds);
@@ -28,7 +28,7 @@
     }
 }
 
-fn print_row(name: &str, weigh: Weigh, setup: Setup, seeds: u64) {
+fn print_row(name: &str, weigh: Objective, setup: Setup, seeds: u64) {
     let policy = Policy { weigh, ..Policy::default() };
     let runs: Vec<_> = (0..seeds).map(|seed| simulate(name, &policy, setup, seed)).collect();
     let costs = summary(runs.iter().map(market::Tally::mean_cost).collect());
--- a/crates/curranthook_policy/src/choice.rs
+++ b/crates/curranthook_policy/src/choice.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use curranthook_settings::config::{Policy, Weigh};
+use curranthook_settings::config::{Objective, Policy};
 use curranthook_types::{kind, refusal, version};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -278,7 +278,7 @@
         planned: &Draft,
         second: &Scored,
     ) -> Option<Draft> {
-        if self.policy.weigh == Weigh::Exposure {
+        if self.policy.weigh == Objective::Exposure {
             return None;
         }
         let between = |it: &&Scored| planned.first.cost < it.cost && it.cost < second.cost;
@@ -314,7 +314,7 @@
             (!is_fallback && self.is_feasible(request, &explored, &fallback)).then_some(fallback);
         // An answer that cannot be withdrawn exposes the caller to bad quality, so where the policy
         // weighs exposure most, nothing is explored without a second stage.
-        if !is_fallback && second.is_none() && self.policy.weigh == Weigh::Exposure {
+        if !is_fallback && second.is_none() && self.policy.weigh == Objective::Exposure {
             return None;
         }
         Some(Draft { first: explored, second, reason: Reason::Explore, ..*planned })
@@ -365,8 +365,8 @@
     /// version must lie to count as meeting it.
     fn confidence_z(&self) -> f64 {
         match self.policy.weigh {
-            Weigh::Latency => 1.64,
-            Weigh::Exposure => 2.33,
+            Objective::Latency => 1.64,
+            Objective::Exposure => 2.33,
         }
     }
 }
--- a/crates/curranthook_policy/src/choice/cascade.rs
+++ b/crates/curranthook_policy/src/choice/cascade.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use curranthook_settings::config::Weigh;
+use curranthook_settings::config::Objective;
 
 use crate::choice::{Chooser, Delivery, Rater, Request, Scope, estimate::Estimate, scored::Scored};
 
@@ -119,7 +119,7 @@
             return false;
         }
         let is_latency_sensitive =
-            request.delivery == Delivery::Stream && self.policy.weigh == Weigh::Latency;
+            request.delivery == Delivery::Stream && self.policy.weigh == Objective::Latency;
         !is_latency_sensitive || hold_time <= MAX_STREAM_HOLD
     }
 }
--- a/crates/curranthook_policy/src/choice/mix.rs
+++ b/crates/curranthook_policy/src/choice/mix.rs
@@ -5,7 +5,7 @@
 //! between two of them at random, in the right proportion, meets the target at a lower cost than
 //! either version that meets it alone.
 
-use curranthook_settings::config::Weigh;
+use curranthook_settings::config::Objective;
 use rand::RngExt as _;
 
 use crate::choice::{
@@ -69,7 +69,7 @@
     pub(super) fn draw_from_mix(&mut self, request: &Request<'_>) -> Option<Draw> {
         // A cascade returns no unrated first answer, but is not available in a session.
         let prefers_cascades =
-            self.policy.weigh == Weigh::Exposure && request.scope == Scope::Request;
+            self.policy.weigh == Objective::Exposure && request.scope == Scope::Request;
         if request.rater == Rater::Down || prefers_cascades || request.candidates.len() == 1 {
             return None;
         }
--- a/crates/curranthook_policy/tests/choice.rs
+++ b/crates/curranthook_policy/tests/choice.rs
@@ -7,7 +7,7 @@
 use curranthook_policy::choice::{
     Candidate, Chooser, Counts, Delivery, Rater, Reason, Request, Sample, Scope,
 };
-use curranthook_settings::config::{Policy, Weigh};
+use curranthook_settings::config::{Objective, Policy};
 use curranthook_types::{
     kind,
     price::{Micros, Rate},
@@ -20,12 +20,15 @@
 use crate::market::{Difficulty, Setup, TARGET_QUALITY, request, simulate};
 
 #[yare::parameterized(
-    latency = { Weigh::Latency, Difficulty::Independent },
-    exposure = { Weigh::Exposure, Difficulty::Independent },
-    latency_shared = { Weigh::Latency, Difficulty::Shared },
-    exposure_shared = { Weigh::Exposure, Difficulty::Shared },
+    latency = { Objective::Latency, Difficulty::Independent },
+    exposure = { Objective::Exposure, Difficulty::Independent },
+    latency_shared = { Objective::Latency, Difficulty::Shared },
+    exposure_shared = { Objective::Exposure, Difficulty::Shared },
 )]
-fn costs_less_than_the_best_version_at_the_target_quality(weigh: Weigh, difficulty: Difficulty) {
+fn costs_less_than_the_best_version_at_the_target_quality(
+    weigh: Objective,
+    difficulty: Difficulty,
+) {
     let policy = Policy { weigh, ..Policy::default() };
     let setup = Setup { rater: Rater::Up, difficulty, n_requests: 4_000 };
     for seed in 0..5 {
@@ -46,7 +49,7 @@
 #[test]
 fn early_misleading_ratings_are_corrected() {
     let setup = Setup { rater: Rater::Up, difficulty: Difficulty::Shared, n_requests: 20_000 };
-    let policy = Policy { weigh: Weigh::Exposure, ..Policy::default() };
+    let policy = Policy { weigh: Objective::Exposure, ..Policy::default() };
     for seed in 0..20 {
         let quality = simulate("curranthook", &policy, setup, seed).quality();
         assert!(TARGET_QUALITY <= quality, "quality {quality} with seed {seed}");
@@ -107,7 +110,7 @@
     };
     assert!(0 < n_cascades(&whole), "there is time for both stages");
     assert_eq!(n_cascades(&stream), 0);
-    let mut exposure_chooser = Chooser::new(Policy { weigh: Weigh::Exposure, ..policy }, 1);
+    let mut exposure_chooser = Chooser::new(Policy { weigh: Objective::Exposure, ..policy }, 1);
     (0..50).for_each(|_| exposure_chooser.record_rating(&kind, &ids[1], 1.0, Instant::now()));
     assert_eq!(exposure_chooser.plan(&stream).map(|it| it.reason), Ok(Reason::Cascade));
 }
@@ -159,8 +162,8 @@
 }
 
 /// A session stays on the version it started with, so a second stage would never be used.
-#[yare::parameterized(latency = { Weigh::Latency }, exposure = { Weigh::Exposure })]
-fn sessions_get_no_cascade(weigh: Weigh) {
+#[yare::parameterized(latency = { Objective::Latency }, exposure = { Objective::Exposure })]
+fn sessions_get_no_cascade(weigh: Objective) {
     let kind = kind::Id::new("summary");
     let ids = ["m@1", "m@2", "m@3"].map(version::Id::new);
     let rates = [10, 100, 1_000].map(|it| Rate { prompt: Micros(0), completion: Micros(it) });
@@ -209,7 +212,7 @@
             .filter(|it| candidate_mask >> it & 1 == 1)
             .map(|it| Candidate { id: &ids[it], rate: &rates[it], prior: Some(0.5) })
             .collect();
-        let weigh = if is_latency_sensitive { Weigh::Latency } else { Weigh::Exposure };
+        let weigh = if is_latency_sensitive { Objective::Latency } else { Objective::Exposure };
         let mut chooser = Chooser::new(Policy { exploration, weigh, ..Policy::default() }, seed);
         let now = Instant::now();
         // Seconds per answer: as recorded, or as assumed for an unknown version.
--- a/crates/curranthook_settings/src/config.rs
+++ b/crates/curranthook_settings/src/config.rs
@@ -186,7 +186,7 @@
 /// What is weighed most when versions are chosen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Weigh {
+pub enum Objective {
     /// A quick first token: a cascade is used only where it hardly delays.
     #[default]
     Latency,
@@ -200,7 +200,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
     /// What is weighed most.
-    pub weigh: Weigh,
+    pub weigh: Objective,
     /// The share of requests that may go to a version to learn about it.
     pub exploration: f64,
     /// The share of answers that are sent to the rater.
@@ -220,7 +220,7 @@
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            weigh: Weigh::Latency,
+            weigh: Objective::Latency,
             exploration: 0.02,
             rating_sample: 0.1,
             retry_budget: 0.1,
--- a/crates/curranthook_steward/src/verdict.rs
+++ b/crates/curranthook_steward/src/verdict.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use curranthook_policy::verdict::{Config, Reason, Reference, State, Test};
-use curranthook_settings::{Document, config::Weigh};
+use curranthook_settings::{Document, config::Objective};
 use curranthook_types::version;
 
 use crate::evidence::Row;
@@ -64,7 +64,7 @@
 /// answers. Where it weighs exposure most, no answer is better than a wrong one.
 fn may_withdraw(document: &Document, version: &version::Id) -> bool {
     document.sites.values().all(|config| {
-        config.policy.weigh == Weigh::Exposure
+        config.policy.weigh == Objective::Exposure
             || config.accounts.values().filter(|it| it.versions.contains(version)).all(|it| {
                 it.versions.iter().any(|id| id != version && !document.withdrawn.contains(id))
             })
