--- a/crates/curranthook_settings/src/document/error.rs
+++ b/crates/curranthook_settings/src/document/error.rs
@@ -31,7 +31,7 @@
     SameVersion(version::Id),
     /// A roll-out from one model to another.
     #[error("`{from}` and `{to}` are versions of different models")]
-    OtherModel {
+    ModelMismatch {
         /// The version to be replaced.
         from: version::Id,
         /// The version to replace it.
@@ -39,7 +39,7 @@
     },
     /// The stages aren't shares that rise up to 1.
     #[error("stages must be shares over 0 that rise and end with 1, such as 0.01, 0.1, 0.5, 1")]
-    Stages,
+    InvalidStages,
     /// The model has a roll-out under way.
     #[error("model `{0}` has a roll-out under way; abort it first")]
     AlreadyRunning(String),
@@ -48,10 +48,10 @@
     NoRollout(String),
     /// A roll-out under way names a version that no site has any more.
     #[error("no site would have version `{0}`, which a roll-out under way names; abort it first")]
-    InRollout(version::Id),
+    VersionInRollout(version::Id),
     /// The roll-out's state doesn't allow this.
     #[error("the roll-out of `{model}` is {state}")]
-    WrongState {
+    InvalidState {
         /// The model.
         model: String,
         /// The state that it's in.
@@ -59,7 +59,7 @@
     },
     /// The roll-out has moved on since the caller looked.
     #[error("the roll-out of `{model}` is at stage {stage}")]
-    OtherStage {
+    StageMismatch {
         /// The model.
         model: String,
         /// The stage in force.
--- a/crates/curranthook_settings/src/document/progress.rs
+++ b/crates/curranthook_settings/src/document/progress.rs
@@ -22,14 +22,14 @@
             return Err(Error::SameVersion(self.to.clone()));
         }
         if self.from.model() != self.to.model() {
-            return Err(Error::OtherModel { from: self.from.clone(), to: self.to.clone() });
+            return Err(Error::ModelMismatch { from: self.from.clone(), to: self.to.clone() });
         }
         let is_rising = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
         let is_positive = self.stages.first().is_some_and(|it| 0.0 < *it);
         if is_rising && is_positive && self.stages.last() == Some(&1.0) {
             return Ok(());
         }
-        Err(Error::Stages)
+        Err(Error::InvalidStages)
     }
 }
 
@@ -41,7 +41,7 @@
     /// # use curranthook_settings::document::{Document, Error, Plan, Stamp};
     /// let stamp = Stamp { by: "lan", at_millis: 1, publication: "p1" };
     /// let plan = Plan { from: "m@1".into(), to: "m@2".into(), stages: vec![0.5, 0.1, 1.0] };
-    /// assert_eq!(Document::default().start(&plan, &stamp), Err(Error::Stages));
+    /// assert_eq!(Document::default().start(&plan, &stamp), Err(Error::InvalidStages));
     /// ```
     pub fn start(&self, plan: &Plan, stamp: &Stamp<'_>) -> Result<Self, Error> {
         plan.check()?;
@@ -121,7 +121,7 @@
     pub fn advance(&self, model: &str, from: usize, stamp: &Stamp<'_>) -> Result<Self, Error> {
         let rollout = self.rollout(model)?;
         if rollout.stage != from {
-            return Err(Error::OtherStage { model: model.to_owned(), stage: rollout.stage });
+            return Err(Error::StageMismatch { model: model.to_owned(), stage: rollout.stage });
         }
         self.check_target(&rollout.to)?;
         self.change(model, stamp, &[State::Running], |it| {
@@ -145,7 +145,7 @@
     pub fn check_rollouts(&self) -> Result<(), Error> {
         let active = self.rollouts.values().filter(|it| it.is_active());
         for version in active.flat_map(|it| [&it.from, &it.to]) {
-            self.check_version(version).map_err(|_| Error::InRollout(version.clone()))?;
+            self.check_version(version).map_err(|_| Error::VersionInRollout(version.clone()))?;
         }
         Ok(())
     }
@@ -170,7 +170,7 @@
     ) -> Result<Self, Error> {
         let state = self.rollout(model)?.state;
         if !allowed.contains(&state) {
-            return Err(Error::WrongState { model: model.to_owned(), state });
+            return Err(Error::InvalidState { model: model.to_owned(), state });
         }
         let mut next = self.next(stamp);
         if let Some(rollout) = next.rollouts.get_mut(model) {
--- a/crates/curranthook_settings/tests/document.rs
+++ b/crates/curranthook_settings/tests/document.rs
@@ -80,17 +80,17 @@
 fn rollout_goes_up_stage_by_stage() {
     let first = published().start(&plan("m@1", "m@2", &[0.1, 1.0]), &stamp("p2")).expect("start");
     let held = first.pause("m", &stamp("p3")).expect("pause");
-    let wrong = Error::WrongState { model: "m".to_owned(), state: State::Paused };
+    let wrong = Error::InvalidState { model: "m".to_owned(), state: State::Paused };
     assert_eq!(held.advance("m", 0, &stamp("p4")), Err(wrong));
     let second = held.resume("m", &stamp("p4")).and_then(|it| it.advance("m", 0, &stamp("p5")));
     let second = second.expect("resumed and moved on");
     assert_eq!(second.rollouts["m"].share(), 1.0);
     // The other steward judged the first stage too.
-    let late = Error::OtherStage { model: "m".to_owned(), stage: 1 };
+    let late = Error::StageMismatch { model: "m".to_owned(), stage: 1 };
     assert_eq!(second.advance("m", 0, &stamp("p6")), Err(late));
     let done = second.advance("m", 1, &stamp("p6")).expect("through");
     assert_eq!(done.rollouts["m"].state, State::Done);
-    let over = Error::WrongState { model: "m".to_owned(), state: State::Done };
+    let over = Error::InvalidState { model: "m".to_owned(), state: State::Done };
     assert_eq!(done.abort("m", &stamp("p7")), Err(over));
 }
 
@@ -98,14 +98,14 @@
     unknown_from = { "m@8", "m@2", &[1.0], Error::UnknownVersion("m@8".into()) },
     unknown_to = { "m@1", "m@9", &[1.0], Error::UnknownVersion("m@9".into()) },
     same = { "m@1", "m@1", &[1.0], Error::SameVersion("m@1".into()) },
-    other_model = { "m@1", "n@1", &[1.0], Error::OtherModel { from: "m@1".into(), to: "n@1".into() } },
-    no_stage = { "m@1", "m@2", &[], Error::Stages },
-    falling = { "m@1", "m@2", &[0.5, 0.1, 1.0], Error::Stages },
-    level = { "m@1", "m@2", &[0.5, 0.5, 1.0], Error::Stages },
-    not_up_to_one = { "m@1", "m@2", &[0.5], Error::Stages },
-    over_one = { "m@1", "m@2", &[0.5, 1.5], Error::Stages },
-    from_zero = { "m@1", "m@2", &[0.0, 1.0], Error::Stages },
-    not_a_number = { "m@1", "m@2", &[f64::NAN, 1.0], Error::Stages },
+    other_model = { "m@1", "n@1", &[1.0], Error::ModelMismatch { from: "m@1".into(), to: "n@1".into() } },
+    no_stage = { "m@1", "m@2", &[], Error::InvalidStages },
+    falling = { "m@1", "m@2", &[0.5, 0.1, 1.0], Error::InvalidStages },
+    level = { "m@1", "m@2", &[0.5, 0.5, 1.0], Error::InvalidStages },
+    not_up_to_one = { "m@1", "m@2", &[0.5], Error::InvalidStages },
+    over_one = { "m@1", "m@2", &[0.5, 1.5], Error::InvalidStages },
+    from_zero = { "m@1", "m@2", &[0.0, 1.0], Error::InvalidStages },
+    not_a_number = { "m@1", "m@2", &[f64::NAN, 1.0], Error::InvalidStages },
 )]
 fn rollout_that_cannot_start(from: &str, to: &str, stages: &[f64], expected: Error) {
     assert_eq!(published().start(&plan(from, to, stages), &stamp("p2")), Err(expected));
@@ -117,7 +117,7 @@
     let mut sites = sites();
     sites.get_mut("south").expect("the site").versions.remove("m@2");
     let next = Document::publish(Some(&running), sites.clone(), &stamp("p3"));
-    assert_eq!(next.check_rollouts(), Err(Error::InRollout("m@2".into())));
+    assert_eq!(next.check_rollouts(), Err(Error::VersionInRollout("m@2".into())));
     let aborted = running.abort("m", &stamp("p3")).expect("abort");
     assert_eq!(Document::publish(Some(&aborted), sites, &stamp("p4")).check_rollouts(), Ok(()));
 }
