--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -67,7 +67,7 @@
 }
 
 impl Table for Platform {
-    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> platform::Answer<'a, Option<Row>> {
+    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> platform::BoxFuture<'a, Option<Row>> {
         self.get_newer(table, key, None)
     }
 
@@ -76,7 +76,7 @@
         _: &'a str,
         key: &'a str,
         known: Option<&'a Tag>,
-    ) -> platform::Answer<'a, Option<Row>> {
+    ) -> platform::BoxFuture<'a, Option<Row>> {
         Box::pin(async move {
             Self::check(&self.table_down)?;
             let Some(document) = self.document.lock().clone() else { return Ok(None) };
@@ -89,11 +89,11 @@
         })
     }
 
-    fn list<'a>(&'a self, _: &'a str, _: &'a str) -> platform::Answer<'a, Vec<Row>> {
+    fn list<'a>(&'a self, _: &'a str, _: &'a str) -> platform::BoxFuture<'a, Vec<Row>> {
         Box::pin(async { Ok(Vec::new()) })
     }
 
-    fn insert<'a>(&'a self, _: &'a str, _: &'a str, _: Bytes) -> platform::Answer<'a, Write> {
+    fn insert<'a>(&'a self, _: &'a str, _: &'a str, _: Bytes) -> platform::BoxFuture<'a, Write> {
         Box::pin(async { Ok(Write::Conflict) })
     }
 
@@ -103,13 +103,13 @@
         _: &'a str,
         _: &'a Tag,
         _: Bytes,
-    ) -> platform::Answer<'a, Write> {
+    ) -> platform::BoxFuture<'a, Write> {
         Box::pin(async { Ok(Write::Conflict) })
     }
 }
 
 impl Objects for Platform {
-    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> platform::Answer<'a, Write> {
+    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> platform::BoxFuture<'a, Write> {
         Box::pin(async move {
             Self::check(&self.objects_down)?;
             let mut objects = self.objects.lock();
@@ -124,20 +124,20 @@
         })
     }
 
-    fn get<'a>(&'a self, key: &'a str) -> platform::Answer<'a, Option<Bytes>> {
+    fn get<'a>(&'a self, key: &'a str) -> platform::BoxFuture<'a, Option<Bytes>> {
         Box::pin(async move {
             Self::check(&self.objects_down)?;
             Ok(self.objects.lock().get(key).cloned())
         })
     }
 
-    fn list<'a>(&'a self, _: &'a str) -> platform::Answer<'a, Vec<String>> {
+    fn list<'a>(&'a self, _: &'a str) -> platform::BoxFuture<'a, Vec<String>> {
         Box::pin(async { Ok(self.objects.lock().keys().cloned().collect()) })
     }
 }
 
 impl Vms for Platform {
-    fn all(&self) -> platform::Answer<'_, Vec<Vm>> {
+    fn all(&self) -> platform::BoxFuture<'_, Vec<Vm>> {
         Box::pin(async { Ok(self.vms.lock().clone()) })
     }
 }
--- a/crates/curranthook_settings/src/check.rs
+++ b/crates/curranthook_settings/src/check.rs
@@ -1,9 +1,9 @@
 //! Checks files whole: every error is found in one go, with file, line and path.
 
 mod finding;
-mod link;
 pub(crate) mod path;
 mod quality;
+mod reference;
 mod schema;
 mod shape;
 
@@ -130,7 +130,7 @@
 fn site(tree: &Node, base: &Node) -> Vec<Finding> {
     let mut findings = Vec::new();
     shape::check(tree, &schema::CONFIG, Some(&base.location.file), &mut findings);
-    link::check(tree, &mut findings);
+    reference::check(tree, &mut findings);
     quality::check(tree, &mut findings);
     findings
 }
--- a/crates/curranthook_settings/src/check/quality.rs
+++ b/crates/curranthook_settings/src/check/quality.rs
@@ -1,12 +1,12 @@
 //! Quality targets that no allowed version can meet.
 
-use super::{Finding, link, path};
+use super::{Finding, path, reference};
 use crate::source::Node;
 
 /// Checks each account's target for each kind of work against the quality that its versions
 /// declare.
 pub(super) fn check(tree: &Node, out: &mut Vec<Finding>) {
-    for (at, account) in link::entries(tree, "accounts") {
+    for (at, account) in reference::entries(tree, "accounts") {
         if account.get("versions").is_none_or(|it| it.items().is_empty()) {
             continue;
         }
--- a/crates/curranthook_settings/src/document.rs
+++ b/crates/curranthook_settings/src/document.rs
@@ -6,7 +6,7 @@
 mod difference;
 mod edit;
 mod error;
-mod progress;
+mod rollout;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
 pub use self::{
     difference::{Change, difference},
     error::Error,
-    progress::Plan,
+    rollout::Plan,
 };
 use crate::{Config, rollout::Rollout};
 
