--- a/crates/curranthook_cli/src/error.rs
+++ b/crates/curranthook_cli/src/error.rs
@@ -89,7 +89,7 @@
         match self {
             Self::Check(_) => Code::Check,
             Self::Conflict(_) => Code::Conflict,
-            Self::Store(store::Error::Unsettled { .. }) => Code::Unknown,
+            Self::Store(store::Error::Indeterminate { .. }) => Code::Unknown,
             // A read whose answer was lost did nothing, so there is nothing to be settled.
             Self::Store(store::Error::Platform(Platform::Down(_) | Platform::Lost(_)))
             | Self::Objects(Platform::Down(_) | Platform::Lost(_)) => Code::Down,
@@ -122,8 +122,8 @@
 pub(crate) fn findings_to_json(findings: &[Finding]) -> serde_json::Value {
     let one = |it: &Finding| {
         json!({
-            "file": &*it.place.file,
-            "line": it.place.line,
+            "file": &*it.location.file,
+            "line": it.location.line,
             "path": it.path,
             "severity": format!("{:?}", it.severity).to_lowercase(),
             "message": it.message,
