--- a/crates/curranthook_cli/tests/program.rs
+++ b/crates/curranthook_cli/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as scripts see it: output and exit codes.
+//! Tests of the executable: output and exit codes.
 
 use std::{
     io::Write,
@@ -21,8 +21,8 @@
     (status.code().expect("an exit code"), text(stdout), text(stderr))
 }
 
-/// An address at which nobody listens.
-fn nobody() -> SocketAddr {
+/// Returns a local address with no listener.
+fn unused_addr() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("its address")
 }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn check_prints_errors_for_people_and_scripts() {
+fn check_prints_errors_as_text_and_json() {
     let (code, _, err) = run(&["check", "base.yaml", "--overlay", "node.yaml"]);
     assert_eq!(code, 2);
     assert!(err.contains("node.yaml:2: error: vm: unknown key"), "{err}");
@@ -62,16 +62,16 @@
 }
 
 #[test]
-fn platform_that_is_down_has_its_own_code() {
-    let addr = nobody().to_string();
+fn unavailable_platform_has_its_own_exit_code() {
+    let addr = unused_addr().to_string();
     let (code, _, err) =
         run(&["--platform", &addr, "publish", "base.yaml", "--overlay", "vn-south.yaml"]);
     assert_eq!(code, 4, "{err}");
 }
 
 #[test]
-fn silent_router_is_listed_and_fails_the_command() {
-    let addr = nobody().to_string();
+fn unreachable_router_is_listed_and_fails_the_command() {
+    let addr = unused_addr().to_string();
     let (code, out, _) = run(&["status", &addr]);
     assert_eq!(code, 1);
     assert!(out.contains(&addr) && out.contains("can't connect"), "{out}");
