--- a/crates/curranthook_cli/tests/fake/mod.rs
+++ b/crates/curranthook_cli/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory whose writes can go wrong.
+//! An in-memory platform with fault injection for writes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -9,29 +9,29 @@
 use curranthook_platform::{BoxFuture, Error, Objects, Row, Table, Tag, Write};
 use curranthook_settings::{Document, document::ROW};
 
-/// What another operator does.
+/// A change that another operator publishes.
 pub type Edit = fn(&Document) -> Document;
 
-/// What goes wrong with one write.
+/// A fault injected into one write.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// The service refuses.
-    Down,
-    /// The write never arrives, nor does an answer.
-    LostBefore,
-    /// The write takes effect; its answer is lost.
-    LostAfter,
-    /// The answer is lost, and the write takes effect only when the next one arrives.
-    Late,
-    /// Another operator publishes just before.
-    Quicker(Edit),
-    /// The write takes effect, its answer is lost, and the platform is out from then on.
-    Outage,
-    /// The write takes effect, its answer is lost, and another operator publishes on top.
-    LostAfterThen(Edit),
+    /// The service rejects the write as unavailable.
+    Unavailable,
+    /// The write is lost before it takes effect, and no response arrives.
+    RequestLost,
+    /// The write takes effect, but its response is lost.
+    ResponseLost,
+    /// The response is lost, and the write takes effect only when the next write arrives.
+    Delayed,
+    /// Another operator publishes just before the write.
+    ConcurrentPublication(Edit),
+    /// The write takes effect, its response is lost, and the platform is unavailable from then on.
+    OutageAfterWrite,
+    /// The write takes effect, its response is lost, and another operator publishes afterwards.
+    ResponseLostThenPublication(Edit),
 }
 
-/// The platform.
+/// A table and an object store in memory.
 #[derive(Debug, Default)]
 pub struct Platform(Mutex<State>);
 
@@ -40,22 +40,22 @@
     rows: BTreeMap<(String, String), (u64, Bytes)>,
     objects: BTreeMap<String, Bytes>,
     faults: VecDeque<Fault>,
-    late: Option<(Option<Tag>, Bytes)>,
-    is_out: bool,
+    delayed: Option<(Option<Tag>, Bytes)>,
+    is_unavailable: bool,
 }
 
 impl Platform {
-    /// Lets the next writes go wrong.
-    pub fn fail(&self, faults: &[Fault]) {
+    /// Queues one fault for each of the next writes.
+    pub fn inject(&self, faults: &[Fault]) {
         self.state().faults.extend(faults);
     }
 
-    /// Ends an outage.
-    pub fn restore(&self) {
-        self.state().is_out = false;
+    /// Ends an outage started by [`Fault::OutageAfterWrite`].
+    pub fn end_outage(&self) {
+        self.state().is_unavailable = false;
     }
 
-    /// The published document.
+    /// Returns the published document, or an empty one.
     pub fn document(&self) -> Document {
         self.state().document()
     }
@@ -72,15 +72,15 @@
         row.map(|(_, value)| document(value)).unwrap_or_default()
     }
 
-    fn apply(&mut self, tag: Option<&Tag>, value: Bytes) -> Write {
+    fn replace_if_matches(&mut self, tag: Option<&Tag>, value: Bytes) -> Write {
         let key = (ROW.0.to_owned(), ROW.1.to_owned());
-        let current = self.rows.get(&key).map(|(n, _)| *n);
-        if current.map(|n| Tag(n.to_string())).as_ref() != tag {
+        let current = self.rows.get(&key).map(|(revision, _)| *revision);
+        if current.map(|revision| Tag(revision.to_string())).as_ref() != tag {
             return Write::Conflict;
         }
-        let n = current.unwrap_or(0) + 1;
-        self.rows.insert(key, (n, value));
-        Write::Done(Tag(n.to_string()))
+        let revision = current.unwrap_or(0) + 1;
+        self.rows.insert(key, (revision, value));
+        Write::Done(Tag(revision.to_string()))
     }
 
     fn publish(&mut self, edit: Edit) {
@@ -90,38 +90,38 @@
     }
 
     fn write(&mut self, tag: Option<&Tag>, value: Bytes) -> Result<Write, Error> {
-        if self.is_out {
+        if self.is_unavailable {
             return Err(Error::Down("503".to_owned()));
         }
-        if let Some((tag, value)) = self.late.take() {
-            self.apply(tag.as_ref(), value);
+        if let Some((tag, value)) = self.delayed.take() {
+            self.replace_if_matches(tag.as_ref(), value);
         }
-        let lost = Err(Error::Lost("cut".to_owned()));
+        let lost_error = Err(Error::Lost("cut".to_owned()));
         match self.faults.pop_front() {
-            None => Ok(self.apply(tag, value)),
-            Some(Fault::Down) => Err(Error::Down("503".to_owned())),
-            Some(Fault::LostBefore) => lost,
-            Some(Fault::LostAfter) => {
-                self.apply(tag, value);
-                lost
+            None => Ok(self.replace_if_matches(tag, value)),
+            Some(Fault::Unavailable) => Err(Error::Down("503".to_owned())),
+            Some(Fault::RequestLost) => lost_error,
+            Some(Fault::ResponseLost) => {
+                self.replace_if_matches(tag, value);
+                lost_error
             }
-            Some(Fault::Outage) => {
-                self.apply(tag, value);
-                self.is_out = true;
-                lost
+            Some(Fault::OutageAfterWrite) => {
+                self.replace_if_matches(tag, value);
+                self.is_unavailable = true;
+                lost_error
             }
-            Some(Fault::Late) => {
-                self.late = Some((tag.cloned(), value));
-                lost
+            Some(Fault::Delayed) => {
+                self.delayed = Some((tag.cloned(), value));
+                lost_error
             }
-            Some(Fault::Quicker(edit)) => {
+            Some(Fault::ConcurrentPublication(edit)) => {
                 self.publish(edit);
-                Ok(self.apply(tag, value))
+                Ok(self.replace_if_matches(tag, value))
             }
-            Some(Fault::LostAfterThen(edit)) => {
-                self.apply(tag, value);
+            Some(Fault::ResponseLostThenPublication(edit)) => {
+                self.replace_if_matches(tag, value);
                 self.publish(edit);
-                lost
+                lost_error
             }
         }
     }
@@ -130,11 +130,15 @@
 impl Table for Platform {
     fn get<'a>(&'a self, table: &'a str, key: &'a str) -> BoxFuture<'a, Option<Row>> {
         let state = self.state();
-        let row = if state.is_out {
+        let row = if state.is_unavailable {
             Err(Error::Down("503".to_owned()))
         } else {
             let row = state.rows.get(&(table.to_owned(), key.to_owned())).cloned();
-            Ok(row.map(|(n, value)| Row { key: key.to_owned(), tag: Tag(n.to_string()), value }))
+            Ok(row.map(|(revision, value)| Row {
+                key: key.to_owned(),
+                tag: Tag(revision.to_string()),
+                value,
+            }))
         };
         Box::pin(std::future::ready(row))
     }
--- a/crates/curranthook_cli/tests/publish.rs
+++ b/crates/curranthook_cli/tests/publish.rs
@@ -1,4 +1,5 @@
-//! Publications and edits against a platform that loses answers, and other operators.
+//! Publications and edits when the platform loses responses and other operators publish
+//! concurrently.
 
 mod fake;
 
@@ -22,7 +23,7 @@
 use fake::Fault;
 use yare::parameterized;
 
-const OTHER: Stamp<'static> = Stamp { by: "mai", at_millis: 1, publication: "other" };
+const OTHER_OPERATOR: Stamp<'static> = Stamp { by: "mai", at_millis: 1, publication: "other" };
 
 fn context(fake: &Arc<fake::Platform>) -> Context {
     Context {
@@ -32,26 +33,26 @@
     }
 }
 
-fn example() -> Publish {
+fn example_args() -> Publish {
     let path = |name| Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(name);
     let files =
         Files { base: path("mekong/base.yaml"), overlays: vec![path("mekong/vn-south.yaml")] };
     Publish { files, expect: None }
 }
 
-/// A platform on which the example files were published.
-fn published() -> (Arc<fake::Platform>, Context) {
+/// Creates a platform on which the example files are published.
+fn platform_with_example() -> (Arc<fake::Platform>, Context) {
     let fake = Arc::new(fake::Platform::default());
     let ctx = context(&fake);
-    let first = block_on(publish::run(&ctx, &example())).expect("published");
+    let first = block_on(publish::run(&ctx, &example_args())).expect("published");
     assert_eq!(first.epoch, Epoch(1));
     (fake, ctx)
 }
 
-/// Files that differ from what is published.
-fn changed() -> (tempfile::TempDir, Publish) {
+/// Creates files that differ from the published example.
+fn changed_args() -> (tempfile::TempDir, Publish) {
     let dir = tempfile::tempdir().expect("a directory");
-    let mut args = example();
+    let mut args = example_args();
     let base = std::fs::read_to_string(&args.files.base).expect("the example");
     args.files.base = dir.path().join("base.yaml");
     let base = base.replace("retry_budget: 0.1", "retry_budget: 0.05");
@@ -59,22 +60,22 @@
     (dir, args)
 }
 
-fn withdraw_by_other(document: &Document) -> Document {
-    document.withdraw(&"tally-llm-large@2".into(), &OTHER).expect("withdrawn")
+fn withdraw_by_other_operator(document: &Document) -> Document {
+    document.withdraw(&"tally-llm-large@2".into(), &OTHER_OPERATOR).expect("withdrawn")
 }
 
-fn drain_by_other(document: &Document) -> Document {
-    document.drain(&"tally-llm-01".into(), &OTHER).expect("drained")
+fn drain_by_other_operator(document: &Document) -> Document {
+    document.drain(&"tally-llm-01".into(), &OTHER_OPERATOR).expect("drained")
 }
 
-/// Two operators publish at the same time. If the slower one's files went on top, the faster
-/// one's change would be undone and nobody would notice.
+/// Two operators publish at the same time. If the second publication replaced the first, the
+/// first operator's change would be undone silently.
 #[test]
-fn slower_operator_is_told_what_the_other_changed() {
-    let (fake, ctx) = published();
-    let (_dir, args) = changed();
-    fake.fail(&[Fault::Quicker(withdraw_by_other)]);
-    let e = block_on(publish::run(&ctx, &args)).expect_err("the other was quicker");
+fn conflict_lists_the_changes_of_the_other_operator() {
+    let (fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
+    fake.inject(&[Fault::ConcurrentPublication(withdraw_by_other_operator)]);
+    let e = block_on(publish::run(&ctx, &args)).expect_err("the other operator published first");
     assert_eq!(e.code(), Code::Conflict);
     let Error::Conflict(conflict) = &e else { panic!("{e}") };
     assert_eq!((conflict.epoch, &*conflict.by), (Epoch(2), "mai"));
@@ -82,136 +83,139 @@
         conflict.changes.iter().map(ToString::to_string).collect::<Vec<_>>(),
         ["~ withdrawn: [] -> [\"tally-llm-large@2\"]"]
     );
-    assert_eq!(fake.document().publication, OTHER.publication);
+    assert_eq!(fake.document().publication, OTHER_OPERATOR.publication);
 }
 
 #[test]
-fn two_first_publications_are_a_conflict() {
+fn concurrent_first_publications_conflict() {
     let fake = Arc::new(fake::Platform::default());
-    fake.fail(&[Fault::Quicker(|_| Document::publish(None, [].into(), &OTHER))]);
-    let e = block_on(publish::run(&context(&fake), &example())).expect_err("not the first");
+    fake.inject(&[Fault::ConcurrentPublication(|_| {
+        Document::publish(None, [].into(), &OTHER_OPERATOR)
+    })]);
+    let e = block_on(publish::run(&context(&fake), &example_args())).expect_err("not the first");
     assert_eq!(e.code(), Code::Conflict);
-    assert_eq!(fake.document().publication, OTHER.publication);
+    assert_eq!(fake.document().publication, OTHER_OPERATOR.publication);
 }
 
-/// The table's answer is lost. An operator who is told of a failure publishes again; one who is
-/// told of success goes home. So the command must find out which of both it was, and must not
-/// publish twice.
+/// The table's response is lost. Reporting a failure makes the operator publish again, and
+/// reporting a success makes the operator stop, so the command has to determine whether the write
+/// took effect, and must not publish twice.
 #[parameterized(
-    had_effect = { &[Fault::LostAfter] },
-    had_no_effect = { &[Fault::LostBefore] },
-    took_effect_late = { &[Fault::Late] },
-    lost_twice = { &[Fault::LostBefore, Fault::LostAfter] },
-    down_afterwards = { &[Fault::LostAfter, Fault::Down] },
-    overtaken = { &[Fault::LostAfterThen(drain_by_other)] },
+    write_applied = { &[Fault::ResponseLost] },
+    write_not_applied = { &[Fault::RequestLost] },
+    write_applied_late = { &[Fault::Delayed] },
+    lost_twice = { &[Fault::RequestLost, Fault::ResponseLost] },
+    unavailable_afterwards = { &[Fault::ResponseLost, Fault::Unavailable] },
+    followed_by_another_publication = { &[Fault::ResponseLostThenPublication(drain_by_other_operator)] },
 )]
-fn lost_answer_is_settled(faults: &[Fault]) {
-    let (fake, ctx) = published();
-    let (_dir, args) = changed();
-    fake.fail(faults);
-    let done = block_on(publish::run(&ctx, &args)).expect("settled");
+fn lost_response_is_resolved(faults: &[Fault]) {
+    let (fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
+    fake.inject(faults);
+    let done = block_on(publish::run(&ctx, &args)).expect("resolved");
     assert_eq!(done.epoch, Epoch(2));
-    let now = fake.document();
-    let n_on_top = u64::from(now.publication == OTHER.publication);
-    assert_eq!(now.epoch.0, 2 + n_on_top, "published once");
-    assert_eq!(now.sites["vn-south"].policy.retry_budget, 0.05);
+    let document = fake.document();
+    let n_later = u64::from(document.publication == OTHER_OPERATOR.publication);
+    assert_eq!(document.epoch.0, 2 + n_later, "published once");
+    assert_eq!(document.sites["vn-south"].policy.retry_budget, 0.05);
 }
 
-/// The answer is lost, the write had no effect, and another operator publishes before the
-/// command can look.
+/// The response is lost, the write had no effect, and another operator publishes before the
+/// command reads the document again.
 #[test]
-fn lost_publication_that_lost_the_race_is_a_conflict() {
-    let (fake, ctx) = published();
-    let (_dir, args) = changed();
-    fake.fail(&[Fault::LostBefore, Fault::Quicker(drain_by_other)]);
-    let e = block_on(publish::run(&ctx, &args)).expect_err("the other was quicker");
+fn lost_write_followed_by_another_publication_is_a_conflict() {
+    let (fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
+    fake.inject(&[Fault::RequestLost, Fault::ConcurrentPublication(drain_by_other_operator)]);
+    let e = block_on(publish::run(&ctx, &args)).expect_err("the other operator published first");
     assert_eq!(e.code(), Code::Conflict);
-    assert_eq!(fake.document().publication, OTHER.publication);
+    assert_eq!(fake.document().publication, OTHER_OPERATOR.publication);
 }
 
-/// The platform goes away for good just after a publication. Neither success nor failure would
-/// be true, so the operator gets a code that says so. Running the command again settles it.
+/// The platform becomes unavailable right after a publication. The command can report neither
+/// success nor failure, so it has a separate exit code. Running it again resolves the outcome.
 #[test]
-fn answer_that_cannot_be_settled_has_its_own_code() {
-    let (fake, ctx) = published();
-    let (_dir, args) = changed();
-    fake.fail(&[Fault::Outage]);
-    let e = block_on(publish::run(&ctx, &args)).expect_err("nobody can know");
+fn unresolved_write_has_its_own_exit_code() {
+    let (fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
+    fake.inject(&[Fault::OutageAfterWrite]);
+    let e = block_on(publish::run(&ctx, &args)).expect_err("the outcome is unknown");
     assert_eq!(e.code(), Code::Unknown);
-    fake.restore();
+    fake.end_outage();
     let again = block_on(publish::run(&ctx, &args)).expect("the platform is back");
     assert_eq!((again.epoch, again.changes.len()), (Epoch(2), 0), "published once");
 }
 
-/// So many publications come on top before the command can look that the document no longer
-/// names the command's own. Whether it was among them can't be told.
+/// So many publications follow before the command reads the document again that the document no
+/// longer lists the command's own id, and the command can't determine whether it was published.
 #[test]
-fn publication_under_many_others_is_unknown() {
-    let (fake, ctx) = published();
-    let (_dir, args) = changed();
-    fake.fail(&[Fault::LostAfterThen(|document| {
-        let publish = |current: Document, _| Document::publish(Some(&current), [].into(), &OTHER);
+fn publication_followed_by_many_others_is_unknown() {
+    let (fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
+    fake.inject(&[Fault::ResponseLostThenPublication(|document| {
+        let publish =
+            |current: Document, _| Document::publish(Some(&current), [].into(), &OTHER_OPERATOR);
         (0..20).fold(document.clone(), publish)
     })]);
-    let e = block_on(publish::run(&ctx, &args)).expect_err("nobody can know");
+    let e = block_on(publish::run(&ctx, &args)).expect_err("the outcome is unknown");
     assert_eq!((e.code(), fake.document().epoch), (Code::Unknown, Epoch(22)));
 }
 
 #[test]
-fn refused_write_is_an_outage() {
-    let (fake, ctx) = published();
-    let (_dir, args) = changed();
-    fake.fail(&[Fault::Down]);
+fn rejected_write_is_an_outage() {
+    let (fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
+    fake.inject(&[Fault::Unavailable]);
     let e = block_on(publish::run(&ctx, &args)).expect_err("down");
     assert_eq!((e.code(), fake.document().epoch), (Code::Down, Epoch(1)));
 }
 
 #[test]
-fn files_in_force_are_not_published_again() {
-    let (fake, ctx) = published();
-    let again = block_on(publish::run(&ctx, &example())).expect("no change");
+fn unchanged_files_are_not_published_again() {
+    let (fake, ctx) = platform_with_example();
+    let again = block_on(publish::run(&ctx, &example_args())).expect("no change");
     assert_eq!((again.epoch, again.changes.len()), (Epoch(1), 0));
     assert_eq!(fake.document().epoch, Epoch(1));
 }
 
 #[test]
 fn expected_epoch_must_be_in_force() {
-    let (_fake, ctx) = published();
-    let (_dir, args) = changed();
+    let (_fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
     let stale = Publish { expect: Some(0), ..args };
     let e = block_on(publish::run(&ctx, &stale)).expect_err("epoch 1 is in force");
     assert_eq!(e.code(), Code::Conflict);
-    let right = Publish { expect: Some(1), ..stale };
-    assert_eq!(block_on(publish::run(&ctx, &right)).expect("published").epoch, Epoch(2));
+    let matching = Publish { expect: Some(1), ..stale };
+    assert_eq!(block_on(publish::run(&ctx, &matching)).expect("published").epoch, Epoch(2));
 }
 
-/// A version is withdrawn because it gives wrong weights. Publishing files that still have it
-/// must not bring it back, and another operator's publication must not swallow the withdrawal.
+/// A version is withdrawn because it reports wrong weights. Publishing files that still contain it
+/// must not reinstate it, and a concurrent publication must not undo the withdrawal.
 #[test]
-fn withdrawal_outlives_races_and_publications() {
-    let (fake, ctx) = published();
-    fake.fail(&[Fault::Quicker(drain_by_other), Fault::LostAfter]);
+fn withdrawal_survives_concurrent_and_later_publications() {
+    let (fake, ctx) = platform_with_example();
+    fake.inject(&[Fault::ConcurrentPublication(drain_by_other_operator), Fault::ResponseLost]);
     let version = "tally-llm-large@1".into();
     let applied = block_on(withdraw::withdraw(&ctx, &version)).expect("withdrawn");
     assert_eq!(applied.epoch, Epoch(3));
-    let (_dir, args) = changed();
+    let (_dir, args) = changed_args();
     block_on(publish::run(&ctx, &args)).expect("published");
-    let now = fake.document();
-    assert!(now.withdrawn.contains(&version) && now.drained.contains("tally-llm-01"));
+    let document = fake.document();
+    assert!(document.withdrawn.contains(&version) && document.drained.contains("tally-llm-01"));
     let again = block_on(withdraw::withdraw(&ctx, &version)).expect("withdrawn already");
-    assert_eq!(again.epoch, now.epoch);
+    assert_eq!(again.epoch, document.epoch);
 }
 
 #[test]
-fn diff_shows_what_would_change() {
-    let (_fake, ctx) = published();
-    let (_dir, args) = changed();
+fn diff_lists_changes() {
+    let (_fake, ctx) = platform_with_example();
+    let (_dir, args) = changed_args();
     let diff = block_on(diff::run(&ctx, &args.files)).expect("compared");
     let lines: Vec<_> = diff.changes.iter().map(ToString::to_string).collect();
     assert_eq!(lines, ["~ sites.vn-south.policy.retry_budget: 0.1 -> 0.05"]);
 }
 
-fn line(request: &str, account: &str, cost: u64, at_millis: u64) -> Line {
+fn bill_line(request: &str, account: &str, cost: u64, at_millis: u64) -> Line {
     Line {
         request: request.into(),
         account: account.into(),
@@ -230,16 +234,24 @@
     block_on(fake.put_if_absent(&key, value)).expect("stored");
 }
 
-/// A router dies after a peer stored the line of its last answer. The caller asks again and
-/// another router answers, so the request stands on two lines. The account pays the first.
+/// A router dies after a peer stored the bill line of its last response. Another router serves the
+/// caller's retry, so the request has two lines. The account pays for the earlier one.
 #[test]
-fn request_on_two_lines_is_billed_once() {
-    let (fake, ctx) = published();
-    store_segment(&fake, "vm-1", vec![line("r-1", "yard", 70, 2_000), line("r-2", "coop", 5, 1)]);
-    store_segment(&fake, "vm-2", vec![line("r-1", "yard", 50, 1_000), line("r-3", "yard", 9, 1)]);
-    let sum = block_on(bills::run(&ctx, &Bills::default())).expect("summed");
-    let costs: Vec<_> = sum.rows.iter().map(|it| (it.account.as_str(), it.cost.0)).collect();
-    assert_eq!((costs, sum.n_duplicates), (vec![("coop", 5), ("yard", 59)], 1));
+fn request_with_two_lines_is_billed_once() {
+    let (fake, ctx) = platform_with_example();
+    store_segment(
+        &fake,
+        "vm-1",
+        vec![bill_line("r-1", "yard", 70, 2_000), bill_line("r-2", "coop", 5, 1)],
+    );
+    store_segment(
+        &fake,
+        "vm-2",
+        vec![bill_line("r-1", "yard", 50, 1_000), bill_line("r-3", "yard", 9, 1)],
+    );
+    let summary = block_on(bills::run(&ctx, &Bills::default())).expect("summed");
+    let costs: Vec<_> = summary.rows.iter().map(|it| (it.account.as_str(), it.cost.0)).collect();
+    assert_eq!((costs, summary.n_duplicates), (vec![("coop", 5), ("yard", 59)], 1));
 
     let args = Bills { account: Some("yard".to_owned()), since: None };
     assert_eq!(block_on(bills::run(&ctx, &args)).expect("summed").rows.len(), 1);
@@ -249,9 +261,9 @@
 
 #[test]
 fn unreadable_segment_is_an_error() {
-    let (fake, ctx) = published();
-    let torn = "{".as_bytes().to_vec().into();
-    block_on(fake.put_if_absent("bills/vm-1/1/0", torn)).expect("stored");
-    let e = block_on(bills::run(&ctx, &Bills::default())).expect_err("torn");
+    let (fake, ctx) = platform_with_example();
+    let truncated = "{".as_bytes().to_vec().into();
+    block_on(fake.put_if_absent("bills/vm-1/1/0", truncated)).expect("stored");
+    let e = block_on(bills::run(&ctx, &Bills::default())).expect_err("truncated segment");
     assert!(e.to_string().contains("bills/vm-1/1/0"), "{e}");
 }
