--- a/crates/curranthook_cli/src/args.rs
+++ b/crates/curranthook_cli/src/args.rs
@@ -1,4 +1,4 @@
-//! What can be typed.
+//! Command-line arguments.
 
 use std::{
     net::SocketAddr,
@@ -10,21 +10,21 @@
 
 use crate::{exit, output::Format};
 
-/// Operates curranthook: checks and publishes configurations, rolls versions out and withdraws
-/// them, and reads status and bills.
+/// Operates curranthook: checks and publishes configurations, rolls out and withdraws versions,
+/// and reads status and bills.
 #[derive(Debug, Parser)]
 #[command(name = "curranthook", version, after_help = exit::HELP)]
 pub struct Cli {
-    /// The platform's table and object store [env: CURRANTHOOK_PLATFORM].
+    /// Address of the platform's table service and object store [env: CURRANTHOOK_PLATFORM].
     #[arg(long, global = true, value_name = "IP:PORT")]
     pub platform: Option<SocketAddr>,
-    /// Your name, for the published document [env: USER].
+    /// Operator name, recorded in the published document [env: USER].
     #[arg(long, global = true, value_name = "NAME")]
     pub by: Option<String>,
-    /// How to print results.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value_t)]
     pub output: Format,
-    /// What to do.
+    /// The subcommand.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -40,33 +40,33 @@
     #[command(after_help = "Example:
   curranthook diff base.yaml --overlay vn-south.yaml")]
     Diff(Files),
-    /// Publish files. Sites without an overlay here stay as they are, and so do withdrawals,
-    /// drains and roll-outs.
+    /// Publish files. Sites without an overlay on the command line are left unchanged, and so are
+    /// withdrawals, drains and rollouts.
     #[command(after_help = "Examples:
   curranthook publish base.yaml --overlay vn-south.yaml
   curranthook publish base.yaml --overlay vn-south.yaml --expect 17")]
     Publish(Publish),
-    /// Replace a version by another, stage by stage.
+    /// Replace one version with another in stages.
     #[command(after_help = "Example:
   curranthook rollout start --from tally-llm@1 --to tally-llm@2 --stages 0.01,0.1,0.5,1")]
     Rollout {
-        /// What to do.
+        /// The rollout operation.
         #[command(subcommand)]
         action: Rollout,
     },
-    /// Keep a version away from all new work, at every site. A roll-out to it is aborted.
+    /// Stop sending new requests to a version, at every site. A rollout to it is aborted.
     #[command(after_help = "Example:
   curranthook withdraw tally-llm@2")]
     Withdraw(Version),
-    /// Allow a withdrawn version again.
+    /// Reinstate a withdrawn version.
     #[command(after_help = "Example:
   curranthook reinstate tally-llm@2")]
     Reinstate(Version),
-    /// Give an endpoint no new work.
+    /// Stop sending new requests to an endpoint.
     #[command(after_help = "Example:
   curranthook drain tally-llm-07")]
     Drain(Endpoint),
-    /// Give a drained endpoint work again.
+    /// Resume sending requests to a drained endpoint.
     #[command(after_help = "Example:
   curranthook undrain tally-llm-07")]
     Undrain(Endpoint),
@@ -75,11 +75,11 @@
   curranthook accounts
   curranthook accounts hash-key < key.txt")]
     Accounts {
-        /// What to do; lists the accounts if left out.
+        /// The account operation; lists the accounts if omitted.
         #[command(subcommand)]
         action: Option<Accounts>,
     },
-    /// Ask routers how they are.
+    /// Show the status of routers.
     #[command(after_help = "Example:
   curranthook status 10.20.1.1:8443 10.20.2.1:8443")]
     Status {
@@ -87,19 +87,19 @@
         #[arg(required = true, value_name = "IP:PORT")]
         routers: Vec<SocketAddr>,
     },
-    /// Sum the bills by account and by what gave the answers.
+    /// Sum the bills by account and by the version or service that served the requests.
     #[command(after_help = "Examples:
   curranthook bills
   curranthook bills --account yard-can-tho --since 24h")]
     Bills(Bills),
-    /// Show what happened to a request, from the logs of the nodes.
+    /// Show what happened to a request, from node logs.
     #[command(after_help = "Examples:
   curranthook explain 9c41d07be2a35f68 node-1.log node-2.log
   cat *.log | curranthook explain 9c41d07be2a35f68")]
     Explain {
         /// The request's id.
         request: String,
-        /// Log files; standard input if none is given.
+        /// Log files; standard input is read if there are none.
         files: Vec<PathBuf>,
     },
     /// Show the epoch in force.
@@ -113,13 +113,13 @@
 pub struct Files {
     /// The base file.
     pub base: PathBuf,
-    /// A site's overlay; can be given for several sites.
+    /// A site's overlay file; repeat the option for several sites.
     #[arg(long = "overlay", value_name = "FILE")]
     pub overlays: Vec<PathBuf>,
 }
 
 impl Files {
-    /// The overlays' paths.
+    /// Returns the paths of the overlays.
     ///
     /// ```
     /// # use curranthook_cli::args::Files;
@@ -131,10 +131,10 @@
     }
 }
 
-/// Files to publish.
+/// Arguments of `publish`.
 #[derive(Debug, Args)]
 pub struct Publish {
-    /// The files.
+    /// The files to publish.
     #[command(flatten)]
     pub files: Files,
     /// Publish only if this epoch is in force; 0 if nothing is published yet.
@@ -142,20 +142,20 @@
     pub expect: Option<u64>,
 }
 
-/// What to do with roll-outs.
+/// Operations on rollouts.
 #[derive(Debug, Subcommand)]
 pub enum Rollout {
-    /// Begin at the first stage.
+    /// Start a rollout at its first stage.
     #[command(after_help = "Example:
   curranthook rollout start --from tally-llm@1 --to tally-llm@2 --stages 0.01,0.1,0.5,1")]
     Start {
-        /// The version that is replaced.
+        /// The version to replace.
         #[arg(long, value_name = "VERSION")]
         from: String,
-        /// The version that replaces it.
+        /// The replacement version.
         #[arg(long, value_name = "VERSION")]
         to: String,
-        /// The shares of new sessions, rising up to 1.
+        /// The share of new sessions that the new version gets at each stage, increasing up to 1.
         #[arg(
             long,
             value_name = "SHARES",
@@ -164,66 +164,66 @@
         )]
         stages: Vec<f64>,
     },
-    /// Hold a roll-out at its stage.
+    /// Pause a rollout at its current stage.
     #[command(after_help = "Example:
   curranthook rollout pause tally-llm")]
     Pause(Model),
-    /// Let a held roll-out go on.
+    /// Resume a paused rollout.
     #[command(after_help = "Example:
   curranthook rollout resume tally-llm")]
     Resume(Model),
-    /// Give a roll-out up; the old version gets everything.
+    /// Abort a rollout; the old version gets all new sessions again.
     #[command(after_help = "Example:
   curranthook rollout abort tally-llm")]
     Abort(Model),
-    /// List the roll-outs.
+    /// List all rollouts.
     #[command(after_help = "Example:
   curranthook rollout status")]
     Status,
 }
 
-/// What to do with accounts.
+/// Operations on accounts.
 #[derive(Debug, Subcommand)]
 pub enum Accounts {
-    /// Read a key on standard input and print the hash that goes into the base file.
+    /// Read a key from standard input and print the hash that goes into the base file.
     #[command(after_help = "Example:
   curranthook accounts hash-key < key.txt")]
     HashKey,
 }
 
-/// A model.
+/// The model that an operation applies to.
 #[derive(Debug, Args)]
 pub struct Model {
     /// The model's name, the part of a version before `@`.
     pub model: String,
 }
 
-/// A version.
+/// The version that an operation applies to.
 #[derive(Debug, Args)]
 pub struct Version {
     /// The version, written `model@version`.
     pub version: String,
 }
 
-/// An endpoint.
+/// The endpoint that an operation applies to.
 #[derive(Debug, Args)]
 pub struct Endpoint {
     /// The endpoint's id.
     pub endpoint: String,
 }
 
-/// Which bill lines to sum.
+/// Filters for the bill lines to sum.
 #[derive(Debug, Default, Args)]
 pub struct Bills {
-    /// Only this account.
+    /// Include only this account.
     #[arg(long, value_name = "ACCOUNT")]
     pub account: Option<String>,
-    /// Only answers younger than this, such as 90s, 30m, 24h or 7d.
+    /// Include only responses more recent than this age, such as 90s, 30m, 24h or 7d.
     #[arg(long, value_name = "AGE", value_parser = parse_age)]
     pub since: Option<Duration>,
 }
 
-/// Reads an age such as `24h`.
+/// Parses an age such as `24h`.
 ///
 /// ```
 /// # use curranthook_cli::args::parse_age;
@@ -231,10 +231,12 @@
 /// assert!(parse_age("yesterday").is_err());
 /// ```
 pub fn parse_age(text: &str) -> Result<Duration, String> {
-    const UNITS: [(char, u64); 4] = [('s', 1), ('m', 60), ('h', 3_600), ('d', 86_400)];
-    let unit = UNITS.iter().find_map(|(unit, secs)| Some((text.strip_suffix(*unit)?, secs)));
-    let parsed = unit.and_then(|(n, secs)| n.parse::<u64>().ok()?.checked_mul(*secs));
+    /// Unit suffixes with their length in seconds.
+    const UNIT_SECS: [(char, u64); 4] = [('s', 1), ('m', 60), ('h', 3_600), ('d', 86_400)];
+    let number_and_secs =
+        UNIT_SECS.iter().find_map(|(unit, secs)| Some((text.strip_suffix(*unit)?, secs)));
+    let parsed = number_and_secs.and_then(|(n, secs)| n.parse::<u64>().ok()?.checked_mul(*secs));
     parsed
         .map(Duration::from_secs)
-        .ok_or_else(|| "a number and one of s, m, h, d, such as 24h".to_owned())
+        .ok_or_else(|| "expected a number and one of s, m, h, d, such as 24h".to_owned())
 }
--- a/crates/curranthook_cli/src/exit.rs
+++ b/crates/curranthook_cli/src/exit.rs
@@ -2,31 +2,32 @@
 
 use serde::Serialize;
 
-/// Exit codes as `--help` lists them.
+/// The list of exit codes in `--help`.
 pub const HELP: &str = "Exit codes:
   0  done
   1  wrong usage, or any other error
   2  the files have errors; nothing was published
-  3  another operator was quicker; nothing was published
+  3  another operator published first; nothing was published
   4  the platform is down; nothing was published
-  5  unknown: the platform's answer was lost and couldn't be settled; run the command again";
+  5  unknown: the platform's response was lost, so the command may or may not have taken
+     effect; run it again";
 
-/// How the program ends.
+/// The exit code of the process.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[repr(u8)]
 pub enum Code {
-    /// Done.
+    /// Success.
     Ok = 0,
     /// Wrong usage, or any other error.
     Other = 1,
     /// The files have errors.
     Check = 2,
-    /// Another operator was quicker.
+    /// Another operator published first.
     Conflict = 3,
-    /// The platform is down.
+    /// The platform is unavailable.
     Down = 4,
-    /// An answer was lost and couldn't be settled.
+    /// A response was lost, and whether the write took effect could not be determined.
     Unknown = 5,
 }
 
