--- a/crates/curranthook_cli/src/command.rs
+++ b/crates/curranthook_cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The subcommands. Each has a module that returns a result to be printed.
+//! The subcommands: one module each, which returns the result to print.
 
 pub mod accounts;
 pub mod bills;
--- a/crates/curranthook_cli/src/command/accounts.rs
+++ b/crates/curranthook_cli/src/command/accounts.rs
@@ -9,38 +9,38 @@
 
 use crate::{
     Context, Error,
-    output::{Show, join, table},
+    output::{Render, comma_separated, table},
     store,
 };
 
 /// The published client accounts.
 #[derive(Debug, Serialize)]
 pub struct List {
-    /// Ordered by site and name.
+    /// Sorted by site and account id.
     pub accounts: Vec<Entry>,
 }
 
-/// A client account. Its key hashes stay out of terminals and logs.
+/// A client account, without its key hashes, so that they do not reach terminals and logs.
 #[derive(Debug, Serialize)]
 pub struct Entry {
-    /// The site.
+    /// The site that serves the account.
     pub site: site::Id,
-    /// The account.
+    /// The account's id.
     pub account: account::Id,
-    /// The versions it may use.
+    /// The versions that the account may use.
     pub versions: Vec<version::Id>,
-    /// The plain services it may use.
+    /// The plain services that the account may use.
     pub services: Vec<String>,
-    /// How many keys it has.
+    /// Number of keys.
     pub n_keys: usize,
-    /// How much it may ask for.
+    /// The account's rate limit and its weight.
     pub limit: Limit,
 }
 
 /// The hash of a key.
 #[derive(Debug, Serialize)]
 pub struct Hash {
-    /// SHA-256 in hexadecimal, for an account's `key_hashes`.
+    /// The SHA-256 hash in hexadecimal, for an account's `key_hashes`.
     pub key_hash: String,
 }
 
@@ -57,23 +57,23 @@
     let document = store::read(ctx.table()?).await?.ok_or(Error::NotPublished)?.document;
     let sites = document.sites.values();
     let accounts = sites.flat_map(|config| {
-        config.accounts.iter().map(|(account, it)| entry(&config.site, account, it))
+        config.accounts.iter().map(|(id, account)| to_entry(&config.site, id, account))
     });
     Ok(List { accounts: accounts.collect() })
 }
 
-fn entry(site: &site::Id, account: &account::Id, it: &Account) -> Entry {
+fn to_entry(site: &site::Id, id: &account::Id, account: &Account) -> Entry {
     Entry {
         site: site.clone(),
-        account: account.clone(),
-        versions: it.versions.iter().cloned().collect(),
-        services: it.services.iter().cloned().collect(),
-        n_keys: it.key_hashes.len(),
-        limit: it.limit.clone(),
+        account: id.clone(),
+        versions: account.versions.iter().cloned().collect(),
+        services: account.services.iter().cloned().collect(),
+        n_keys: account.key_hashes.len(),
+        limit: account.limit.clone(),
     }
 }
 
-/// Hashes the key that stands on `input`. The end of the line isn't part of the key.
+/// Hashes the key read from `input`. A trailing line break is not part of the key.
 ///
 /// ```
 /// # use curranthook_cli::command::accounts;
@@ -90,26 +90,26 @@
     Ok(Hash { key_hash: hex::encode(Sha256::digest(key)) })
 }
 
-impl Show for List {
-    fn show(&self) -> String {
+impl Render for List {
+    fn render(&self) -> String {
         let row = |it: &Entry| {
             [
                 it.site.to_string(),
                 it.account.to_string(),
-                join(&it.versions),
-                join(&it.services),
+                comma_separated(&it.versions),
+                comma_separated(&it.services),
                 it.n_keys.to_string(),
                 format!("{}/s", it.limit.requests),
                 it.limit.weight.to_string(),
             ]
         };
-        let heading = ["SITE", "ACCOUNT", "VERSIONS", "SERVICES", "KEYS", "LIMIT", "WEIGHT"];
-        table(heading, self.accounts.iter().map(row))
+        let header = ["SITE", "ACCOUNT", "VERSIONS", "SERVICES", "KEYS", "LIMIT", "WEIGHT"];
+        table(header, self.accounts.iter().map(row))
     }
 }
 
-impl Show for Hash {
-    fn show(&self) -> String {
+impl Render for Hash {
+    fn render(&self) -> String {
         self.key_hash.clone()
     }
 }
--- a/crates/curranthook_cli/src/command/bills.rs
+++ b/crates/curranthook_cli/src/command/bills.rs
@@ -16,39 +16,39 @@
 use crate::{
     Context, Error,
     args::Bills,
-    output::{Show, table},
+    output::{Render, table},
 };
 
-/// Where the segments of bill lines lie in the object store.
-const PREFIX: &str = "bills/";
+/// Key prefix of segments of bill lines in the object store.
+const SEGMENT_KEY_PREFIX: &str = "bills/";
 
-/// The bills by account and by what gave the answers.
+/// The bills by account and by the version or service that served the requests.
 #[derive(Debug, Serialize)]
-pub struct Sum {
-    /// Ordered by account, the dearest first.
+pub struct Summary {
+    /// Sorted by account, then by descending cost.
     pub rows: Vec<Row>,
-    /// How many lines were left out because their request stands on another line already.
+    /// Number of lines left out because another line is for the same request.
     pub n_duplicates: usize,
 }
 
-/// What one account pays for the answers of one version or service.
+/// The cost to one account of the responses of one version or service.
 #[derive(Debug, Serialize)]
 pub struct Row {
-    /// Who pays.
+    /// The account that pays.
     pub account: account::Id,
-    /// The version or plain service.
+    /// The version, or the name of a plain service.
     pub served_by: String,
-    /// How many requests.
+    /// Number of requests.
     pub n_requests: u64,
-    /// Tokens of the prompts.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answers.
+    /// Number of completion tokens.
     pub completion_tokens: u64,
-    /// What it costs.
+    /// The total cost.
     pub cost: price::Micros,
 }
 
-/// Sums the bills.
+/// Reads all bill lines from the object store and sums those that match `args`.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, args, command::bills};
@@ -57,32 +57,34 @@
 /// let result = async_io::block_on(bills::run(&ctx, &args::Bills::default()));
 /// assert!(matches!(result, Err(Error::NoPlatform)));
 /// ```
-pub async fn run(ctx: &Context, args: &Bills) -> Result<Sum, Error> {
-    let (lines, n_duplicates) = first_lines(ctx.objects()?).await?;
-    let age = args.since.map_or(u128::MAX, |it| it.as_millis());
-    let age = u64::try_from(age).unwrap_or(u64::MAX);
-    let since = ctx.clock.unix_millis().saturating_sub(age);
-    let wanted = lines.into_values().filter(|it| {
-        let is_account = args.account.as_deref().is_none_or(|name| name == it.account.as_str());
-        is_account && since <= it.at_millis
+pub async fn run(ctx: &Context, args: &Bills) -> Result<Summary, Error> {
+    let (lines, n_duplicates) = earliest_lines(ctx.objects()?).await?;
+    let max_age_ms = args.since.map_or(u128::MAX, |it| it.as_millis());
+    let max_age_ms = u64::try_from(max_age_ms).unwrap_or(u64::MAX);
+    let since_millis = ctx.clock.unix_millis().saturating_sub(max_age_ms);
+    let selected = lines.into_values().filter(|it| {
+        let matches_account =
+            args.account.as_deref().is_none_or(|name| name == it.account.as_str());
+        matches_account && since_millis <= it.at_millis
     });
-    Ok(Sum { rows: rows(wanted), n_duplicates })
+    Ok(Summary { rows: sum_rows(selected), n_duplicates })
 }
 
-/// What names a request. Accounts choose their request ids by themselves, so two of them may
-/// use the same one; told apart by the id alone, one of the two would pay nothing.
-type Name = (account::Id, request::Id);
+/// Identifies a request. Accounts choose their own request ids, so two accounts may use the same
+/// one. With the id alone as the key, one of the two would not be billed.
+type RequestKey = (account::Id, request::Id);
 
-/// The first line of each request.
+/// Returns the earliest line of each request, and the number of other lines.
 ///
-/// A request can stand on several lines: its router died after a replica had written the line
-/// down, and the caller's next attempt was answered by another router. Were each of them
-/// summed, the request would be billed twice.
-async fn first_lines(objects: &dyn Objects) -> Result<(HashMap<Name, Line>, usize), Error> {
-    let mut lines: HashMap<Name, Line> = HashMap::new();
+/// A request can have several lines: its router died after a replica had stored the line, and
+/// another router served the caller's retry. Summing all of them would bill the request twice.
+async fn earliest_lines(
+    objects: &dyn Objects,
+) -> Result<(HashMap<RequestKey, Line>, usize), Error> {
+    let mut lines: HashMap<RequestKey, Line> = HashMap::new();
     let mut n_duplicates = 0;
-    for key in objects.list(PREFIX).await? {
-        for line in segment(objects, &key).await?.lines {
+    for key in objects.list(SEGMENT_KEY_PREFIX).await? {
+        for line in read_segment(objects, &key).await?.lines {
             match lines.entry((line.account.clone(), line.request.clone())) {
                 hash_map::Entry::Vacant(it) => {
                     it.insert(line);
@@ -99,17 +101,21 @@
     Ok((lines, n_duplicates))
 }
 
-async fn segment(objects: &dyn Objects, key: &str) -> Result<Segment, Error> {
-    let unreadable = |why: &str| Error::Segment { key: key.to_owned(), why: why.to_owned() };
-    let value = objects.get(key).await?.ok_or_else(|| unreadable("it's listed but not there"))?;
+async fn read_segment(objects: &dyn Objects, key: &str) -> Result<Segment, Error> {
+    let unreadable =
+        |reason: &str| Error::Segment { key: key.to_owned(), reason: reason.to_owned() };
+    let value = objects
+        .get(key)
+        .await?
+        .ok_or_else(|| unreadable("listed, but not found in the object store"))?;
     serde_json::from_slice(&value).map_err(|e| unreadable(&e.to_string()))
 }
 
-fn rows(lines: impl Iterator<Item = Line>) -> Vec<Row> {
-    let mut sums: BTreeMap<(account::Id, String), Row> = BTreeMap::new();
+fn sum_rows(lines: impl Iterator<Item = Line>) -> Vec<Row> {
+    let mut row_by_key: BTreeMap<(account::Id, String), Row> = BTreeMap::new();
     for line in lines {
         let key = (line.account.clone(), line.served_by.clone());
-        let row = sums.entry(key).or_insert_with(|| Row {
+        let row = row_by_key.entry(key).or_insert_with(|| Row {
             account: line.account,
             served_by: line.served_by,
             n_requests: 0,
@@ -122,13 +128,13 @@
         row.completion_tokens += line.completion_tokens;
         row.cost.0 += line.cost.0;
     }
-    let mut rows: Vec<Row> = sums.into_values().collect();
+    let mut rows: Vec<Row> = row_by_key.into_values().collect();
     rows.sort_by_key(|it| (it.account.clone(), Reverse(it.cost)));
     rows
 }
 
-impl Show for Sum {
-    fn show(&self) -> String {
+impl Render for Summary {
+    fn render(&self) -> String {
         let row = |it: &Row| {
             [
                 it.account.to_string(),
@@ -139,9 +145,9 @@
                 it.cost.0.to_string(),
             ]
         };
-        let heading = ["ACCOUNT", "SERVED BY", "REQUESTS", "PROMPT", "COMPLETION", "COST (MICROS)"];
+        let header = ["ACCOUNT", "SERVED BY", "REQUESTS", "PROMPT", "COMPLETION", "COST (MICROS)"];
         let total: u64 = self.rows.iter().map(|it| it.cost.0).sum();
-        let table = table(heading, self.rows.iter().map(row));
+        let table = table(header, self.rows.iter().map(row));
         format!("{table}\ntotal {total} micros; {} duplicate lines left out", self.n_duplicates)
     }
 }
--- a/crates/curranthook_cli/src/command/check.rs
+++ b/crates/curranthook_cli/src/command/check.rs
@@ -13,16 +13,16 @@
     Error,
     args::Files,
     error::findings_to_json,
-    output::{Show, join},
+    output::{Render, comma_separated},
 };
 
-/// Files without errors.
+/// The result of checking files that have no errors.
 #[derive(Debug, Serialize)]
 pub struct Checked {
     /// The merged configuration of each site.
     #[serde(serialize_with = "serialize_masked")]
     pub sites: BTreeMap<site::Id, Config>,
-    /// What is worth a look.
+    /// Warnings about the files.
     #[serde(serialize_with = "serialize_findings")]
     pub warnings: Vec<Finding>,
 }
@@ -35,28 +35,30 @@
 /// assert!(matches!(check::run(&files), Err(Error::Check(_))));
 /// ```
 pub fn run(files: &Files) -> Result<Checked, Error> {
-    let Report { sites, findings } = sound(check::files(&files.base, &files.overlays()))?;
+    let Report { sites, findings } =
+        require_no_errors(check::files(&files.base, &files.overlays()))?;
     Ok(Checked { sites, warnings: findings })
 }
 
-fn sound(report: Report) -> Result<Report, Error> {
+fn require_no_errors(report: Report) -> Result<Report, Error> {
     if report.is_ok() { Ok(report) } else { Err(Error::Check(report.findings)) }
 }
 
-impl Show for Checked {
-    fn show(&self) -> String {
+impl Render for Checked {
+    fn render(&self) -> String {
         let mut text = String::new();
         for warning in &self.warnings {
-            // Comments, so that the output stays YAML.
+            // Printed as comments, so that the output stays valid YAML.
             text += &format!("# {warning}\n");
         }
         for config in self.sites.values() {
             text += &format!("---\n{}", config.to_masked_yaml());
         }
-        text + &format!("# no errors; sites: {}", join(self.sites.keys()))
+        text + &format!("# no errors; sites: {}", comma_separated(self.sites.keys()))
     }
 }
 
+/// Serializes the configurations with their secrets masked.
 fn serialize_masked<S: serde::Serializer>(
     sites: &BTreeMap<site::Id, Config>,
     serializer: S,
--- a/crates/curranthook_cli/src/command/diff.rs
+++ b/crates/curranthook_cli/src/command/diff.rs
@@ -8,9 +8,9 @@
 use serde::Serialize;
 
 use super::check;
-use crate::{Context, Error, args::Files, output::Show, store};
+use crate::{Context, Error, args::Files, output::Render, store};
 
-/// What publishing files would change.
+/// The changes that publishing files would make.
 #[derive(Debug, Serialize)]
 pub struct Difference {
     /// The epoch that the files were compared with, 0 if nothing is published yet.
@@ -19,7 +19,7 @@
     pub changes: Vec<Change>,
 }
 
-/// Compares files with what is published.
+/// Compares files with the published document.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, args::Files, command::diff};
@@ -33,13 +33,13 @@
     let checked = check::run(files)?;
     let stored = store::read(ctx.table()?).await?;
     let current = stored.map(|it| it.document).unwrap_or_default();
-    let stamp = Stamp { by: &ctx.by, at_millis: 0, publication: "" };
+    let stamp = Stamp { by: &ctx.operator, at_millis: 0, publication: "" };
     let next = Document::publish(Some(&current), checked.sites, &stamp);
     Ok(Difference { epoch: current.epoch, changes: difference(&current, &next) })
 }
 
-impl Show for Difference {
-    fn show(&self) -> String {
+impl Render for Difference {
+    fn render(&self) -> String {
         if self.changes.is_empty() {
             return format!("no change against epoch {}", self.epoch);
         }
--- a/crates/curranthook_cli/src/command/drain.rs
+++ b/crates/curranthook_cli/src/command/drain.rs
@@ -7,7 +7,7 @@
     edit::{self, Applied},
 };
 
-/// Gives an endpoint no new work.
+/// Stops new requests to an endpoint.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, command::drain};
@@ -21,7 +21,7 @@
     edit::apply(ctx, &message, |document, stamp| document.drain(endpoint, stamp)).await
 }
 
-/// Gives a drained endpoint work again.
+/// Allows requests to a drained endpoint again.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, command::drain};
--- a/crates/curranthook_cli/src/command/epoch.rs
+++ b/crates/curranthook_cli/src/command/epoch.rs
@@ -5,26 +5,26 @@
 
 use crate::{
     Context, Error,
-    output::{Show, ago},
+    output::{Render, format_age},
     store,
 };
 
 /// The publication in force.
 #[derive(Debug, Serialize)]
-pub struct Current {
-    /// Its epoch.
+pub struct Publication {
+    /// The epoch of the publication.
     pub epoch: Epoch,
-    /// Who published it.
+    /// The operator who published the document.
     pub by: String,
-    /// When, in milliseconds since 1970.
+    /// Time of publication, in milliseconds since the Unix epoch.
     pub at_millis: u64,
-    /// Its random id.
+    /// The random id of the publication.
     pub publication: String,
     #[serde(skip)]
     now_millis: u64,
 }
 
-/// Reads which publication is in force.
+/// Reads the publication in force.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, command::epoch};
@@ -33,9 +33,9 @@
 /// let result = async_io::block_on(epoch::run(&ctx));
 /// assert!(matches!(result, Err(Error::NoPlatform)));
 /// ```
-pub async fn run(ctx: &Context) -> Result<Current, Error> {
+pub async fn run(ctx: &Context) -> Result<Publication, Error> {
     let document = store::read(ctx.table()?).await?.ok_or(Error::NotPublished)?.document;
-    Ok(Current {
+    Ok(Publication {
         epoch: document.epoch,
         by: document.by,
         at_millis: document.at_millis,
@@ -44,9 +44,9 @@
     })
 }
 
-impl Show for Current {
-    fn show(&self) -> String {
-        let age = ago(self.at_millis, self.now_millis);
+impl Render for Publication {
+    fn render(&self) -> String {
+        let age = format_age(self.at_millis, self.now_millis);
         format!("epoch {}, published by {} {age}", self.epoch, self.by)
     }
 }
--- a/crates/curranthook_cli/src/command/explain.rs
+++ b/crates/curranthook_cli/src/command/explain.rs
@@ -9,121 +9,128 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-use crate::{Error, output::Show};
+use crate::{Error, output::Render};
 
-/// The names of fields that stand in the head of a line, not among what was known.
-const HEAD: [&str; 4] = ["at_ms", "node", "event", "request"];
+/// Fields that are printed at the start of a line, or once for the whole request, instead of
+/// with the other fields.
+const HEADER_FIELDS: [&str; 4] = ["at_ms", "node", "event", "request"];
 
-/// A request's way over all nodes.
+/// The events of a request on all nodes.
 #[derive(Debug, Serialize)]
-pub struct Story {
-    /// The request.
+pub struct Timeline {
+    /// The request's id.
     pub request: String,
-    /// What happened, in order.
+    /// The events in order of time.
     pub steps: Vec<Step>,
-    /// Lines that aren't JSON of ours.
-    pub unread: usize,
+    /// Number of lines with a `{` that can't be parsed as a log event.
+    #[serde(rename = "unread")]
+    pub n_unparsed: usize,
 }
 
-/// A decision.
+/// One event from a node's log, such as a routing decision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Step {
-    /// When, in milliseconds of the node's wall clock.
+    /// Time of the event, in milliseconds of the node's wall clock.
     pub at_ms: u64,
-    /// Where.
+    /// The node that logged the event.
     pub node: String,
-    /// What.
+    /// The name of the event.
     pub event: String,
-    /// With what knowledge, and how it ended.
+    /// All other fields: the inputs of a decision, and its outcome.
     #[serde(flatten)]
-    pub knew: Map<String, Value>,
+    pub fields: Map<String, Value>,
 }
 
-/// Finds the way of `request` in log files, or in standard input if there are none.
+/// Collects the events of `request` from log files, or from `input` if there are no files.
 ///
 /// ```
 /// # use curranthook_cli::command::explain;
 /// let log = br#"{"at_ms":7,"node":"n-1","event":"sent","request":"r-1","endpoint":"e-1"}"#;
-/// let story = explain::run("r-1", &[], &mut &log[..]).unwrap();
-/// assert_eq!(story.steps[0].event, "sent");
+/// let timeline = explain::run("r-1", &[], &mut &log[..]).unwrap();
+/// assert_eq!(timeline.steps[0].event, "sent");
 /// ```
-pub fn run(request: &str, files: &[PathBuf], input: &mut dyn Read) -> Result<Story, Error> {
-    let mut story = Story { request: request.to_owned(), steps: Vec::new(), unread: 0 };
+pub fn run(request: &str, files: &[PathBuf], input: &mut dyn Read) -> Result<Timeline, Error> {
+    let mut timeline = Timeline { request: request.to_owned(), steps: Vec::new(), n_unparsed: 0 };
     if files.is_empty() {
-        story.read(BufReader::new(input))?;
+        timeline.read(BufReader::new(input))?;
     }
     for file in files {
-        story.read(BufReader::new(File::open(file)?))?;
+        timeline.read(BufReader::new(File::open(file)?))?;
     }
-    story.add_context();
-    // The clocks of the nodes differ a little; within a node the order of the lines is right.
-    story.steps.sort_by_key(|it| it.at_ms);
-    Ok(story)
+    timeline.keep_latest_context();
+    // The clocks of the nodes differ slightly. The stable sort keeps the order of lines that have
+    // the same time, which is correct within a node.
+    timeline.steps.sort_by_key(|it| it.at_ms);
+    Ok(timeline)
 }
 
-impl Story {
+impl Timeline {
     fn read(&mut self, lines: impl BufRead) -> Result<(), Error> {
         for line in lines.split(b'\n') {
             let line = line?;
             let text = String::from_utf8_lossy(&line);
-            // Whoever gathers logs may put a time or a name before each line.
+            // Log collectors may prepend a time or a name to each line.
             let Some(start) = text.find('{') else { continue };
             match serde_json::from_str::<Step>(&text[start..]) {
-                Ok(step) if self.concerns(&step) => self.steps.push(step),
-                Ok(_other) => {}
-                Err(_not_ours) => self.unread += 1,
+                Ok(step) if self.is_relevant(&step) => self.steps.push(step),
+                Ok(_unrelated) => {}
+                Err(_unparsed) => self.n_unparsed += 1,
             }
         }
         Ok(())
     }
 
-    /// Whether a line may belong to the story: lines of the request, and what nodes came to
-    /// believe of endpoints and configurations.
-    fn concerns(&self, step: &Step) -> bool {
-        match step.knew.get("request") {
+    /// Whether an event may belong to the timeline: it is about the request, or it reports a change
+    /// in a node's view of endpoints, configurations or rollouts.
+    fn is_relevant(&self, step: &Step) -> bool {
+        match step.fields.get("request") {
             Some(request) => *request == self.request,
             None => matches!(step.event.as_str(), "endpoint" | "configuration" | "roll_out"),
         }
     }
 
-    /// Keeps, of what the nodes believed, only the last word before each attempt.
-    fn add_context(&mut self) {
-        let (own, beliefs): (Vec<_>, Vec<_>) = std::mem::take(&mut self.steps)
+    /// Of the events that are not about the request, keeps only the latest endpoint and
+    /// configuration event of the same node before each attempt.
+    fn keep_latest_context(&mut self) {
+        let (request_steps, context_steps): (Vec<_>, Vec<_>) = std::mem::take(&mut self.steps)
             .into_iter()
-            .partition(|it| it.knew.contains_key("request"));
-        let mut kept: Vec<Step> = Vec::new();
-        for sent in own.iter().filter(|it| it.event == "sent") {
-            for (event, field) in [("endpoint", "endpoint"), ("configuration", "")] {
-                let same = |it: &&Step| {
+            .partition(|it| it.fields.contains_key("request"));
+        let mut latest_steps: Vec<Step> = Vec::new();
+        for attempt in request_steps.iter().filter(|it| it.event == "sent") {
+            for (event, matching_field) in [("endpoint", "endpoint"), ("configuration", "")] {
+                let precedes_attempt = |it: &&Step| {
                     it.event == event
-                        && it.node == sent.node
-                        && it.at_ms <= sent.at_ms
-                        && (field.is_empty() || it.knew.get(field) == sent.knew.get(field))
+                        && it.node == attempt.node
+                        && it.at_ms <= attempt.at_ms
+                        && (matching_field.is_empty()
+                            || it.fields.get(matching_field) == attempt.fields.get(matching_field))
                 };
-                if let Some(last) = beliefs.iter().filter(same).max_by_key(|it| it.at_ms) {
-                    kept.push(last.clone());
+                if let Some(latest) =
+                    context_steps.iter().filter(precedes_attempt).max_by_key(|it| it.at_ms)
+                {
+                    latest_steps.push(latest.clone());
                 }
             }
         }
-        kept.sort_by_key(|it| it.at_ms);
-        kept.dedup_by(|a, b| a.at_ms == b.at_ms && a.event == b.event && a.node == b.node);
-        self.steps = kept.into_iter().chain(own).collect();
+        latest_steps.sort_by_key(|it| it.at_ms);
+        latest_steps.dedup_by(|a, b| a.at_ms == b.at_ms && a.event == b.event && a.node == b.node);
+        self.steps = latest_steps.into_iter().chain(request_steps).collect();
     }
 }
 
-impl Show for Story {
-    fn show(&self) -> String {
-        let is_own = |it: &&Step| it.knew.contains_key("request");
-        let Some(first) = self.steps.iter().find(is_own) else {
+impl Render for Timeline {
+    fn render(&self) -> String {
+        let is_request_step = |it: &&Step| it.fields.contains_key("request");
+        let Some(first_step) = self.steps.iter().find(is_request_step) else {
             return format!("no line of request {} was found", self.request);
         };
-        let start = first.at_ms;
+        let start_ms = first_step.at_ms;
         let mut text = format!("request {}\n", self.request);
         for it in &self.steps {
-            let since = it.at_ms as f64 / 1e3 - start as f64 / 1e3;
-            text += &format!("{since:+9.3} s  {}  {}", it.node, it.event);
-            for (name, value) in &it.knew {
-                if !HEAD.contains(&name.as_str()) && !value.is_null() {
+            let offset_secs = it.at_ms as f64 / 1e3 - start_ms as f64 / 1e3;
+            text += &format!("{offset_secs:+9.3} s  {}  {}", it.node, it.event);
+            for (name, value) in &it.fields {
+                if !HEADER_FIELDS.contains(&name.as_str()) && !value.is_null() {
                     let value = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
                     text += &format!("  {name}={value}");
                 }
--- a/crates/curranthook_cli/src/command/publish.rs
+++ b/crates/curranthook_cli/src/command/publish.rs
@@ -13,26 +13,26 @@
     Conflict, Context, Error,
     args::Publish,
     context,
-    output::Show,
+    output::Render,
     store::{self, Outcome},
 };
 
-/// A publication.
+/// The result of a publication.
 #[derive(Debug, Serialize)]
 pub struct Published {
     /// The epoch in which the files are in force.
     pub epoch: Epoch,
-    /// What they changed; nothing if they were in force already.
+    /// The changes; empty if the files were in force already.
     pub changes: Vec<Change>,
-    /// What is worth a look in them.
+    /// Warnings about the files.
     #[serde(serialize_with = "check::serialize_findings")]
     pub warnings: Vec<Finding>,
 }
 
 /// Checks and publishes files.
 ///
-/// Unlike an edit, files are never applied again on top of what somebody else published: they
-/// would undo it without anybody having looked.
+/// Unlike an edit, files are never applied again after a conflicting write: they would silently
+/// undo what the other operator published.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, args::{Files, Publish}, command::publish};
@@ -47,55 +47,56 @@
     let table = ctx.table()?;
     let stored = store::read(table).await?;
     let current = stored.as_ref().map(|it| &it.document);
-    let nothing = Document::default();
-    let before = current.unwrap_or(&nothing);
-    expect(before, args.expect.map(Epoch))?;
+    let empty = Document::default();
+    let previous = current.unwrap_or(&empty);
+    check_expected_epoch(previous, args.expect.map(Epoch))?;
 
-    let publication = context::publication();
+    let publication_id = context::new_publication_id();
     let at_millis = ctx.clock.unix_millis();
-    let stamp = Stamp { by: &ctx.by, at_millis, publication: &publication };
+    let stamp = Stamp { by: &ctx.operator, at_millis, publication: &publication_id };
     let next = Document::publish(current, checked.sites, &stamp);
     next.check_rollouts()?;
-    let changes = difference(before, &next);
+    let changes = difference(previous, &next);
     let warnings = checked.warnings;
     if changes.is_empty() {
-        // Also what an operator gets who runs the command again after its answer was lost.
-        return Ok(Published { epoch: before.epoch, changes, warnings });
+        // This is also the result of running the command again after its response was lost but the
+        // publication took effect.
+        return Ok(Published { epoch: previous.epoch, changes, warnings });
     }
     let tag = stored.as_ref().map(|it| &it.tag);
     match store::write(table, tag, &next, ctx.retry).await? {
         Outcome::Done => Ok(Published { epoch: next.epoch, changes, warnings }),
-        Outcome::Conflict(now) => Err(conflict(before, now.as_deref())),
+        Outcome::Conflict(latest) => Err(conflict_error(previous, latest.as_deref())),
     }
 }
 
-fn expect(before: &Document, expected: Option<Epoch>) -> Result<(), Error> {
+fn check_expected_epoch(previous: &Document, expected: Option<Epoch>) -> Result<(), Error> {
     let Some(expected) = expected else { return Ok(()) };
-    if expected == before.epoch {
+    if expected == previous.epoch {
         return Ok(());
     }
-    // What was published under the expected epoch is gone, so there's nothing to compare with.
+    // The document of the expected epoch was replaced, so the changes since then are unknown.
     Err(Error::Conflict(Box::new(Conflict {
         expected,
-        epoch: before.epoch,
-        by: before.by.clone(),
+        epoch: previous.epoch,
+        by: previous.by.clone(),
         changes: Vec::new(),
     })))
 }
 
-fn conflict(before: &Document, now: Option<&Document>) -> Error {
-    let unread = Document { by: "somebody".to_owned(), ..before.clone() };
-    let after = now.unwrap_or(&unread);
+fn conflict_error(previous: &Document, latest: Option<&Document>) -> Error {
+    let unknown = Document { by: "somebody".to_owned(), ..previous.clone() };
+    let latest = latest.unwrap_or(&unknown);
     Error::Conflict(Box::new(Conflict {
-        expected: before.epoch,
-        epoch: after.epoch.max(before.epoch.next()),
-        by: after.by.clone(),
-        changes: difference(before, after),
+        expected: previous.epoch,
+        epoch: latest.epoch.max(previous.epoch.next()),
+        by: latest.by.clone(),
+        changes: difference(previous, latest),
     }))
 }
 
-impl Show for Published {
-    fn show(&self) -> String {
+impl Render for Published {
+    fn render(&self) -> String {
         let mut lines: Vec<_> = self.warnings.iter().map(ToString::to_string).collect();
         lines.extend(self.changes.iter().map(ToString::to_string));
         lines.push(if self.changes.is_empty() {
--- a/crates/curranthook_cli/src/command/rollout.rs
+++ b/crates/curranthook_cli/src/command/rollout.rs
@@ -9,30 +9,30 @@
     Context, Error,
     args::Rollout as Action,
     edit::{self, Applied},
-    output::{Show, ago, join, table},
+    output::{Render, comma_separated, format_age, table},
     store,
 };
 
-/// What came of it.
+/// The result of the command.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 pub enum Outcome {
-    /// A roll-out was changed.
+    /// A rollout was changed.
     Applied(Applied),
-    /// The roll-outs as they are.
+    /// All current rollouts.
     List(List),
 }
 
-/// All roll-outs.
+/// All rollouts.
 #[derive(Debug, Serialize)]
 pub struct List {
-    /// By model.
+    /// Rollouts by model name.
     pub rollouts: BTreeMap<String, Rollout>,
     #[serde(skip)]
     now_millis: u64,
 }
 
-/// Starts, holds, resumes, gives up or lists roll-outs.
+/// Starts, pauses, resumes, aborts or lists rollouts.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, args, command::rollout};
@@ -72,30 +72,30 @@
     Ok(List { rollouts: stored.document.rollouts, now_millis: ctx.clock.unix_millis() })
 }
 
-impl Show for Outcome {
-    fn show(&self) -> String {
+impl Render for Outcome {
+    fn render(&self) -> String {
         match self {
-            Self::Applied(it) => it.show(),
-            Self::List(it) => it.show(),
+            Self::Applied(it) => it.render(),
+            Self::List(it) => it.render(),
         }
     }
 }
 
-impl Show for List {
-    fn show(&self) -> String {
-        let row = |(model, it): (&String, &Rollout)| {
+impl Render for List {
+    fn render(&self) -> String {
+        let row = |(model, rollout): (&String, &Rollout)| {
             [
                 model.clone(),
-                it.from.to_string(),
-                it.to.to_string(),
-                it.state.to_string(),
-                format!("{} of {}", it.stage + 1, it.stages.len()),
-                it.share().to_string(),
-                join(&it.stages),
-                ago(it.since_millis, self.now_millis),
+                rollout.from.to_string(),
+                rollout.to.to_string(),
+                rollout.state.to_string(),
+                format!("{} of {}", rollout.stage + 1, rollout.stages.len()),
+                rollout.share().to_string(),
+                comma_separated(&rollout.stages),
+                format_age(rollout.since_millis, self.now_millis),
             ]
         };
-        let heading = ["MODEL", "FROM", "TO", "STATE", "STAGE", "SHARE", "STAGES", "SINCE"];
-        table(heading, self.rollouts.iter().map(row))
+        let header = ["MODEL", "FROM", "TO", "STATE", "STAGE", "SHARE", "STAGES", "SINCE"];
+        table(header, self.rollouts.iter().map(row))
     }
 }
--- a/crates/curranthook_cli/src/command/status.rs
+++ b/crates/curranthook_cli/src/command/status.rs
@@ -9,89 +9,89 @@
 
 use crate::{
     Error,
-    output::{Show, table},
+    output::{Render, table},
 };
 
-/// Where routers answer.
-const PATH: &str = "/status";
+/// HTTP path of a router's status.
+const STATUS_PATH: &str = "/status";
 
-/// What the asked routers said.
+/// The status of each queried router.
 #[derive(Debug, Serialize)]
 pub struct List {
-    /// In the order in which they were named.
+    /// The routers, in the order of the arguments.
     pub routers: Vec<Router>,
 }
 
-/// One router's answer, or why there's none.
+/// One router's status, or the reason why there is none.
 #[derive(Debug, Serialize)]
 pub struct Router {
-    /// Its address.
+    /// The router's address.
     pub address: SocketAddr,
-    /// What it said.
+    /// The status that the router returned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<Status>,
-    /// Why it said nothing.
+    /// Why the query failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
 
-/// What a router says of itself; routers may say more.
+/// The status that a router reports. Unknown fields are ignored.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// Its VM.
+    /// The VM that the router runs on.
     pub vm: vm::Id,
-    /// Its site.
+    /// The router's site.
     pub site: site::Id,
-    /// Where it stands.
+    /// The router's failure domain.
     pub failure_domain: domain::Id,
-    /// The epoch that it works by; none before it has a configuration.
+    /// The epoch of the router's configuration; `None` until it has one.
     #[serde(default)]
     pub epoch: Option<Epoch>,
-    /// Whether it takes requests.
+    /// Whether the router accepts requests.
     pub ready: bool,
-    /// Requests under way.
+    /// Number of requests in flight.
     #[serde(default)]
     pub in_flight: u64,
 }
 
 impl List {
-    /// An error if a router gave no answer, so that scripts notice.
+    /// Returns an error if a router returned no usable status, so that the exit code shows it.
     ///
     /// ```
     /// # use curranthook_cli::command::status::List;
-    /// assert!(List { routers: Vec::new() }.check().is_ok());
+    /// assert!(List { routers: Vec::new() }.check_all_succeeded().is_ok());
     /// ```
-    pub fn check(&self) -> Result<(), Error> {
+    pub fn check_all_succeeded(&self) -> Result<(), Error> {
         match self.routers.iter().filter(|it| it.error.is_some()).count() {
             0 => Ok(()),
-            n => Err(Error::NoAnswer(n)),
+            n => Err(Error::RoutersFailed(n)),
         }
     }
 }
 
-/// Asks all routers at once.
+/// Queries all routers concurrently.
 ///
 /// ```
 /// # use std::sync::Arc;
 /// # use curranthook_cli::command::status;
 /// # use curranthook_http::{client::Pool, runtime};
 /// # use curranthook_types::clock;
-/// let list = runtime::run(1, |ex| async move {
-///     let pool = Arc::new(Pool::new(Arc::clone(&ex), Arc::new(clock::System)));
-///     status::run(&ex, &pool, &["127.0.0.1:1".parse().unwrap()]).await
+/// let list = runtime::run(1, |executor| async move {
+///     let pool = Arc::new(Pool::new(Arc::clone(&executor), Arc::new(clock::System)));
+///     status::run(&executor, &pool, &["127.0.0.1:1".parse().unwrap()]).await
 /// });
 /// assert!(list.routers[0].error.is_some());
 /// ```
-pub async fn run(ex: &runtime::Handle, pool: &Arc<Pool>, routers: &[SocketAddr]) -> List {
-    let ask = |addr: &SocketAddr| {
+pub async fn run(executor: &runtime::Handle, pool: &Arc<Pool>, routers: &[SocketAddr]) -> List {
+    let spawn_query = |addr: &SocketAddr| {
         let (addr, pool) = (*addr, Arc::clone(pool));
-        ex.spawn(async move { (addr, ask(addr, &pool).await) })
+        executor.spawn(async move { (addr, fetch_status(addr, &pool).await) })
     };
-    let tasks: Vec<_> = routers.iter().map(ask).collect();
+    let tasks: Vec<_> = routers.iter().map(spawn_query).collect();
     let mut list = List { routers: Vec::with_capacity(tasks.len()) };
     for task in tasks {
-        let (address, answer) = task.await;
-        let (status, error) = match answer {
+        let (address, result) = task.await;
+        let (status, error) = match result {
             Ok(status) => (Some(status), None),
             Err(e) => (None, Some(e)),
         };
@@ -100,37 +100,37 @@
     list
 }
 
-async fn ask(addr: SocketAddr, pool: &Pool) -> Result<Status, String> {
-    let res = Exchange::get(addr, PATH).run(pool).await.map_err(|e| e.to_string())?;
-    if res.status() != StatusCode::OK {
-        return Err(res.status().to_string());
+async fn fetch_status(addr: SocketAddr, pool: &Pool) -> Result<Status, String> {
+    let response = Exchange::get(addr, STATUS_PATH).run(pool).await.map_err(|e| e.to_string())?;
+    if response.status() != StatusCode::OK {
+        return Err(response.status().to_string());
     }
-    serde_json::from_slice(res.body()).map_err(|e| e.to_string())
+    serde_json::from_slice(response.body()).map_err(|e| e.to_string())
 }
 
-impl Show for List {
-    fn show(&self) -> String {
-        let heading =
+impl Render for List {
+    fn render(&self) -> String {
+        let header =
             ["ADDRESS", "VM", "SITE", "FAILURE DOMAIN", "EPOCH", "READY", "IN FLIGHT", "ERROR"];
-        table(heading, self.routers.iter().map(row))
+        table(header, self.routers.iter().map(row))
     }
 }
 
 fn row(router: &Router) -> [String; 8] {
     let address = router.address.to_string();
     let error = router.error.clone().unwrap_or_default();
-    let Some(it) = &router.status else {
-        let none = String::new;
-        return [address, none(), none(), none(), none(), none(), none(), error];
+    let Some(status) = &router.status else {
+        let empty = String::new;
+        return [address, empty(), empty(), empty(), empty(), empty(), empty(), error];
     };
     [
         address,
-        it.vm.to_string(),
-        it.site.to_string(),
-        it.failure_domain.to_string(),
-        it.epoch.map_or("none".to_owned(), |it| it.to_string()),
-        if it.ready { "yes" } else { "no" }.to_owned(),
-        it.in_flight.to_string(),
+        status.vm.to_string(),
+        status.site.to_string(),
+        status.failure_domain.to_string(),
+        status.epoch.map_or("none".to_owned(), |it| it.to_string()),
+        if status.ready { "yes" } else { "no" }.to_owned(),
+        status.in_flight.to_string(),
         error,
     ]
 }
--- a/crates/curranthook_cli/src/command/withdraw.rs
+++ b/crates/curranthook_cli/src/command/withdraw.rs
@@ -7,7 +7,7 @@
     edit::{self, Applied},
 };
 
-/// Withdraws a version.
+/// Withdraws a version: it gets no new requests at any site.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, command::withdraw};
@@ -21,7 +21,7 @@
     edit::apply(ctx, &message, |document, stamp| document.withdraw(version, stamp)).await
 }
 
-/// Allows a withdrawn version again.
+/// Reinstates a withdrawn version.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, command::withdraw};
--- a/crates/curranthook_cli/src/context.rs
+++ b/crates/curranthook_cli/src/context.rs
@@ -5,16 +5,16 @@
 
 use crate::{Error, store::Retry};
 
-/// What commands work with besides their arguments.
+/// Shared state of commands: services, clock, operator name and retry policy.
 #[derive(Debug)]
 pub struct Context {
-    /// The platform, if the operator said where it is.
+    /// The platform's services, or `None` if no address was configured.
     pub platform: Option<Platform>,
-    /// The time.
+    /// The clock for timestamps and ages.
     pub clock: Arc<dyn Clock>,
-    /// Who gives the command; it stands in the published document.
-    pub by: String,
-    /// How patiently lost answers are settled.
+    /// Name of the operator who runs the command; it is recorded in the published document.
+    pub operator: String,
+    /// Retry policy for finding out whether a write with a lost response took effect.
     pub retry: Retry,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Context {
-    /// A context without a platform, which does for commands that only read files.
+    /// Creates a context without a platform, which is enough for commands that only read files.
     ///
     /// ```
     /// # use curranthook_cli::Context;
@@ -36,11 +36,11 @@
     /// let ctx = Context::new(std::sync::Arc::new(clock::System), "lan");
     /// assert!(ctx.platform.is_none());
     /// ```
-    pub fn new(clock: Arc<dyn Clock>, by: &str) -> Self {
-        Self { platform: None, clock, by: by.to_owned(), retry: Retry::default() }
+    pub fn new(clock: Arc<dyn Clock>, operator: &str) -> Self {
+        Self { platform: None, clock, operator: operator.to_owned(), retry: Retry::default() }
     }
 
-    /// The table service, or an error that says how to name it.
+    /// Returns the table service, or an error that explains how to configure the platform.
     ///
     /// ```
     /// # use curranthook_cli::{Context, Error};
@@ -52,7 +52,7 @@
         self.platform.as_ref().map(|it| &*it.table).ok_or(Error::NoPlatform)
     }
 
-    /// The object store, or an error that says how to name it.
+    /// Returns the object store, or an error that explains how to configure the platform.
     ///
     /// ```
     /// # use curranthook_cli::{Context, Error};
@@ -65,7 +65,7 @@
     }
 }
 
-/// A random id for a publication.
-pub(crate) fn publication() -> String {
+/// Generates a random 128-bit publication id in hexadecimal.
+pub(crate) fn new_publication_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
--- a/crates/curranthook_cli/src/edit.rs
+++ b/crates/curranthook_cli/src/edit.rs
@@ -1,7 +1,7 @@
-//! Edits that hold whatever else was changed in between, such as a withdrawal.
+//! Edits that remain valid after concurrent changes to the document, such as a withdrawal.
 //!
-//! When another operator was quicker, the edit is applied again to what they published. The
-//! operator who withdraws a bad version isn't asked to try again.
+//! If another operator publishes first, the edit is applied again to the newer document, so
+//! that an operator who withdraws a bad version does not have to repeat the command.
 
 use curranthook_settings::{
     Document,
@@ -12,30 +12,32 @@
 
 use crate::{
     Conflict, Context, Error, context,
-    output::Show,
+    output::Render,
     store::{self, Outcome},
 };
 
-/// How often an edit is applied to a newer document. Each time somebody else published within
-/// the milliseconds between our read and write.
-const ATTEMPTS: usize = 20;
+/// Maximum number of times an edit is applied. Each repetition means that another operator
+/// published within the milliseconds between this command's read and write.
+const MAX_ATTEMPTS: usize = 20;
 
-/// How an edit ended.
+/// The result of an edit.
 #[derive(Debug, Serialize)]
 pub struct Applied {
-    /// The epoch in which it is in force.
+    /// The epoch in which the edit is in force.
     pub epoch: Epoch,
-    /// What was done, in words.
+    /// A readable description of the edit.
     pub message: String,
 }
 
-impl Show for Applied {
-    fn show(&self) -> String {
+impl Render for Applied {
+    fn render(&self) -> String {
         format!("epoch {}: {}", self.epoch, self.message)
     }
 }
 
-/// Applies `edit` to the published document; `message` says what it does.
+/// Applies `edit` to the published document; `message` describes the edit in the result.
+///
+/// Retries on the newer document after a conflicting write.
 ///
 /// ```
 /// # use curranthook_cli::{Context, Error, edit};
@@ -50,13 +52,13 @@
     edit: impl Fn(&Document, &Stamp<'_>) -> Result<Document, document::Error>,
 ) -> Result<Applied, Error> {
     let table = ctx.table()?;
-    let mut first = None;
-    for _ in 0..ATTEMPTS {
+    let mut first_epoch = None;
+    for _ in 0..MAX_ATTEMPTS {
         let current = store::read(table).await?.ok_or(Error::NotPublished)?;
-        first.get_or_insert(current.document.epoch);
-        let publication = context::publication();
+        first_epoch.get_or_insert(current.document.epoch);
+        let publication_id = context::new_publication_id();
         let at_millis = ctx.clock.unix_millis();
-        let stamp = Stamp { by: &ctx.by, at_millis, publication: &publication };
+        let stamp = Stamp { by: &ctx.operator, at_millis, publication: &publication_id };
         let next = match edit(&current.document, &stamp) {
             Ok(next) => next,
             Err(e) if e.is_unchanged() => {
@@ -68,12 +70,12 @@
             return Ok(Applied { epoch: next.epoch, message: message.to_owned() });
         }
     }
-    let now = store::read(table).await?.ok_or(Error::NotPublished)?.document;
-    let expected = first.unwrap_or(now.epoch);
+    let latest = store::read(table).await?.ok_or(Error::NotPublished)?.document;
+    let expected = first_epoch.unwrap_or(latest.epoch);
     Err(Error::Conflict(Box::new(Conflict {
         expected,
-        epoch: now.epoch,
-        by: now.by,
+        epoch: latest.epoch,
+        by: latest.by,
         changes: Vec::new(),
     })))
 }
--- a/crates/curranthook_cli/src/error.rs
+++ b/crates/curranthook_cli/src/error.rs
@@ -9,42 +9,42 @@
 
 use crate::{exit::Code, store};
 
-/// Why a command wasn't carried out.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The files have errors.
-    #[error("{}", lines(.0))]
+    #[error("{}", findings_to_text(.0))]
     Check(Vec<Finding>),
-    /// Another operator was quicker.
+    /// Another operator published first.
     #[error("{0}")]
     Conflict(Box<Conflict>),
     /// The published document can't be read or replaced.
     #[error(transparent)]
     Store(#[from] store::Error),
-    /// The object store gives no answer.
+    /// A request to the object store failed.
     #[error(transparent)]
     Objects(#[from] curranthook_platform::Error),
-    /// A segment of bill lines can't be read. A sum without it would be too low.
-    #[error("segment {key} can't be read: {why}")]
+    /// A segment of bill lines can't be read. A sum without the segment would be too low.
+    #[error("segment {key} can't be read: {reason}")]
     Segment {
-        /// Its key in the object store.
+        /// The segment's key in the object store.
         key: String,
-        /// What is wrong with it.
-        why: String,
+        /// Why the segment can't be read.
+        reason: String,
     },
-    /// The edit makes no sense for what is published.
+    /// The edit is not valid for the published document.
     #[error(transparent)]
     Edit(#[from] document::Error),
-    /// Nothing was published yet.
-    #[error("nothing is published yet; `curranthook publish` does that")]
+    /// No document has been published yet.
+    #[error("nothing is published yet; run `curranthook publish` first")]
     NotPublished,
-    /// A command needs the platform and wasn't told where it is.
-    #[error("where is the platform? Give --platform or set CURRANTHOOK_PLATFORM")]
+    /// A command needs the platform, but no address was configured.
+    #[error("no platform address; give --platform or set CURRANTHOOK_PLATFORM")]
     NoPlatform,
-    /// Some routers gave no answer.
-    #[error("{0} of the routers gave no answer")]
-    NoAnswer(usize),
-    /// Reading the key or printing failed.
+    /// This many routers returned no usable status.
+    #[error("{0} of the routers returned no usable status")]
+    RoutersFailed(usize),
+    /// Reading standard input or a log file, or printing, failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The key on standard input is empty.
@@ -52,16 +52,16 @@
     NoKey,
 }
 
-/// What another operator published in the meantime.
+/// A publication by another operator that conflicts with this command.
 #[derive(Debug)]
 pub struct Conflict {
-    /// The epoch that this command started from.
+    /// The epoch that this command was based on, or that `--expect` named.
     pub expected: Epoch,
     /// The epoch in force now.
     pub epoch: Epoch,
-    /// Who published it.
+    /// The operator who published the epoch in force.
     pub by: String,
-    /// What it changed, if that is known.
+    /// The other operator's changes; empty if unknown.
     pub changes: Vec<Change>,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl Error {
-    /// The exit code that tells a script what went wrong.
+    /// Returns the exit code for this kind of error.
     ///
     /// ```
     /// # use curranthook_cli::{Error, exit::Code};
@@ -90,14 +90,14 @@
             Self::Check(_) => Code::Check,
             Self::Conflict(_) => Code::Conflict,
             Self::Store(store::Error::Indeterminate { .. }) => Code::Unknown,
-            // A read whose answer was lost did nothing, so there is nothing to be settled.
+            // A read has no effect, so a lost response to one leaves nothing undetermined.
             Self::Store(store::Error::Platform(Platform::Down(_) | Platform::Lost(_)))
             | Self::Objects(Platform::Down(_) | Platform::Lost(_)) => Code::Down,
             _ => Code::Other,
         }
     }
 
-    /// The error for scripts.
+    /// Formats the error as JSON for scripts.
     ///
     /// ```
     /// # use curranthook_cli::Error;
@@ -107,10 +107,10 @@
         let mut json = json!({ "code": self.code(), "message": self.to_string() });
         match self {
             Self::Check(findings) => json["findings"] = findings_to_json(findings),
-            Self::Conflict(it) => {
-                json["epoch"] = json!(it.epoch);
-                json["by"] = json!(it.by);
-                json["changes"] = json!(it.changes);
+            Self::Conflict(conflict) => {
+                json["epoch"] = json!(conflict.epoch);
+                json["by"] = json!(conflict.by);
+                json["changes"] = json!(conflict.changes);
             }
             _ => {}
         }
@@ -118,9 +118,9 @@
     }
 }
 
-/// Findings for scripts.
+/// Formats findings as JSON for scripts.
 pub(crate) fn findings_to_json(findings: &[Finding]) -> serde_json::Value {
-    let one = |it: &Finding| {
+    let to_json = |it: &Finding| {
         json!({
             "file": &*it.location.file,
             "line": it.location.line,
@@ -129,9 +129,9 @@
             "message": it.message,
         })
     };
-    findings.iter().map(one).collect()
+    findings.iter().map(to_json).collect()
 }
 
-fn lines(findings: &[Finding]) -> String {
+fn findings_to_text(findings: &[Finding]) -> String {
     findings.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
--- a/crates/curranthook_cli/src/lib.rs
+++ b/crates/curranthook_cli/src/lib.rs
@@ -1,8 +1,9 @@
 //! The operators' command line.
 //!
-//! [`args`] says what can be typed, [`command`] has a module for each subcommand, [`store`]
-//! reads and replaces the published document and settles lost answers, [`edit`] applies edits
-//! that can be applied again when another operator was quicker, and [`output`] prints.
+//! [`args`] defines the command-line arguments, and [`command`] has one module per subcommand.
+//! [`store`] reads and replaces the published document and determines whether a write took
+//! effect when its response was lost. [`edit`] applies edits that are retried on the newer
+//! document after a conflicting write by another operator. [`output`] prints results.
 
 pub mod args;
 pub mod command;
--- a/crates/curranthook_cli/src/output.rs
+++ b/crates/curranthook_cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for scripts.
+//! Output as text tables for interactive use or as JSON for scripts.
 
 use std::io::{self, Write};
 
@@ -6,23 +6,23 @@
 use serde::Serialize;
 use tabled::{builder::Builder, settings::Style};
 
-/// How results are printed.
+/// The output format.
 #[derive(Debug, Clone, Copy, Default, ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// A table, for interactive use.
     #[default]
     Table,
-    /// For scripts: one JSON value.
+    /// One JSON value, for scripts.
     Json,
 }
 
-/// A result that can be printed either way.
-pub trait Show: Serialize {
-    /// The text for people.
-    fn show(&self) -> String;
+/// A result that can be printed as text or as JSON.
+pub trait Render: Serialize {
+    /// Formats the result as text for [`Format::Table`].
+    fn render(&self) -> String;
 }
 
-/// Prints `result`.
+/// Prints `result` to `out` in `format`.
 ///
 /// ```
 /// # use curranthook_cli::{edit::Applied, output::{self, Format}};
@@ -31,21 +31,21 @@
 /// output::print(&applied, Format::Json, &mut out).unwrap();
 /// assert_eq!(out, b"{\n  \"epoch\": 0,\n  \"message\": \"m@1 withdrawn\"\n}\n");
 /// ```
-pub fn print(result: &impl Show, format: Format, out: &mut dyn Write) -> io::Result<()> {
+pub fn print(result: &impl Render, format: Format, out: &mut dyn Write) -> io::Result<()> {
     let text = match format {
-        Format::Table => result.show(),
+        Format::Table => result.render(),
         Format::Json => serde_json::to_string_pretty(result)?,
     };
     writeln!(out, "{}", text.trim_end())
 }
 
-/// A table with a heading.
+/// Formats a borderless table with a header row, without trailing spaces.
 pub(crate) fn table<const N: usize>(
-    heading: [&str; N],
+    header: [&str; N],
     rows: impl IntoIterator<Item = [String; N]>,
 ) -> String {
     let mut builder = Builder::default();
-    builder.push_record(heading);
+    builder.push_record(header);
     for row in rows {
         builder.push_record(row);
     }
@@ -55,21 +55,21 @@
     lines.lines().map(str::trim_end).collect::<Vec<_>>().join("\n")
 }
 
-/// How long ago `millis` was, for people.
-pub(crate) fn ago(millis: u64, now: u64) -> String {
-    const MINUTE: u64 = 60;
-    const HOUR: u64 = 60 * MINUTE;
-    const DAY: u64 = 24 * HOUR;
-    let secs = now.saturating_sub(millis) / 1_000;
+/// Formats the time elapsed from `at_millis` to `now_millis` in its largest whole unit.
+pub(crate) fn format_age(at_millis: u64, now_millis: u64) -> String {
+    const MINUTE_SECS: u64 = 60;
+    const HOUR_SECS: u64 = 60 * MINUTE_SECS;
+    const DAY_SECS: u64 = 24 * HOUR_SECS;
+    let secs = now_millis.saturating_sub(at_millis) / 1_000;
     match secs {
-        0..MINUTE => format!("{secs} s ago"),
-        MINUTE..HOUR => format!("{} min ago", secs / MINUTE),
-        HOUR..DAY => format!("{} h ago", secs / HOUR),
-        _ => format!("{} days ago", secs / DAY),
+        0..MINUTE_SECS => format!("{secs} s ago"),
+        MINUTE_SECS..HOUR_SECS => format!("{} min ago", secs / MINUTE_SECS),
+        HOUR_SECS..DAY_SECS => format!("{} h ago", secs / HOUR_SECS),
+        _ => format!("{} days ago", secs / DAY_SECS),
     }
 }
 
-/// Names in one cell.
-pub(crate) fn join<T: ToString>(names: impl IntoIterator<Item = T>) -> String {
+/// Joins names with commas, for one table cell.
+pub(crate) fn comma_separated<T: ToString>(names: impl IntoIterator<Item = T>) -> String {
     names.into_iter().map(|it| it.to_string()).collect::<Vec<_>>().join(", ")
 }
--- a/crates/curranthook_cli/src/run.rs
+++ b/crates/curranthook_cli/src/run.rs
@@ -11,30 +11,30 @@
     command::{
         accounts, bills, check, diff, drain, epoch, explain, publish, rollout, status, withdraw,
     },
-    output::{Format, Show, print},
+    output::{Format, Render, print},
 };
 
-/// What commands read, print to and call with.
+/// Standard input and output, and the output format.
 pub struct Terminal<'a> {
     /// Standard input.
     pub input: &'a mut dyn Read,
     /// Standard output.
     pub output: &'a mut dyn Write,
-    /// How to print.
+    /// The output format.
     pub format: Format,
 }
 
 impl Terminal<'_> {
-    fn print(&mut self, result: &impl Show) -> Result<(), Error> {
+    fn print(&mut self, result: &impl Render) -> Result<(), Error> {
         Ok(print(result, self.format, self.output)?)
     }
 }
 
-/// Carries out a command.
+/// Runs a command and prints its result.
 pub async fn run(
     command: &Command,
     ctx: &Context,
-    (ex, pool): (&runtime::Handle, &Arc<Pool>),
+    (executor, pool): (&runtime::Handle, &Arc<Pool>),
     terminal: &mut Terminal<'_>,
 ) -> Result<(), Error> {
     match command {
@@ -60,14 +60,14 @@
             terminal.print(&hash)
         }
         Command::Status { routers } => {
-            let list = status::run(ex, pool, routers).await;
+            let list = status::run(executor, pool, routers).await;
             terminal.print(&list)?;
-            list.check()
+            list.check_all_succeeded()
         }
         Command::Bills(args) => terminal.print(&bills::run(ctx, args).await?),
         Command::Explain { request, files } => {
-            let story = explain::run(request, files, terminal.input)?;
-            terminal.print(&story)
+            let timeline = explain::run(request, files, terminal.input)?;
+            terminal.print(&timeline)
         }
         Command::Epoch => terminal.print(&epoch::run(ctx).await?),
     }
--- a/crates/curranthook_cli/tests/explain.rs
+++ b/crates/curranthook_cli/tests/explain.rs
@@ -1,8 +1,8 @@
-//! From a request's id to what happened to it.
+//! Tests of `explain`: reconstructing the timeline of a request from node logs.
 
-use curranthook_cli::{command::explain, output::Show};
+use curranthook_cli::{command::explain, output::Render};
 
-const LOG: &str = r#"
+const NODE_LOGS: &str = r#"
   0.9 n-1 {"at_ms":900,"node":"n-1","event":"endpoint","endpoint":"e-1","service":"s","state":"ready","version":"v1","rev":3}
   0.9 n-1 {"at_ms":910,"node":"n-1","event":"endpoint","endpoint":"e-2","service":"s","state":"ready","version":"v1","rev":4}
   0.9 n-2 {"at_ms":950,"node":"n-2","event":"configuration","version":9,"before":8,"routes":1,"rev":5,"from":"store"}
@@ -14,12 +14,12 @@
   1.4 n-1 {"at_ms":1400,"node":"n-1","event":"ended","request":"r-1","status":502,"outcome":"endpoint_failed"}
 "#;
 
-/// An editor complains of one request. Its lines stand among those of all nodes and requests;
-/// what the node believed of the endpoint and the configuration stands in earlier lines.
+/// A user reports one failed request. Its events are mixed with those of other requests and
+/// nodes, and the endpoint and configuration state that its node used is in earlier events.
 #[test]
-fn a_request_s_way_with_what_its_node_believed() {
-    let story = explain::run("r-1", &[], &mut LOG.as_bytes()).unwrap();
-    let text = story.show();
+fn timeline_includes_latest_endpoint_and_configuration() {
+    let timeline = explain::run("r-1", &[], &mut NODE_LOGS.as_bytes()).unwrap();
+    let text = timeline.render();
     let lines: Vec<_> = text.lines().collect();
     assert_eq!(lines.len(), 6, "{text}");
     assert!(lines[1].contains("endpoint=e-1") && lines[1].contains("rev=3"), "{text}");
@@ -27,12 +27,12 @@
     assert!(lines[3].contains("+0.000 s  n-1  sent"), "{text}");
     assert!(lines[4].contains("why=cut") && lines[4].contains("execution=may_have_run"), "{text}");
     assert!(lines[5].contains("outcome=endpoint_failed"), "{text}");
-    assert_eq!(story.unread, 1);
+    assert_eq!(timeline.n_unparsed, 1);
 }
 
-/// Logs are cut and rotated: the lines may be gone.
+/// Logs are truncated and rotated, so the events of a request may be missing.
 #[test]
-fn an_unknown_request_is_said_to_be_unknown() {
-    let story = explain::run("r-9", &[], &mut LOG.as_bytes()).unwrap();
-    assert_eq!(story.show(), "no line of request r-9 was found");
+fn missing_request_is_reported() {
+    let timeline = explain::run("r-9", &[], &mut NODE_LOGS.as_bytes()).unwrap();
+    assert_eq!(timeline.render(), "no line of request r-9 was found");
 }
