--- a/crates/curranthook_cli/src/command/accounts.rs
+++ b/crates/curranthook_cli/src/command/accounts.rs
@@ -1,4 +1,4 @@
-//! `curranthook accounts`
+//! The `curranthook accounts` subcommand.
 
 use std::io::Read;
 
--- a/crates/curranthook_cli/src/command/bills.rs
+++ b/crates/curranthook_cli/src/command/bills.rs
@@ -1,4 +1,4 @@
-//! `curranthook bills`
+//! The `curranthook bills` subcommand.
 
 use std::{
     cmp::Reverse,
--- a/crates/curranthook_cli/src/command/check.rs
+++ b/crates/curranthook_cli/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `curranthook check`
+//! The `curranthook check` subcommand.
 
 use std::collections::BTreeMap;
 
--- a/crates/curranthook_cli/src/command/diff.rs
+++ b/crates/curranthook_cli/src/command/diff.rs
@@ -1,4 +1,4 @@
-//! `curranthook diff`
+//! The `curranthook diff` subcommand.
 
 use curranthook_settings::{
     Document,
--- a/crates/curranthook_cli/src/command/drain.rs
+++ b/crates/curranthook_cli/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! `curranthook drain` and `curranthook undrain`
+//! The `curranthook drain` and `curranthook undrain` subcommands.
 
 use curranthook_types::endpoint;
 
--- a/crates/curranthook_cli/src/command/epoch.rs
+++ b/crates/curranthook_cli/src/command/epoch.rs
@@ -1,4 +1,4 @@
-//! `curranthook epoch`
+//! The `curranthook epoch` subcommand.
 
 use curranthook_types::Epoch;
 use serde::Serialize;
--- a/crates/curranthook_cli/src/command/explain.rs
+++ b/crates/curranthook_cli/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `curranthook explain`
+//! The `curranthook explain` subcommand.
 
 use std::{
     fs::File,
@@ -11,8 +11,8 @@
 
 use crate::{Error, output::Render};
 
-/// Fields that are printed at the start of a line, or once for the whole request, instead of
-/// with the other fields.
+/// Fields that `render` does not list among the other fields of an event, because they are printed
+/// before them or once for the whole request.
 const HEADER_FIELDS: [&str; 4] = ["at_ms", "node", "event", "request"];
 
 /// The events of a request on all nodes.
--- a/crates/curranthook_cli/src/command/publish.rs
+++ b/crates/curranthook_cli/src/command/publish.rs
@@ -1,4 +1,4 @@
-//! `curranthook publish`
+//! The `curranthook publish` subcommand.
 
 use curranthook_settings::{
     Document,
--- a/crates/curranthook_cli/src/command/rollout.rs
+++ b/crates/curranthook_cli/src/command/rollout.rs
@@ -1,4 +1,4 @@
-//! `curranthook rollout`
+//! The `curranthook rollout` subcommand.
 
 use std::collections::BTreeMap;
 
--- a/crates/curranthook_cli/src/command/status.rs
+++ b/crates/curranthook_cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `curranthook status`
+//! The `curranthook status` subcommand.
 
 use std::{net::SocketAddr, sync::Arc};
 
--- a/crates/curranthook_cli/src/command/withdraw.rs
+++ b/crates/curranthook_cli/src/command/withdraw.rs
@@ -1,4 +1,4 @@
-//! `curranthook withdraw` and `curranthook reinstate`
+//! The `curranthook withdraw` and `curranthook reinstate` subcommands.
 
 use curranthook_types::version;
 
--- a/crates/curranthook_cli/src/context.rs
+++ b/crates/curranthook_cli/src/context.rs
@@ -14,7 +14,7 @@
     pub clock: Arc<dyn Clock>,
     /// Name of the operator who runs the command; it is recorded in the published document.
     pub operator: String,
-    /// Retry policy for finding out whether a write with a lost response took effect.
+    /// Retry policy for determining whether a write with a lost response took effect.
     pub retry: Retry,
 }
 
--- a/crates/curranthook_cli/src/edit.rs
+++ b/crates/curranthook_cli/src/edit.rs
@@ -16,8 +16,8 @@
     store::{self, Outcome},
 };
 
-/// Maximum number of times an edit is applied. Each repetition means that another operator
-/// published within the milliseconds between this command's read and write.
+/// Maximum number of times an edit is applied to a newly read document. Each repetition means that
+/// another operator published within the milliseconds between this command's read and write.
 const MAX_ATTEMPTS: usize = 20;
 
 /// The result of an edit.
--- a/crates/curranthook_cli/src/exit.rs
+++ b/crates/curranthook_cli/src/exit.rs
@@ -9,8 +9,8 @@
   2  the files have errors; nothing was published
   3  another operator published first; nothing was published
   4  the platform is down; nothing was published
-  5  unknown: the platform's response was lost, so the command may or may not have taken
-     effect; run it again";
+  5  unknown: the platform's response was lost, and whether the command took effect couldn't be
+     determined; run the command again";
 
 /// The exit code of the process.
 #[derive(Debug, PartialEq, Eq, Serialize)]
