--- a/crates/curranthook_peers/src/store.rs
+++ b/crates/curranthook_peers/src/store.rs
@@ -32,7 +32,7 @@
 
 async fn count_stored(objects: &dyn Objects, segment: &Segment) -> Result<usize, Error> {
     let key = segment.key();
-    let invalid = |reason: &str| Error::Garbled(format!("{key}: {reason}"));
+    let invalid = |reason: &str| Error::Malformed(format!("{key}: {reason}"));
     let bytes = objects
         .get(&key)
         .await?
--- a/crates/curranthook_platform/src/client.rs
+++ b/crates/curranthook_platform/src/client.rs
@@ -21,7 +21,7 @@
 use parking_lot::Mutex;
 use serde::Deserialize;
 
-use crate::{Answer, Error, Objects, Row, Table, Tag, Vm, Vms, Write};
+use crate::{BoxFuture, Error, Objects, Row, Table, Tag, Vm, Vms, Write};
 
 /// How long one call may take. Longer waits would hold callers back during an outage.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -93,7 +93,7 @@
         match res.status() {
             StatusCode::OK | StatusCode::CREATED => Ok(Write::Done(tag(&res)?)),
             StatusCode::PRECONDITION_FAILED => Ok(Write::Conflict),
-            status => Err(Error::Garbled(status.to_string())),
+            status => Err(Error::Malformed(status.to_string())),
         }
     }
 }
@@ -106,15 +106,15 @@
 
 fn tag(res: &http::Response<Bytes>) -> Result<Tag, Error> {
     let etag = res.headers().get(header::ETAG).and_then(|it| it.to_str().ok());
-    etag.map(|it| Tag(it.to_owned())).ok_or_else(|| Error::Garbled("no ETag".to_owned()))
+    etag.map(|it| Tag(it.to_owned())).ok_or_else(|| Error::Malformed("no ETag".to_owned()))
 }
 
 fn parse<'a, T: Deserialize<'a>>(res: &'a http::Response<Bytes>) -> Result<T, Error> {
-    serde_json::from_slice(res.body()).map_err(|e| Error::Garbled(e.to_string()))
+    serde_json::from_slice(res.body()).map_err(|e| Error::Malformed(e.to_string()))
 }
 
 impl Table for Client {
-    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> Answer<'a, Option<Row>> {
+    fn get<'a>(&'a self, table: &'a str, key: &'a str) -> BoxFuture<'a, Option<Row>> {
         self.get_newer(table, key, None)
     }
 
@@ -123,7 +123,7 @@
         table: &'a str,
         key: &'a str,
         known: Option<&'a Tag>,
-    ) -> Answer<'a, Option<Row>> {
+    ) -> BoxFuture<'a, Option<Row>> {
         Box::pin(async move {
             let condition = known.map(|tag| ("if-none-match", tag.0.as_str()));
             let path = format!("/table/{table}/{key}");
@@ -134,12 +134,12 @@
                     Ok(Some(Row { key: key.to_owned(), tag, value: res.into_body() }))
                 }
                 StatusCode::NOT_MODIFIED | StatusCode::NOT_FOUND => Ok(None),
-                status => Err(Error::Garbled(status.to_string())),
+                status => Err(Error::Malformed(status.to_string())),
             }
         })
     }
 
-    fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> Answer<'a, Vec<Row>> {
+    fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> BoxFuture<'a, Vec<Row>> {
         Box::pin(async move {
             let path = format!("/table/{table}?prefix={prefix}");
             let res = self.call(Method::GET, path, None, Bytes::new()).await?;
@@ -149,7 +149,7 @@
         })
     }
 
-    fn insert<'a>(&'a self, table: &'a str, key: &'a str, value: Bytes) -> Answer<'a, Write> {
+    fn insert<'a>(&'a self, table: &'a str, key: &'a str, value: Bytes) -> BoxFuture<'a, Write> {
         let path = format!("/table/{table}/{key}");
         Box::pin(self.write(path, ("if-none-match", "*"), value))
     }
@@ -160,30 +160,30 @@
         key: &'a str,
         tag: &'a Tag,
         value: Bytes,
-    ) -> Answer<'a, Write> {
+    ) -> BoxFuture<'a, Write> {
         let path = format!("/table/{table}/{key}");
         Box::pin(self.write(path, ("if-match", &tag.0), value))
     }
 }
 
 impl Objects for Client {
-    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> Answer<'a, Write> {
+    fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> BoxFuture<'a, Write> {
         Box::pin(self.write(format!("/objects/{key}"), ("if-none-match", "*"), value))
     }
 
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Bytes>> {
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Option<Bytes>> {
         Box::pin(async move {
             let path = format!("/objects/{key}");
             let res = self.call(Method::GET, path, None, Bytes::new()).await?;
             match res.status() {
                 StatusCode::OK => Ok(Some(res.into_body())),
                 StatusCode::NOT_FOUND => Ok(None),
-                status => Err(Error::Garbled(status.to_string())),
+                status => Err(Error::Malformed(status.to_string())),
             }
         })
     }
 
-    fn list<'a>(&'a self, prefix: &'a str) -> Answer<'a, Vec<String>> {
+    fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Vec<String>> {
         Box::pin(async move {
             let path = format!("/objects?prefix={prefix}");
             parse(&self.call(Method::GET, path, None, Bytes::new()).await?)
@@ -192,7 +192,7 @@
 }
 
 impl Vms for Client {
-    fn all(&self) -> Answer<'_, Vec<Vm>> {
+    fn all(&self) -> BoxFuture<'_, Vec<Vm>> {
         Box::pin(async move {
             let known = self.vms.lock().clone();
             let condition = known.as_ref().map(|it| ("if-none-match", it.tag.0.as_str()));
