--- a/crates/curranthook_types/src/account.rs
+++ b/crates/curranthook_types/src/account.rs
@@ -1,5 +1,5 @@
-//! Client accounts: who calls, pays and is allowed what.
+//! Client accounts, to which requests are authenticated, authorised and billed.
 
 crate::id::declare! {
-    /// The id of a client account, as operators write it.
+    /// The id of a client account, as written in the configuration.
 }
--- a/crates/curranthook_types/src/bill.rs
+++ b/crates/curranthook_types/src/bill.rs
@@ -1,51 +1,51 @@
-//! Bill lines: what a client account pays for one request.
+//! Bill lines: the charge to a client account for one request.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{account, price, request, vm};
 
-/// One line of the bill. There is one for each request id, whatever the attempts.
+/// One line of the bill. Each request id has one line, however many attempts were made.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// The request.
+    /// The request that is billed.
     pub request: request::Id,
-    /// Who pays.
+    /// The account that is charged.
     pub account: account::Id,
-    /// The version that gave the answer, or the name of the plain service.
+    /// The version that generated the response, or the name of the plain service.
     pub served_by: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens in the response.
     pub completion_tokens: u64,
-    /// The price of the answer and of the attempts before it.
+    /// The cost of the response and of the attempts before it.
     pub cost: price::Micros,
-    /// When the answer was complete, in milliseconds since 1970.
+    /// When the response was complete, in milliseconds since the Unix epoch.
     pub at_millis: u64,
 }
 
-/// Where a line was first written down; `(vm, incarnation, sequence)` names it for good, so a
-/// line that is stored twice is recognised.
+/// The process that first recorded a line. `(vm, incarnation, sequence)` identifies the line
+/// permanently, so a line that is stored twice is recognised as a duplicate.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The VM whose router answered.
+    /// The VM whose router served the request.
     pub vm: vm::Id,
-    /// Which process of that VM.
+    /// The incarnation of that VM, which identifies the process.
     pub incarnation: vm::Incarnation,
 }
 
-/// A run of lines of one origin, as stored in the object store.
+/// Consecutive lines of one origin, stored as one object in the object store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Whose lines.
+    /// The origin of all lines.
     pub origin: Origin,
     /// The sequence number of the first line.
     pub first: u64,
-    /// The lines, in sequence.
+    /// The lines, in order of their sequence numbers.
     pub lines: Vec<Line>,
 }
 
 impl Segment {
-    /// The object key, the same for owner and replicas.
+    /// The object key, the same whether the origin or a replica stores the segment.
     ///
     /// ```
     /// # use curranthook_types::bill::{Origin, Segment};
--- a/crates/curranthook_types/src/chat.rs
+++ b/crates/curranthook_types/src/chat.rs
@@ -1,21 +1,22 @@
-//! The part of the chat-completions interface that the router reads.
+//! The part of the chat completions API that the router reads.
 
 use serde::{Deserialize, Serialize};
 
-/// A request. Fields that the router has no use for are kept in `rest` and passed on.
+/// A chat completion request. Fields that the router does not use are kept in `rest` and
+/// forwarded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// The model, a version of it (`model@version`), or `auto`.
+    /// The model, a version of it (`model@version`), or `auto` to let the router choose.
     pub model: String,
     /// The conversation so far.
     pub messages: Vec<Message>,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the response is streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens in the response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub rest: serde_json::Map<String, serde_json::Value>,
 }
@@ -25,58 +26,59 @@
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// The text.
+    /// The text of the message.
     pub content: String,
 }
 
-/// Tokens counted by the engine.
+/// Token counts reported by the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens in the response.
     pub completion_tokens: u64,
 }
 
-/// A whole answer (`choices[].message`) or one event of a stream (`choices[].delta`).
+/// A complete response (`choices[].message`) or one event of a streamed response
+/// (`choices[].delta`).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The id of the request that this answers.
+    /// The id of the request that is answered.
     pub id: String,
     /// `chat.completion` or `chat.completion.chunk`.
     pub object: String,
-    /// The version that answers.
+    /// The version that generated the response.
     pub model: String,
-    /// One choice; the router asks for no more.
+    /// A single choice: the router does not request more than one.
     pub choices: Vec<Choice>,
-    /// On whole answers and on the last event of a stream.
+    /// Token counts, on complete responses and on the last event of a stream.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// One choice of an answer.
+/// One choice of a response.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
-    /// Its place among the choices.
+    /// The index among the choices of the response.
     pub index: u64,
-    /// The whole message.
+    /// The message of a complete response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub message: Option<Message>,
-    /// The next piece of a stream.
+    /// The next part of a streamed message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
-    /// `stop` or `length` at the end.
+    /// `stop` or `length` when the message is complete.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// A piece of a streamed message.
+/// A part of a streamed message.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The text, one token an event.
+    /// The text, one token per event.
     #[serde(default)]
     pub content: String,
 }
 
-/// The data of the event that ends a stream. A stream without it was cut short.
+/// The data of the event that ends a stream. A stream without it was truncated.
 pub const END_MARKER: &str = "[DONE]";
--- a/crates/curranthook_types/src/clock.rs
+++ b/crates/curranthook_types/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time, passed in as an interface so that tests can hold it still.
+//! Clocks, passed as an interface so that tests can control time.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -7,19 +7,19 @@
 
 /// A source of time.
 pub trait Clock: std::fmt::Debug + Send + Sync {
-    /// A reading that never goes back, for durations and time limits.
+    /// The monotonic time, for durations and timeouts.
     fn now(&self) -> Instant;
-    /// The wall clock, for what other processes read.
+    /// The wall-clock time, for timestamps that other processes read.
     fn wall(&self) -> SystemTime;
 
-    /// The wall clock in milliseconds since 1970.
+    /// The wall-clock time in milliseconds since the Unix epoch.
     fn unix_millis(&self) -> u64 {
-        let since = self.wall().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+        let since_epoch = self.wall().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
     }
 }
 
-/// The machine's own clock.
+/// The clock of the operating system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct System;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// A clock that advances only on calls of [`Manual::advance`].
 ///
 /// ```
 /// # use curranthook_types::clock::{Clock, Manual};
@@ -57,7 +57,7 @@
 }
 
 impl Manual {
-    /// Moves the clock on by `step`, to the microsecond.
+    /// Advances the clock by `step`, truncated to whole microseconds.
     pub fn advance(&self, step: Duration) {
         let micros = u64::try_from(step.as_micros()).unwrap_or(u64::MAX);
         self.elapsed_micros.fetch_add(micros, Ordering::SeqCst);
--- a/crates/curranthook_types/src/epoch.rs
+++ b/crates/curranthook_types/src/epoch.rs
@@ -1,8 +1,9 @@
-//! The number of a published configuration.
+//! Epochs, which number the published configurations.
 
 use serde::{Deserialize, Serialize};
 
-/// Counts published configurations of the fleet. A node only ever moves to a higher one.
+/// The number of a published configuration of the fleet. A node only ever switches to a higher
+/// epoch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -10,7 +11,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch that the next publication gets.
+    /// The epoch of the next publication.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/curranthook_types/src/id.rs
+++ b/crates/curranthook_types/src/id.rs
@@ -1,4 +1,4 @@
-/// Declares `Id`, a string wrapper that serialises as the plain string.
+/// Declares `Id`, a wrapper around a string that serialises as the plain string.
 macro_rules! declare {
     ($(#[$doc:meta])*) => {
         $(#[$doc])*
@@ -9,12 +9,12 @@
         pub struct Id(std::sync::Arc<str>);
 
         impl Id {
-            /// Wraps `name`; any string is allowed, settings check the form.
+            /// Wraps `name`. Any string is accepted; checking the settings validates the format.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(name.as_ref().into())
             }
 
-            /// The id as text.
+            /// The id as a string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/curranthook_types/src/kind.rs
+++ b/crates/curranthook_types/src/kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of work: what a request is for, which sets the quality it needs.
+//! Kinds of work: the purpose of a request, which determines the quality that it needs.
 
 crate::id::declare! {
     /// The name of a kind of work, such as `summary`.
--- a/crates/curranthook_types/src/lib.rs
+++ b/crates/curranthook_types/src/lib.rs
@@ -1,10 +1,10 @@
-//! Ids, units, refusals and the clock that all other crates share.
+//! Ids, units, refusals and clocks, shared by all other crates.
 //!
-//! Start at [`refusal`]: it lists every way in which a request can be turned away, what that
-//! says about whether the request ran, and the counter that goes with it. [`retry`] does the
-//! same for second attempts. The id types ([`account`], [`version`], [`endpoint`], [`vm`],
-//! [`domain`], [`request`], [`session`]) are thin wrappers over strings, so that one can't be
-//! passed where another is meant. [`clock`] is the only source of time in the workspace.
+//! [`refusal`] is the best starting point: it lists every reason for which a request can be
+//! refused, whether the refused request ran, and the counter of each reason. [`retry`] does the
+//! same for retries. The id types ([`account`], [`version`], [`endpoint`], [`vm`], [`domain`],
+//! [`request`], [`session`]) are thin wrappers around strings, so that an id of one type can't be
+//! passed for another. [`clock`] is the only source of time in the workspace.
 
 pub mod account;
 pub mod bill;
--- a/crates/curranthook_types/src/price.rs
+++ b/crates/curranthook_types/src/price.rs
@@ -1,4 +1,4 @@
-//! Money, counted in millionths of the site's currency.
+//! Prices, in millionths of the site's currency.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,18 +9,18 @@
 #[serde(transparent)]
 pub struct Micros(pub u64);
 
-/// What a version costs.
+/// The price of a version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
-    /// For a thousand tokens of the prompt.
+    /// The price of a thousand tokens of the prompt.
     pub prompt: Micros,
-    /// For a thousand tokens of the answer.
+    /// The price of a thousand tokens of the response.
     pub completion: Micros,
 }
 
 impl Rate {
-    /// The cost of one answer.
+    /// The cost of one response, rounded up.
     ///
     /// ```
     /// # use curranthook_types::price::{Micros, Rate};
@@ -28,8 +28,8 @@
     /// assert_eq!(rate.cost(500, 1_000), Micros(450));
     /// ```
     pub fn cost(&self, prompt_tokens: u64, completion_tokens: u64) -> Micros {
-        const UNIT: u64 = 1_000;
+        const TOKENS_PER_PRICE: u64 = 1_000;
         let total = self.prompt.0 * prompt_tokens + self.completion.0 * completion_tokens;
-        Micros(total.div_ceil(UNIT))
+        Micros(total.div_ceil(TOKENS_PER_PRICE))
     }
 }
--- a/crates/curranthook_types/src/refusal.rs
+++ b/crates/curranthook_types/src/refusal.rs
@@ -1,21 +1,21 @@
-//! Refusals: every way in which a request is turned away, and whether it ran.
+//! Refusals: every reason for which a request is refused, and whether the request ran.
 //!
 //! The body of a refusal is JSON, `{"error": {"code", "message", "not_run", "retry_after_ms"}}`.
-//! `not_run: true` is a promise: no endpoint began the request. It may be said only if no byte
-//! went to an endpoint, or the endpoint itself said that it had not begun.
+//! `not_run: true` guarantees that no endpoint started the request. It may be set only if no byte
+//! was sent to an endpoint, or if the endpoint itself reported that it had not started.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// Why a request was refused. Each has its counter, `refusal.<name>`.
+/// Why a request was refused. Each reason has a counter, `refusal.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
     /// No API key, or one that belongs to no account.
     Unauthenticated,
-    /// The request can't be read: bad JSON, header or field.
+    /// The request can't be parsed: invalid JSON, header or field.
     Malformed,
     /// The body is larger than the limit.
     TooLarge,
@@ -23,25 +23,25 @@
     NotFound,
     /// The model or service isn't in the configuration.
     UnknownModel,
-    /// The account may not use this model, version or service.
+    /// The account is not allowed to use this model, version or service.
     NotAllowed,
     /// The version was withdrawn.
     Withdrawn,
-    /// The session's version was withdrawn, and the account doesn't let sessions move.
+    /// The session's version was withdrawn, and the account doesn't allow moving sessions.
     PinnedWithdrawn,
-    /// The session token is forged, expired or another account's.
+    /// The session token is forged or expired, or belongs to another account.
     BadToken,
-    /// The account is over its limit.
+    /// The account exceeded its rate limit.
     OverLimit,
     /// All endpoints are busy and the queue can't serve this request by its deadline.
     Overloaded,
     /// No endpoint that may serve this request is reachable.
     NoEndpoint,
-    /// The deadline passed.
+    /// The deadline of the request passed.
     Deadline,
-    /// The request took down the endpoints that ran it.
+    /// The request made the endpoints that ran it fail.
     Poison,
-    /// A call that may not be repeated came without an idempotency key.
+    /// A call that must not run twice has no idempotency key.
     KeyMissing,
     /// The idempotency key was used before with another body.
     KeyReused,
@@ -49,7 +49,7 @@
     KeyClaimed,
     /// The platform's table service can't be reached, and this call needs it.
     PlatformDown,
-    /// The endpoint failed after it may have begun.
+    /// The endpoint failed after it may have started the request.
     EndpointFailed,
     /// The node has no configuration yet.
     NotReady,
@@ -58,46 +58,46 @@
 /// Whether a refused request was run by an endpoint. In JSON, `not_run` is `true`, `false` or
 /// the text `"unknown"`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "Told", into = "Told")]
+#[serde(from = "Wire", into = "Wire")]
 pub enum Run {
-    /// No endpoint began it.
+    /// No endpoint started the request.
     Not,
-    /// An endpoint ran it.
+    /// An endpoint ran the request.
     Ran,
-    /// Bytes were sent and no word came back that tells.
+    /// Bytes were sent to an endpoint, and no response says whether the request ran.
     Unknown,
 }
 
-/// The form of [`Run`] in JSON.
+/// The JSON form of [`Run`].
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
-enum Told {
+enum Wire {
     Known(bool),
-    Other(Unsure),
+    Other(Marker),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Unsure {
+enum Marker {
     Unknown,
 }
 
-impl From<Told> for Run {
-    fn from(told: Told) -> Self {
-        match told {
-            Told::Known(true) => Self::Not,
-            Told::Known(false) => Self::Ran,
-            Told::Other(Unsure::Unknown) => Self::Unknown,
+impl From<Wire> for Run {
+    fn from(wire: Wire) -> Self {
+        match wire {
+            Wire::Known(true) => Self::Not,
+            Wire::Known(false) => Self::Ran,
+            Wire::Other(Marker::Unknown) => Self::Unknown,
         }
     }
 }
 
-impl From<Run> for Told {
+impl From<Run> for Wire {
     fn from(run: Run) -> Self {
         match run {
             Run::Not => Self::Known(true),
             Run::Ran => Self::Known(false),
-            Run::Unknown => Self::Other(Unsure::Unknown),
+            Run::Unknown => Self::Other(Marker::Unknown),
         }
     }
 }
@@ -127,7 +127,7 @@
         Self::NotReady,
     ];
 
-    /// The code in the body and the last part of the counter's name.
+    /// The code in the response body, and the last part of the counter's name.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unauthenticated => "unauthenticated",
@@ -172,25 +172,25 @@
     }
 }
 
-/// A refusal as the caller sees it.
+/// A refusal as sent to the caller.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{}: {message}", code.name())]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub code: Reason,
-    /// One sentence for a person.
+    /// A human-readable explanation, one sentence.
     pub message: String,
-    /// Whether an endpoint began the request.
+    /// Whether an endpoint started the request.
     pub not_run: Run,
-    /// When to come back, if that can help.
+    /// The time after which to retry, if a retry can succeed.
     #[serde(rename = "retry_after_ms", default, skip_serializing_if = "Option::is_none")]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of a request that no endpoint has begun.
+    /// A refusal of a request that no endpoint has started.
     ///
     /// ```
     /// # use curranthook_types::refusal::{Reason, Refusal, Run};
@@ -201,17 +201,17 @@
         Self { code, message: message.into(), not_run: Run::Not, retry_after: None }
     }
 
-    /// A refusal of a request that an endpoint may have begun.
+    /// A refusal of a request that an endpoint may have started.
     pub fn unknown(code: Reason, message: impl Into<String>) -> Self {
         Self { not_run: Run::Unknown, ..Self::not_run(code, message) }
     }
 
-    /// Adds the time after which to come back.
+    /// Sets the time after which to retry.
     pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Self { retry_after: Some(retry_after), ..self }
     }
 
-    /// The JSON body.
+    /// The JSON body of the response.
     ///
     /// ```
     /// # use curranthook_types::refusal::{Reason, Refusal};
--- a/crates/curranthook_types/src/retry.rs
+++ b/crates/curranthook_types/src/retry.rs
@@ -1,28 +1,29 @@
-//! Why a request is tried a second time.
+//! Why a request is retried.
 
 use serde::{Deserialize, Serialize};
 
-/// The reason for another attempt. Each has its counter, `retry.<name>`.
+/// The reason for another attempt. Each reason has a counter, `retry.<name>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// No connection could be made, so nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     Connect,
-    /// The endpoint said that it is leaving and has not begun.
+    /// The endpoint reported that it is shutting down and has not started the request.
     EndpointLeaving,
-    /// The endpoint said that it is full and has not begun.
+    /// The endpoint reported that it is full and has not started the request.
     EndpointFull,
-    /// The first byte took longer than this endpoint's usual time; idempotent calls only.
+    /// The first byte took longer than usual for this endpoint; idempotent calls only.
     SlowFirstByte,
-    /// The connection closed before any byte of an answer; idempotent calls only.
+    /// The connection closed before the first byte of a response; idempotent calls only.
     ClosedEarly,
-    /// The answer carried another request's id; idempotent calls only.
+    /// The response carried the id of another request; idempotent calls only.
     ForeignAnswer,
-    /// The endpoint answered with a server error; idempotent calls only.
+    /// The endpoint returned a server error; idempotent calls only.
     ServerError,
-    /// The stream broke off and was taken up again from where it stopped.
+    /// The stream was interrupted and resumed where it stopped.
     Resumed,
-    /// The cheap answer was rated too low, so the next version was asked.
+    /// The response of a cheaper version was rated too low, so the request went to the next
+    /// version.
     Escalated,
 }
 
--- a/crates/curranthook_types/src/vm.rs
+++ b/crates/curranthook_types/src/vm.rs
@@ -1,9 +1,10 @@
-//! Entry VMs: the machines that run a router and a steward.
+//! Entry VMs, each of which runs a router and a steward.
 
 crate::id::declare! {
-    /// The id of a VM. A replaced VM may get its forerunner's id; the incarnation tells them apart.
+    /// The id of a VM. A replacement VM may get the id of its predecessor; the incarnation
+    /// distinguishes them.
 }
 
-/// Tells a VM from its forerunner of the same id or address: milliseconds since 1970 at the
-/// start of the process, so a later process has the higher number.
+/// Distinguishes a VM from its predecessor of the same id or address: milliseconds since the Unix
+/// epoch at the start of the process, so a later process has the higher number.
 pub type Incarnation = u64;
