--- a/crates/curranthook_publish/src/lib.rs
+++ b/crates/curranthook_publish/src/lib.rs
@@ -1,6 +1,7 @@
 //! Reads and replaces the published configuration.
 //!
-//! [`store::read`] gives the document with the state of its row, [`store::write`] replaces
-//! exactly that state and settles a lost answer by reading back.
+//! [`store::read`] returns the document with the entity tag of its row. [`store::write`] replaces
+//! the row only if the tag still matches; if the response is lost, it reads the row back to find
+//! out whether the write took effect.
 
 pub mod store;
--- a/crates/curranthook_publish/src/store.rs
+++ b/crates/curranthook_publish/src/store.rs
@@ -1,4 +1,4 @@
-//! The published document in the platform's table.
+//! Access to the published document in the platform's table.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 /// Why the document can't be read or replaced.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The table service gives no answer.
+    /// The call to the table service failed.
     #[error(transparent)]
     Platform(#[from] Platform),
-    /// The row doesn't hold a document that this program understands.
-    #[error("the published document can't be read: {0}")]
+    /// The value of the row can't be parsed as a document.
+    #[error("the published document can't be parsed: {0}")]
     Unreadable(String),
-    /// An answer was lost and reading back didn't tell whether the write took effect.
+    /// A response was lost, and reading the row back did not show whether the write took effect.
     #[error(
-        "unknown: the platform's answer to publication {publication} was lost, and whether it \
-         took effect couldn't be settled; run the command again"
+        "unknown: the platform's response to publication {publication} was lost, and reading the \
+         row back did not show whether it took effect; run the command again"
     )]
     Indeterminate {
         /// The id of the publication.
@@ -26,48 +26,48 @@
     },
 }
 
-/// The document as read.
+/// A document as read from the table.
 #[derive(Debug)]
 pub struct Stored {
-    /// The document.
+    /// The parsed document.
     pub document: Document,
-    /// The state of its row, for a later write.
+    /// The entity tag of its row, for a later conditional write.
     pub tag: Tag,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Debug)]
 pub enum Outcome {
     /// The document is published.
     Done,
-    /// Another one was published first; the one in force now, if it could be read.
+    /// Another document was published first. Holds the current one, if it could be read.
     Conflict(Option<Box<Document>>),
 }
 
-/// How patiently lost answers are settled.
+/// The retry policy for writes.
 #[derive(Debug, Clone, Copy)]
 pub struct Retry {
-    /// How often a write is tried at most.
+    /// The maximum number of attempts of a write.
     pub max_attempts: usize,
-    /// The time between two tries.
+    /// The time between two attempts.
     pub interval: Duration,
 }
 
 impl Default for Retry {
     fn default() -> Self {
-        // With the platform's own time limits this bears an outage of some seconds. An operator
-        // sits in front of it and won't wait for much longer.
+        // Together with the timeouts of the platform calls, this covers an outage of a few
+        // seconds. An operator waits for the command and would not wait much longer.
         Self { max_attempts: 8, interval: Duration::from_millis(500) }
     }
 }
 
-/// Reads the document; `None` if nothing was published yet.
+/// Reads the document. Returns `None` if nothing was published yet.
 pub async fn read(table: &dyn Table) -> Result<Option<Stored>, Error> {
     read_newer(table, None).await
 }
 
-/// Reads the document unless its row is still in state `known`; `None` then, and if nothing was
-/// published yet.
+/// Reads the document unless the tag of its row is still `known`. Returns `None` in that case, and
+/// if nothing was published yet.
 pub async fn read_newer(table: &dyn Table, known: Option<&Tag>) -> Result<Option<Stored>, Error> {
     let (name, key) = ROW;
     let Some(row) = table.get_newer(name, key, known).await? else { return Ok(None) };
@@ -76,59 +76,66 @@
     Ok(Some(Stored { document, tag: row.tag }))
 }
 
-/// Writes `next` in place of the row in state `tag`, or as the first document.
+/// Replaces the row if its tag is still `tag`, or inserts the first document if there is no `tag`.
 ///
-/// The answer can be lost after the write took effect. Reporting a failure would then have the
-/// operator publish twice, and reporting success might be a lie. So the row is read back: the
-/// random id of the publication tells whether it is ours. If the row hasn't changed, the lost
-/// write may still be on its way; it's sent again under the same condition, of which at most
-/// one can hold.
+/// The response can be lost after the write took effect. Reporting a failure would then make the
+/// operator publish twice, and reporting success could be wrong. The row is therefore read back:
+/// the random publication id shows whether this write took effect. If the row has not changed, the
+/// lost write may still be in transit. It is then sent again under the same condition, so at most
+/// one of the writes can take effect.
 pub async fn write(
     table: &dyn Table,
     tag: Option<&Tag>,
     next: &Document,
     retry: Retry,
 ) -> Result<Outcome, Error> {
-    let mut fate = Fate::NotDone;
+    let mut effect = Effect::None;
     for attempt in 0..retry.max_attempts {
         if 0 < attempt {
             Timer::after(retry.interval).await;
         }
-        let sent = send(table, tag, next).await;
-        match (&sent, fate) {
+        let result = send_write(table, tag, next).await;
+        match (&result, effect) {
             (Ok(Write::Done(_)), _) => return Ok(Outcome::Done),
-            (Err(e @ Platform::Down(_)), Fate::NotDone) => return Err(e.clone().into()),
-            (Err(Platform::Lost(_) | Platform::Malformed(_)), _) => fate = Fate::Unknown,
+            (Err(e @ Platform::Down(_)), Effect::None) => return Err(e.clone().into()),
+            (Err(Platform::Lost(_) | Platform::Malformed(_)), _) => effect = Effect::Unknown,
             (Ok(Write::Conflict) | Err(Platform::Down(_)), _) => {}
         }
-        match (judge(read(table).await, tag, next), &sent, fate) {
-            (Verdict::Ours, ..) => return Ok(Outcome::Done),
-            (Verdict::Theirs(document), ..) => return Ok(Outcome::Conflict(Some(document))),
-            (Verdict::Unsure, Ok(Write::Conflict), Fate::NotDone) => {
+        match (classify_read(read(table).await, tag, next), &result, effect) {
+            (Observed::Written, ..) => return Ok(Outcome::Done),
+            (Observed::Superseded(document), ..) => return Ok(Outcome::Conflict(Some(document))),
+            (Observed::Unknown, Ok(Write::Conflict), Effect::None) => {
                 return Ok(Outcome::Conflict(None));
             }
-            (Verdict::Unsure, ..) => {}
+            (Observed::Unknown, ..) => {}
         }
     }
     Err(Error::Indeterminate { publication: next.publication.clone() })
 }
 
-/// Whether an earlier attempt may have taken effect.
+/// Whether an attempt so far may have taken effect.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
-    NotDone,
+enum Effect {
+    None,
     Unknown,
 }
 
-/// Whose publication the row holds.
+/// What a read of the row shows about the write.
 #[derive(Debug)]
-enum Verdict {
-    Ours,
-    Theirs(Box<Document>),
-    Unsure,
+enum Observed {
+    /// The write took effect.
+    Written,
+    /// Another publication took its place.
+    Superseded(Box<Document>),
+    /// The read does not show whether the write took effect.
+    Unknown,
 }
 
-async fn send(table: &dyn Table, tag: Option<&Tag>, next: &Document) -> Result<Write, Platform> {
+async fn send_write(
+    table: &dyn Table,
+    tag: Option<&Tag>,
+    next: &Document,
+) -> Result<Write, Platform> {
     let (name, key) = ROW;
     let value = serde_json::to_vec(next).expect("a document can be written as JSON").into();
     match tag {
@@ -137,21 +144,26 @@
     }
 }
 
-fn judge(read: Result<Option<Stored>, Error>, tag: Option<&Tag>, next: &Document) -> Verdict {
-    let Ok(Some(stored)) = read else { return Verdict::Unsure };
+fn classify_read(
+    read: Result<Option<Stored>, Error>,
+    tag: Option<&Tag>,
+    next: &Document,
+) -> Observed {
+    let Ok(Some(stored)) = read else { return Observed::Unknown };
     let document = stored.document;
     if document.includes(&next.publication) {
-        return Verdict::Ours;
+        return Observed::Written;
     }
-    // The row as it was before: the write hasn't come, or the answer is an old one.
+    // The row is unchanged: the write has not arrived yet, or the read returned stale data.
     if tag == Some(&stored.tag) || document.epoch < next.epoch {
-        return Verdict::Unsure;
+        return Observed::Unknown;
     }
-    // So many publications came on top that the document no longer names all of them.
-    let n_since = document.epoch.0 - next.epoch.0;
-    let n_named = u64::try_from(document.earlier.len()).unwrap_or(u64::MAX);
-    if n_named < n_since {
-        return Verdict::Unsure;
+    // More publications followed than the document lists, so the write may have dropped off the
+    // list.
+    let n_later = document.epoch.0 - next.epoch.0;
+    let n_listed = u64::try_from(document.earlier.len()).unwrap_or(u64::MAX);
+    if n_listed < n_later {
+        return Observed::Unknown;
     }
-    Verdict::Theirs(Box::new(document))
+    Observed::Superseded(Box::new(document))
 }
