--- a/crates/curranthook_platform/src/client.rs
+++ b/crates/curranthook_platform/src/client.rs
@@ -1,6 +1,6 @@
-//! The platform over HTTP, with conditional requests (RFC 9110, section 13).
+//! HTTP client for the platform's services, with conditional requests (RFC 9110, section 13).
 //!
-//! | call | request | answer |
+//! | call | request | response |
 //! |---|---|---|
 //! | read | `GET /table/{table}/{key}` | 200 with `ETag`, 304, 404 |
 //! | list | `GET /table/{table}?prefix=` | 200, `[{key, tag, value}]` |
@@ -11,7 +11,7 @@
 //! | keys | `GET /objects?prefix=` | 200, `[key]` |
 //! | VMs | `GET /vms` | 200 with `ETag`, `[vm]`; 304 |
 //!
-//! 429 and 503 mean that nothing was done.
+//! 429 and 503 mean that the call had no effect.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,7 +23,7 @@
 
 use crate::{BoxFuture, Error, Objects, Row, Table, Tag, Vm, Vms, Write};
 
-/// How long one call may take. Longer waits would hold callers back during an outage.
+/// The timeout of one call. A longer timeout would delay callers during an outage.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A client for one of the platform's services.
@@ -32,48 +32,48 @@
     addr: SocketAddr,
     pool: Arc<Pool>,
     timeout: Duration,
-    /// The list of VMs as last read. Clones share it, and the lock is never held over a call.
-    vms: Arc<Mutex<Option<Seen>>>,
+    /// The list of VMs as last read. Clones share it, and the lock is never held during a call.
+    vms: Arc<Mutex<Option<CachedVms>>>,
 }
 
-/// The list of VMs in one of its states.
+/// A list of VMs with its entity tag.
 #[derive(Debug, Clone)]
-struct Seen {
+struct CachedVms {
     tag: Tag,
     vms: Vec<Vm>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Listed {
+struct RowEntry {
     key: String,
     tag: Tag,
     value: String,
 }
 
 impl Client {
-    /// A client for the service at `addr`.
+    /// Creates a client for the service at `addr`.
     pub fn new(addr: SocketAddr, pool: Arc<Pool>) -> Self {
         Self { addr, pool, timeout: CALL_TIMEOUT, vms: Arc::default() }
     }
 
-    /// Sets how long one call may take; two seconds if not set.
+    /// Sets the timeout of one call, two seconds by default.
     pub fn with_timeout(self, timeout: Duration) -> Self {
         Self { timeout, ..self }
     }
 
-    async fn call(
+    async fn send(
         &self,
         method: Method,
         path: String,
         condition: Option<(&'static str, &str)>,
         body: Bytes,
     ) -> Result<http::Response<Bytes>, Error> {
-        let mut call =
+        let mut exchange =
             Exchange::new(self.addr, method, path).with_body(body).with_timeout(self.timeout);
         if let Some((name, value)) = condition {
-            call = call.with_header(name, value);
+            exchange = exchange.with_header(name, value);
         }
-        let res = call.run(&self.pool).await.map_err(Error::from)?;
+        let res = exchange.run(&self.pool).await.map_err(Error::from)?;
         match res.status() {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 Err(Error::Down(res.status().to_string()))
@@ -89,7 +89,7 @@
         condition: (&'static str, &str),
         value: Bytes,
     ) -> Result<Write, Error> {
-        let res = self.call(Method::PUT, path, Some(condition), value).await?;
+        let res = self.send(Method::PUT, path, Some(condition), value).await?;
         match res.status() {
             StatusCode::OK | StatusCode::CREATED => Ok(Write::Done(tag(&res)?)),
             StatusCode::PRECONDITION_FAILED => Ok(Write::Conflict),
@@ -127,7 +127,7 @@
         Box::pin(async move {
             let condition = known.map(|tag| ("if-none-match", tag.0.as_str()));
             let path = format!("/table/{table}/{key}");
-            let res = self.call(Method::GET, path, condition, Bytes::new()).await?;
+            let res = self.send(Method::GET, path, condition, Bytes::new()).await?;
             match res.status() {
                 StatusCode::OK => {
                     let tag = tag(&res)?;
@@ -142,9 +142,9 @@
     fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> BoxFuture<'a, Vec<Row>> {
         Box::pin(async move {
             let path = format!("/table/{table}?prefix={prefix}");
-            let res = self.call(Method::GET, path, None, Bytes::new()).await?;
-            let rows: Vec<Listed> = parse(&res)?;
-            let row = |it: Listed| Row { key: it.key, tag: it.tag, value: it.value.into() };
+            let res = self.send(Method::GET, path, None, Bytes::new()).await?;
+            let rows: Vec<RowEntry> = parse(&res)?;
+            let row = |it: RowEntry| Row { key: it.key, tag: it.tag, value: it.value.into() };
             Ok(rows.into_iter().map(row).collect())
         })
     }
@@ -174,7 +174,7 @@
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Option<Bytes>> {
         Box::pin(async move {
             let path = format!("/objects/{key}");
-            let res = self.call(Method::GET, path, None, Bytes::new()).await?;
+            let res = self.send(Method::GET, path, None, Bytes::new()).await?;
             match res.status() {
                 StatusCode::OK => Ok(Some(res.into_body())),
                 StatusCode::NOT_FOUND => Ok(None),
@@ -186,7 +186,7 @@
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Vec<String>> {
         Box::pin(async move {
             let path = format!("/objects?prefix={prefix}");
-            parse(&self.call(Method::GET, path, None, Bytes::new()).await?)
+            parse(&self.send(Method::GET, path, None, Bytes::new()).await?)
         })
     }
 }
@@ -194,15 +194,15 @@
 impl Vms for Client {
     fn all(&self) -> BoxFuture<'_, Vec<Vm>> {
         Box::pin(async move {
-            let known = self.vms.lock().clone();
-            let condition = known.as_ref().map(|it| ("if-none-match", it.tag.0.as_str()));
-            let res = self.call(Method::GET, "/vms".to_owned(), condition, Bytes::new()).await?;
-            if let (StatusCode::NOT_MODIFIED, Some(seen)) = (res.status(), known) {
-                return Ok(seen.vms);
+            let cached = self.vms.lock().clone();
+            let condition = cached.as_ref().map(|it| ("if-none-match", it.tag.0.as_str()));
+            let res = self.send(Method::GET, "/vms".to_owned(), condition, Bytes::new()).await?;
+            if let (StatusCode::NOT_MODIFIED, Some(cached)) = (res.status(), cached) {
+                return Ok(cached.vms);
             }
             let vms: Vec<Vm> = parse(&res)?;
-            // A platform that gives no tag sends the whole list each time.
-            *self.vms.lock() = tag(&res).ok().map(|tag| Seen { tag, vms: vms.clone() });
+            // Without a tag, the next call can't be conditional and reads the whole list again.
+            *self.vms.lock() = tag(&res).ok().map(|tag| CachedVms { tag, vms: vms.clone() });
             Ok(vms)
         })
     }
--- a/crates/curranthook_platform/src/error.rs
+++ b/crates/curranthook_platform/src/error.rs
@@ -1,13 +1,13 @@
-/// Why the platform gave no answer.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It refused or can't be reached; a write surely had no effect.
+    /// The platform refused the call or can't be reached. A write had no effect.
     #[error("the platform is down: {0}")]
     Down(String),
-    /// The answer was lost; a write may have taken effect.
+    /// The response was lost. A write may have taken effect.
     #[error("the platform's answer was lost: {0}")]
     Lost(String),
-    /// It answered something that can't be understood.
+    /// The response can't be parsed or has an unexpected status.
     #[error("the platform's answer can't be read: {0}")]
     Malformed(String),
 }
--- a/crates/curranthook_platform/src/lib.rs
+++ b/crates/curranthook_platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform's services as the router and steward see them.
+//! Interfaces and an HTTP client for the platform's services that the router and steward use.
 //!
 //! [`Table`] is the transactional table, [`Objects`] the object store, [`Vms`] the list of VMs.
-//! [`client::Client`] implements all three over HTTP. What matters about a failed write is
-//! whether it may have taken effect: [`Error::Lost`] says that it may, and the caller then
-//! reads back before it decides anything.
+//! [`client::Client`] implements all three over HTTP. After a failed write, callers need to know
+//! whether it may have taken effect. [`Error::Lost`] means that it may, and the caller must read
+//! the value back before it acts.
 
 pub mod client;
 mod error;
--- a/crates/curranthook_platform/src/traits.rs
+++ b/crates/curranthook_platform/src/traits.rs
@@ -6,29 +6,29 @@
 
 use crate::Error;
 
-/// A future of a platform call.
+/// The boxed future of a platform call.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, Error>> + Send + 'a>>;
 
-/// The state of a row, changed by each write to it.
+/// The entity tag of a row, which changes with each write to the row.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tag(pub String);
 
-/// A row as read.
+/// A row as read from the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Its key within the table.
+    /// The key of the row within the table.
     pub key: String,
-    /// Its state, for a later conditional write.
+    /// The entity tag, for a later conditional write.
     pub tag: Tag,
-    /// Its value.
+    /// The stored value, which the platform does not interpret.
     pub value: Bytes,
 }
 
-/// How a conditional write ended.
+/// The outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// It took effect; the row's new state.
+    /// The write took effect. Holds the new entity tag.
     Done(Tag),
     /// The condition didn't hold; nothing changed.
     Conflict,
@@ -38,18 +38,19 @@
 pub trait Table: Debug + Send + Sync {
     /// Reads a row.
     fn get<'a>(&'a self, table: &'a str, key: &'a str) -> BoxFuture<'a, Option<Row>>;
-    /// Reads a row unless its state is still `known`; `Ok(None)` then, and when there's no row.
+    /// Reads a row unless its tag is still `known`. Returns `Ok(None)` in that case, and if there
+    /// is no row.
     fn get_newer<'a>(
         &'a self,
         table: &'a str,
         key: &'a str,
         known: Option<&'a Tag>,
     ) -> BoxFuture<'a, Option<Row>>;
-    /// Reads the rows whose keys begin with `prefix`.
+    /// Reads all rows whose keys begin with `prefix`.
     fn list<'a>(&'a self, table: &'a str, prefix: &'a str) -> BoxFuture<'a, Vec<Row>>;
-    /// Writes a row that must not exist yet.
+    /// Inserts a row. Returns `Conflict` if the row exists.
     fn insert<'a>(&'a self, table: &'a str, key: &'a str, value: Bytes) -> BoxFuture<'a, Write>;
-    /// Replaces a row that must still be in state `tag`.
+    /// Replaces a row. Returns `Conflict` if its tag is no longer `tag`.
     fn replace<'a>(
         &'a self,
         table: &'a str,
@@ -61,35 +62,36 @@
 
 /// The object store.
 pub trait Objects: Debug + Send + Sync {
-    /// Stores an object unless there is one of that key; `Conflict` then, which for equal
-    /// content is as good as done.
+    /// Stores an object unless the key exists. Returns `Conflict` if it does, which callers can
+    /// treat as success if the content is the same.
     fn put_if_absent<'a>(&'a self, key: &'a str, value: Bytes) -> BoxFuture<'a, Write>;
     /// Reads an object.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Option<Bytes>>;
-    /// The keys that begin with `prefix`, in order.
+    /// Lists the keys that begin with `prefix`, in ascending order.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Vec<String>>;
 }
 
-/// Whether the platform means to keep a VM.
+/// Whether the platform is about to remove a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// In service, as far as the list knows.
+    /// In service, according to the list, which may be out of date.
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
-/// An entry of the VM list. The list lags: it names VMs that are gone and misses new ones.
+/// An entry of the VM list. The list lags behind: it contains VMs that no longer exist and lacks
+/// new ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its id.
+    /// The id of the VM.
     pub id: vm::Id,
-    /// Where its router's peers reach it, or where its endpoint listens.
+    /// The address at which peers reach its router, or on which its endpoint listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The failure domain that the VM is in.
     pub failure_domain: domain::Id,
-    /// Whether it stays.
+    /// Whether the VM is about to be removed.
     pub state: VmState,
     /// What runs on it.
     #[serde(default)]
@@ -109,6 +111,6 @@
 
 /// The list of VMs.
 pub trait Vms: Debug + Send + Sync {
-    /// The list as the platform knows it.
+    /// Reads the list of VMs.
     fn all(&self) -> BoxFuture<'_, Vec<Vm>>;
 }
