--- a/crates/curranthook_types/src/refusal.rs
+++ b/crates/curranthook_types/src/refusal.rs
@@ -64,7 +64,7 @@
     Not,
     /// An endpoint ran the request.
     Ran,
-    /// Bytes were sent to an endpoint, and no response says whether the request ran.
+    /// Bytes were sent to an endpoint, and no response shows whether the request ran.
     Unknown,
 }
 
