--- a/crates/curranthook_settings/src/document.rs
+++ b/crates/curranthook_settings/src/document.rs
@@ -1,7 +1,7 @@
-//! What is published: all sites under one epoch.
+//! The published document: the configuration of all sites under one epoch.
 //!
 //! Each edit is a pure function from one document to the next, so it can be applied again to a
-//! newer document when another operator was quicker.
+//! newer document if another operator published first.
 
 mod difference;
 mod edit;
@@ -20,40 +20,41 @@
 };
 use crate::{Config, rollout::Rollout};
 
-/// The table and key of the published document.
+/// The table and key of the row that contains the published document.
 pub const ROW: (&str, &str) = ("config", "current");
 
-/// The published configuration. It lies in one row of the platform's table and is replaced by
-/// compare-and-set only, so of two racing operators one wins and the other is told.
+/// The published configuration. It is stored in one row of the platform's table and replaced only
+/// by compare-and-set, so if two operators publish concurrently, one succeeds and the other gets a
+/// conflict.
 ///
-/// Withdrawals, drains and roll-outs stand apart from the sites' files: publishing a file
-/// again must not bring back a version that a command withdrew.
+/// Withdrawals, drains and roll-outs are kept separate from the sites' files: publishing a file
+/// again must not reinstate a version that a command withdrew.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// Counts publications.
+    /// The number of the publication.
     pub epoch: Epoch,
-    /// Who published, as given on the command line.
+    /// The publisher, as given on the command line.
     #[serde(default)]
     pub by: String,
-    /// When, in milliseconds since 1970.
+    /// When the document was published, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub at_millis: u64,
     /// A random id of this publication.
     ///
-    /// The answer to a publication can be lost after it took effect. The id then tells the
-    /// publisher, who reads the row back, whether it was their own.
+    /// The response to a publication can be lost after it took effect. The publisher then reads
+    /// the row back and recognises their own publication by this id.
     #[serde(default)]
     pub publication: String,
-    /// The ids of the publications just before, newest first, for a publisher that reads the
-    /// row back only after others have published on top.
+    /// The ids of the previous publications, newest first, for a publisher that reads the row back
+    /// only after later publications.
     #[serde(default)]
     pub earlier: Vec<String>,
     /// The merged configuration of each site.
     pub sites: BTreeMap<site::Id, Config>,
-    /// Versions that get no new work, at any site.
+    /// Versions that get no new requests, at any site.
     #[serde(default)]
     pub withdrawn: BTreeSet<version::Id>,
-    /// Endpoints that get no new work.
+    /// Endpoints that get no new requests.
     #[serde(default)]
     pub drained: BTreeSet<endpoint::Id>,
     /// Roll-outs, by model.
@@ -61,13 +62,13 @@
     pub rollouts: BTreeMap<String, Rollout>,
 }
 
-/// Who makes an edit, when, and the id of its publication.
+/// The author, time and publication id of an edit.
 #[derive(Debug)]
 pub struct Stamp<'a> {
-    /// Who, as given on the command line.
+    /// The author, as given on the command line.
     pub by: &'a str,
-    /// When, in milliseconds since 1970.
+    /// The time of the edit, in milliseconds since the Unix epoch.
     pub at_millis: u64,
-    /// A random id.
+    /// The random id of the publication.
     pub publication: &'a str,
 }
--- a/crates/curranthook_settings/src/document/difference.rs
+++ b/crates/curranthook_settings/src/document/difference.rs
@@ -1,4 +1,4 @@
-//! What two documents differ in, path by path.
+//! Lists the differences between two documents by path.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -8,19 +8,19 @@
 use super::Document;
 use crate::{check::path, config::MASK};
 
-/// Fields that count publications; two documents always differ in them.
-const COUNTERS: [&str; 5] = ["epoch", "by", "at_millis", "publication", "earlier"];
-/// Fields whose values stay out of terminals and logs.
-const MASKED: [&str; 2] = ["secret", "key_hashes"];
+/// Fields that identify a publication, so they differ between any two documents.
+const PUBLICATION_FIELDS: [&str; 5] = ["epoch", "by", "at_millis", "publication", "earlier"];
+/// Fields whose values must not appear on terminals or in logs.
+const MASKED_FIELDS: [&str; 2] = ["secret", "key_hashes"];
 
-/// One difference.
+/// A difference between two documents at one path.
 #[derive(Debug, Serialize)]
 pub struct Change {
-    /// Where, such as `sites.vn-south.accounts.yard-7.versions`.
+    /// The path, such as `sites.vn-south.accounts.yard-7.versions`.
     pub path: String,
-    /// The earlier value, if there was one.
+    /// The value before the change, if there was one.
     pub before: Option<String>,
-    /// The later value, if there is one.
+    /// The value after the change, if there is one.
     pub after: Option<String>,
 }
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// What changed from `before` to `after`, without the fields that count publications. Secrets
-/// and key hashes are masked.
+/// The changes from `before` to `after`, except for the fields that identify a publication.
+/// Secrets and key hashes are masked.
 ///
 /// ```
 /// # use curranthook_settings::document::{Document, difference};
@@ -56,27 +56,27 @@
 fn to_json(document: &Document) -> Value {
     let mut json = serde_json::to_value(document).expect("a document can be written as JSON");
     if let Some(map) = json.as_object_mut() {
-        map.retain(|key, _| !COUNTERS.contains(&key.as_str()));
+        map.retain(|key, _| !PUBLICATION_FIELDS.contains(&key.as_str()));
     }
     json
 }
 
-fn compare(before: Option<&Value>, after: Option<&Value>, at: &str, changes: &mut Vec<Change>) {
+fn compare(before: Option<&Value>, after: Option<&Value>, path: &str, changes: &mut Vec<Change>) {
     if before == after {
         return;
     }
     match (before, after) {
         (Some(Value::Object(_)) | None, Some(Value::Object(_)))
-        | (Some(Value::Object(_)), None) => compare_maps(before, after, at, changes),
+        | (Some(Value::Object(_)), None) => compare_maps(before, after, path, changes),
         (Some(Value::Array(old)), Some(Value::Array(new))) if has_maps(old) || has_maps(new) => {
             for index in 0..old.len().max(new.len()) {
-                compare(old.get(index), new.get(index), &path::index(at, index), changes);
+                compare(old.get(index), new.get(index), &path::index(path, index), changes);
             }
         }
         _ => changes.push(Change {
-            path: at.to_owned(),
-            before: before.map(|it| shown(it, at)),
-            after: after.map(|it| shown(it, at)),
+            path: path.to_owned(),
+            before: before.map(|it| display_value(it, path)),
+            after: after.map(|it| display_value(it, path)),
         }),
     }
 }
@@ -84,14 +84,14 @@
 fn compare_maps(
     before: Option<&Value>,
     after: Option<&Value>,
-    at: &str,
+    path: &str,
     changes: &mut Vec<Change>,
 ) {
     let maps = [before, after].map(|it| it.and_then(Value::as_object));
     let keys: BTreeSet<&String> = maps.iter().flatten().flat_map(|it| it.keys()).collect();
     for key in keys {
         let [old, new] = maps.map(|it| it?.get(key));
-        compare(old, new, &path::key(at, key), changes);
+        compare(old, new, &path::key(path, key), changes);
     }
 }
 
@@ -99,9 +99,9 @@
     list.iter().any(Value::is_object)
 }
 
-fn shown(value: &Value, at: &str) -> String {
-    let field = at.rsplit('.').next().unwrap_or(at);
-    if MASKED.contains(&field) {
+fn display_value(value: &Value, path: &str) -> String {
+    let field = path.rsplit('.').next().unwrap_or(path);
+    if MASKED_FIELDS.contains(&field) {
         return MASK.to_owned();
     }
     if let Value::Array(list) = value
--- a/crates/curranthook_settings/src/document/edit.rs
+++ b/crates/curranthook_settings/src/document/edit.rs
@@ -1,4 +1,4 @@
-//! Publications, withdrawals and drains.
+//! Edits of the document for publications, withdrawals and drains.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 use super::{Document, Error, Stamp};
 use crate::{Config, rollout::State};
 
-/// How many earlier publications a document names. A publisher settles a lost answer within
-/// seconds, in which there are far fewer publications than this.
-const N_EARLIER: usize = 16;
+/// The maximum number of previous publications that a document lists. A publisher whose response
+/// was lost reads the row back within seconds, during which there are far fewer publications.
+const MAX_EARLIER_PUBLICATIONS: usize = 16;
 
 impl Document {
     /// The document that publishes `sites`.
     ///
-    /// Sites that aren't given stay as they are, so that one site's files can be published
-    /// alone. Withdrawals, drains and roll-outs stay too: files say nothing of them, and a
-    /// withdrawn version must not come back because somebody publishes an older file.
+    /// Sites that are not in `sites` remain unchanged, so that the files of one site can be
+    /// published alone. Withdrawals, drains and roll-outs remain too: the files do not contain
+    /// them, and publishing an older file must not reinstate a withdrawn version.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Stamp};
@@ -35,7 +35,7 @@
         next
     }
 
-    /// The document with `version` withdrawn. A roll-out to it is aborted.
+    /// The document with `version` withdrawn. An active roll-out to the version is aborted.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -58,7 +58,7 @@
         Ok(next)
     }
 
-    /// The document with `version` allowed again. An aborted roll-out stays aborted.
+    /// The document with `version` reinstated. An aborted roll-out stays aborted.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -75,7 +75,7 @@
         Ok(next)
     }
 
-    /// The document in which `endpoint` gets no new work.
+    /// The document with `endpoint` drained, so that it gets no new requests.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -95,7 +95,7 @@
         Ok(next)
     }
 
-    /// The document in which `endpoint` gets work again.
+    /// The document with `endpoint` no longer drained.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -112,7 +112,7 @@
         Ok(next)
     }
 
-    /// Whether the publication `id` is this document or one of those just before it.
+    /// Whether `id` is the publication of this document or one of the listed previous ones.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Stamp};
@@ -132,16 +132,16 @@
         Err(Error::UnknownVersion(version.clone()))
     }
 
-    /// A copy under the next epoch.
+    /// A copy with the next epoch and the author, time and publication id of `stamp`.
     pub(super) fn next(&self, stamp: &Stamp<'_>) -> Self {
         let mut next = self.clone();
         next.epoch = self.epoch.next();
         next.by = stamp.by.to_owned();
         next.at_millis = stamp.at_millis;
-        let last = std::mem::replace(&mut next.publication, stamp.publication.to_owned());
-        if !last.is_empty() {
-            next.earlier.insert(0, last);
-            next.earlier.truncate(N_EARLIER);
+        let previous = std::mem::replace(&mut next.publication, stamp.publication.to_owned());
+        if !previous.is_empty() {
+            next.earlier.insert(0, previous);
+            next.earlier.truncate(MAX_EARLIER_PUBLICATIONS);
         }
         next
     }
--- a/crates/curranthook_settings/src/document/error.rs
+++ b/crates/curranthook_settings/src/document/error.rs
@@ -2,7 +2,7 @@
 
 use crate::rollout::State;
 
-/// Why an edit makes no sense for the document as it is.
+/// Why an edit can't be applied to a document.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum Error {
     /// No site has the version.
@@ -11,64 +11,64 @@
     /// No site has the endpoint.
     #[error("no site has endpoint `{0}`")]
     UnknownEndpoint(endpoint::Id),
-    /// The version is withdrawn already.
+    /// The version is already withdrawn.
     #[error("version `{0}` is withdrawn already")]
     AlreadyWithdrawn(version::Id),
     /// The version isn't withdrawn.
     #[error("version `{0}` isn't withdrawn")]
     NotWithdrawn(version::Id),
-    /// The endpoint is drained already.
+    /// The endpoint is already drained.
     #[error("endpoint `{0}` is drained already")]
     AlreadyDrained(endpoint::Id),
     /// The endpoint isn't drained.
     #[error("endpoint `{0}` isn't drained")]
     NotDrained(endpoint::Id),
-    /// A roll-out to a withdrawn version.
+    /// The target of the roll-out is withdrawn.
     #[error("version `{0}` is withdrawn; reinstate it before rolling it out")]
     WithdrawnTarget(version::Id),
-    /// A roll-out from a version to itself.
+    /// The roll-out would replace a version by itself.
     #[error("a roll-out needs two versions, not `{0}` twice")]
     SameVersion(version::Id),
-    /// A roll-out from one model to another.
+    /// The two versions of the roll-out belong to different models.
     #[error("`{from}` and `{to}` are versions of different models")]
     ModelMismatch {
-        /// The version to be replaced.
+        /// The version to replace.
         from: version::Id,
-        /// The version to replace it.
+        /// The replacement.
         to: version::Id,
     },
-    /// The stages aren't shares that rise up to 1.
+    /// The stages are not ascending shares that end with 1.
     #[error("stages must be shares over 0 that rise and end with 1, such as 0.01, 0.1, 0.5, 1")]
     InvalidStages,
-    /// The model has a roll-out under way.
-    #[error("model `{0}` has a roll-out under way; abort it first")]
+    /// The model has an active roll-out.
+    #[error("model `{0}` has an active roll-out; abort it first")]
     AlreadyRunning(String),
     /// The model has no roll-out.
     #[error("model `{0}` has no roll-out")]
     NoRollout(String),
-    /// A roll-out under way names a version that no site has any more.
-    #[error("no site would have version `{0}`, which a roll-out under way names; abort it first")]
+    /// An active roll-out refers to a version that no site would have any more.
+    #[error("no site would have version `{0}`, which an active roll-out uses; abort it first")]
     VersionInRollout(version::Id),
-    /// The roll-out's state doesn't allow this.
+    /// The roll-out's state does not allow the edit.
     #[error("the roll-out of `{model}` is {state}")]
     InvalidState {
-        /// The model.
+        /// The model of the roll-out.
         model: String,
-        /// The state that it's in.
+        /// The state of the roll-out.
         state: State,
     },
-    /// The roll-out has moved on since the caller looked.
+    /// The roll-out is no longer at the stage that the caller named.
     #[error("the roll-out of `{model}` is at stage {stage}")]
     StageMismatch {
-        /// The model.
+        /// The model of the roll-out.
         model: String,
-        /// The stage in force.
+        /// The current stage.
         stage: usize,
     },
 }
 
 impl Error {
-    /// Whether the document already is as the edit would leave it.
+    /// Whether the edit would change nothing, as the document is already in the requested state.
     ///
     /// ```
     /// # use curranthook_settings::document::Error;
--- a/crates/curranthook_settings/src/document/rollout.rs
+++ b/crates/curranthook_settings/src/document/rollout.rs
@@ -1,32 +1,33 @@
-//! Roll-outs: started, held, given up and moved on.
+//! Edits of the document that start, pause, resume, abort and advance roll-outs.
 
 use curranthook_types::version;
 
 use super::{Document, Error, Stamp};
 use crate::rollout::{Rollout, State};
 
-/// A roll-out to be started.
+/// The parameters of a new roll-out.
 #[derive(Debug)]
 pub struct Plan {
     /// The version that is replaced.
     pub from: version::Id,
     /// The version that replaces it.
     pub to: version::Id,
-    /// The share that each stage gives to `to`: over 0, rising, the last one 1.
+    /// The share of new sessions that each stage assigns to `to`: above 0 and ascending, the last
+    /// one 1.
     pub stages: Vec<f64>,
 }
 
 impl Plan {
-    fn check(&self) -> Result<(), Error> {
+    fn validate(&self) -> Result<(), Error> {
         if self.from == self.to {
             return Err(Error::SameVersion(self.to.clone()));
         }
         if self.from.model() != self.to.model() {
             return Err(Error::ModelMismatch { from: self.from.clone(), to: self.to.clone() });
         }
-        let is_rising = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
+        let is_ascending = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
         let is_positive = self.stages.first().is_some_and(|it| 0.0 < *it);
-        if is_rising && is_positive && self.stages.last() == Some(&1.0) {
+        if is_ascending && is_positive && self.stages.last() == Some(&1.0) {
             return Ok(());
         }
         Err(Error::InvalidStages)
@@ -34,8 +35,8 @@
 }
 
 impl Document {
-    /// The document with a roll-out begun at its first stage. One that is through or was given
-    /// up is replaced, one under way is not.
+    /// The document with a roll-out started at its first stage. A completed or aborted roll-out of
+    /// the model is replaced; an active one is an error.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Plan, Stamp};
@@ -44,7 +45,7 @@
     /// assert_eq!(Document::default().start(&plan, &stamp), Err(Error::InvalidStages));
     /// ```
     pub fn start(&self, plan: &Plan, stamp: &Stamp<'_>) -> Result<Self, Error> {
-        plan.check()?;
+        plan.validate()?;
         self.check_version(&plan.from)?;
         self.check_version(&plan.to)?;
         self.check_target(&plan.to)?;
@@ -65,7 +66,7 @@
         Ok(next)
     }
 
-    /// The document in which the roll-out of `model` is held at its stage.
+    /// The document with the roll-out of `model` paused at its current stage.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -73,11 +74,11 @@
     /// assert_eq!(Document::default().pause("m", &stamp), Err(Error::NoRollout("m".into())));
     /// ```
     pub fn pause(&self, model: &str, stamp: &Stamp<'_>) -> Result<Self, Error> {
-        self.change(model, stamp, &[State::Running], |it| it.state = State::Paused)
+        self.edit_rollout(model, stamp, &[State::Running], |it| it.state = State::Paused)
     }
 
-    /// The document in which the roll-out of `model` moves on from the stage where it was held.
-    /// The stage counts as begun anew: it is judged by what it shows from now on.
+    /// The document with the roll-out of `model` resumed at its current stage. The stage starts
+    /// again: only results from now on count for its checks.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -88,13 +89,13 @@
         if let Some(rollout) = self.rollouts.get(model) {
             self.check_target(&rollout.to)?;
         }
-        self.change(model, stamp, &[State::Paused], |it| {
+        self.edit_rollout(model, stamp, &[State::Paused], |it| {
             it.state = State::Running;
             it.since_millis = stamp.at_millis;
         })
     }
 
-    /// The document in which the roll-out of `model` is given up.
+    /// The document with the roll-out of `model` aborted.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -102,16 +103,16 @@
     /// assert_eq!(Document::default().abort("m", &stamp), Err(Error::NoRollout("m".into())));
     /// ```
     pub fn abort(&self, model: &str, stamp: &Stamp<'_>) -> Result<Self, Error> {
-        self.change(model, stamp, &[State::Running, State::Paused], |it| {
+        self.edit_rollout(model, stamp, &[State::Running, State::Paused], |it| {
             it.state = State::Aborted;
             it.since_millis = stamp.at_millis;
         })
     }
 
-    /// The document in which the roll-out of `model` has left stage `from`.
+    /// The document with the roll-out of `model` advanced from stage `from`.
     ///
-    /// The caller names the stage that it judged: two stewards may both find a stage good, and
-    /// without the name the second one's edit would skip the stage after it.
+    /// The caller names the stage that it has checked: two stewards may both find that a stage
+    /// passed, and without `from` the edit of the second one would skip the following stage.
     ///
     /// ```
     /// # use curranthook_settings::document::{Document, Error, Stamp};
@@ -124,7 +125,7 @@
             return Err(Error::StageMismatch { model: model.to_owned(), stage: rollout.stage });
         }
         self.check_target(&rollout.to)?;
-        self.change(model, stamp, &[State::Running], |it| {
+        self.edit_rollout(model, stamp, &[State::Running], |it| {
             it.since_millis = stamp.at_millis;
             if it.stage + 1 < it.stages.len() {
                 it.stage += 1;
@@ -134,9 +135,9 @@
         })
     }
 
-    /// Refuses a document in which a roll-out under way names a version that no site has, as
+    /// Rejects a document in which an active roll-out refers to a version that no site has, which
     /// happens when files without the version are published. New sessions would be sent to a
-    /// version that nothing serves.
+    /// version that no endpoint serves.
     ///
     /// ```
     /// # use curranthook_settings::Document;
@@ -161,7 +162,7 @@
         Ok(())
     }
 
-    fn change(
+    fn edit_rollout(
         &self,
         model: &str,
         stamp: &Stamp<'_>,
--- a/crates/curranthook_settings/src/rollout.rs
+++ b/crates/curranthook_settings/src/rollout.rs
@@ -1,37 +1,38 @@
-//! Roll-outs: a version replaces another stage by stage.
+//! Roll-outs: the replacement of one version by another in stages.
 
 use curranthook_types::version;
 use serde::{Deserialize, Serialize};
 
-/// Where a roll-out stands. It is part of the published document, so a stage that was reached
-/// is never left out or begun again after an interruption.
+/// The progress of a roll-out. It is part of the published document, so after an interruption no
+/// stage is skipped or repeated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The version that is replaced.
     pub from: version::Id,
     /// The version that replaces it.
     pub to: version::Id,
-    /// The share of new sessions that each stage gives to `to`, from 0 to 1, rising.
+    /// The share of new sessions that each stage assigns to `to`, from 0 to 1, ascending.
     pub stages: Vec<f64>,
-    /// The stage in force, an index into `stages`.
+    /// The current stage, as an index into `stages`.
     pub stage: usize,
-    /// Whether it moves on.
+    /// Whether the roll-out is running, paused or finished.
     pub state: State,
-    /// When the stage began, in milliseconds since 1970.
+    /// When the stage began, in milliseconds since the Unix epoch. Also updated when the roll-out
+    /// is resumed, aborted or completed.
     pub since_millis: u64,
 }
 
-/// Whether a roll-out moves on.
+/// The state of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It moves on when a stage's checks are met.
+    /// It advances when the current stage passes its checks.
     Running,
-    /// An operator holds it at its stage.
+    /// An operator paused it at its current stage.
     Paused,
-    /// It was given up; `from` gets everything.
+    /// It was aborted; `from` gets all new sessions.
     Aborted,
-    /// It is through; `to` gets everything.
+    /// It is complete; `to` gets all new sessions.
     Done,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl Rollout {
-    /// Whether it's under way, be it held or not.
+    /// Whether the roll-out is running or paused.
     ///
     /// ```
     /// # use curranthook_settings::rollout::{Rollout, State};
@@ -65,7 +66,7 @@
         matches!(self.state, State::Running | State::Paused)
     }
 
-    /// The share of new sessions that `to` gets now.
+    /// The share of new sessions that `to` currently gets.
     ///
     /// ```
     /// # use curranthook_settings::rollout::{Rollout, State};
--- a/crates/curranthook_settings/tests/document.rs
+++ b/crates/curranthook_settings/tests/document.rs
@@ -1,4 +1,4 @@
-//! Edits of the published document.
+//! Edits of the published document: publications, withdrawals, drains and roll-outs.
 
 use std::collections::BTreeMap;
 
@@ -37,10 +37,11 @@
     Plan { from: from.into(), to: to.into(), stages: stages.to_vec() }
 }
 
-/// An operator withdraws a version that gives wrong weights. Later a colleague publishes files
-/// that know nothing of it. Were the version back then, buyers would get wrong weights again.
+/// An operator withdraws a version that returns wrong results, and a colleague later publishes
+/// files without the withdrawal. If that reinstated the version, callers would get wrong results
+/// again.
 #[test]
-fn withdrawn_version_stays_away_when_files_are_published() {
+fn publishing_files_keeps_withdrawals_drains_and_rollouts() {
     let withdrawn = published().withdraw(&"m@2".into(), &stamp("p2")).expect("withdrawn");
     let drained = withdrawn.drain(&"e-1".into(), &stamp("p3")).expect("drained");
     let started =
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn publishing_one_site_leaves_the_others() {
+fn publishing_one_site_keeps_the_others() {
     let mut north: Config = serde_json::from_str(SITE).expect("a configuration");
     north.site = "north".into();
     let both =
@@ -61,8 +62,8 @@
     assert_eq!(both.sites.len(), 2);
 }
 
-/// A version turns out bad in the middle of its roll-out. A withdrawal that left the roll-out
-/// running would have it send new sessions to a version that refuses them.
+/// A version is withdrawn during its roll-out. If the roll-out kept running, it would send new
+/// sessions to a version that refuses them.
 #[test]
 fn withdrawal_aborts_the_rollout_to_the_version() {
     let running =
@@ -71,48 +72,48 @@
     assert_eq!(withdrawn.rollouts["m"].state, State::Aborted);
     let result = withdrawn.start(&plan("m@1", "m@2", &[1.0]), &stamp("p4"));
     assert_eq!(result, Err(Error::WithdrawnTarget("m@2".into())));
-    let back = withdrawn.reinstate(&"m@2".into(), &stamp("p4")).expect("reinstated");
-    assert!(!back.withdrawn.contains("m@2"));
-    assert_eq!(back.rollouts["m"].state, State::Aborted);
+    let reinstated = withdrawn.reinstate(&"m@2".into(), &stamp("p4")).expect("reinstated");
+    assert!(!reinstated.withdrawn.contains("m@2"));
+    assert_eq!(reinstated.rollouts["m"].state, State::Aborted);
 }
 
 #[test]
-fn rollout_goes_up_stage_by_stage() {
+fn rollout_advances_stage_by_stage() {
     let first = published().start(&plan("m@1", "m@2", &[0.1, 1.0]), &stamp("p2")).expect("start");
-    let held = first.pause("m", &stamp("p3")).expect("pause");
-    let wrong = Error::InvalidState { model: "m".to_owned(), state: State::Paused };
-    assert_eq!(held.advance("m", 0, &stamp("p4")), Err(wrong));
-    let second = held.resume("m", &stamp("p4")).and_then(|it| it.advance("m", 0, &stamp("p5")));
-    let second = second.expect("resumed and moved on");
+    let paused = first.pause("m", &stamp("p3")).expect("pause");
+    let not_running = Error::InvalidState { model: "m".to_owned(), state: State::Paused };
+    assert_eq!(paused.advance("m", 0, &stamp("p4")), Err(not_running));
+    let second = paused.resume("m", &stamp("p4")).and_then(|it| it.advance("m", 0, &stamp("p5")));
+    let second = second.expect("resumed and advanced");
     assert_eq!(second.rollouts["m"].share(), 1.0);
-    // The other steward judged the first stage too.
-    let late = Error::StageMismatch { model: "m".to_owned(), stage: 1 };
-    assert_eq!(second.advance("m", 0, &stamp("p6")), Err(late));
-    let done = second.advance("m", 1, &stamp("p6")).expect("through");
+    // Another steward has checked the first stage too.
+    let mismatch = Error::StageMismatch { model: "m".to_owned(), stage: 1 };
+    assert_eq!(second.advance("m", 0, &stamp("p6")), Err(mismatch));
+    let done = second.advance("m", 1, &stamp("p6")).expect("completed");
     assert_eq!(done.rollouts["m"].state, State::Done);
-    let over = Error::InvalidState { model: "m".to_owned(), state: State::Done };
-    assert_eq!(done.abort("m", &stamp("p7")), Err(over));
+    let already_done = Error::InvalidState { model: "m".to_owned(), state: State::Done };
+    assert_eq!(done.abort("m", &stamp("p7")), Err(already_done));
 }
 
 #[parameterized(
     unknown_from = { "m@8", "m@2", &[1.0], Error::UnknownVersion("m@8".into()) },
     unknown_to = { "m@1", "m@9", &[1.0], Error::UnknownVersion("m@9".into()) },
-    same = { "m@1", "m@1", &[1.0], Error::SameVersion("m@1".into()) },
+    same_version = { "m@1", "m@1", &[1.0], Error::SameVersion("m@1".into()) },
     other_model = { "m@1", "n@1", &[1.0], Error::ModelMismatch { from: "m@1".into(), to: "n@1".into() } },
     no_stage = { "m@1", "m@2", &[], Error::InvalidStages },
-    falling = { "m@1", "m@2", &[0.5, 0.1, 1.0], Error::InvalidStages },
-    level = { "m@1", "m@2", &[0.5, 0.5, 1.0], Error::InvalidStages },
-    not_up_to_one = { "m@1", "m@2", &[0.5], Error::InvalidStages },
-    over_one = { "m@1", "m@2", &[0.5, 1.5], Error::InvalidStages },
-    from_zero = { "m@1", "m@2", &[0.0, 1.0], Error::InvalidStages },
-    not_a_number = { "m@1", "m@2", &[f64::NAN, 1.0], Error::InvalidStages },
+    descending_stages = { "m@1", "m@2", &[0.5, 0.1, 1.0], Error::InvalidStages },
+    equal_stages = { "m@1", "m@2", &[0.5, 0.5, 1.0], Error::InvalidStages },
+    last_stage_below_one = { "m@1", "m@2", &[0.5], Error::InvalidStages },
+    last_stage_above_one = { "m@1", "m@2", &[0.5, 1.5], Error::InvalidStages },
+    first_stage_zero = { "m@1", "m@2", &[0.0, 1.0], Error::InvalidStages },
+    nan_stage = { "m@1", "m@2", &[f64::NAN, 1.0], Error::InvalidStages },
 )]
-fn rollout_that_cannot_start(from: &str, to: &str, stages: &[f64], expected: Error) {
+fn invalid_plan_is_refused(from: &str, to: &str, stages: &[f64], expected: Error) {
     assert_eq!(published().start(&plan(from, to, stages), &stamp("p2")), Err(expected));
 }
 
 #[test]
-fn files_without_a_version_in_rollout_are_refused() {
+fn files_without_a_version_in_an_active_rollout_are_refused() {
     let running = published().start(&plan("m@1", "m@2", &[1.0]), &stamp("p2")).expect("start");
     let mut sites = sites();
     sites.get_mut("south").expect("the site").versions.remove("m@2");
@@ -123,12 +124,14 @@
 }
 
 #[test]
-fn second_rollout_of_a_model_must_wait() {
+fn second_rollout_is_refused_while_one_is_active() {
     let running = published().start(&plan("m@1", "m@2", &[1.0]), &stamp("p2")).expect("start");
     let second = running.start(&plan("m@2", "m@1", &[1.0]), &stamp("p3"));
     assert_eq!(second, Err(Error::AlreadyRunning("m".to_owned())));
     let aborted = running.abort("m", &stamp("p3")).expect("abort");
-    aborted.start(&plan("m@2", "m@1", &[1.0]), &stamp("p4")).expect("the first one is over");
+    aborted
+        .start(&plan("m@2", "m@1", &[1.0]), &stamp("p4"))
+        .expect("the first roll-out is no longer active");
 }
 
 #[test]
