--- a/crates/curranthook_settings/src/config.rs
+++ b/crates/curranthook_settings/src/config.rs
@@ -10,19 +10,19 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, hex::Hex, serde_as};
 
-/// Stands for a secret that isn't shown.
+/// Replaces the value of a masked secret.
 pub(crate) const MASK: &str = "(not shown)";
 
 /// A site's configuration: the base file with the site's overlay merged in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The site's name; an overlay sets it.
+    /// The name of the site, set by the overlay.
     pub site: site::Id,
     /// The versions of models, by id.
     #[serde(default)]
     pub versions: BTreeMap<version::Id, Version>,
-    /// The plain services, by name. Callers reach one under `/services/<name>/`.
+    /// The plain services, by name. Each is served under `/services/<name>/`.
     #[serde(default)]
     pub services: BTreeMap<String, Service>,
     /// The endpoints, by id.
@@ -34,19 +34,19 @@
     /// The kinds of work, by name.
     #[serde(default)]
     pub kinds: BTreeMap<kind::Id, Kind>,
-    /// How versions and endpoints are chosen.
+    /// The policy for choosing versions and endpoints.
     #[serde(default)]
     pub policy: Policy,
-    /// The service that rates answers, if there is one.
+    /// The service that rates the quality of responses, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rater: Option<SocketAddr>,
-    /// Keys for session tokens. The first signs; all verify, so that keys can be rotated.
+    /// Keys for session tokens. The first one signs and all verify, so that keys can be rotated.
     #[serde(default)]
     pub session_keys: Vec<Key>,
 }
 
 impl Config {
-    /// The configuration as YAML for an operator's eyes: secrets are masked, so it can't be
+    /// The configuration as YAML for display to operators. Secrets are masked, so it can't be
     /// published again.
     ///
     /// ```
@@ -60,7 +60,7 @@
         serde_saphyr::to_string(&self.to_masked_json()).expect("JSON can be written as YAML")
     }
 
-    /// The same as JSON.
+    /// The configuration as JSON, with secrets masked.
     ///
     /// ```
     /// # use curranthook_settings::Config;
@@ -82,9 +82,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// What it costs.
+    /// The price per thousand tokens.
     pub price: price::Rate,
-    /// The quality that its makers claim, from 0 to 1, for kinds of work; only a starting point.
+    /// The quality that the version's makers declare for kinds of work, from 0 to 1; only an
+    /// initial estimate.
     #[serde(default)]
     pub quality: BTreeMap<kind::Id, f64>,
 }
@@ -93,11 +94,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// HTTP methods whose calls may be repeated. A call of any other method needs an
-    /// idempotency key and runs at most once.
+    /// HTTP methods whose calls are idempotent and may be retried. A call of any other method
+    /// needs an idempotency key and runs at most once.
     #[serde(default)]
     pub repeatable: BTreeSet<String>,
-    /// The price of a call.
+    /// The price of one call.
     #[serde(default)]
     pub price: price::Micros,
 }
@@ -106,27 +107,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The failure domain that it is in.
     pub failure_domain: domain::Id,
     /// The versions that it serves, for a model engine.
     #[serde(default)]
     pub versions: BTreeSet<version::Id>,
-    /// The service that it belongs to, for a plain service.
+    /// The service that it is an instance of, for a plain service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// How many requests it runs at once.
+    /// The maximum number of requests that it runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: usize,
 }
 
 fn default_slots() -> usize {
-    const SLOTS: usize = 16;
-    SLOTS
+    const DEFAULT_SLOTS: usize = 16;
+    DEFAULT_SLOTS
 }
 
 /// A client account.
@@ -134,19 +135,19 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// SHA-256 of each API key, in hexadecimal. The keys themselves are kept nowhere.
+    /// SHA-256 of each API key, in hexadecimal. The keys themselves are not stored.
     #[serde_as(as = "Vec<Hex>")]
     pub key_hashes: Vec<[u8; 32]>,
-    /// The versions it may use.
+    /// The versions that the account may use.
     #[serde(default)]
     pub versions: BTreeSet<version::Id>,
-    /// The plain services it may use.
+    /// The plain services that the account may use.
     #[serde(default)]
     pub services: BTreeSet<String>,
-    /// The quality it wants for kinds of work, where it differs from the kind's own.
+    /// The account's quality targets for kinds of work, where they differ from the kind's own.
     #[serde(default)]
     pub quality: BTreeMap<kind::Id, f64>,
-    /// How much it may ask for.
+    /// The rate limit and queue weight.
     #[serde(default)]
     pub limit: Limit,
     /// Whether a session may move to another version when its own is withdrawn.
@@ -154,15 +155,16 @@
     pub sessions_may_move: bool,
 }
 
-/// An account's limits, for all of the site's nodes together.
+/// An account's limits, which apply to all nodes of the site together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limit {
-    /// Requests a second.
+    /// Sustained rate, in requests per second.
     pub requests: f64,
-    /// Requests that may come at once after a pause.
+    /// Maximum burst after a pause, in requests.
     pub burst: f64,
-    /// Its share in the queue when endpoints are busy, against the weights of other accounts.
+    /// Weight of the account's share in the queue when endpoints are busy, relative to the weights
+    /// of other accounts.
     pub weight: f64,
 }
 
@@ -176,44 +178,44 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// The share of answers that must be good enough, from 0 to 1.
+    /// The target quality: the fraction of responses that must be good enough, from 0 to 1.
     pub quality: f64,
-    /// The priority passed to engines, lowest first.
+    /// The priority passed to engines; the lowest value runs first.
     #[serde(default)]
     pub priority: i32,
 }
 
-/// What is weighed most when versions are chosen.
+/// The main objective when versions are chosen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// A quick first token: a cascade is used only where it hardly delays.
+    /// A short time to the first token: a cascade is used only if it adds little latency.
     #[default]
     Latency,
-    /// Few answers by bad versions: less exploration, an earlier verdict.
+    /// Few responses from bad versions: less exploration and earlier verdicts.
     Exposure,
 }
 
-/// How versions and endpoints are chosen.
+/// The policy for choosing versions and endpoints.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// What is weighed most.
+    /// The main objective.
     pub weigh: Objective,
-    /// The share of requests that may go to a version to learn about it.
+    /// The maximum fraction of requests that are used to explore the quality of versions.
     pub exploration: f64,
-    /// The share of answers that are sent to the rater.
+    /// The fraction of responses that are sent to the rater.
     pub rating_sample: f64,
-    /// Retries allowed for each success.
+    /// The retry budget: retries allowed per successful request.
     pub retry_budget: f64,
-    /// How long a request may wait when it names no deadline.
+    /// The deadline of requests that set none, after their arrival.
     #[serde(rename = "default_deadline_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub default_deadline: Duration,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// How many requests may wait in a node's queue.
+    /// The maximum number of requests in a node's queue.
     pub queue: usize,
 }
 
@@ -236,7 +238,7 @@
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Its name, which tokens carry.
+    /// The id of the key, which tokens contain.
     pub id: String,
     /// The secret, in hexadecimal.
     #[serde_as(as = "Hex")]
@@ -244,7 +246,7 @@
 }
 
 impl std::fmt::Debug for Key {
-    // The secret stays out of logs.
+    // Omits the secret, which must not appear in logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Key").field("id", &self.id).finish_non_exhaustive()
     }
--- a/crates/curranthook_settings/src/lib.rs
+++ b/crates/curranthook_settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! What operators write, and what is published of it.
+//! The configuration files that operators write, and the document published from them.
 //!
 //! [`config::Config`] is one site's configuration after its overlay is merged in.
-//! [`document::Document`] is what the platform's table keeps: the configuration of every site
+//! [`document::Document`] is stored in the platform's table: the configuration of every site
 //! under one epoch, with the state that commands change (withdrawals, drains, roll-outs).
-//! [`node::Settings`] is the small file that tells one process its addresses, [`startup`] reads
-//! it and starts the log.
+//! [`node::Settings`] is the file with the addresses of one VM's processes; [`startup`] reads it
+//! and initialises logging.
 
 pub mod check;
 pub mod config;
--- a/crates/curranthook_settings/src/startup.rs
+++ b/crates/curranthook_settings/src/startup.rs
@@ -1,4 +1,4 @@
-//! The first steps of a program: its log and its settings.
+//! Initialisation of a program: logging and settings.
 
 use std::path::Path;
 
@@ -8,16 +8,16 @@
 
 use crate::{check::Finding, node};
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// One JSON object per line.
     Json,
 }
 
-/// Starts the log, which ends when what is returned is dropped.
+/// Initialises logging, which stops when the returned handle is dropped.
 pub fn init_logging(format: LogFormat) -> anyhow::Result<LoggerHandle> {
     let logger = Logger::try_with_env_or_str("info")?;
     let logger = match format {
@@ -27,7 +27,7 @@
     Ok(logger.start()?)
 }
 
-/// Reads a node's settings; the error lists everything that is wrong with them.
+/// Reads a node's settings. The error lists all findings.
 ///
 /// ```
 /// let missing = curranthook_settings::startup::load_settings("no/such/node.yaml".as_ref());
