--- a/crates/curranthook_settings/src/check.rs
+++ b/crates/curranthook_settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files whole: every error is found in one go, with file, line and path.
+//! Checks complete files and reports all errors at once, with file, line and path.
 
 mod finding;
 pub(crate) mod path;
@@ -20,58 +20,59 @@
     source::{self, Node},
 };
 
-/// What a check of one or more sites came to.
+/// The result of checking one or more sites.
 #[derive(Debug, Default)]
 pub struct Report {
     /// The merged configuration of each site that has no errors.
     pub sites: BTreeMap<site::Id, Config>,
-    /// All that was found, ordered by file and line.
+    /// All findings, ordered by file and line.
     pub findings: Vec<Finding>,
 }
 
 impl Report {
-    /// Whether nothing worse than a warning was found.
+    /// Whether there are no errors; warnings are allowed.
     pub fn is_ok(&self) -> bool {
         self.errors().next().is_none()
     }
 
-    /// The findings that forbid publishing.
+    /// The findings that prevent publishing.
     pub fn errors(&self) -> impl Iterator<Item = &Finding> {
         self.findings.iter().filter(|it| it.severity == Severity::Error)
     }
 
     fn add(&mut self, tree: &Node, found: Vec<Finding>) {
-        let is_sound = found.iter().all(|it| it.severity != Severity::Error);
+        let is_valid = found.iter().all(|it| it.severity != Severity::Error);
         self.findings.extend(found);
-        if !is_sound {
+        if !is_valid {
             return;
         }
         match serde_json::from_value::<Config>(tree.to_json()) {
             Ok(config) => self.add_site(tree, config),
-            // The shape check lets nothing through that the types refuse; should it ever, the
-            // operator still gets an error and not a site that is silently left out.
+            // The shape check rejects everything that the types reject. If the two ever disagree,
+            // the operator gets an error instead of a site that is silently omitted.
             Err(e) => self.findings.push(Finding::error(&tree.location, "", e.to_string())),
         }
     }
 
     fn add_site(&mut self, tree: &Node, config: Config) {
         if self.sites.contains_key(&config.site) {
-            let message = format!("site `{}` stands in another overlay already", config.site);
+            let message = format!("site `{}` is already defined in another overlay", config.site);
             self.findings.push(Finding::error(&tree.location, "site", message));
             return;
         }
         self.sites.insert(config.site.clone(), config);
     }
 
-    fn sorted(mut self) -> Self {
-        // An error in the base file shows up once for each overlay.
+    fn into_sorted(mut self) -> Self {
+        // An error in the base file is found once per overlay; the set removes the duplicates.
         let unique: BTreeSet<Finding> = self.findings.drain(..).collect();
         self.findings = unique.into_iter().collect();
         self
     }
 }
 
-/// Checks a base file with its overlays; with no overlay, the base file must be whole by itself.
+/// Checks a base file with its overlays. Without overlays, the base file must be complete by
+/// itself.
 ///
 /// ```
 /// # use curranthook_settings::check;
@@ -89,14 +90,14 @@
     };
     let base = read(base);
     let overlays: Vec<Node> = overlays.iter().filter_map(|it| read(it)).collect();
-    let Some(base) = base else { return report.sorted() };
+    let Some(base) = base else { return report.into_sorted() };
     let trees = trees(&base, &overlays);
     report.findings.extend(trees.findings);
     report.sites = trees.sites;
-    report.sorted()
+    report.into_sorted()
 }
 
-/// Checks trees that were read before.
+/// Checks files that are already parsed to trees.
 ///
 /// ```
 /// # use curranthook_settings::{check, source};
@@ -108,26 +109,26 @@
 pub fn trees(base: &Node, overlays: &[Node]) -> Report {
     let mut report = Report::default();
     if overlays.is_empty() {
-        report.add(base, site(base, base));
+        report.add(base, check_site(base, base));
     }
     for overlay in overlays {
         let merged = overlay::merge(base, overlay);
-        let mut found = merged.findings;
-        found.extend(site(&merged.node, base));
-        report.add(&merged.node, found);
+        let mut findings = merged.findings;
+        findings.extend(check_site(&merged.node, base));
+        report.add(&merged.node, findings);
     }
-    report.sorted()
+    report.into_sorted()
 }
 
-/// Checks the shape of node settings.
-pub(crate) fn node(tree: &Node) -> Vec<Finding> {
+/// Checks the fields and values of node settings.
+pub(crate) fn node_settings(tree: &Node) -> Vec<Finding> {
     let mut findings = Vec::new();
     shape::check(tree, &schema::NODE, None, &mut findings);
     findings.sort();
     findings
 }
 
-fn site(tree: &Node, base: &Node) -> Vec<Finding> {
+fn check_site(tree: &Node, base: &Node) -> Vec<Finding> {
     let mut findings = Vec::new();
     shape::check(tree, &schema::CONFIG, Some(&base.location.file), &mut findings);
     reference::check(tree, &mut findings);
--- a/crates/curranthook_settings/src/check/finding.rs
+++ b/crates/curranthook_settings/src/check/finding.rs
@@ -2,25 +2,25 @@
 
 use crate::source::{self, Location};
 
-/// How bad a finding is.
+/// The severity of a finding.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// Nothing is published.
+    /// Prevents publishing.
     Error,
-    /// Worth a look.
+    /// Does not prevent publishing.
     Warning,
 }
 
-/// Something wrong in a file.
+/// An error or a warning about a file.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// The file and line.
     pub location: Location,
     /// The path within the merged configuration, empty for the file as a whole.
     pub path: String,
-    /// What is wrong. Never quotes a secret.
+    /// Describes the problem. Never contains a secret.
     pub message: String,
-    /// How bad it is.
+    /// Whether the finding prevents publishing.
     pub severity: Severity,
 }
 
@@ -55,10 +55,10 @@
 impl From<source::Error> for Finding {
     fn from(e: source::Error) -> Self {
         match e {
-            source::Error::Io { file, why } => {
-                Self::error(&Location { file: file.into(), line: 1 }, "", why)
+            source::Error::Io { file, cause } => {
+                Self::error(&Location { file: file.into(), line: 1 }, "", cause)
             }
-            source::Error::Syntax { location, why } => Self::error(&location, "", why),
+            source::Error::Syntax { location, cause } => Self::error(&location, "", cause),
         }
     }
 }
--- a/crates/curranthook_settings/src/check/path.rs
+++ b/crates/curranthook_settings/src/check/path.rs
@@ -1,4 +1,4 @@
-//! Paths such as `accounts.yard-7.versions[1]`.
+//! Builds paths to values, such as `accounts.yard-7.versions[1]`.
 
 /// The path of entry `key` of the map at `parent`.
 pub(crate) fn key(parent: &str, key: &str) -> String {
--- a/crates/curranthook_settings/src/check/schema.rs
+++ b/crates/curranthook_settings/src/check/schema.rs
@@ -1,45 +1,44 @@
-//! The fields of the files, as the types in [`crate::config`] and [`crate::node`] take them.
+//! The fields of the files, matching the types in [`crate::config`] and [`crate::node`].
 
-use super::shape::{Field, Name, Shape, optional, required};
+use super::shape::{Field, KeyFormat, Shape, optional, required};
 
 const TEXT: Shape = Shape::Text;
 const ID: Shape = Shape::Id;
 const FRACTION: Shape = Shape::Fraction;
 const BOOL: Shape = Shape::Bool;
-const MICROS: Shape = Shape::Whole { min: 0, unit: " of millionths of the currency" };
-const COUNT: Shape = Shape::Whole { min: 1, unit: "" };
+const PRICE: Shape = Shape::Unsigned { min: 0, unit: " of millionths of the currency" };
+const COUNT: Shape = Shape::Unsigned { min: 1, unit: "" };
 const POSITIVE: Shape = Shape::Positive;
-const FIXED: Shape = Shape::Address { min_port: 1 };
-const LISTEN: Shape = Shape::Address { min_port: 0 };
+const ADDRESS: Shape = Shape::Address { min_port: 1 };
+const LISTEN_ADDRESS: Shape = Shape::Address { min_port: 0 };
 const SECRET: Shape = Shape::Secret { min_bytes: 16 };
 const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 const METHOD: Shape = Shape::OneOf(&METHODS);
-const TEXTS: Shape = Shape::List(&TEXT);
-const QUALITY: Shape = Shape::Map(Name::Plain, &FRACTION);
+const TEXT_LIST: Shape = Shape::List(&TEXT);
+const QUALITY: Shape = Shape::Map(KeyFormat::Plain, &FRACTION);
 
 pub(crate) const CONFIG: Shape = Shape::Record(&[
     required("site", ID),
-    optional("versions", Shape::Map(Name::Version, &Shape::Record(VERSION))),
-    optional("services", Shape::Map(Name::Plain, &Shape::Record(SERVICE))),
-    optional("endpoints", Shape::Map(Name::Plain, &Shape::Record(ENDPOINT))),
-    optional("accounts", Shape::Map(Name::Plain, &Shape::Record(ACCOUNT))),
-    optional("kinds", Shape::Map(Name::Plain, &Shape::Record(KIND))),
+    optional("versions", Shape::Map(KeyFormat::Version, &Shape::Record(VERSION))),
+    optional("services", Shape::Map(KeyFormat::Plain, &Shape::Record(SERVICE))),
+    optional("endpoints", Shape::Map(KeyFormat::Plain, &Shape::Record(ENDPOINT))),
+    optional("accounts", Shape::Map(KeyFormat::Plain, &Shape::Record(ACCOUNT))),
+    optional("kinds", Shape::Map(KeyFormat::Plain, &Shape::Record(KIND))),
     optional("policy", Shape::Record(POLICY)),
-    optional("rater", FIXED),
+    optional("rater", ADDRESS),
     optional("session_keys", Shape::List(&Shape::Record(KEY))),
 ]);
 
 const VERSION: &[Field] = &[required("price", Shape::Record(RATE)), optional("quality", QUALITY)];
 
-const RATE: &[Field] = &[required("prompt", MICROS), required("completion", MICROS)];
+const RATE: &[Field] = &[required("prompt", PRICE), required("completion", PRICE)];
 
-const SERVICE: &[Field] =
-    &[optional("repeatable", Shape::List(&METHOD)), optional("price", MICROS)];
+const SERVICE: &[Field] = &[optional("repeatable", Shape::List(&METHOD)), optional("price", PRICE)];
 
 const ENDPOINT: &[Field] = &[
-    required("address", FIXED),
+    required("address", ADDRESS),
     required("failure_domain", ID),
-    optional("versions", TEXTS),
+    optional("versions", TEXT_LIST),
     optional("service", TEXT),
     optional("checks_fencing", BOOL),
     optional("slots", COUNT),
@@ -47,8 +46,8 @@
 
 const ACCOUNT: &[Field] = &[
     required("key_hashes", Shape::List(&Shape::KeyHash)),
-    optional("versions", TEXTS),
-    optional("services", TEXTS),
+    optional("versions", TEXT_LIST),
+    optional("services", TEXT_LIST),
     optional("quality", QUALITY),
     optional("limit", Shape::Record(LIMIT)),
     optional("sessions_may_move", BOOL),
@@ -64,8 +63,8 @@
     optional("exploration", FRACTION),
     optional("rating_sample", FRACTION),
     optional("retry_budget", FRACTION),
-    optional("default_deadline_ms", Shape::Whole { min: 1, unit: " of milliseconds" }),
-    optional("max_body", Shape::Whole { min: 1, unit: " of bytes" }),
+    optional("default_deadline_ms", Shape::Unsigned { min: 1, unit: " of milliseconds" }),
+    optional("max_body", Shape::Unsigned { min: 1, unit: " of bytes" }),
     optional("queue", COUNT),
 ];
 
@@ -75,16 +74,16 @@
     required("vm", ID),
     required("site", ID),
     required("failure_domain", ID),
-    required("listen", LISTEN),
-    required("peer_listen", LISTEN),
-    optional("peer_address", FIXED),
-    required("steward_listen", LISTEN),
+    required("listen", LISTEN_ADDRESS),
+    required("peer_listen", LISTEN_ADDRESS),
+    optional("peer_address", ADDRESS),
+    required("steward_listen", LISTEN_ADDRESS),
     required("platform", Shape::Record(PLATFORM)),
-    optional("seeds", Shape::List(&FIXED)),
+    optional("seeds", Shape::List(&ADDRESS)),
     required("peer_key", SECRET),
-    optional("statsd", FIXED),
+    optional("statsd", ADDRESS),
     optional("threads", COUNT),
 ]);
 
 const PLATFORM: &[Field] =
-    &[required("table", FIXED), required("objects", FIXED), required("vms", FIXED)];
+    &[required("table", ADDRESS), required("objects", ADDRESS), required("vms", ADDRESS)];
--- a/crates/curranthook_settings/src/node.rs
+++ b/crates/curranthook_settings/src/node.rs
@@ -1,4 +1,4 @@
-//! The small file that tells one process its addresses.
+//! Node settings: the file with the addresses that one VM's processes use.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -16,39 +16,39 @@
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This VM.
+    /// The id of this VM.
     pub vm: vm::Id,
     /// The site it belongs to.
     pub site: site::Id,
-    /// Where it stands.
+    /// The failure domain that the VM is in.
     pub failure_domain: domain::Id,
-    /// Where callers reach the router.
+    /// The address on which the router listens for callers.
     pub listen: SocketAddr,
-    /// Where peers reach the router.
+    /// The address on which the router listens for peers.
     pub peer_listen: SocketAddr,
-    /// The address that peers are told, if it isn't the one that the router listens on: it may
-    /// listen on all addresses of the VM, or stand behind a forwarder.
+    /// The address announced to peers, if it differs from the listening address: the router may
+    /// listen on all addresses of the VM, or be behind a forwarder.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer_address: Option<SocketAddr>,
-    /// Where the steward answers `/healthz`, `/readyz` and `/status`.
+    /// The address on which the steward serves `/healthz`, `/readyz` and `/status`.
     pub steward_listen: SocketAddr,
-    /// The platform's services.
+    /// The addresses of the platform's services.
     pub platform: Platform,
-    /// Peers to try before the VM list is known.
+    /// Addresses of peers to contact before the VM list is known.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The secret that authenticates calls between peers, in hexadecimal.
     #[serde_as(as = "Hex")]
     pub peer_key: Vec<u8>,
-    /// Where metrics are sent as statsd over UDP, if anywhere.
+    /// The address to which metrics are sent as statsd over UDP; none are sent if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub statsd: Option<SocketAddr>,
-    /// Worker threads.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
@@ -60,7 +60,7 @@
     pub vms: SocketAddr,
 }
 
-/// Reads and checks a file of node settings; all errors at once if there are any.
+/// Reads and checks a file of node settings. If there are errors, returns all of them.
 ///
 /// ```
 /// # use curranthook_settings::node;
@@ -72,7 +72,7 @@
     from_tree(&node)
 }
 
-/// Checks settings that were read before.
+/// Checks and converts settings that are already parsed to a tree.
 ///
 /// ```
 /// # use curranthook_settings::{node, source};
@@ -81,7 +81,7 @@
 /// assert!(findings.iter().any(|it| it.path == "threads" && it.location.line == 2));
 /// ```
 pub fn from_tree(node: &Node) -> Result<Settings, Vec<Finding>> {
-    let findings = check::node(node);
+    let findings = check::node_settings(node);
     if !findings.is_empty() {
         return Err(findings);
     }
@@ -90,12 +90,12 @@
 }
 
 fn default_threads() -> usize {
-    const THREADS: usize = 2;
-    THREADS
+    const DEFAULT_THREADS: usize = 2;
+    DEFAULT_THREADS
 }
 
 impl std::fmt::Debug for Settings {
-    // The peer key stays out of logs.
+    // Omits the peer key, which must not appear in logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Settings")
             .field("vm", &self.vm)
--- a/crates/curranthook_settings/src/overlay.rs
+++ b/crates/curranthook_settings/src/overlay.rs
@@ -1,6 +1,6 @@
 //! Merges a site's overlay into the base file.
 //!
-//! Maps merge by key, `null` removes an entry, anything else replaces what the base has.
+//! Maps are merged by key, `null` removes an entry, and any other value replaces that of the base.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +9,16 @@
     source::{Node, Value},
 };
 
-/// The key that each overlay must have, whatever the base says.
+/// The key that each overlay must have, even if the base file has it.
 const SITE: &str = "site";
 
-/// A merged tree and what was found on the way.
+/// A merged tree and the findings of the merge.
 #[derive(Debug)]
 pub struct Merged {
-    /// The base with the overlay's changes. Each value keeps the location it came from.
+    /// The base with the overlay's changes. Each value keeps its original location.
     pub node: Node,
-    /// Removals of what isn't there, values that repeat the base's, an overlay without effect.
+    /// Removals of entries that do not exist, values that repeat those of the base, and an overlay
+    /// without effect.
     pub findings: Vec<Finding>,
 }
 
@@ -34,21 +35,21 @@
 pub fn merge(base: &Node, overlay: &Node) -> Merged {
     let mut findings = Vec::new();
     let mut node = merge_node(base, overlay, "", &mut findings);
-    // What the whole lacks is the overlay's to add.
+    // A key missing at the top level is reported in the overlay, which has to add it.
     node.location = overlay.location.clone();
     if overlay.get(SITE).is_none() {
         findings.push(Finding::error(&overlay.location, SITE, "lacks `site`, the site's name"));
     }
     if !matches!(overlay.value, Value::Map(_)) {
         findings.push(Finding::error(&overlay.location, "", "must be a map"));
-    } else if without_site(&node) == without_site(base) {
+    } else if json_without_site(&node) == json_without_site(base) {
         let message = "changes nothing; a site needs an overlay only for what differs there";
         findings.push(Finding::error(&overlay.location, "", message));
     }
     Merged { node, findings }
 }
 
-fn without_site(node: &Node) -> serde_json::Value {
+fn json_without_site(node: &Node) -> serde_json::Value {
     let mut json = node.to_json();
     if let Some(map) = json.as_object_mut() {
         map.remove(SITE);
@@ -56,20 +57,20 @@
     json
 }
 
-fn merge_node(base: &Node, overlay: &Node, at: &str, findings: &mut Vec<Finding>) -> Node {
+fn merge_node(base: &Node, overlay: &Node, path: &str, findings: &mut Vec<Finding>) -> Node {
     if let (Value::Map(old), Value::Map(new)) = (&base.value, &overlay.value) {
-        let value = Value::Map(merge_map(old, new, at, findings));
+        let value = Value::Map(merge_map(old, new, path, findings));
         let repeated = base.repeated.iter().chain(&overlay.repeated).cloned().collect();
         return Node { location: base.location.clone(), value, repeated };
     }
-    if at != SITE && !at.is_empty() && base.to_json() == overlay.to_json() {
+    if path != SITE && !path.is_empty() && base.to_json() == overlay.to_json() {
         let message = "repeats the base file's value; leave it out";
-        findings.push(Finding::warning(&overlay.location, at, message));
+        findings.push(Finding::warning(&overlay.location, path, message));
     }
     match &overlay.value {
-        // A map where the base has a scalar or nothing still has its nulls taken out.
+        // `null` entries are removed from a map even if the base has a scalar or nothing there.
         Value::Map(new) => {
-            let value = Value::Map(merge_map(&BTreeMap::new(), new, at, findings));
+            let value = Value::Map(merge_map(&BTreeMap::new(), new, path, findings));
             Node { value, ..overlay.clone() }
         }
         _ => overlay.clone(),
@@ -79,22 +80,22 @@
 fn merge_map(
     base: &BTreeMap<String, Node>,
     overlay: &BTreeMap<String, Node>,
-    at: &str,
+    path: &str,
     findings: &mut Vec<Finding>,
 ) -> BTreeMap<String, Node> {
     let mut merged = base.clone();
     for (key, node) in overlay {
-        let at = path::key(at, key);
+        let path = path::key(path, key);
         if matches!(node.value, Value::Null) {
             if merged.remove(key).is_none() {
                 let message = "isn't in the base file, so it can't be removed";
-                findings.push(Finding::error(&node.location, &at, message));
+                findings.push(Finding::error(&node.location, &path, message));
             }
             continue;
         }
         let absent = Node { value: Value::Null, ..node.clone() };
         let old = base.get(key).unwrap_or(&absent);
-        merged.insert(key.clone(), merge_node(old, node, &at, findings));
+        merged.insert(key.clone(), merge_node(old, node, &path, findings));
     }
     merged
 }
--- a/crates/curranthook_settings/src/source.rs
+++ b/crates/curranthook_settings/src/source.rs
@@ -1,7 +1,7 @@
-//! A YAML file as a tree in which each value knows its file and line.
+//! Parses a YAML file to a tree in which each value has its file and line.
 //!
-//! Typed deserialisation stops at its first error. Operators want all errors at once, so files
-//! are read into this tree first and checked there.
+//! Typed deserialisation stops at the first error, but operators need all errors at once. Files
+//! are therefore parsed to this tree first and checked there.
 
 use std::{collections::BTreeMap, fmt, path::Path, sync::Arc};
 
@@ -11,7 +11,7 @@
 };
 use serde_saphyr::{DuplicateKeyPolicy, NonFiniteFloatPolicy, Spanned};
 
-/// Where a value stands.
+/// The source location of a value.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
     /// The file, as named on the command line.
@@ -26,27 +26,27 @@
     }
 }
 
-/// A value and its location. The location of a map's entry is that of its key.
+/// A value and its location. The location of an entry of a map is that of its key.
 #[derive(Debug, Clone)]
 pub struct Node {
-    /// Where it stands.
+    /// The location of the value.
     pub location: Location,
-    /// What it is.
+    /// The parsed value.
     pub value: Value,
-    /// The keys that stand in this map a second time, and where.
+    /// The duplicate keys of this map, with the locations of the duplicates.
     pub repeated: Vec<(String, Location)>,
 }
 
 /// A YAML value.
 #[derive(Debug, Clone)]
 pub enum Value {
-    /// `null`, or nothing.
+    /// `null` or an absent value.
     Null,
     /// `true` or `false`.
     Bool(bool),
     /// A finite number.
     Number(serde_json::Number),
-    /// Anything else that isn't a list or map.
+    /// Any other scalar.
     Text(String),
     /// A list.
     List(Vec<Node>),
@@ -54,28 +54,28 @@
     Map(BTreeMap<String, Node>),
 }
 
-/// Why a file can't be read at all.
+/// Why a file can't be read or parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The system doesn't give it.
-    #[error("{file}: {why}")]
+    /// The file can't be read.
+    #[error("{file}: {cause}")]
     Io {
-        /// The file.
+        /// The path of the file, as named on the command line.
         file: String,
-        /// What the system said.
-        why: String,
+        /// The error of the operating system.
+        cause: String,
     },
-    /// It isn't YAML.
-    #[error("{location}: {why}")]
+    /// The file isn't valid YAML.
+    #[error("{location}: {cause}")]
     Syntax {
-        /// Where.
+        /// The location of the error.
         location: Location,
-        /// What the parser said.
-        why: String,
+        /// The error of the parser.
+        cause: String,
     },
 }
 
-/// Reads a file.
+/// Reads and parses a file.
 ///
 /// ```
 /// # use curranthook_settings::source;
@@ -84,11 +84,11 @@
 pub fn read(path: &Path) -> Result<Node, Error> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|e| Error::Io { file: file.clone(), why: e.to_string() })?;
+        .map_err(|e| Error::Io { file: file.clone(), cause: e.to_string() })?;
     parse(&file, &text)
 }
 
-/// Reads `text`, which came from `file`.
+/// Parses `text`, the content of `file`.
 ///
 /// ```
 /// # use curranthook_settings::source;
@@ -99,25 +99,25 @@
 pub fn parse(file: &str, text: &str) -> Result<Node, Error> {
     let file: Arc<str> = file.into();
     let options = serde_saphyr::options! {
-        // A key that stands twice or an infinite number is one mistake among others, and no
-        // reason to stop reading.
+        // Duplicate keys and infinite numbers are reported with all other errors, so they must not
+        // stop the parser.
         duplicate_keys: DuplicateKeyPolicy::PassThrough,
         non_finite_float_policy: NonFiniteFloatPolicy::PassThrough,
-        // `no` and `on` are names like others, and hexadecimal digits may begin with zeros.
+        // `no` and `on` are valid names, and strings of hexadecimal digits may begin with zeros.
         strict_booleans: true,
         leading_zero_numbers_as_strings: true,
     };
     let raw: Result<Spanned<Raw>, _> = serde_saphyr::from_str_with_options(text, options);
     let raw = raw.map_err(|e| {
         let line = e.location().map_or(1, |it| it.line());
-        let why = e.without_snippet().to_string();
-        Error::Syntax { location: Location { file: Arc::clone(&file), line }, why }
+        let cause = e.without_snippet().to_string();
+        Error::Syntax { location: Location { file: Arc::clone(&file), line }, cause }
     })?;
     Ok(raw_to_node(raw, &file))
 }
 
 impl Node {
-    /// The entry `key`, if this is a map that has it.
+    /// The value of entry `key`, if this is a map that contains it.
     pub fn get(&self, key: &str) -> Option<&Self> {
         match &self.value {
             Value::Map(map) => map.get(key),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The entries, none if this isn't a map.
+    /// The entries; empty if this isn't a map.
     pub fn entries(&self) -> impl Iterator<Item = (&str, &Self)> {
         let map = match &self.value {
             Value::Map(map) => Some(map),
@@ -134,7 +134,7 @@
         map.into_iter().flatten().map(|(key, node)| (key.as_str(), node))
     }
 
-    /// The items, none if this isn't a list.
+    /// The items; empty if this isn't a list.
     pub fn items(&self) -> &[Self] {
         match &self.value {
             Value::List(list) => list,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The text, if this is one.
+    /// The text, if this is a [`Value::Text`].
     pub fn text(&self) -> Option<&str> {
         match &self.value {
             Value::Text(text) => Some(text),
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The number, if this is one.
+    /// The number, if this is a [`Value::Number`].
     pub fn number(&self) -> Option<f64> {
         match &self.value {
             Value::Number(number) => number.as_f64(),
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The value without places. Entries without a value are left out.
+    /// The value as JSON, without locations. Entries whose value is `null` are omitted.
     ///
     /// ```
     /// # use curranthook_settings::source;
@@ -180,7 +180,7 @@
     }
 }
 
-/// What the YAML library hands over, before the file's name is added.
+/// A value as deserialised by the YAML library, without the file's name.
 enum Raw {
     Null,
     Bool(bool),
@@ -191,7 +191,7 @@
 }
 
 fn raw_to_node(raw: Spanned<Raw>, file: &Arc<str>) -> Node {
-    // A file with nothing in it has no line at all.
+    // A value in an empty file has no line, so it is reported at line 1.
     let location = Location { file: Arc::clone(file), line: raw.referenced.line().max(1) };
     let value = match raw.value {
         Raw::Null => Value::Null,
@@ -208,13 +208,14 @@
     let mut map = BTreeMap::new();
     let mut repeated = Vec::new();
     for (key, raw) in entries {
-        let at = Location { file: Arc::clone(&location.file), line: key.referenced.line() };
+        let key_location =
+            Location { file: Arc::clone(&location.file), line: key.referenced.line() };
         if map.contains_key(&key.value) {
-            repeated.push((key.value, at));
+            repeated.push((key.value, key_location));
             continue;
         }
         let node = raw_to_node(raw, &location.file);
-        map.insert(key.value, Node { location: at, ..node });
+        map.insert(key.value, Node { location: key_location, ..node });
     }
     Node { location, value: Value::Map(map), repeated }
 }
@@ -267,7 +268,7 @@
     }
 
     fn visit_f64<E: de::Error>(self, it: f64) -> Result<Raw, E> {
-        // JSON has no infinity. As text it fails the check of whichever number was wanted.
+        // JSON has no infinity. As text, the value fails the check of any numeric field.
         let number = serde_json::Number::from_f64(it);
         Ok(number.map_or_else(|| Raw::Text(it.to_string()), Raw::Number))
     }
