--- a/crates/curranthook_types/src/header.rs
+++ b/crates/curranthook_types/src/header.rs
@@ -21,7 +21,7 @@
 /// The number of requests that an endpoint is running or has queued; endpoints set it on each
 /// response.
 pub const LOAD: &str = "x-endpoint-load";
-/// `true` if an endpoint is shutting down and must get no new requests.
+/// `true` if an endpoint is shutting down and should get no new requests.
 pub const LEAVING: &str = "x-endpoint-leaving";
 /// `true` if an endpoint refused the request before it started to run it.
 pub const NOT_STARTED: &str = "x-endpoint-not-started";
