--- a/crates/curranthook_platform/src/client.rs
+++ b/crates/curranthook_platform/src/client.rs
@@ -91,7 +91,7 @@
     ) -> Result<Write, Error> {
         let res = self.send(Method::PUT, path, Some(condition), value).await?;
         match res.status() {
-            StatusCode::OK | StatusCode::CREATED => Ok(Write::Done(tag(&res)?)),
+            StatusCode::OK | StatusCode::CREATED => Ok(Write::Done(parse_etag(&res)?)),
             StatusCode::PRECONDITION_FAILED => Ok(Write::Conflict),
             status => Err(Error::Malformed(status.to_string())),
         }
@@ -104,12 +104,12 @@
     }
 }
 
-fn tag(res: &http::Response<Bytes>) -> Result<Tag, Error> {
+fn parse_etag(res: &http::Response<Bytes>) -> Result<Tag, Error> {
     let etag = res.headers().get(header::ETAG).and_then(|it| it.to_str().ok());
     etag.map(|it| Tag(it.to_owned())).ok_or_else(|| Error::Malformed("no ETag".to_owned()))
 }
 
-fn parse<'a, T: Deserialize<'a>>(res: &'a http::Response<Bytes>) -> Result<T, Error> {
+fn parse_json<'a, T: Deserialize<'a>>(res: &'a http::Response<Bytes>) -> Result<T, Error> {
     serde_json::from_slice(res.body()).map_err(|e| Error::Malformed(e.to_string()))
 }
 
@@ -130,7 +130,7 @@
             let res = self.send(Method::GET, path, condition, Bytes::new()).await?;
             match res.status() {
                 StatusCode::OK => {
-                    let tag = tag(&res)?;
+                    let tag = parse_etag(&res)?;
                     Ok(Some(Row { key: key.to_owned(), tag, value: res.into_body() }))
                 }
                 StatusCode::NOT_MODIFIED | StatusCode::NOT_FOUND => Ok(None),
@@ -143,9 +143,9 @@
         Box::pin(async move {
             let path = format!("/table/{table}?prefix={prefix}");
             let res = self.send(Method::GET, path, None, Bytes::new()).await?;
-            let rows: Vec<RowEntry> = parse(&res)?;
-            let row = |it: RowEntry| Row { key: it.key, tag: it.tag, value: it.value.into() };
-            Ok(rows.into_iter().map(row).collect())
+            let rows: Vec<RowEntry> = parse_json(&res)?;
+            let to_row = |it: RowEntry| Row { key: it.key, tag: it.tag, value: it.value.into() };
+            Ok(rows.into_iter().map(to_row).collect())
         })
     }
 
@@ -186,7 +186,7 @@
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Vec<String>> {
         Box::pin(async move {
             let path = format!("/objects?prefix={prefix}");
-            parse(&self.send(Method::GET, path, None, Bytes::new()).await?)
+            parse_json(&self.send(Method::GET, path, None, Bytes::new()).await?)
         })
     }
 }
@@ -200,9 +200,9 @@
             if let (StatusCode::NOT_MODIFIED, Some(cached)) = (res.status(), cached) {
                 return Ok(cached.vms);
             }
-            let vms: Vec<Vm> = parse(&res)?;
+            let vms: Vec<Vm> = parse_json(&res)?;
             // Without a tag, the next call can't be conditional and reads the whole list again.
-            *self.vms.lock() = tag(&res).ok().map(|tag| CachedVms { tag, vms: vms.clone() });
+            *self.vms.lock() = parse_etag(&res).ok().map(|tag| CachedVms { tag, vms: vms.clone() });
             Ok(vms)
         })
     }
