--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -67,7 +67,7 @@
 struct Owner {
     lines: BTreeMap<u64, Line>,
     stored_below: u64,
-    last_heard: Instant,
+    last_message_at: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -110,9 +110,9 @@
         let owner = owners.entry(batch.origin).or_insert_with(|| Owner {
             lines: BTreeMap::new(),
             stored_below: 0,
-            last_heard: now,
+            last_message_at: now,
         });
-        owner.last_heard = now;
+        owner.last_message_at = now;
         owner.stored_below = owner.stored_below.max(batch.stored_below);
         for (sequence, line) in (batch.first..).zip(batch.lines) {
             // Lines that the owner has reported as stored are skipped; a batch may arrive late.
@@ -200,11 +200,12 @@
         let timeout = base_timeout.max(flush_interval * MAX_MISSED_FLUSHES);
         let mut state = self.state.lock();
         state.owners.retain(|_, it| {
-            !it.lines.is_empty() || now.saturating_duration_since(it.last_heard) < OWNER_RETENTION
+            !it.lines.is_empty()
+                || now.saturating_duration_since(it.last_message_at) < OWNER_RETENTION
         });
         let is_orphaned = |origin: &Origin, owner: &Owner| {
             !owner.lines.is_empty()
-                && (timeout < now.saturating_duration_since(owner.last_heard)
+                && (timeout < now.saturating_duration_since(owner.last_message_at)
                     || members.is_replaced(&origin.vm, origin.incarnation))
         };
         let orphaned = state.owners.iter().filter(|(origin, it)| is_orphaned(origin, it));
