--- a/crates/curranthook_peers/src/replica.rs
+++ b/crates/curranthook_peers/src/replica.rs
@@ -158,7 +158,7 @@
         lines.flat_map(|(origin, lines)| batches(&origin, lines)).collect()
     }
 
-    /// The lines of owners that are gone, in batches, by owner.
+    /// The lines of owners that left, were replaced or are presumed lost, in batches, by owner.
     pub fn orphans(&self, members: &Members) -> Vec<(Origin, Vec<Batch>)> {
         let orphaned = self.orphaned_lines(members).into_iter();
         let batches_by_owner = orphaned.map(|(origin, lines)| {
--- a/crates/curranthook_peers/tests/peers/journal.rs
+++ b/crates/curranthook_peers/tests/peers/journal.rs
@@ -49,7 +49,7 @@
 }
 
 /// The store is down for a while; afterwards the answers of its writes are lost although the writes
-/// took effect. Each line ends up stored once, and the replicas are told to drop it.
+/// took effect. Each line ends up stored once, and the replicas drop their copies.
 #[test]
 fn lost_write_answers_neither_lose_nor_duplicate_lines() {
     async_io::block_on(async {
@@ -81,7 +81,7 @@
 }
 
 /// A node reaches no peer, so its lines go directly to the store. If the store is down too, the
-/// router is told that only this node holds them, and they are stored later.
+/// router is informed that only this node holds them, and they are stored later.
 #[test]
 fn without_peers_lines_are_stored_or_wait_for_the_store() {
     async_io::block_on(async {
--- a/crates/curranthook_peers/tests/peers/support.rs
+++ b/crates/curranthook_peers/tests/peers/support.rs
@@ -160,7 +160,7 @@
         self.cuts.lock().insert((address(a), address(b)));
     }
 
-    /// Simulates the kill of a process: no peer is told, and the node stops answering.
+    /// Simulates the kill of a process: no departure is announced, and the node stops answering.
     pub fn kill(&self, node: &Node) {
         node.kill();
         self.nodes.lock().remove(&node_address(node));
