--- a/crates/curranthook_cli/tests/fake/mod.rs
+++ b/crates/curranthook_cli/tests/fake/mod.rs
@@ -9,7 +9,7 @@
 use curranthook_platform::{BoxFuture, Error, Objects, Row, Table, Tag, Write};
 use curranthook_settings::{Document, document::ROW};
 
-/// A change that another operator publishes.
+/// Returns the document that another operator publishes, given the current one.
 pub type Edit = fn(&Document) -> Document;
 
 /// A fault injected into one write.
@@ -45,7 +45,7 @@
 }
 
 impl Platform {
-    /// Queues one fault for each of the next writes.
+    /// Queues faults: each is injected into one of the next writes, in order.
     pub fn inject(&self, faults: &[Fault]) {
         self.state().faults.extend(faults);
     }
--- a/crates/curranthook_cli/tests/program.rs
+++ b/crates/curranthook_cli/tests/program.rs
@@ -21,7 +21,7 @@
     (status.code().expect("an exit code"), text(stdout), text(stderr))
 }
 
-/// Returns a local address with no listener.
+/// Returns a loopback address on which no process listens.
 fn unused_addr() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("its address")
--- a/crates/curranthook_cli/tests/publish.rs
+++ b/crates/curranthook_cli/tests/publish.rs
@@ -23,7 +23,8 @@
 use fake::Fault;
 use yare::parameterized;
 
-const OTHER_OPERATOR: Stamp<'static> = Stamp { by: "mai", at_millis: 1, publication: "other" };
+const OTHER_OPERATOR_STAMP: Stamp<'static> =
+    Stamp { by: "mai", at_millis: 1, publication: "other" };
 
 fn context(fake: &Arc<fake::Platform>) -> Context {
     Context {
@@ -49,7 +50,8 @@
     (fake, ctx)
 }
 
-/// Creates files that differ from the published example.
+/// Copies the example's base file to a temporary directory with a different retry budget, and
+/// returns arguments that publish it.
 fn changed_args() -> (tempfile::TempDir, Publish) {
     let dir = tempfile::tempdir().expect("a directory");
     let mut args = example_args();
@@ -61,11 +63,11 @@
 }
 
 fn withdraw_by_other_operator(document: &Document) -> Document {
-    document.withdraw(&"tally-llm-large@2".into(), &OTHER_OPERATOR).expect("withdrawn")
+    document.withdraw(&"tally-llm-large@2".into(), &OTHER_OPERATOR_STAMP).expect("withdrawn")
 }
 
 fn drain_by_other_operator(document: &Document) -> Document {
-    document.drain(&"tally-llm-01".into(), &OTHER_OPERATOR).expect("drained")
+    document.drain(&"tally-llm-01".into(), &OTHER_OPERATOR_STAMP).expect("drained")
 }
 
 /// Two operators publish at the same time. If the second publication replaced the first, the
@@ -83,23 +85,23 @@
         conflict.changes.iter().map(ToString::to_string).collect::<Vec<_>>(),
         ["~ withdrawn: [] -> [\"tally-llm-large@2\"]"]
     );
-    assert_eq!(fake.document().publication, OTHER_OPERATOR.publication);
+    assert_eq!(fake.document().publication, OTHER_OPERATOR_STAMP.publication);
 }
 
 #[test]
 fn concurrent_first_publications_conflict() {
     let fake = Arc::new(fake::Platform::default());
     fake.inject(&[Fault::ConcurrentPublication(|_| {
-        Document::publish(None, [].into(), &OTHER_OPERATOR)
+        Document::publish(None, [].into(), &OTHER_OPERATOR_STAMP)
     })]);
     let e = block_on(publish::run(&context(&fake), &example_args())).expect_err("not the first");
     assert_eq!(e.code(), Code::Conflict);
-    assert_eq!(fake.document().publication, OTHER_OPERATOR.publication);
+    assert_eq!(fake.document().publication, OTHER_OPERATOR_STAMP.publication);
 }
 
-/// The table's response is lost. Reporting a failure makes the operator publish again, and
-/// reporting a success makes the operator stop, so the command has to determine whether the write
-/// took effect, and must not publish twice.
+/// The table's response is lost. If the command wrongly reports a failure, the operator publishes
+/// again; if it wrongly reports a success, the change is never published. So the command has to
+/// determine whether the write took effect, and must not publish twice.
 #[parameterized(
     write_applied = { &[Fault::ResponseLost] },
     write_not_applied = { &[Fault::RequestLost] },
@@ -115,7 +117,7 @@
     let done = block_on(publish::run(&ctx, &args)).expect("resolved");
     assert_eq!(done.epoch, Epoch(2));
     let document = fake.document();
-    let n_later = u64::from(document.publication == OTHER_OPERATOR.publication);
+    let n_later = u64::from(document.publication == OTHER_OPERATOR_STAMP.publication);
     assert_eq!(document.epoch.0, 2 + n_later, "published once");
     assert_eq!(document.sites["vn-south"].policy.retry_budget, 0.05);
 }
@@ -129,7 +131,7 @@
     fake.inject(&[Fault::RequestLost, Fault::ConcurrentPublication(drain_by_other_operator)]);
     let e = block_on(publish::run(&ctx, &args)).expect_err("the other operator published first");
     assert_eq!(e.code(), Code::Conflict);
-    assert_eq!(fake.document().publication, OTHER_OPERATOR.publication);
+    assert_eq!(fake.document().publication, OTHER_OPERATOR_STAMP.publication);
 }
 
 /// The platform becomes unavailable right after a publication. The command can report neither
@@ -153,8 +155,9 @@
     let (fake, ctx) = platform_with_example();
     let (_dir, args) = changed_args();
     fake.inject(&[Fault::ResponseLostThenPublication(|document| {
-        let publish =
-            |current: Document, _| Document::publish(Some(&current), [].into(), &OTHER_OPERATOR);
+        let publish = |current: Document, _| {
+            Document::publish(Some(&current), [].into(), &OTHER_OPERATOR_STAMP)
+        };
         (0..20).fold(document.clone(), publish)
     })]);
     let e = block_on(publish::run(&ctx, &args)).expect_err("the outcome is unknown");
