--- a/crates/curranthook_cli/src/command/accounts.rs
+++ b/crates/curranthook_cli/src/command/accounts.rs
@@ -16,7 +16,7 @@
 /// The published client accounts.
 #[derive(Debug, Serialize)]
 pub struct List {
-    /// Sorted by site and account id.
+    /// The accounts, sorted by site and account id.
     pub accounts: Vec<Entry>,
 }
 
@@ -29,9 +29,9 @@
     pub account: account::Id,
     /// The versions that the account may use.
     pub versions: Vec<version::Id>,
-    /// The plain services that the account may use.
+    /// Names of the services under `/services/` that the account may use.
     pub services: Vec<String>,
-    /// Number of keys.
+    /// Number of API keys with which the account can authenticate.
     pub n_keys: usize,
     /// The account's rate limit and its weight.
     pub limit: Limit,
--- a/crates/curranthook_cli/src/command/bills.rs
+++ b/crates/curranthook_cli/src/command/bills.rs
@@ -25,18 +25,18 @@
 /// The bills by account and by the version or service that served the requests.
 #[derive(Debug, Serialize)]
 pub struct Summary {
-    /// Sorted by account, then by descending cost.
+    /// One row per account and version or service, sorted by account, then by descending cost.
     pub rows: Vec<Row>,
-    /// Number of lines left out because another line is for the same request.
+    /// Number of lines left out of the sums because an earlier line bills the same request.
     pub n_duplicates: usize,
 }
 
-/// The cost to one account of the responses of one version or service.
+/// The requests, tokens and cost of one account at one version or service.
 #[derive(Debug, Serialize)]
 pub struct Row {
-    /// The account that pays.
+    /// The account that is billed.
     pub account: account::Id,
-    /// The version, or the name of a plain service.
+    /// The model version, or the name of the service under `/services/`, that served the requests.
     pub served_by: String,
     /// Number of requests.
     pub n_requests: u64,
--- a/crates/curranthook_cli/src/command/diff.rs
+++ b/crates/curranthook_cli/src/command/diff.rs
@@ -15,7 +15,7 @@
 pub struct Difference {
     /// The epoch that the files were compared with, 0 if nothing is published yet.
     pub epoch: Epoch,
-    /// The changes.
+    /// The changes from the published document to the files.
     pub changes: Vec<Change>,
 }
 
--- a/crates/curranthook_cli/src/command/publish.rs
+++ b/crates/curranthook_cli/src/command/publish.rs
@@ -20,9 +20,9 @@
 /// The result of a publication.
 #[derive(Debug, Serialize)]
 pub struct Published {
-    /// The epoch in which the files are in force.
+    /// The epoch of the published document that contains the files.
     pub epoch: Epoch,
-    /// The changes; empty if the files were in force already.
+    /// The changes; empty if the published document already matched the files.
     pub changes: Vec<Change>,
     /// Warnings about the files.
     #[serde(serialize_with = "check::serialize_findings")]
--- a/crates/curranthook_cli/src/command/rollout.rs
+++ b/crates/curranthook_cli/src/command/rollout.rs
@@ -13,17 +13,17 @@
     store,
 };
 
-/// The result of the command.
+/// The result of a `rollout` operation.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 pub enum Outcome {
-    /// A rollout was changed.
+    /// The edit that started, paused, resumed or aborted a rollout.
     Applied(Applied),
-    /// All current rollouts.
+    /// The published rollouts, from `rollout status`.
     List(List),
 }
 
-/// All rollouts.
+/// All rollouts in the published document.
 #[derive(Debug, Serialize)]
 pub struct List {
     /// Rollouts by model name.
--- a/crates/curranthook_cli/src/edit.rs
+++ b/crates/curranthook_cli/src/edit.rs
@@ -16,16 +16,16 @@
     store::{self, Outcome},
 };
 
-/// Maximum number of times an edit is applied to a newly read document. Each repetition means that
-/// another operator published within the milliseconds between this command's read and write.
+/// Maximum number of attempts to read the document, apply an edit and write the result. A retry is
+/// needed only if another operator published in the milliseconds between the read and the write.
 const MAX_ATTEMPTS: usize = 20;
 
 /// The result of an edit.
 #[derive(Debug, Serialize)]
 pub struct Applied {
-    /// The epoch in which the edit is in force.
+    /// The epoch of the published document that contains the edit.
     pub epoch: Epoch,
-    /// A readable description of the edit.
+    /// A description of the edit, for display.
     pub message: String,
 }
 
--- a/crates/curranthook_cli/src/error.rs
+++ b/crates/curranthook_cli/src/error.rs
@@ -41,7 +41,7 @@
     /// A command needs the platform, but no address was configured.
     #[error("no platform address; give --platform or set CURRANTHOOK_PLATFORM")]
     NoPlatform,
-    /// This many routers returned no usable status.
+    /// Number of queried routers that returned no usable status.
     #[error("{0} of the routers returned no usable status")]
     RoutersFailed(usize),
     /// Reading standard input or a log file, or printing, failed.
@@ -57,9 +57,9 @@
 pub struct Conflict {
     /// The epoch that this command was based on, or that `--expect` named.
     pub expected: Epoch,
-    /// The epoch in force now.
+    /// The epoch of the latest published document.
     pub epoch: Epoch,
-    /// The operator who published the epoch in force.
+    /// The operator who published the latest document; "somebody" if it can't be read.
     pub by: String,
     /// The other operator's changes; empty if unknown.
     pub changes: Vec<Change>,
@@ -90,7 +90,8 @@
             Self::Check(_) => Code::Check,
             Self::Conflict(_) => Code::Conflict,
             Self::Store(store::Error::Indeterminate { .. }) => Code::Unknown,
-            // A read has no effect, so a lost response to one leaves nothing undetermined.
+            // `Lost` comes only from reads here: a write with a lost response that can't be resolved
+            // is `Indeterminate`. A read changes nothing, so a lost response counts as an outage.
             Self::Store(store::Error::Platform(Platform::Down(_) | Platform::Lost(_)))
             | Self::Objects(Platform::Down(_) | Platform::Lost(_)) => Code::Down,
             _ => Code::Other,
--- a/crates/curranthook_cli/src/main.rs
+++ b/crates/curranthook_cli/src/main.rs
@@ -11,9 +11,9 @@
 use curranthook_platform::client::Client;
 use curranthook_types::{Clock, clock};
 
-/// Environment variable used when `--platform` is not given.
+/// Environment variable for the platform's address, used when `--platform` is not given.
 const PLATFORM_VARIABLE: &str = "CURRANTHOOK_PLATFORM";
-/// Environment variable used when `--by` is not given.
+/// Environment variable for the operator's name, used when `--by` is not given.
 const USER_VARIABLE: &str = "USER";
 /// Number of worker threads of the async runtime.
 const RUNTIME_THREADS: usize = 2;
