--- a/crates/curranthook_cli/tests/program.rs
+++ b/crates/curranthook_cli/tests/program.rs
@@ -8,7 +8,7 @@
 
 use yare::parameterized;
 
-fn curranthook(args: &[&str]) -> Command {
+fn curranthook_command(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curranthook"));
     command.args(args).env_remove("CURRANTHOOK_PLATFORM");
     command.current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/mekong"));
@@ -16,7 +16,7 @@
 }
 
 fn run(args: &[&str]) -> (i32, String, String) {
-    let Output { status, stdout, stderr } = curranthook(args).output().expect("it runs");
+    let Output { status, stdout, stderr } = curranthook_command(args).output().expect("it runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
     (status.code().expect("an exit code"), text(stdout), text(stderr))
 }
@@ -79,14 +79,14 @@
 
 #[test]
 fn key_is_hashed_from_standard_input() {
-    let mut command = curranthook(&["accounts", "hash-key"]);
+    let mut command = curranthook_command(&["accounts", "hash-key"]);
     command.stdin(Stdio::piped()).stdout(Stdio::piped());
     let mut child = command.spawn().expect("it runs");
     child.stdin.take().expect("a pipe").write_all(b"yard-can-tho-demo-key\n").expect("written");
     let out = child.wait_with_output().expect("it ends").stdout;
-    let base = include_str!("../../../examples/mekong/base.yaml");
+    let base_yaml = include_str!("../../../examples/mekong/base.yaml");
     let hash = String::from_utf8(out).expect("text");
-    assert!(base.contains(hash.trim()), "{hash}");
+    assert!(base_yaml.contains(hash.trim()), "{hash}");
 }
 
 #[parameterized(
