--- a/crates/curranthook_cli/src/command/explain.rs
+++ b/crates/curranthook_cli/src/command/explain.rs
@@ -80,8 +80,8 @@
         Ok(())
     }
 
-    /// Whether an event may belong to the timeline: it is about the request, or it reports a change
-    /// in a node's view of endpoints, configurations or rollouts.
+    /// Returns whether an event may belong to the timeline: it is about the request, or it reports
+    /// a change in the state of endpoints, configurations or rollouts as a node sees it.
     fn is_relevant(&self, event: &LogEvent) -> bool {
         match event.fields.get("request") {
             Some(request) => *request == self.request,
--- a/crates/curranthook_cli/src/command/publish.rs
+++ b/crates/curranthook_cli/src/command/publish.rs
@@ -20,7 +20,7 @@
 /// The result of a publication.
 #[derive(Debug, Serialize)]
 pub struct Published {
-    /// The epoch of the published document that contains the files.
+    /// The epoch of the published document with the files' configuration.
     pub epoch: Epoch,
     /// The changes; empty if the published document already matched the files.
     pub changes: Vec<Change>,
@@ -59,8 +59,8 @@
     let changes = difference(previous, &next);
     let warnings = checked.warnings;
     if changes.is_empty() {
-        // This is also the result of running the command again after its response was lost but the
-        // publication took effect.
+        // The operator also gets this result when repeating a publication that took effect although
+        // the platform's response was lost.
         return Ok(Published { epoch: previous.epoch, changes, warnings });
     }
     let tag = stored.as_ref().map(|it| &it.tag);
--- a/crates/curranthook_cli/tests/publish.rs
+++ b/crates/curranthook_cli/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Publications and edits when the platform loses responses and other operators publish
+//! Tests of publications and edits when the platform loses responses and other operators publish
 //! concurrently.
 
 mod fake;
