--- a/crates/curranthook_platform/src/traits.rs
+++ b/crates/curranthook_platform/src/traits.rs
@@ -93,23 +93,23 @@
     pub failure_domain: domain::Id,
     /// Whether the VM is about to be removed.
     pub state: VmState,
-    /// What runs on it.
+    /// The programs that run on the VM.
     #[serde(default)]
     pub role: Role,
 }
 
-/// What runs on a VM.
+/// The programs that run on a VM.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// A router and a steward.
+    /// An entry VM, which runs a router and a steward.
     #[default]
     Entry,
-    /// A model engine or a plain service.
+    /// A VM that runs an endpoint: a model engine or a plain service.
     Endpoint,
 }
 
-/// The list of VMs.
+/// Access to the platform's list of VMs.
 pub trait Vms: Debug + Send + Sync {
     /// Reads the list of VMs.
     fn all(&self) -> BoxFuture<'_, Vec<Vm>>;
--- a/crates/curranthook_settings/src/check/finding.rs
+++ b/crates/curranthook_settings/src/check/finding.rs
@@ -14,7 +14,7 @@
 /// An error or a warning about a file.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The file and line.
+    /// The file and line of the value that the finding is about.
     pub location: Location,
     /// The path within the merged configuration, empty for the file as a whole.
     pub path: String,
--- a/crates/curranthook_settings/src/config.rs
+++ b/crates/curranthook_settings/src/config.rs
@@ -31,7 +31,7 @@
     /// The client accounts, by id.
     #[serde(default)]
     pub accounts: BTreeMap<account::Id, Account>,
-    /// The kinds of work, by name.
+    /// The kinds of work that requests can name, such as `summary`, with their quality targets.
     #[serde(default)]
     pub kinds: BTreeMap<kind::Id, Kind>,
     /// The policy for choosing versions and endpoints.
@@ -174,7 +174,7 @@
     }
 }
 
-/// A kind of work.
+/// The quality target and engine priority of the requests of one kind of work.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
@@ -192,7 +192,8 @@
     /// A short time to the first token: a cascade is used only if it adds little latency.
     #[default]
     Latency,
-    /// Few responses from bad versions: less exploration and earlier verdicts.
+    /// Few responses from bad versions: less exploration, higher confidence required that a version
+    /// meets its target, and withdrawal of bad versions without an operator.
     Exposure,
 }
 
@@ -201,7 +202,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// The main objective.
+    /// The main objective when versions are chosen.
     pub weigh: Objective,
     /// The maximum fraction of requests that are used to explore the quality of versions.
     pub exploration: f64,
@@ -209,7 +210,7 @@
     pub rating_sample: f64,
     /// The retry budget: retries allowed per successful request.
     pub retry_budget: f64,
-    /// The deadline of requests that set none, after their arrival.
+    /// The deadline of requests that set none, measured from their arrival.
     #[serde(rename = "default_deadline_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub default_deadline: Duration,
--- a/crates/curranthook_settings/src/node.rs
+++ b/crates/curranthook_settings/src/node.rs
@@ -18,7 +18,7 @@
 pub struct Settings {
     /// The id of this VM.
     pub vm: vm::Id,
-    /// The site it belongs to.
+    /// The site that the VM belongs to.
     pub site: site::Id,
     /// The failure domain that the VM is in.
     pub failure_domain: domain::Id,
@@ -52,11 +52,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The table service.
+    /// The address of the table service.
     pub table: SocketAddr,
-    /// The object store.
+    /// The address of the object store.
     pub objects: SocketAddr,
-    /// The list of VMs.
+    /// The address of the service that lists the VMs.
     pub vms: SocketAddr,
 }
 
--- a/crates/curranthook_settings/src/rollout.rs
+++ b/crates/curranthook_settings/src/rollout.rs
@@ -26,13 +26,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It advances when the current stage passes its checks.
+    /// The roll-out advances when the current stage passes its checks.
     Running,
-    /// An operator paused it at its current stage.
+    /// An operator paused the roll-out at its current stage.
     Paused,
-    /// It was aborted; `from` gets all new sessions.
+    /// The roll-out was aborted; `from` gets all new sessions.
     Aborted,
-    /// It is complete; `to` gets all new sessions.
+    /// The roll-out is complete; `to` gets all new sessions.
     Done,
 }
 
--- a/crates/curranthook_types/src/chat.rs
+++ b/crates/curranthook_types/src/chat.rs
@@ -16,7 +16,7 @@
     /// The maximum number of tokens in the response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
-    /// All other fields.
+    /// All other fields, forwarded unchanged to the engine.
     #[serde(flatten)]
     pub rest: serde_json::Map<String, serde_json::Value>,
 }
--- a/crates/curranthook_types/src/price.rs
+++ b/crates/curranthook_types/src/price.rs
@@ -9,7 +9,7 @@
 #[serde(transparent)]
 pub struct Micros(pub u64);
 
-/// The price of a version.
+/// The price of a version, per thousand tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
--- a/crates/curranthook_types/src/refusal.rs
+++ b/crates/curranthook_types/src/refusal.rs
@@ -39,7 +39,7 @@
     NoEndpoint,
     /// The deadline of the request passed.
     Deadline,
-    /// The request made the endpoints that ran it fail.
+    /// The request caused the endpoints that ran it to fail.
     Poison,
     /// A call that must not run twice has no idempotency key.
     KeyMissing,
