--- a/crates/curranthook_settings/src/check/shape.rs
+++ b/crates/curranthook_settings/src/check/shape.rs
@@ -79,7 +79,7 @@
 
 impl Checker<'_> {
     fn node(&mut self, node: &Node, shape: &Shape, path: &str) {
-        for (key, location) in &node.repeated {
+        for (key, location) in &node.duplicate_keys {
             let message = "duplicate key in the same map";
             self.out.push(Finding::error(location, &path::key(path, key), message));
         }
--- a/crates/curranthook_settings/src/overlay.rs
+++ b/crates/curranthook_settings/src/overlay.rs
@@ -60,8 +60,9 @@
 fn merge_node(base: &Node, overlay: &Node, path: &str, findings: &mut Vec<Finding>) -> Node {
     if let (Value::Map(old), Value::Map(new)) = (&base.value, &overlay.value) {
         let value = Value::Map(merge_map(old, new, path, findings));
-        let repeated = base.repeated.iter().chain(&overlay.repeated).cloned().collect();
-        return Node { location: base.location.clone(), value, repeated };
+        let duplicate_keys =
+            base.duplicate_keys.iter().chain(&overlay.duplicate_keys).cloned().collect();
+        return Node { location: base.location.clone(), value, duplicate_keys };
     }
     if path != SITE && !path.is_empty() && base.to_json() == overlay.to_json() {
         let message = "repeats the base file's value; leave it out";
--- a/crates/curranthook_settings/src/source.rs
+++ b/crates/curranthook_settings/src/source.rs
@@ -34,7 +34,7 @@
     /// The parsed value.
     pub value: Value,
     /// The duplicate keys of this map, with the locations of the duplicates.
-    pub repeated: Vec<(String, Location)>,
+    pub duplicate_keys: Vec<(String, Location)>,
 }
 
 /// A YAML value.
@@ -201,23 +201,23 @@
         Raw::List(list) => Value::List(list.into_iter().map(|it| raw_to_node(it, file)).collect()),
         Raw::Map(entries) => return map_to_node(entries, location),
     };
-    Node { location, value, repeated: Vec::new() }
+    Node { location, value, duplicate_keys: Vec::new() }
 }
 
 fn map_to_node(entries: Vec<(Spanned<String>, Spanned<Raw>)>, location: Location) -> Node {
     let mut map = BTreeMap::new();
-    let mut repeated = Vec::new();
+    let mut duplicate_keys = Vec::new();
     for (key, raw) in entries {
         let key_location =
             Location { file: Arc::clone(&location.file), line: key.referenced.line() };
         if map.contains_key(&key.value) {
-            repeated.push((key.value, key_location));
+            duplicate_keys.push((key.value, key_location));
             continue;
         }
         let node = raw_to_node(raw, &location.file);
         map.insert(key.value, Node { location: key_location, ..node });
     }
-    Node { location, value: Value::Map(map), repeated }
+    Node { location, value: Value::Map(map), duplicate_keys }
 }
 
 impl<'de> Deserialize<'de> for Raw {
