--- a/crates/curranthook_settings/src/check/quality.rs
+++ b/crates/curranthook_settings/src/check/quality.rs
@@ -53,6 +53,6 @@
 fn best_quality(tree: &Node, account: &Node, kind: &str) -> Option<f64> {
     let versions = tree.get("versions")?;
     let allowed = account.get("versions")?.items().iter().filter_map(Node::text);
-    let declared = allowed.filter_map(|it| versions.get(it)?.get("quality")?.get(kind)?.number());
-    declared.max_by(f64::total_cmp)
+    let qualities = allowed.filter_map(|it| versions.get(it)?.get("quality")?.get(kind)?.number());
+    qualities.max_by(f64::total_cmp)
 }
--- a/crates/curranthook_settings/src/check/shape.rs
+++ b/crates/curranthook_settings/src/check/shape.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) enum KeyFormat {
     Plain,
-    /// `model@version`
+    /// A model and a version of it, as `model@version`.
     Version,
 }
 
@@ -66,27 +66,27 @@
     Field { name, shape, presence: Presence::Optional }
 }
 
-/// Checks `node` and its descendants. `base` is the name of the base file, if `node` was merged
-/// from one.
-pub(crate) fn check(node: &Node, shape: &Shape, base: Option<&str>, out: &mut Vec<Finding>) {
-    Checker { base, out }.node(node, shape, "");
+/// Checks `node` and its descendants. `base_file` is the name of the base file, if `node`
+/// was merged from one.
+pub(crate) fn check(node: &Node, shape: &Shape, base_file: Option<&str>, out: &mut Vec<Finding>) {
+    Checker { base_file, out }.check_node(node, shape, "");
 }
 
 struct Checker<'a> {
-    base: Option<&'a str>,
+    base_file: Option<&'a str>,
     out: &'a mut Vec<Finding>,
 }
 
 impl Checker<'_> {
-    fn node(&mut self, node: &Node, shape: &Shape, path: &str) {
+    fn check_node(&mut self, node: &Node, shape: &Shape, path: &str) {
         for (key, location) in &node.duplicate_keys {
             let message = "duplicate key in the same map";
             self.out.push(Finding::error(location, &path::key(path, key), message));
         }
         match (shape, &node.value) {
-            (Shape::Record(fields), Value::Map(map)) => self.record(node, map, fields, path),
-            (Shape::Map(name, item), Value::Map(map)) => self.map(map, name, item, path),
-            (Shape::List(item), Value::List(list)) => self.list(list, item, path),
+            (Shape::Record(fields), Value::Map(map)) => self.check_record(node, map, fields, path),
+            (Shape::Map(format, item), Value::Map(map)) => self.check_map(map, format, item, path),
+            (Shape::List(item), Value::List(list)) => self.check_list(list, item, path),
             (_, value) => {
                 if let Err(message) = check_scalar(shape, value) {
                     self.out.push(Finding::error(&node.location, path, message));
@@ -95,11 +95,17 @@
         }
     }
 
-    fn record(&mut self, node: &Node, map: &BTreeMap<String, Node>, fields: &[Field], path: &str) {
+    fn check_record(
+        &mut self,
+        node: &Node,
+        map: &BTreeMap<String, Node>,
+        fields: &[Field],
+        path: &str,
+    ) {
         for (key, child) in map {
             let path = path::key(path, key);
             match fields.iter().find(|it| it.name == key) {
-                Some(field) => self.node(child, &field.shape, &path),
+                Some(field) => self.check_node(child, &field.shape, &path),
                 None => self.out.push(Finding::error(
                     &child.location,
                     &path,
@@ -120,26 +126,32 @@
         if name == "site" && path.is_empty() {
             return "lacks `site`, the site's name".to_owned();
         }
-        let is_from_base = self.base.is_none_or(|base| base == &*node.location.file);
+        let is_from_base = self.base_file.is_none_or(|it| it == &*node.location.file);
         if path.is_empty() || is_from_base {
             return format!("lacks `{name}`");
         }
         format!("isn't in the base file and can't stand alone: lacks `{name}`")
     }
 
-    fn map(&mut self, map: &BTreeMap<String, Node>, name: &KeyFormat, item: &Shape, path: &str) {
+    fn check_map(
+        &mut self,
+        map: &BTreeMap<String, Node>,
+        format: &KeyFormat,
+        item: &Shape,
+        path: &str,
+    ) {
         for (key, child) in map {
             let path = path::key(path, key);
-            if let Err(message) = check_key(name, key) {
+            if let Err(message) = check_key(format, key) {
                 self.out.push(Finding::error(&child.location, &path, message));
             }
-            self.node(child, item, &path);
+            self.check_node(child, item, &path);
         }
     }
 
-    fn list(&mut self, list: &[Node], item: &Shape, path: &str) {
+    fn check_list(&mut self, list: &[Node], item: &Shape, path: &str) {
         for (index, child) in list.iter().enumerate() {
-            self.node(child, item, &path::index(path, index));
+            self.check_node(child, item, &path::index(path, index));
         }
     }
 }
@@ -149,14 +161,14 @@
     format!("unknown key; known are {}", names.join(", "))
 }
 
-fn check_key(name: &KeyFormat, key: &str) -> Result<(), &'static str> {
+fn check_key(format: &KeyFormat, key: &str) -> Result<(), &'static str> {
     // Names become parts of URLs, object keys and metric names.
     if key.is_empty() || key.contains(|c: char| c.is_whitespace() || c.is_control() || c == '/') {
         return Err("a name has at least one character, no spaces and no slashes");
     }
     let has_version =
         key.split_once('@').is_some_and(|(model, it)| !model.is_empty() && !it.is_empty());
-    match name {
+    match format {
         KeyFormat::Version if !has_version => Err("must be written `model@version`"),
         KeyFormat::Version | KeyFormat::Plain => Ok(()),
     }
--- a/crates/curranthook_settings/src/overlay.rs
+++ b/crates/curranthook_settings/src/overlay.rs
@@ -94,8 +94,8 @@
             }
             continue;
         }
-        let absent = Node { value: Value::Null, ..node.clone() };
-        let old = base.get(key).unwrap_or(&absent);
+        let null_node = Node { value: Value::Null, ..node.clone() };
+        let old = base.get(key).unwrap_or(&null_node);
         merged.insert(key.clone(), merge_node(old, node, &path, findings));
     }
     merged
--- a/crates/curranthook_settings/src/source.rs
+++ b/crates/curranthook_settings/src/source.rs
@@ -46,7 +46,7 @@
     Bool(bool),
     /// A finite number.
     Number(serde_json::Number),
-    /// Any other scalar.
+    /// Any other scalar, as text.
     Text(String),
     /// A list.
     List(Vec<Node>),
