--- a/crates/curranthook_settings/tests/document.rs
+++ b/crates/curranthook_settings/tests/document.rs
@@ -79,17 +79,19 @@
 
 #[test]
 fn rollout_advances_stage_by_stage() {
-    let first = published().start(&plan("m@1", "m@2", &[0.1, 1.0]), &stamp("p2")).expect("start");
-    let paused = first.pause("m", &stamp("p3")).expect("pause");
+    let first_stage =
+        published().start(&plan("m@1", "m@2", &[0.1, 1.0]), &stamp("p2")).expect("start");
+    let paused = first_stage.pause("m", &stamp("p3")).expect("pause");
     let not_running = Error::InvalidState { model: "m".to_owned(), state: State::Paused };
     assert_eq!(paused.advance("m", 0, &stamp("p4")), Err(not_running));
-    let second = paused.resume("m", &stamp("p4")).and_then(|it| it.advance("m", 0, &stamp("p5")));
-    let second = second.expect("resumed and advanced");
-    assert_eq!(second.rollouts["m"].share(), 1.0);
+    let second_stage =
+        paused.resume("m", &stamp("p4")).and_then(|it| it.advance("m", 0, &stamp("p5")));
+    let second_stage = second_stage.expect("resumed and advanced");
+    assert_eq!(second_stage.rollouts["m"].share(), 1.0);
     // Another steward has checked the first stage too.
     let mismatch = Error::StageMismatch { model: "m".to_owned(), stage: 1 };
-    assert_eq!(second.advance("m", 0, &stamp("p6")), Err(mismatch));
-    let done = second.advance("m", 1, &stamp("p6")).expect("completed");
+    assert_eq!(second_stage.advance("m", 0, &stamp("p6")), Err(mismatch));
+    let done = second_stage.advance("m", 1, &stamp("p6")).expect("completed");
     assert_eq!(done.rollouts["m"].state, State::Done);
     let already_done = Error::InvalidState { model: "m".to_owned(), state: State::Done };
     assert_eq!(done.abort("m", &stamp("p7")), Err(already_done));
