--- a/crates/curranthook_standin/src/engine.rs
+++ b/crates/curranthook_standin/src/engine.rs
@@ -1,15 +1,15 @@
-//! A model engine: chat completions, whole or streamed.
+//! A simulated model engine that serves chat completions, streamed or not.
 //!
-//! What an answer says follows from the request's id, its prompt and the version alone (see
-//! [`answer`]), so that a resumed answer continues the interrupted one and tests can foretell
-//! quality. [`profile`] says how fast and how good an engine is, [`faults`] what goes wrong.
+//! The content of an answer depends only on the request id, the prompt and the version (see
+//! [`answer`]), so that a resumed answer continues the interrupted one and tests can predict its
+//! quality. [`profile`] configures latency and quality, [`faults`] the injected faults.
 //!
 //! | request | meaning |
 //! |---|---|
-//! | `POST /v1/chat/completions` | work |
-//! | `POST /orders` | load or unload a version, under a fencing number |
-//! | `GET /load` | the load as it was a while ago |
-//! | `GET /cache-events` | changes of the prefix cache, late and with gaps |
+//! | `POST /v1/chat/completions` | runs a chat completion |
+//! | `POST /orders` | loads or unloads a version; carries a fencing token |
+//! | `GET /load` | the load, delayed by the configured lag |
+//! | `GET /cache-events` | prefix cache events, delayed and with some events missing |
 //! | `PUT /control/faults` | [`faults::Faults`] |
 //! | `GET /control/record` | a list of [`record::Run`] |
 //! | `GET /control/orders` | a list of [`order::Entry`] |
@@ -42,25 +42,25 @@
     slots::Slots,
 };
 
-/// Whether an engine looks at fencing numbers.
+/// Whether an engine checks fencing tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fencing {
-    /// An order with an older number than the highest seen is refused.
+    /// Rejects an order whose token is lower than the highest one seen.
     Checked,
-    /// Any order is obeyed.
+    /// Executes every order.
     Ignored,
 }
 
 /// Whether an engine keeps a record of its runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recording {
-    /// Each run is kept.
+    /// Every run is recorded.
     On,
-    /// None is, for measurements.
+    /// No run is recorded, for benchmarks.
     Off,
 }
 
-/// A model engine.
+/// A simulated model engine.
 #[derive(Debug)]
 pub struct Engine {
     id: String,
@@ -78,7 +78,7 @@
 }
 
 impl Engine {
-    /// An engine that has `versions` loaded.
+    /// Creates an engine with `versions` loaded.
     pub fn new(
         id: &str,
         versions: impl IntoIterator<Item = String>,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The versions that are loaded, in the form of the models list.
+    /// Lists the loaded versions in the format of the OpenAI models endpoint.
     fn models(&self) -> http::Response<Body> {
         let loaded = self.loaded.lock();
         let model = |id: &String| serde_json::json!({ "id": id, "object": "model" });
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The load that callers are told: an old one.
+    /// The load reported to callers, which is delayed by the configured lag.
     fn reported_load(&self) -> usize {
         self.load.lock().report(self.slots.n_held(), self.clock.now())
     }
@@ -149,7 +149,7 @@
         res
     }
 
-    /// A refusal given before any work was begun.
+    /// A rejection sent before any work has started.
     fn not_started(&self, status: u16, text: &str) -> http::Response<Body> {
         let mut res = app::error(status, text);
         res.headers_mut().insert(header::NOT_STARTED, HeaderValue::from_static("true"));
--- a/crates/curranthook_standin/src/engine/answer.rs
+++ b/crates/curranthook_standin/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! What an engine answers.
+//! The deterministic content of an engine's answers.
 
 use curranthook_types::chat;
 
@@ -9,14 +9,14 @@
 /// The first token of a bad answer.
 pub const BAD: &str = "[bad]";
 
-/// The text that decides how hard a prompt is: all messages, one a line.
+/// The text that determines a prompt's difficulty: all messages, joined by newlines.
 pub fn prompt(req: &chat::Request) -> String {
     let texts: Vec<_> = req.messages.iter().map(|it| it.content.as_str()).collect();
     texts.join("\n")
 }
 
-/// How hard a prompt is, from 0 up to 1, the same for all versions. A version answers well
-/// where this is less than its quality.
+/// The difficulty of a prompt, in [0, 1), the same for all versions. A version gives a good
+/// answer if the difficulty is below its quality.
 ///
 /// ```
 /// use curranthook_standin::engine::answer;
@@ -26,7 +26,7 @@
     hash::fraction(&["difficulty", prompt])
 }
 
-/// An answer, token by token.
+/// An answer that can be generated token by token.
 #[derive(Debug, Clone)]
 pub struct Answer {
     request_id: String,
@@ -37,8 +37,8 @@
 }
 
 impl Answer {
-    /// The answer of `version`; its length lies between half and one and a half times
-    /// `mean_tokens`, and `max_tokens` cuts it.
+    /// Creates the answer of `version`. Its length is between 0.5 and 1.5 times `mean_tokens`,
+    /// truncated to `max_tokens`.
     pub fn new(
         request_id: &str,
         version: &str,
@@ -58,17 +58,17 @@
         }
     }
 
-    /// How many tokens it has.
+    /// The number of tokens.
     pub fn n_tokens(&self) -> u64 {
         self.n_tokens
     }
 
-    /// Whether it's a good one.
+    /// Whether the answer is good.
     pub fn is_good(&self) -> bool {
         self.is_good
     }
 
-    /// The token at place `n`.
+    /// The token at index `n`.
     pub fn token(&self, n: u64) -> String {
         if n == 0 {
             return if self.is_good { GOOD } else { BAD }.to_owned();
@@ -78,12 +78,12 @@
         format!(" w{word}")
     }
 
-    /// The text from place `from` on.
+    /// The text from token index `from` to the end.
     pub fn text(&self, from: u64) -> String {
         (from..self.n_tokens).map(|n| self.token(n)).collect()
     }
 
-    /// Why it ends.
+    /// The finish reason: `stop`, or `length` if truncated by `max_tokens`.
     pub fn finish_reason(&self) -> &'static str {
         if self.is_whole { "stop" } else { "length" }
     }
--- a/crates/curranthook_standin/src/engine/cache.rs
+++ b/crates/curranthook_standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The bounded prefix cache and the events that it tells, late and with gaps.
+//! A bounded prefix cache and its events, which are published late and with some missing.
 
 use std::{
     collections::VecDeque,
@@ -11,25 +11,25 @@
 
 use super::profile::Profile;
 
-/// How many events are kept for callers that ask seldom.
+/// The maximum number of events retained for callers that poll infrequently.
 const MAX_EVENTS: usize = 1_024;
 
-/// A prefix cache that forgets what was used longest ago.
+/// A prefix cache with least-recently-used eviction.
 #[derive(Debug)]
 pub(super) struct Cache {
     max_entries: usize,
     lag: Duration,
     gaps: f64,
-    /// Hashes of prefixes, the last used at the back.
+    /// Hashes of prefixes, with the most recently used at the back.
     entries: VecDeque<u64>,
     events: VecDeque<(Instant, Event)>,
     sequence: u64,
 }
 
-/// A change of the cache.
+/// A cache event.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Event {
-    /// Counts all events, told or not, so that gaps can be seen.
+    /// Numbers all events, published or dropped, so that a caller can detect gaps.
     sequence: u64,
     change: Change,
     prefix_hash: String,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Looks `prefix` up and keeps it; whether it was there.
+    /// Marks `prefix` as used, inserting it if absent; returns whether it was cached.
     pub(super) fn touch(&mut self, version: &str, prefix: &str, now: Instant) -> bool {
         if self.max_entries == 0 {
             return false;
@@ -75,7 +75,7 @@
         false
     }
 
-    /// The events that callers see by now.
+    /// The events that are visible to callers at `now`.
     pub(super) fn events(&self, now: Instant) -> Vec<Event> {
         let told = self.events.iter().take_while(|(at, _)| *at + self.lag <= now);
         told.map(|(_, event)| event.clone()).collect()
--- a/crates/curranthook_standin/src/engine/faults.rs
+++ b/crates/curranthook_standin/src/engine/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in an engine.
+//! Faults injected into an engine.
 
 use std::collections::BTreeMap;
 
@@ -8,42 +8,42 @@
 
 use super::profile::Version;
 
-/// The faults in force; each `PUT` replaces them all.
+/// The active faults; each `PUT` replaces all of them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// In place of the profile's, for all versions.
+    /// Overrides the profile's value for all versions.
     pub error_rate: Option<f64>,
-    /// In place of the profile's, for all versions.
+    /// Overrides the profile's value for all versions.
     pub first_token_ms: Option<f64>,
-    /// In place of the profile's, for all versions.
+    /// Overrides the profile's value for all versions.
     pub token_ms: Option<f64>,
-    /// In place of the profile's, by version.
+    /// Overrides the profile's value, by version.
     pub quality: BTreeMap<String, f64>,
-    /// Answers with the id of another request.
+    /// Responds with the id of another request.
     pub foreign_id: Count,
-    /// Closes the connection after so many tokens of this run.
+    /// Closes the connection after this many tokens of the run.
     pub cut_after_tokens: Option<u64>,
-    /// How many answers are cut so; all if left out.
+    /// How many answers `cut_after_tokens` applies to; all if omitted.
     pub cut_next: Option<u64>,
-    /// Ends streams properly but without the marker.
+    /// Ends streams with a complete HTTP body but without the end marker.
     pub no_end_marker: Count,
-    /// Aborts the process on a prompt that contains this.
+    /// Aborts the process if the prompt contains this text.
     pub die_on: Option<String>,
-    /// How much later the head of an answer comes, after the work was begun.
+    /// Extra delay of the response head after the work has started, in milliseconds.
     pub answer_late_ms: u64,
-    /// Is leaving: refuses, and says so on each answer.
+    /// The engine is leaving: it rejects requests and sets the leaving header on every response.
     pub leaving: bool,
-    /// Refuses as if full.
+    /// Rejects requests as if the queue were full.
     pub refuse: Count,
-    /// Begins the work and never answers.
+    /// Starts the work and never responds.
     pub hang_before_head: Count,
-    /// How many times slower everything is.
+    /// The factor by which token times are multiplied.
     pub slow_factor: Option<f64>,
 }
 
 impl Faults {
-    /// The profile of `version` with the faults laid over.
+    /// Applies the overrides to the profile of version `id`.
     pub(super) fn over(&self, id: &str, version: &Version) -> Version {
         let slow = self.slow_factor.unwrap_or(1.0);
         Version {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// After how many tokens the next answer is cut, if it is.
+    /// Returns the number of tokens after which the next answer is cut, if any, and counts it.
     pub(super) fn cut(&mut self) -> Option<u64> {
         let after = self.cut_after_tokens?;
         match &mut self.cut_next {
--- a/crates/curranthook_standin/src/engine/load.rs
+++ b/crates/curranthook_standin/src/engine/load.rs
@@ -1,8 +1,8 @@
-//! The load that an engine reports, which is old.
+//! The load that an engine reports, delayed by a configurable lag.
 
 use std::time::{Duration, Instant};
 
-/// The load report.
+/// Delays the reported load.
 #[derive(Debug)]
 pub(super) struct Load {
     lag: Duration,
@@ -15,7 +15,7 @@
         Self { lag, shown: 0, sampled: None }
     }
 
-    /// The load to report now: one sampled at least the lag ago.
+    /// Returns the load to report now, sampled at least `lag` ago.
     pub(super) fn report(&mut self, actual: usize, now: Instant) -> usize {
         if self.lag.is_zero() {
             return actual;
--- a/crates/curranthook_standin/src/engine/order.rs
+++ b/crates/curranthook_standin/src/engine/order.rs
@@ -9,46 +9,46 @@
 /// An order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Order {
-    /// What to do.
+    /// Whether to load or to unload.
     pub action: Action,
-    /// With which version.
+    /// The version to load or unload.
     pub version: String,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Serve the version.
+    /// Loads the version.
     Load,
-    /// Serve it no more.
+    /// Unloads the version.
     Unload,
 }
 
-/// What an engine made of an order.
+/// The engine's decision on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It did as told.
+    /// The order was executed.
     Obeyed,
-    /// It refused, for the fencing number was older than one seen before.
+    /// The order was rejected because its fencing token was lower than one seen before.
     Stale,
 }
 
-/// An order as logged.
+/// A log entry for an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Entry {
     /// The order.
     pub order: Order,
-    /// Its fencing number, if it had one.
+    /// Its fencing token, if any.
     pub fence: Option<u64>,
-    /// When it came, in milliseconds since 1970.
+    /// When it was received, in milliseconds since the Unix epoch.
     pub at_millis: u64,
-    /// What the engine made of it.
+    /// The engine's decision.
     pub verdict: Verdict,
 }
 
-/// All orders so far.
+/// A log of all orders received.
 #[derive(Debug)]
 pub(super) struct Log {
     fencing: Fencing,
@@ -65,7 +65,7 @@
         &self.entries
     }
 
-    /// Carries `order` out on `loaded`, or refuses it.
+    /// Applies `order` to `loaded` or rejects it, and logs the decision.
     pub(super) fn take(
         &mut self,
         order: Order,
--- a/crates/curranthook_standin/src/engine/profile.rs
+++ b/crates/curranthook_standin/src/engine/profile.rs
@@ -1,30 +1,30 @@
-//! How fast and how good an engine is.
+//! Configuration of an engine's latency, capacity and answer quality.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// An engine's profile, written in YAML. Whatever is left out has a default.
+/// An engine's profile, written in YAML. Omitted fields take their defaults.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Profile {
-    /// Versions that differ from `default`.
+    /// Profiles of versions that differ from `default`.
     pub versions: BTreeMap<String, Version>,
-    /// Every other version.
+    /// The profile of all other versions.
     pub default: Version,
-    /// How many requests run at once.
+    /// The maximum number of requests that run concurrently.
     pub slots: usize,
-    /// How many wait for a slot before more are refused.
+    /// The maximum number of requests waiting for a slot; further ones are rejected.
     pub queue: usize,
-    /// How much longer a token takes for each other request in the batch, as a share.
+    /// The fraction by which each other request in the batch lengthens the time per token.
     pub batch_slowdown: f64,
-    /// How many prompts the prefix cache holds.
+    /// The maximum number of prefixes in the prefix cache.
     pub cache: usize,
-    /// How late cache events are told.
+    /// The delay before a cache event becomes visible.
     pub cache_lag_ms: u64,
-    /// The share of cache events that are never told.
+    /// The fraction of cache events that are dropped.
     pub cache_gaps: f64,
-    /// How old the reported load is.
+    /// The minimum age of the reported load.
     pub load_lag_ms: u64,
 }
 
@@ -44,19 +44,19 @@
     }
 }
 
-/// How fast and how good a version is.
+/// Latency and quality of one version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Version {
-    /// The share of prompts that it answers well.
+    /// The fraction of prompts that get a good answer.
     pub quality: f64,
-    /// The time to the first token.
+    /// The time to the first token, in milliseconds.
     pub first_token_ms: f64,
-    /// The time for each later one.
+    /// The time per subsequent token, in milliseconds.
     pub token_ms: f64,
-    /// The mean length of an answer.
+    /// The mean length of an answer, in tokens.
     pub tokens: u64,
-    /// The share of requests that fail.
+    /// The fraction of requests that fail.
     pub error_rate: f64,
 }
 
@@ -72,12 +72,12 @@
         self.versions.get(version).unwrap_or(&self.default)
     }
 
-    /// How old the reported load is.
+    /// The minimum age of the reported load.
     pub fn load_lag(&self) -> Duration {
         Duration::from_millis(self.load_lag_ms)
     }
 
-    /// How late cache events are told.
+    /// The delay before a cache event becomes visible.
     pub fn cache_lag(&self) -> Duration {
         Duration::from_millis(self.cache_lag_ms)
     }
--- a/crates/curranthook_standin/src/engine/record.rs
+++ b/crates/curranthook_standin/src/engine/record.rs
@@ -1,4 +1,4 @@
-//! What an engine ran.
+//! The record of an engine's runs.
 
 use std::sync::Arc;
 
@@ -17,17 +17,17 @@
     pub version: String,
     /// A hash of the prompt.
     pub prompt_hash: String,
-    /// When the engine took it, in milliseconds since 1970.
+    /// When the engine accepted it, in milliseconds since the Unix epoch.
     pub started_millis: u64,
-    /// When it ended.
+    /// When it ended, in milliseconds since the Unix epoch.
     pub finished_millis: Option<u64>,
     /// How it ended.
     pub outcome: Outcome,
-    /// The token that it began with, above 0 for a resumed answer.
+    /// The index of its first token; above 0 for a resumed answer.
     pub from_token: u64,
-    /// How many tokens it made.
+    /// The number of tokens generated.
     pub tokens: u64,
-    /// Whether the answer was a good one.
+    /// Whether the answer is good.
     pub good: bool,
     /// Its priority.
     pub priority: i32,
@@ -37,15 +37,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Not yet; it may still wait for a slot.
+    /// Still running, or waiting for a slot.
     Running,
-    /// With its last token.
+    /// The last token was generated.
     Done,
-    /// With the caller gone.
+    /// The caller disconnected.
     Cancelled,
-    /// With an error, or cut by a fault.
+    /// It failed with an error or was cut by a fault.
     Failed,
-    /// Before it began, for the queue was full.
+    /// Rejected before it started because the queue was full.
     Refused,
 }
 
@@ -57,8 +57,8 @@
     runs: Mutex<Vec<Run>>,
 }
 
-/// The run under way. Dropped without an outcome, it counts as cancelled: the server drops an
-/// answer whose caller has gone.
+/// A run in progress. If dropped without an outcome it is recorded as cancelled, because the
+/// server drops the response of a caller that has disconnected.
 #[derive(Debug)]
 pub(super) struct Entry {
     record: Arc<Record>,
@@ -76,7 +76,7 @@
         self.runs.lock().clone()
     }
 
-    /// Adds a run, with the start as it is now.
+    /// Adds a run that starts now; `run` is called with the start time.
     pub(super) fn begin(self: &Arc<Self>, run: impl FnOnce(u64) -> Run) -> Entry {
         let place = match self.recording {
             Recording::Off => None,
@@ -92,7 +92,7 @@
 }
 
 impl Entry {
-    /// Counts tokens made.
+    /// Adds `n` generated tokens.
     pub(super) fn add_tokens(&mut self, n: u64) {
         self.n_tokens += n;
         if let Some(place) = self.place {
@@ -100,12 +100,12 @@
         }
     }
 
-    /// How many tokens were made.
+    /// The number of tokens generated.
     pub(super) fn n_tokens(&self) -> u64 {
         self.n_tokens
     }
 
-    /// Ends the run.
+    /// Ends the run with `outcome`.
     pub(super) fn close(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
--- a/crates/curranthook_standin/src/engine/slots.rs
+++ b/crates/curranthook_standin/src/engine/slots.rs
@@ -1,11 +1,11 @@
-//! Places in the batch, and the queue for them.
+//! Batch slots and the priority queue of requests waiting for one.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use async_channel::Sender;
 use parking_lot::Mutex;
 
-/// Places in the batch.
+/// The batch slots of an engine.
 #[derive(Debug)]
 pub(super) struct Slots {
     n_slots: usize,
@@ -17,21 +17,21 @@
 struct State {
     n_running: usize,
     n_arrived: u64,
-    /// By priority and arrival, the lowest first.
+    /// Ordered by priority, then arrival; the lowest is served first.
     queue: BTreeMap<(i32, u64), Sender<Permit>>,
 }
 
-/// Too many wait already.
+/// The queue is full.
 #[derive(Debug)]
 pub(super) struct Full;
 
-/// A place in the batch, given back when dropped.
+/// A slot in the batch, released on drop.
 #[derive(Debug)]
 pub(super) struct Permit {
     slots: Arc<Slots>,
 }
 
-/// A place in the queue, given up when dropped.
+/// A queue entry, removed on drop.
 #[derive(Debug)]
 struct Ticket {
     slots: Arc<Slots>,
@@ -43,13 +43,13 @@
         Self { n_slots, max_queue, state: Mutex::default() }
     }
 
-    /// How many requests are running or waiting.
+    /// The number of requests running or waiting.
     pub(super) fn n_held(&self) -> usize {
         let state = self.state.lock();
         state.n_running + state.queue.len()
     }
 
-    /// How many requests are in the batch.
+    /// The number of requests in the batch.
     pub(super) fn n_running(&self) -> usize {
         self.state.lock().n_running
     }
@@ -60,7 +60,7 @@
         self.n_slots <= state.n_running && self.max_queue <= state.queue.len()
     }
 
-    /// Waits for a place.
+    /// Waits for a slot.
     pub(super) async fn acquire(self: &Arc<Self>, priority: i32) -> Result<Permit, Full> {
         let (ticket, granted) = {
             let mut state = self.state.lock();
@@ -101,8 +101,8 @@
                 }
             }
         };
-        // If the waiting request has just been given up, this permit comes back as an error and
-        // its drop passes the place on.
+        // If the waiting request was cancelled in the meantime, `try_send` returns this permit
+        // in its error, and dropping it passes the slot to the next request.
         let _given_up = next.try_send(Self { slots: Arc::clone(&self.slots) });
     }
 }
--- a/crates/curranthook_standin/src/engine/work.rs
+++ b/crates/curranthook_standin/src/engine/work.rs
@@ -1,4 +1,4 @@
-//! One request, from its arrival to the last token.
+//! Processes a request from arrival to the last token.
 
 use std::{process, sync::Arc, sync::atomic::Ordering, time::Duration};
 
@@ -25,16 +25,16 @@
     slots::Permit,
 };
 
-/// How long the server gets to send the tokens before a cut.
+/// How long the server gets to flush the tokens before a stream is cut.
 const FLUSH_PAUSE: Duration = Duration::from_millis(5);
 
-/// Work that holds a place in the batch.
+/// A request that occupies a batch slot.
 #[derive(Debug)]
 struct Job {
     engine: Arc<Engine>,
     permit: Permit,
     entry: record::Entry,
-    /// The id that the answer carries; another request's under a fault.
+    /// The request id in the response; the `foreign_id` fault substitutes another one.
     id: String,
     answer: Answer,
     version: String,
@@ -45,7 +45,7 @@
     has_end_marker: bool,
 }
 
-/// The place that a stream has reached.
+/// The next step of a streamed response.
 #[derive(Debug)]
 enum Step {
     Token(Box<Job>, u64),
@@ -156,7 +156,7 @@
         res
     }
 
-    /// A prompt whose first message was seen of late is read in half the time.
+    /// The time to the first token; a prefix cache hit halves it.
     fn first_token_time(&self, chat: &chat::Request) -> Duration {
         let prefix = chat.messages.first().map_or("", |it| it.content.as_str());
         let now = self.engine.clock.now();
@@ -165,7 +165,7 @@
         if is_hit { time / 2 } else { time }
     }
 
-    /// Every request in the batch slows the others a little.
+    /// The time per token, which grows with each other request in the batch.
     fn token_time(&self) -> Duration {
         let others = self.engine.slots.n_running().saturating_sub(1);
         let slowdown = 1.0 + self.engine.profile.batch_slowdown * others as f64;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Whether the fault that cuts an answer strikes after the tokens made so far.
+    /// Whether the cut fault applies after the tokens generated so far.
     fn is_cut(&self) -> bool {
         self.cut_after.is_some_and(|after| after <= self.entry.n_tokens())
     }
@@ -204,7 +204,7 @@
         res
     }
 
-    /// An answer whose body breaks off at once.
+    /// A response whose body fails immediately.
     fn cut(self) -> http::Response<Body> {
         self.entry.close(Outcome::Failed);
         let broken = stream::once(Err::<Frame<Bytes>, _>(HangUp.into()));
@@ -228,7 +228,7 @@
             .expect("the header is valid")
     }
 
-    /// The events of the tokens in `from..to`; the answer's last one carries the usage.
+    /// The events for tokens `from..to`; the event of the answer's last token carries the usage.
     fn events(&self, from: u64, to: u64) -> String {
         (from..to).map(|n| self.token_event(n)).collect()
     }
@@ -266,7 +266,7 @@
         chat::Choice { finish_reason, ..chat::Choice::default() }
     }
 
-    /// Counts the whole answer, also when this run made only the end of it.
+    /// Counts the whole answer, even if this run resumed it and generated only the rest.
     fn usage(&self) -> chat::Usage {
         chat::Usage { prompt_tokens: self.prompt_tokens, completion_tokens: self.answer.n_tokens() }
     }
@@ -289,11 +289,11 @@
     }
 }
 
-/// Makes the token at place `n` of this run.
+/// Generates the token at index `n` of this run.
 async fn next_token(mut job: Box<Job>, n: u64) -> (Piece, Option<Step>) {
     if job.is_cut() {
-        // The server drops what it hasn't sent yet when a body ends with an error. Without the
-        // pause the tokens before the cut would be recorded but never reach the caller.
+        // The server discards unsent data when a body ends with an error. Without the pause, the
+        // tokens before the cut would be recorded but never reach the caller.
         Timer::after(FLUSH_PAUSE).await;
         job.entry.close(Outcome::Failed);
         return (Err(HangUp.into()), None);
