--- a/crates/curranthook_standin/src/app.rs
+++ b/crates/curranthook_standin/src/app.rs
@@ -1,7 +1,7 @@
-//! A server whose application may also hang up without an answer.
+//! An HTTP server whose application may also close the connection without a response.
 //!
-//! A well-behaved server always answers. A stand-in must be able to do the work and then close
-//! the connection, so the product's own server doesn't fit here.
+//! The product's own server always responds. A stand-in must be able to process a request and
+//! then close the connection, so it can't use that server.
 
 use std::{convert::Infallible, net::TcpListener, sync::Arc, time::Duration};
 
@@ -14,19 +14,19 @@
 use serde::de::DeserializeOwned;
 use smol_hyper::rt::FuturesIo;
 
-/// The largest request body that is read, in bytes.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY: usize = 64 * 1024 * 1024;
-/// The pause after a failed accept, so that running out of file descriptors doesn't spin.
+/// The delay after a failed accept, which prevents a busy loop when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A request, read whole.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct Request {
     /// The method.
     pub method: Method,
     /// The path, without the query.
     pub path: String,
-    /// The query, empty for none.
+    /// The query string, or an empty string.
     pub query: String,
     /// The headers.
     pub headers: HeaderMap,
@@ -35,28 +35,29 @@
 }
 
 impl Request {
-    /// A header as text, if it is there and is text.
+    /// A header as text, if it is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// A header as a number, if it is there and is one.
+    /// A header parsed as `T`, if it is present and valid.
     pub fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.header(name)?.parse().ok()
     }
 
-    /// The value of `name` in the query.
+    /// The value of the query parameter `name`.
     pub fn param(&self, name: &str) -> Option<&str> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// The body as JSON.
+    /// Deserializes the body from JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Malformed> {
         serde_json::from_slice(&self.body).map_err(Malformed)
     }
 
-    /// Reads the body as JSON, stores it with `place` and answers that this was done.
+    /// Deserializes the body from JSON, passes it to `set` and responds with 200, or with 400 if it
+    /// is malformed.
     pub fn store<T: DeserializeOwned>(&self, place: impl FnOnce(T)) -> http::Response<Body> {
         match self.json() {
             Ok(value) => {
@@ -68,38 +69,38 @@
     }
 }
 
-/// The body isn't the JSON that was wanted.
+/// The body isn't JSON of the expected structure.
 #[derive(Debug, thiserror::Error)]
 #[error("the body can't be read: {0}")]
 pub struct Malformed(serde_json::Error);
 
 impl Malformed {
-    /// The answer to give.
+    /// The 400 response for this error.
     pub fn answer(&self) -> http::Response<Body> {
         error(400, &self.to_string())
     }
 }
 
-/// Closes the connection without an answer.
+/// Closes the connection without a response.
 #[derive(Debug, thiserror::Error)]
 #[error("the connection is closed without an answer")]
 pub struct HangUp;
 
-/// An answer, or none.
+/// A response, or a hang-up.
 pub type Reply = Result<http::Response<Body>, HangUp>;
 
-/// What a stand-in does with its requests. The future is dropped when the caller goes away.
+/// The request handler of a stand-in. Its future is dropped when the caller disconnects.
 pub trait App: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(self: Arc<Self>, req: Request) -> Boxed<Reply>;
 
-    /// Answers `GET /healthz`.
+    /// Handles `GET /healthz`.
     fn health(&self) -> http::Response<Body> {
         body::json(200, &serde_json::json!({ "healthy": true }))
     }
 }
 
-/// An answer with an error text.
+/// A response with an error message as JSON.
 pub fn error(status: u16, text: &str) -> http::Response<Body> {
     body::json(status, &serde_json::json!({ "error": text }))
 }
@@ -122,7 +123,7 @@
 async fn connection<A: App>(stream: Async<std::net::TcpStream>, app: Arc<A>) {
     let _best_effort = stream.get_ref().set_nodelay(true);
     let service = service_fn(move |req| answer(Arc::clone(&app), req));
-    // An error is a caller that broke off or a wanted hang-up.
+    // An error means that the caller disconnected or that the app hung up on purpose.
     let _broken = http1::Builder::new().serve_connection(FuturesIo::new(stream), service).await;
 }
 
--- a/crates/curranthook_standin/src/fault.rs
+++ b/crates/curranthook_standin/src/fault.rs
@@ -1,14 +1,14 @@
-//! Faults that strike always or a number of times.
+//! How often an injected fault applies.
 
 use serde::{Deserialize, Serialize};
 
-/// How often a fault strikes: `true` for always, or a number of times.
+/// How often a fault applies: `true` for always, `false` for never, or a number of times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Count {
     /// Always or never.
     Always(bool),
-    /// The next so many times.
+    /// The next N times.
     Next(u64),
 }
 
@@ -19,7 +19,7 @@
 }
 
 impl Count {
-    /// Whether the fault strikes now; counts it.
+    /// Returns whether the fault applies now, and decrements the remaining count if it does.
     ///
     /// ```
     /// use curranthook_standin::fault::Count;
--- a/crates/curranthook_standin/src/hash.rs
+++ b/crates/curranthook_standin/src/hash.rs
@@ -1,4 +1,4 @@
-//! A hash that is the same in every process and build, so that answers can be foretold.
+//! A hash that is the same in every process and build, so that answers are predictable.
 
 /// Hashes `parts` in order.
 ///
@@ -8,8 +8,8 @@
 /// assert_ne!(hash::of(&["ab", ""]), hash::of(&["a", "b"]));
 /// ```
 pub fn of(parts: &[&str]) -> u64 {
-    // FNV-1a, with the end of each part hashed as well and a finishing step that spreads
-    // short texts over the whole range.
+    // FNV-1a, with a terminator hashed after each part and a finalizer that spreads the
+    // hashes of short texts over the whole range.
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     const END_OF_PART: u8 = 0xff;
@@ -22,7 +22,7 @@
     finish(hash)
 }
 
-/// The hash of `parts` as a number from 0 up to, not including, 1.
+/// The hash of `parts` mapped to [0, 1).
 pub fn fraction(parts: &[&str]) -> f64 {
     const BITS: u32 = 53;
     (of(parts) >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
--- a/crates/curranthook_standin/src/lib.rs
+++ b/crates/curranthook_standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for engines, services and the platform, and a fault proxy; never part of the product.
+//! Simulators of engines, services and the platform, and a fault-injecting proxy. They are used in
+//! tests and never part of the product.
 //!
-//! Each module is one stand-in, with a program of the same name in `src/bin`. All of them are
-//! an [`app::App`] that [`program::run`] serves, and all are driven by JSON under `/control/`.
+//! Each stand-in is one module with a binary `standin-<module>` in `src/bin`. Each implements
+//! [`app::App`], is served by [`program::run`] and is controlled with JSON over HTTP.
 
 pub mod app;
 pub mod engine;
--- a/crates/curranthook_standin/src/platform.rs
+++ b/crates/curranthook_standin/src/platform.rs
@@ -1,11 +1,11 @@
-//! The platform: a transactional table, an object store and a list of VMs that lags.
+//! A simulated platform: a transactional table, an object store and a VM list with a lag.
 //!
-//! The interface is the one that `curranthook_platform::client` documents. Control:
+//! The API is documented in `curranthook_platform::client`. Control:
 //!
 //! | request | meaning |
 //! |---|---|
-//! | `PUT /control/faults` | [`fault::Faults`]; what is left out works again |
-//! | `PUT /control/vms` | the true list of VMs, served after the lag |
+//! | `PUT /control/faults` | replaces the [`fault::Faults`]; omitted fields are reset |
+//! | `PUT /control/vms` | sets the actual list of VMs, served after the lag |
 //! | `GET /control/counts` | [`count::Counts`] |
 //! | `GET /control/table/{table}` | the rows as `[{key, tag, value}]` |
 //! | `GET /control/objects` | the objects as `{key: text}` |
@@ -35,18 +35,18 @@
     vms::Vms,
 };
 
-/// What the platform can do.
+/// Rate limits and lag of the platform.
 #[derive(Debug, Clone, Default)]
 pub struct Limit {
-    /// Reads of the table a second, if limited.
+    /// Table reads per second; unlimited if `None`.
     pub table_reads: Option<f64>,
-    /// Writes to the table a second, if limited.
+    /// Table writes per second; unlimited if `None`.
     pub table_writes: Option<f64>,
-    /// How long a change of the list of VMs stays unseen.
+    /// The delay before a change of the VM list becomes visible.
     pub vm_list_lag: Duration,
 }
 
-/// The platform.
+/// A simulated platform.
 #[derive(Debug)]
 pub struct Platform {
     clock: Arc<dyn Clock>,
@@ -73,7 +73,7 @@
 }
 
 impl Platform {
-    /// An empty platform.
+    /// Creates an empty platform.
     pub fn new(limit: Limit, clock: Arc<dyn Clock>) -> Self {
         let now = clock.now();
         let state = State {
--- a/crates/curranthook_standin/src/platform/count.rs
+++ b/crates/curranthook_standin/src/platform/count.rs
@@ -1,30 +1,30 @@
-//! Calls counted.
+//! Call counters.
 
 use serde::{Deserialize, Serialize};
 
 use super::Service;
 
-/// Calls to each service.
+/// Counters of the calls to each service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// The table.
+    /// Calls to the table.
     pub table: Calls,
-    /// The object store.
+    /// Calls to the object store.
     pub objects: Calls,
-    /// The list of VMs.
+    /// Calls to the list of VMs.
     pub vms: Calls,
 }
 
-/// Calls to one service.
+/// Counters of the calls to one service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads that were carried out.
+    /// Reads executed.
     pub reads: u64,
-    /// Writes that were carried out, whether or not their condition held.
+    /// Writes executed, whether or not their condition held.
     pub writes: u64,
-    /// Reads answered by 304.
+    /// Reads that got a 304 response.
     pub not_modified: u64,
-    /// Calls refused because the service was down or over its rate.
+    /// Calls rejected because the service was down or above its rate limit.
     pub refused: u64,
 }
 
--- a/crates/curranthook_standin/src/platform/fault.rs
+++ b/crates/curranthook_standin/src/platform/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of the platform.
+//! Faults injected into the platform.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 
 use super::Service;
 
-/// The faults in force.
+/// The active faults.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Of the table.
+    /// The fault of the table.
     pub table: Fault,
-    /// Of the object store.
+    /// The fault of the object store.
     pub objects: Fault,
-    /// Of the list of VMs.
+    /// The fault of the list of VMs.
     pub vms: Fault,
 }
 
@@ -22,34 +22,35 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
-    /// What happens to a call.
+    /// How the fault affects a call.
     pub mode: Mode,
-    /// How long a slow call waits before it takes effect, and a lost one too.
+    /// The delay before a slow or lost call takes effect, in milliseconds.
     pub delay_ms: u64,
-    /// Only calls whose key begins so; a table's key is `{table}/{key}`.
+    /// Affects only calls whose key has this prefix; the key of a row is `{table}/{key}`.
     pub key_prefix: String,
-    /// Only the next so many writes.
+    /// Affects only the next N writes.
     pub next: Option<u64>,
-    /// Reads too, where otherwise only writes count: with `next`, and in mode `lost`.
+    /// Affects and counts reads too where otherwise only writes are: with `next`, and in mode
+    /// `lost`.
     pub any: bool,
 }
 
-/// What happens to a call.
+/// How the fault affects a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It works.
+    /// The call works.
     #[default]
     Up,
-    /// It gets 503 and has no effect.
+    /// The call gets a 503 response and has no effect.
     Down,
-    /// It takes effect after the delay.
+    /// The call takes effect after the delay.
     Slow,
-    /// It takes effect; then the connection is closed without an answer.
+    /// The call takes effect after the delay, then the connection is closed without a response.
     Lost,
 }
 
-/// Whether a call changes anything.
+/// Whether a call reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Call {
     Read,
--- a/crates/curranthook_standin/src/platform/rate.rs
+++ b/crates/curranthook_standin/src/platform/rate.rs
@@ -1,8 +1,8 @@
-//! A limit on calls a second.
+//! A limit on calls per second.
 
 use std::time::Instant;
 
-/// A token bucket that holds one second's worth.
+/// A token bucket with a capacity of one second of calls.
 #[derive(Debug)]
 pub(super) struct Bucket {
     rate: Option<f64>,
--- a/crates/curranthook_standin/src/platform/store.rs
+++ b/crates/curranthook_standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Rows or objects with a tag that each write changes.
+//! Rows or objects with an `ETag` that changes on each write.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use crate::app::{self, Request};
 
-/// Rows by key. Callers hold the platform's lock, so each call is atomic.
+/// Entries by key. Callers hold the platform's lock, so each call is atomic.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     entries: BTreeMap<String, Entry>,
@@ -22,7 +22,7 @@
     value: Bytes,
 }
 
-/// A row as it is listed.
+/// A row in a listing.
 #[derive(Debug, Serialize)]
 pub(super) struct Row {
     key: String,
@@ -31,7 +31,7 @@
 }
 
 impl Store {
-    /// A call to `{table}/{key}`, or to `{table}` for a list.
+    /// Handles a call to the row `{table}/{key}`, or a listing of `{table}`.
     pub(super) fn table_call(&mut self, path: &str, req: &Request) -> http::Response<Body> {
         match req.method {
             Method::GET if path.contains('/') => self.read(path, req),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A call to the object `key`, or to all of them for a list.
+    /// Handles a call to the object `key`, or a listing if `key` is empty.
     pub(super) fn object_call(&mut self, key: &str, req: &Request) -> http::Response<Body> {
         match req.method {
             Method::GET if key.is_empty() => {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The rows whose `{table}/{key}` begins with `prefix`, under their key in the table.
+    /// The rows whose path `{table}/{key}` has this prefix, each with its key in the table.
     pub(super) fn rows(&self, prefix: &str) -> Vec<Row> {
         let all = self.entries.range(prefix.to_owned()..);
         let matching = all.take_while(|(path, _)| path.starts_with(prefix));
@@ -71,7 +71,7 @@
             .collect()
     }
 
-    /// Everything as text.
+    /// All values as text, by key.
     pub(super) fn texts(&self) -> BTreeMap<&str, String> {
         self.entries.iter().map(|(key, entry)| (key.as_str(), text(&entry.value))).collect()
     }
--- a/crates/curranthook_standin/src/platform/vms.rs
+++ b/crates/curranthook_standin/src/platform/vms.rs
@@ -1,4 +1,4 @@
-//! The list of VMs, which shows a change only after a while.
+//! The list of VMs, in which changes become visible after a lag.
 
 use std::{
     collections::VecDeque,
@@ -11,12 +11,12 @@
 
 use crate::app::Request;
 
-/// The list as it was and is.
+/// The visible list and its pending changes.
 #[derive(Debug)]
 pub(super) struct Vms {
     lag: Duration,
     seen: Vec<Value>,
-    /// Counts the lists seen so far, for the `ETag`.
+    /// The number of visible changes so far, used as `ETag`.
     version: u64,
     unseen: VecDeque<(Instant, Vec<Value>)>,
 }
@@ -26,12 +26,12 @@
         Self { lag, seen: Vec::new(), version: 0, unseen: VecDeque::new() }
     }
 
-    /// Sets the true list.
+    /// Sets the actual list, which becomes visible after the lag.
     pub(super) fn set(&mut self, list: Vec<Value>, now: Instant) {
         self.unseen.push_back((now + self.lag, list));
     }
 
-    /// The list that callers see, or 304 for one who has it already.
+    /// Responds with the visible list, or with 304 if the caller already has it.
     pub(super) fn answer(&mut self, req: &Request, now: Instant) -> http::Response<Body> {
         while let Some((_, list)) = self.unseen.pop_front_if(|(at, _)| *at <= now) {
             self.seen = list;
--- a/crates/curranthook_standin/src/program.rs
+++ b/crates/curranthook_standin/src/program.rs
@@ -1,4 +1,4 @@
-//! What the programs' `main` functions share.
+//! Code shared by the `main` functions of the stand-ins.
 
 use std::{
     collections::BTreeMap,
@@ -15,18 +15,19 @@
 
 use crate::app::{self, App};
 
-/// Worker threads of a stand-in.
+/// The number of worker threads of a stand-in.
 const THREADS: usize = 4;
 
-/// The time `millis` stands for; fractions count, nonsense is no time.
+/// Converts milliseconds, including fractions, to a duration. Invalid values give zero.
 pub fn millis(millis: f64) -> Duration {
     const MILLIS_PER_SECOND: f64 = 1_000.0;
     Duration::try_from_secs_f64(millis / MILLIS_PER_SECOND).unwrap_or_default()
 }
 
-/// Binds `listen`, says so on standard output and serves until SIGTERM or SIGINT.
+/// Binds `listen`, prints the bound address to standard output as JSON and serves until SIGTERM or
+/// SIGINT.
 ///
-/// Calls that are under way then are cut: a stand-in that is ended is an endpoint that died.
+/// Calls in progress are then aborted: stopping a stand-in simulates an endpoint that crashes.
 pub fn run<A: App>(
     name: &str,
     listen: SocketAddr,
--- a/crates/curranthook_standin/src/proxy.rs
+++ b/crates/curranthook_standin/src/proxy.rs
@@ -1,12 +1,12 @@
-//! A TCP proxy that does what networks do at their worst.
+//! A TCP proxy that injects network faults.
 //!
-//! Each link listens on an address of its own and passes bytes to its target.
+//! Each link listens on its own address and forwards bytes to its target.
 //!
 //! | request | meaning |
 //! |---|---|
-//! | `POST /links` | [`NewLink`] in, `{"listen": address}` out |
-//! | `PUT /links/{name}` | [`link::Fault`]; what is left out works again |
-//! | `GET /links` | [`link::Status`] by name |
+//! | `POST /links` | opens a link: takes [`NewLink`], returns `{"listen": address}` |
+//! | `PUT /links/{name}` | replaces the [`link::Fault`]; omitted fields are reset, except the target |
+//! | `GET /links` | returns [`link::Status`] by name |
 
 pub mod link;
 mod pump;
@@ -22,17 +22,17 @@
 
 use self::link::Link;
 
-/// A link to be opened.
+/// A request to open a link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewLink {
     /// Its name.
     pub name: String,
-    /// Where its bytes go.
+    /// The address that it forwards to.
     pub target: SocketAddr,
 }
 
-/// The proxy.
+/// A proxy with any number of links.
 #[derive(Debug)]
 pub struct Proxy {
     ex: runtime::Handle,
@@ -40,7 +40,7 @@
 }
 
 impl Proxy {
-    /// A proxy without links.
+    /// Creates a proxy without links.
     pub fn new(ex: runtime::Handle) -> Self {
         Self { ex, links: Mutex::default() }
     }
--- a/crates/curranthook_standin/src/proxy/link.rs
+++ b/crates/curranthook_standin/src/proxy/link.rs
@@ -1,4 +1,4 @@
-//! One link of the proxy.
+//! A proxied link from one listening address to one target.
 
 use std::{
     collections::BTreeMap,
@@ -19,89 +19,90 @@
 
 use super::pump;
 
-/// What a link does with connections and bytes.
+/// How a link treats connections and bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Passes everything.
+    /// Forwards everything.
     #[default]
     Pass,
     /// Resets open connections and refuses new ones.
     Cut,
-    /// Refuses new connections; open ones go on.
+    /// Refuses new connections; open ones continue.
     Refuse,
-    /// Connections that are open now go silent for good, with no FIN and no RST. New ones work.
+    /// Connections open at this moment drop all bytes for good, with no FIN and no RST. New ones
+    /// work.
     SilenceOpen,
-    /// All connections go silent for good, new ones too.
+    /// All connections, including new ones, drop all bytes for good.
     SilenceAll,
-    /// Only bytes towards the target still pass.
+    /// Forwards only bytes to the target.
     OneWayUp,
-    /// Only bytes from the target still pass.
+    /// Forwards only bytes from the target.
     OneWayDown,
-    /// Holds bytes back until the mode changes.
+    /// Buffers bytes until the mode changes.
     Pause,
 }
 
-/// The fault of a link. Whatever is left out works again, but the target stays.
+/// The fault of a link. Omitted fields return to normal operation, except the target, which stays.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
-    /// What happens to connections and bytes.
+    /// How connections and bytes are treated.
     pub mode: Mode,
-    /// How much later bytes come out, each way.
+    /// The delay added in each direction, in milliseconds.
     pub delay_ms: u64,
-    /// Passes so many more bytes from the target, then resets the connection that reached this,
-    /// and no other.
+    /// Forwards this many more bytes from the target, then resets only the connection that
+    /// exceeded the limit.
     pub cut_after_bytes_down: Option<u64>,
-    /// Passes so many more bytes to the target, then swallows all that come on that connection,
-    /// and on no other.
+    /// Forwards this many more bytes to the target, then drops all further ones, only on the
+    /// connection that exceeded the limit.
     pub swallow_up_after_bytes: Option<u64>,
-    /// A new target, for connections yet to come.
+    /// A new target, for new connections only.
     pub target: Option<SocketAddr>,
 }
 
-/// What a link has done.
+/// State and counters of a link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Status {
-    /// Where it listens.
+    /// The address that it listens on.
     pub listen: SocketAddr,
-    /// Where its bytes go.
+    /// The address that it forwards to.
     pub target: SocketAddr,
-    /// The fault in force, with what is left of its allowances.
+    /// The active fault, with the remaining byte limits.
     pub fault: Fault,
-    /// Connections open now.
+    /// The number of open connections.
     pub open: usize,
-    /// Connections accepted so far.
+    /// The number of connections accepted so far.
     pub accepted: u64,
-    /// Bytes passed to the target.
+    /// Bytes forwarded to the target.
     pub bytes_up: u64,
-    /// Bytes passed from the target.
+    /// Bytes forwarded from the target.
     pub bytes_down: u64,
-    /// Bytes swallowed, both ways.
+    /// Bytes dropped, in both directions.
     pub swallowed: u64,
 }
 
-/// Which way bytes go.
+/// The direction of a byte stream: `Up` is to the target, `Down` from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Way {
     Up,
     Down,
 }
 
-/// What happens to a connection after some bytes.
+/// What happens to a connection after bytes were forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum End {
-    /// It goes on.
+    /// It continues.
     None,
     /// It is reset.
     Reset,
 }
 
-/// Bytes are held back until this signal comes.
+/// Bytes are held back until this signal fires.
 #[derive(Debug)]
 struct Held(Stop);
 
-/// A link.
+/// A proxied link.
 #[derive(Debug)]
 pub struct Link {
     addr: SocketAddr,
@@ -114,7 +115,7 @@
     status: Status,
     is_listening: bool,
     open: BTreeMap<u64, Connection>,
-    /// Set, and replaced, whenever the fault changes.
+    /// Triggered and replaced on each change of the fault.
     changed: (Trigger, Stop),
 }
 
@@ -157,7 +158,7 @@
 }
 
 impl Link {
-    /// Opens a link on a free port.
+    /// Opens a link on a free port of the loopback interface.
     pub fn open(target: SocketAddr, ex: &runtime::Handle) -> io::Result<Arc<Self>> {
         let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0))?;
         let addr = listener.get_ref().local_addr()?;
@@ -183,18 +184,18 @@
         Ok(link)
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// What it has done.
+    /// The current state and counters.
     pub fn status(&self) -> Status {
         let state = self.state.lock();
         Status { open: state.open.len(), fault: state.fault.clone(), ..state.status.clone() }
     }
 
-    /// Puts `fault` in force and waits until the port is open or closed accordingly.
+    /// Activates `fault` and waits until the port is open or closed accordingly.
     pub async fn set(&self, fault: Fault) {
         const POLL: Duration = Duration::from_millis(1);
         self.state.lock().set(fault);
@@ -203,14 +204,14 @@
         }
     }
 
-    /// Whether the port is still to be opened or closed.
+    /// Whether the port has yet to be opened or closed.
     fn is_changing(&self) -> bool {
         let state = self.state.lock();
         state.is_listening == state.fault.mode.refuses()
     }
 
-    /// Accepts connections while the mode lets it. The port is closed while it doesn't, so that
-    /// callers are refused by the system, as by a host whose process is gone.
+    /// Accepts connections while the mode allows it. Otherwise the port is closed, so that the
+    /// operating system refuses callers as on a host whose process has exited.
     async fn listen(self: Arc<Self>, mut listener: Async<TcpListener>, ex: runtime::Handle) {
         const PAUSE: Duration = Duration::from_millis(5);
         loop {
@@ -230,7 +231,7 @@
         }
     }
 
-    /// While it refuses connections, the signal that this may have changed.
+    /// If the link refuses connections, returns the signal for the next change of the fault.
     fn refusing(&self) -> Option<Stop> {
         let state = self.state.lock();
         state.fault.mode.refuses().then(|| state.changed.1.clone())
@@ -269,8 +270,8 @@
         self.state.lock().open.remove(&id);
     }
 
-    /// How many of `n_bytes` that were read on connection `id` pass, and what comes then. The
-    /// rest of them is swallowed. Waits while bytes are held back.
+    /// Returns how many of the `n_bytes` read on connection `id` to forward, and what to do with
+    /// the connection then. The remaining bytes are dropped. Waits while the link is paused.
     pub(super) async fn judge(&self, id: u64, way: Way, n_bytes: usize) -> (usize, End) {
         loop {
             let verdict = self.state.lock().judge(id, way, n_bytes);
@@ -281,14 +282,14 @@
         }
     }
 
-    /// Whether connection `id` passes nothing that way any more, not even its end.
+    /// Whether connection `id` drops everything in that direction, including its end.
     pub(super) fn is_silent(&self, id: u64, way: Way) -> bool {
         let state = self.state.lock();
         let is_silent = state.open.get(&id).is_some_and(|conn| conn.is_silent(way));
         is_silent || state.fault.mode.silences(way)
     }
 
-    /// How much later bytes come out.
+    /// The delay added in each direction.
     pub(super) fn delay(&self) -> Duration {
         Duration::from_millis(self.state.lock().fault.delay_ms)
     }
@@ -320,7 +321,7 @@
         let id = self.status.accepted;
         self.status.accepted += 1;
         let (reset, stop) = stop::new();
-        // A connection accepted just before a cut is one of those to be reset.
+        // The connection may have been accepted just before the cut, so reset it as well.
         if self.fault.mode == Mode::Cut {
             reset.set();
         }
@@ -333,7 +334,7 @@
     fn judge(&mut self, id: u64, way: Way, n_bytes: usize) -> Result<(usize, End), Held> {
         let Some(conn) = self.open.get_mut(&id) else { return Ok((0, End::Reset)) };
         if self.fault.mode.silences(way) {
-            // One lost byte spoils the stream, so what follows stays lost too.
+            // A TCP stream with a gap is unusable, so all later bytes are dropped too.
             conn.silence(way);
         }
         if conn.is_silent(way) {
@@ -365,8 +366,8 @@
     }
 }
 
-/// Takes `n_bytes` off the allowance. When they are more than is left, the allowance is spent
-/// and gone, and the result is how many of them it still covers.
+/// Subtracts `n_bytes` from the byte limit. If they exceed it, clears the limit and returns how
+/// many of them were still within it.
 fn spend(allowance: &mut Option<u64>, n_bytes: usize) -> Option<usize> {
     let left = allowance.as_mut()?;
     let n_left = usize::try_from(*left).unwrap_or(usize::MAX);
--- a/crates/curranthook_standin/src/proxy/pump.rs
+++ b/crates/curranthook_standin/src/proxy/pump.rs
@@ -1,4 +1,4 @@
-//! Passes the bytes of one connection.
+//! Forwards the bytes of one connection.
 
 use std::{io, net::Shutdown, net::TcpStream, time::Duration};
 
@@ -8,15 +8,15 @@
 
 use super::link::{End, Link, Way};
 
-/// How many bytes are read at once.
+/// The size of the read buffer, in bytes.
 const CHUNK: usize = 64 * 1024;
 
-/// Makes the end of a connection an RST in place of a FIN.
+/// Makes the socket send an RST instead of a FIN when dropped.
 pub(super) fn reset_on_drop(stream: &Async<TcpStream>) {
     let _best_effort = SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
 }
 
-/// Passes bytes both ways until both have ended or one is reset.
+/// Forwards bytes in both directions until both have ended or one is reset.
 pub(super) async fn run(
     link: &Link,
     id: u64,
@@ -25,8 +25,8 @@
 ) {
     let _best_effort = caller.get_ref().set_nodelay(true);
     let _best_effort = target.get_ref().set_nodelay(true);
-    // Unless both ways end of themselves the connection was cut, and whoever drops the streams
-    // then is to send an RST; a proper end takes that back.
+    // If the streams are dropped before both directions have ended, the connection was cut and
+    // must send an RST. A regular end reverts this.
     reset_on_drop(target);
     let up = one_way(link, id, Way::Up, caller, target);
     let down = one_way(link, id, Way::Down, target, caller);
@@ -56,10 +56,10 @@
         let n_read = match read {
             Ok(n_read) if 0 < n_read => n_read,
             ended => {
-                // A pause holds the end back as well.
+                // A paused link delays the end of the stream as well.
                 link.judge(id, way, 0).await;
                 if link.is_silent(id, way) {
-                    // The other end must not learn that this one is gone.
+                    // The peer must not notice that this side has closed.
                     return future::pending().await;
                 }
                 ended?;
--- a/crates/curranthook_standin/src/rater.rs
+++ b/crates/curranthook_standin/src/rater.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers: it knows the marker at the head of each engine's answer.
+//! A rating service, which recognizes good answers by the marker that engines put at their start.
 //!
 //! Control: `PUT /control/faults` takes [`Faults`], `GET /control/counts` gives [`Counts`].
 
@@ -20,34 +20,34 @@
 /// An answer to be rated.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Case {
-    /// The version that gave it.
+    /// The version that generated it.
     pub version: String,
     /// The kind of work.
     pub kind: String,
-    /// What was asked.
+    /// The prompt.
     pub prompt: String,
-    /// What was answered.
+    /// The answer to rate.
     pub answer: String,
 }
 
-/// The faults in force.
+/// The active faults.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How much later each rating comes.
+    /// The delay added to each rating, in milliseconds.
     pub delay_ms: u64,
-    /// Whether it refuses with 503.
+    /// Whether all calls are rejected with 503.
     pub down: bool,
 }
 
-/// What was rated.
+/// Counts of rating calls.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// Ratings given.
+    /// The number of ratings returned.
     pub rated: u64,
-    /// Calls refused while down.
+    /// The number of calls rejected while down.
     pub refused: u64,
-    /// Ratings given, by version.
+    /// The number of ratings returned, by version.
     pub versions: BTreeMap<String, u64>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Rater {
-    /// A rater that errs with probability `noise`.
+    /// Creates a rater that returns the wrong rating with probability `noise`.
     pub fn new(noise: f64) -> Self {
         Self { noise, state: Mutex::default() }
     }
@@ -84,7 +84,7 @@
         let counts = &mut self.state.lock().counts;
         counts.rated += 1;
         *counts.versions.entry(case.version).or_default() += 1;
-        // The count makes two ratings of one answer err independently.
+        // Including the count makes errors independent for repeated ratings of one answer.
         let flips = hash::fraction(&[&case.answer, &counts.rated.to_string()]) < self.noise;
         let is_good = case.answer.starts_with(GOOD) != flips;
         body::json(200, &serde_json::json!({ "rating": f64::from(u8::from(is_good)) }))
--- a/crates/curranthook_standin/src/service.rs
+++ b/crates/curranthook_standin/src/service.rs
@@ -1,7 +1,7 @@
-//! A plain service whose calls count: each one that arrives is run and recorded.
+//! A simulated service with side effects: every call that arrives is run and recorded.
 //!
-//! It never looks for repeats, so its record shows what a router let through. Control:
-//! `PUT /control/faults` takes [`Faults`], `GET /control/record` gives a list of [`Call`].
+//! It doesn't deduplicate, so its record shows every call that a router forwarded. Control:
+//! `PUT /control/faults` takes [`Faults`], `GET /control/record` returns a list of [`Call`].
 
 use std::{
     process,
@@ -28,9 +28,9 @@
 /// A call that was run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Call {
-    /// The request's id, empty for none.
+    /// The request's id, or an empty string.
     pub request_id: String,
-    /// The idempotency key, if there was one.
+    /// The idempotency key, if any.
     pub idempotency_key: Option<String>,
     /// The method.
     pub method: String,
@@ -40,51 +40,51 @@
     pub body_hash: String,
     /// The body as text.
     pub body: String,
-    /// When it was run, in milliseconds since 1970.
+    /// When it was run, in milliseconds since the Unix epoch.
     pub started_millis: u64,
-    /// What became of the answer.
+    /// The outcome of the response.
     pub outcome: Outcome,
 }
 
-/// What became of a call's answer. The call has run in any case.
+/// The outcome of a call's response. The call itself was run in every case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// None yet, or none at all because the caller left first.
+    /// Not sent yet, or never sent because the caller disconnected first.
     Running,
-    /// It was given.
+    /// A success response was returned.
     Done,
-    /// It was an error.
+    /// An error response was returned.
     Failed,
 }
 
-/// The faults in force.
+/// The active faults.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How much later the answer comes.
+    /// The delay added to each response, in milliseconds.
     pub answer_late_ms: u64,
-    /// Never runs the call and never answers.
+    /// Neither runs the call nor responds.
     pub hang_before_head: Count,
-    /// Runs the call and never answers.
+    /// Runs the call and never responds.
     pub hang_after_run: Count,
-    /// Runs the call and aborts the process.
+    /// Runs the call, then aborts the process.
     pub die_after_run: bool,
-    /// Aborts the process before it runs the call.
+    /// Aborts the process before running the call.
     pub die_before_run: bool,
-    /// Answers 500 without having run the call; doesn't say so.
+    /// Responds with 500 without running the call, and without the header that says so.
     pub error_before_run: Count,
-    /// Runs the call, then answers 500.
+    /// Runs the call, then responds with 500.
     pub error_after_run: Count,
-    /// Refuses with "not started".
+    /// Rejects calls with 503 and the "not started" header.
     pub refuse: Count,
-    /// Refuses as leaving.
+    /// Rejects calls as above and sets the leaving header.
     pub leaving: bool,
-    /// Answers with another request's id.
+    /// Responds with another request's id.
     pub foreign_id: Count,
 }
 
-/// A plain service.
+/// A simulated service.
 #[derive(Debug)]
 pub struct Service {
     id: String,
@@ -93,7 +93,7 @@
     state: Mutex<State>,
 }
 
-/// Counts a call as running until it is dropped.
+/// A guard that counts a call as running until dropped.
 #[derive(Debug)]
 struct Running<'a>(&'a AtomicUsize);
 
@@ -117,7 +117,7 @@
 }
 
 impl Service {
-    /// A service that has run nothing yet.
+    /// Creates a service with an empty record.
     pub fn new(id: &str, clock: Arc<dyn Clock>) -> Self {
         Self { id: id.to_owned(), clock, n_running: AtomicUsize::new(0), state: Mutex::default() }
     }
--- a/crates/curranthook_standin/tests/engine.rs
+++ b/crates/curranthook_standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! What the stand-in of an engine promises to tests that rely on it.
+//! Tests of the simulated engine's behaviour that other tests depend on.
 
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
     });
 }
 
-/// A stream breaks off after some tokens. Whoever asks for the rest gets just the rest.
+/// A stream is cut after some tokens. A request to resume it returns only the remaining tokens.
 #[test]
 fn a_cut_stream_is_resumed_where_it_broke_off() -> anyhow::Result<()> {
     run(async {
@@ -89,8 +89,8 @@
     })
 }
 
-/// The quality of a version is the share of prompts that it answers well; a prompt that the
-/// worse version answers well, the better one does too.
+/// The quality of a version is the fraction of prompts with a good answer. A prompt with a good
+/// answer from the version of lower quality gets one from the version of higher quality too.
 #[test]
 fn good_answers_follow_quality() -> anyhow::Result<()> {
     run(async {
@@ -149,8 +149,8 @@
     });
 }
 
-/// With one slot taken, two requests wait. The one with the lower number is run first although
-/// it came last, and one more than the queue holds is refused.
+/// One request runs and two wait. The one with the lower priority number runs first although it
+/// arrived last, and a request beyond the queue's capacity is rejected.
 #[test]
 fn the_queue_goes_by_priority() -> anyhow::Result<()> {
     run(async {
@@ -177,7 +177,7 @@
     })
 }
 
-/// One prompt kills whichever engine runs it.
+/// A prompt that contains the configured text crashes the engine that runs it.
 #[test]
 fn a_deadly_prompt_ends_the_process() -> anyhow::Result<()> {
     run(async {
@@ -190,7 +190,7 @@
     })
 }
 
-/// How a streamed answer looks to its caller under a fault, and what the record says of it.
+/// What the caller sees of a streamed answer under a fault, and what is recorded.
 #[parameterized(
     foreign_id = {
         Faults { foreign_id: Count::Next(1), ..Faults::default() }, "not-r1", true, Outcome::Done
@@ -219,7 +219,7 @@
     });
 }
 
-/// The engine begins the work and never answers; its caller gives up.
+/// The engine starts the work and never responds, and the caller disconnects.
 #[test]
 fn a_hung_run_is_cancelled_when_its_caller_leaves() -> anyhow::Result<()> {
     run(async {
@@ -236,8 +236,8 @@
     })
 }
 
-/// A prompt whose first message the engine has seen is begun in half the time. The cache events
-/// tell of it only later.
+/// A cached first message halves the time to the first token. The cache events become visible
+/// after the lag.
 #[test]
 fn a_known_prefix_is_begun_sooner() -> anyhow::Result<()> {
     run(async {
@@ -258,7 +258,7 @@
         let first = chat("r1").send(&addr).await?.head_after;
         let second = chat("r2").send(&addr).await?.head_after;
         assert!(second + Duration::from_millis(100) < first, "{first:?} {second:?}");
-        // Another prompt takes the only place: one entry goes and one comes.
+        // Another prompt takes the only cache entry: one eviction and one insertion.
         Chat::new("main", "m@1", "another prompt").send(&addr).await?;
         eventually(LIMIT, async || Ok(events().await? == 3)).await?;
         let third = chat("r3").send(&addr).await?.head_after;
--- a/crates/curranthook_standin/tests/platform.rs
+++ b/crates/curranthook_standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's conditional writes and its faults, seen through the product's own client.
+//! Tests of the simulated platform's conditional writes and faults with the product's client.
 
 use std::time::Duration;
 
@@ -75,8 +75,8 @@
     })
 }
 
-/// The platform carries out an insert, but the connection is closed before the answer is out.
-/// The client can't know whether it wrote; only reading back tells.
+/// The platform executes an insert, but the connection is closed before the response is sent.
+/// The client can find out only by a read whether the insert took effect.
 #[test]
 fn a_lost_insert_has_taken_effect() -> anyhow::Result<()> {
     run(async {
@@ -93,7 +93,7 @@
     })
 }
 
-/// An outage: calls get 503 and leave nothing behind.
+/// During an outage, calls get a 503 response and have no effect.
 #[parameterized(
     all = { "", Err(()) },
     this_key = { "claims/a", Err(()) },
@@ -147,8 +147,8 @@
     })
 }
 
-/// Every router reads the list every two seconds. Were it sent whole each time, a list of a few
-/// dozen VMs would take all the bytes that a router may spend on control.
+/// Every router reads the list every two seconds. If it were sent in full each time, a list of a
+/// few dozen VMs would use up a router's entire bandwidth budget for control traffic.
 #[test]
 fn an_unchanged_list_of_vms_is_not_sent_again() -> anyhow::Result<()> {
     run(async {
--- a/crates/curranthook_standin/tests/proxy.rs
+++ b/crates/curranthook_standin/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! What the fault proxy promises to tests that rely on it.
+//! Tests of the fault proxy's behaviour that other tests depend on.
 
 use std::{
     net::SocketAddr,
@@ -37,8 +37,8 @@
     call.run(pool()).await.map(drop)
 }
 
-/// Something between two ends loses track of their open connection. Neither end sees a FIN or
-/// an RST: a call on the old connection just never ends, while one on a new connection works.
+/// A middlebox loses the state of an open connection. Neither side sees a FIN or an RST: a call
+/// on the old connection never ends, while a call on a new connection works.
 #[test]
 fn open_connections_go_silent_while_new_ones_work() -> anyhow::Result<()> {
     run(async {
@@ -48,14 +48,14 @@
         let on_old = post(it.addr, Freshness::Any).await;
         assert!(matches!(on_old, Err(exchange::Error::Timeout(_))), "{on_old:?}");
         post(it.addr, Freshness::New).await?;
-        // The silence is for good, and what was sent into it never arrived.
+        // The old connection stays silent, and what was sent on it was dropped.
         it.proxy.set_mode(LINK, Mode::Pass).await?;
         assert_eq!(it.service.calls().await?.len(), 2);
         Ok(())
     })
 }
 
-/// How a call on a new connection ends, and whether it was run.
+/// The result of a call on a new connection in each mode, and whether the call was run.
 #[parameterized(
     pass = { Mode::Pass, "done", 1 },
     refuse = { Mode::Refuse, "unsent", 0 },
@@ -94,7 +94,7 @@
     })
 }
 
-/// The request arrives whole and is run; its answer is cut in the middle of the head.
+/// The request arrives complete and is run; its response is cut in the middle of the head.
 #[test]
 fn an_answer_is_cut_after_some_bytes_once() -> anyhow::Result<()> {
     run(async {
@@ -109,7 +109,7 @@
     })
 }
 
-/// The proxy takes the request's first bytes and swallows the rest, so it never arrives.
+/// The proxy forwards the first bytes of the request and drops the rest, so it never arrives.
 #[test]
 fn a_request_is_swallowed_once() -> anyhow::Result<()> {
     run(async {
@@ -124,7 +124,7 @@
     })
 }
 
-/// A process that is replaced listens elsewhere; the link's address stays.
+/// A replaced process listens on another address; the link's address stays the same.
 #[test]
 fn a_link_gets_a_new_target() -> anyhow::Result<()> {
     run(async {
@@ -139,7 +139,7 @@
     })
 }
 
-/// A process is frozen: its connections stay open and nothing answers. Thawed, it works again.
+/// A suspended process keeps its connections open and doesn't respond. It works again once resumed.
 #[test]
 fn a_frozen_process_goes_on_when_thawed() -> anyhow::Result<()> {
     run(async {
@@ -155,7 +155,7 @@
     })
 }
 
-/// Bytes that were held back come out whole and in order when the pause ends.
+/// Bytes held back are forwarded completely and in order when the pause ends.
 #[test]
 fn a_pause_and_a_delay_only_make_calls_late() -> anyhow::Result<()> {
     run(async {
--- a/crates/curranthook_standin/tests/service.rs
+++ b/crates/curranthook_standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins of plain services and of the rater promise to tests that rely on them.
+//! Tests of the simulated service's and rater's behaviour that other tests depend on.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     })
 }
 
-/// The service runs a call and never answers, so its caller can't tell whether it ran.
+/// The service runs a call and never responds, so the caller can't tell whether it ran.
 #[test]
 fn a_call_may_run_though_no_answer_comes() -> anyhow::Result<()> {
     run(async {
