--- a/crates/curranthook_standin/src/app.rs
+++ b/crates/curranthook_standin/src/app.rs
@@ -15,9 +15,9 @@
 use smol_hyper::rt::FuturesIo;
 
 /// The maximum size of a request body, in bytes.
-const MAX_BODY: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 /// The delay after a failed accept, which prevents a busy loop when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A request with its complete body.
 #[derive(Debug)]
@@ -41,12 +41,12 @@
     }
 
     /// A header parsed as `T`, if it is present and valid.
-    pub fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
+    pub fn parsed_header<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.header(name)?.parse().ok()
     }
 
     /// The value of the query parameter `name`.
-    pub fn param(&self, name: &str) -> Option<&str> {
+    pub fn query_param(&self, name: &str) -> Option<&str> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
@@ -58,13 +58,13 @@
 
     /// Deserializes the body from JSON, passes it to `set` and responds with 200, or with 400 if it
     /// is malformed.
-    pub fn store<T: DeserializeOwned>(&self, place: impl FnOnce(T)) -> http::Response<Body> {
+    pub fn apply_json<T: DeserializeOwned>(&self, set: impl FnOnce(T)) -> http::Response<Body> {
         match self.json() {
             Ok(value) => {
-                place(value);
+                set(value);
                 body::json(200, &())
             }
-            Err(e) => e.answer(),
+            Err(e) => e.response(),
         }
     }
 }
@@ -76,7 +76,7 @@
 
 impl Malformed {
     /// The 400 response for this error.
-    pub fn answer(&self) -> http::Response<Body> {
+    pub fn response(&self) -> http::Response<Body> {
         error(400, &self.to_string())
     }
 }
@@ -113,26 +113,26 @@
 ) -> Infallible {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(ACCEPT_PAUSE).await;
+            Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        ex.spawn(connection(stream, Arc::clone(&app))).detach();
+        ex.spawn(handle_connection(stream, Arc::clone(&app))).detach();
     }
 }
 
-async fn connection<A: App>(stream: Async<std::net::TcpStream>, app: Arc<A>) {
+async fn handle_connection<A: App>(stream: Async<std::net::TcpStream>, app: Arc<A>) {
     let _best_effort = stream.get_ref().set_nodelay(true);
-    let service = service_fn(move |req| answer(Arc::clone(&app), req));
+    let service = service_fn(move |req| dispatch(Arc::clone(&app), req));
     // An error means that the caller disconnected or that the app hung up on purpose.
     let _broken = http1::Builder::new().serve_connection(FuturesIo::new(stream), service).await;
 }
 
-async fn answer<A: App>(app: Arc<A>, req: http::Request<Incoming>) -> Reply {
+async fn dispatch<A: App>(app: Arc<A>, req: http::Request<Incoming>) -> Reply {
     let (head, incoming) = req.into_parts();
     if head.uri.path() == "/healthz" {
         return Ok(app.health());
     }
-    let body = body::read(incoming, MAX_BODY).await.map_err(|_| HangUp)?;
+    let body = body::read(incoming, MAX_BODY_BYTES).await.map_err(|_| HangUp)?;
     let path = head.uri.path().to_owned();
     let query = head.uri.query().unwrap_or_default().to_owned();
     app.handle(Request { method: head.method, path, query, headers: head.headers, body }).await
--- a/crates/curranthook_standin/src/bin/standin-engine.rs
+++ b/crates/curranthook_standin/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! A model engine.
+//! A simulated model engine.
 
 use std::{fs, net::SocketAddr, path::PathBuf, sync::Arc};
 
@@ -10,10 +10,10 @@
 };
 use curranthook_types::clock;
 
-/// A model engine.
+/// A simulated model engine.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Where to listen; port 0 picks a free port.
+    /// The address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
     /// The endpoint's id.
@@ -22,13 +22,13 @@
     /// The versions loaded at the start, separated by commas.
     #[arg(long, value_delimiter = ',')]
     versions: Vec<String>,
-    /// How fast and how good it is, in YAML.
+    /// The file with the engine's profile, in YAML.
     #[arg(long)]
     profile: Option<PathBuf>,
-    /// Refuse orders with an old fencing number.
+    /// Reject orders with a stale fencing token.
     #[arg(long)]
     checks_fencing: bool,
-    /// Keep no record of runs.
+    /// Don't record runs.
     #[arg(long)]
     no_record: bool,
 }
--- a/crates/curranthook_standin/src/bin/standin-platform.rs
+++ b/crates/curranthook_standin/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform's services, in memory.
+//! A simulated platform that stores everything in memory.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,19 +9,19 @@
 };
 use curranthook_types::clock;
 
-/// The platform's services, in memory.
+/// A simulated platform that stores everything in memory.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Where to listen; port 0 picks a free port.
+    /// The address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Reads of the table a second, unlimited if not given.
+    /// Table reads per second, unlimited if omitted.
     #[arg(long)]
     table_reads_per_second: Option<f64>,
-    /// Writes to the table a second, unlimited if not given.
+    /// Table writes per second, unlimited if omitted.
     #[arg(long)]
     table_writes_per_second: Option<f64>,
-    /// How long a change of the list of VMs stays unseen, in milliseconds.
+    /// The delay before a change of the VM list becomes visible, in milliseconds.
     #[arg(long, default_value_t = 0)]
     vm_list_lag_ms: u64,
 }
--- a/crates/curranthook_standin/src/bin/standin-proxy.rs
+++ b/crates/curranthook_standin/src/bin/standin-proxy.rs
@@ -1,14 +1,14 @@
-//! A TCP proxy that does what networks do at their worst.
+//! A TCP proxy that injects network faults.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use clap::Parser;
 use curranthook_standin::{program, proxy::Proxy};
 
-/// A TCP proxy that does what networks do at their worst.
+/// A TCP proxy that injects network faults.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Where to listen for control; port 0 picks a free port.
+    /// The address of the control API; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     control: SocketAddr,
 }
--- a/crates/curranthook_standin/src/bin/standin-rater.rs
+++ b/crates/curranthook_standin/src/bin/standin-rater.rs
@@ -1,17 +1,17 @@
-//! The service that rates answers.
+//! A simulated rating service.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use clap::Parser;
 use curranthook_standin::{program, rater::Rater};
 
-/// The service that rates answers.
+/// A simulated rating service.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Where to listen; port 0 picks a free port.
+    /// The address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// The share of ratings that are wrong.
+    /// The fraction of ratings that are wrong.
     #[arg(long, default_value_t = 0.0)]
     noise: f64,
 }
--- a/crates/curranthook_standin/src/bin/standin-service.rs
+++ b/crates/curranthook_standin/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! A plain service.
+//! A simulated service with side effects.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,10 +6,10 @@
 use curranthook_standin::{program, service::Service};
 use curranthook_types::clock;
 
-/// A plain service.
+/// A simulated service with side effects.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Where to listen; port 0 picks a free port.
+    /// The address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
     /// The endpoint's id.
--- a/crates/curranthook_standin/src/engine.rs
+++ b/crates/curranthook_standin/src/engine.rs
@@ -16,13 +16,13 @@
 
 pub mod answer;
 mod cache;
+mod completion;
 pub mod faults;
 mod load;
 pub mod order;
 pub mod profile;
 pub mod record;
 mod slots;
-mod work;
 
 use std::{
     collections::BTreeSet,
@@ -64,10 +64,10 @@
 #[derive(Debug)]
 pub struct Engine {
     id: String,
-    me: Weak<Self>,
+    weak_self: Weak<Self>,
     profile: Profile,
     clock: Arc<dyn Clock>,
-    n_unnamed: AtomicU64,
+    n_without_id: AtomicU64,
     slots: Arc<Slots>,
     record: Arc<Record>,
     cache: Mutex<Cache>,
@@ -87,10 +87,10 @@
         recording: Recording,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
-        Arc::new_cyclic(|me| Self {
+        Arc::new_cyclic(|weak_self| Self {
             id: id.to_owned(),
-            me: Weak::clone(me),
-            n_unnamed: AtomicU64::new(0),
+            weak_self: Weak::clone(weak_self),
+            n_without_id: AtomicU64::new(0),
             slots: Arc::new(Slots::new(profile.slots, profile.queue)),
             record: Arc::new(Record::new(recording, Arc::clone(&clock))),
             cache: Mutex::new(Cache::new(&profile)),
@@ -103,15 +103,15 @@
         })
     }
 
-    fn order(&self, req: &Request) -> http::Response<Body> {
+    fn handle_order(&self, req: &Request) -> http::Response<Body> {
         let order = match req.json() {
             Ok(order) => order,
-            Err(e) => return e.answer(),
+            Err(e) => return e.response(),
         };
-        let fence = req.number(header::FENCING);
+        let fence = req.parsed_header(header::FENCING);
         let at_millis = self.clock.unix_millis();
         let mut loaded = self.loaded.lock();
-        match self.orders.lock().take(order, fence, at_millis, &mut loaded) {
+        match self.orders.lock().apply(order, fence, at_millis, &mut loaded) {
             order::Verdict::Obeyed => body::json(200, &*loaded),
             order::Verdict::Stale => app::error(409, "the fencing number is old"),
         }
@@ -125,22 +125,22 @@
         body::json(200, &serde_json::json!({ "object": "list", "data": data }))
     }
 
-    fn control(&self, req: &Request) -> http::Response<Body> {
+    fn handle_control(&self, req: &Request) -> http::Response<Body> {
         match (req.method.as_str(), req.path.as_str()) {
             ("GET", "/control/record") => body::json(200, &self.record.runs()),
             ("GET", "/control/orders") => body::json(200, &self.orders.lock().entries()),
             ("GET", "/control/versions") => body::json(200, &*self.loaded.lock()),
-            ("PUT", "/control/faults") => req.store(|faults| *self.faults.lock() = faults),
+            ("PUT", "/control/faults") => req.apply_json(|faults| *self.faults.lock() = faults),
             _ => app::error(404, "no such control"),
         }
     }
 
     /// The load reported to callers, which is delayed by the configured lag.
     fn reported_load(&self) -> usize {
-        self.load.lock().report(self.slots.n_held(), self.clock.now())
+        self.load.lock().report(self.slots.n_in_flight(), self.clock.now())
     }
 
-    fn with_state(&self, mut res: http::Response<Body>) -> http::Response<Body> {
+    fn with_state_headers(&self, mut res: http::Response<Body>) -> http::Response<Body> {
         let headers = res.headers_mut();
         headers.insert(header::LOAD, HeaderValue::from(self.reported_load()));
         if self.faults.lock().leaving {
@@ -150,10 +150,10 @@
     }
 
     /// A rejection sent before any work has started.
-    fn not_started(&self, status: u16, text: &str) -> http::Response<Body> {
+    fn reject_not_started(&self, status: u16, text: &str) -> http::Response<Body> {
         let mut res = app::error(status, text);
         res.headers_mut().insert(header::NOT_STARTED, HeaderValue::from_static("true"));
-        self.with_state(res)
+        self.with_state_headers(res)
     }
 }
 
@@ -167,8 +167,8 @@
     fn handle(self: Arc<Self>, req: Request) -> Boxed<Reply> {
         Box::pin(async move {
             let res = match (req.method.as_str(), req.path.as_str()) {
-                ("POST", "/v1/chat/completions") => self.work(&req).await,
-                ("POST", "/orders") => self.order(&req),
+                ("POST", "/v1/chat/completions") => self.complete_chat(&req).await,
+                ("POST", "/orders") => self.handle_order(&req),
                 ("GET", "/v1/models") => self.models(),
                 ("GET", "/load") => {
                     body::json(200, &serde_json::json!({ "load": self.reported_load() }))
@@ -176,13 +176,13 @@
                 ("GET", "/cache-events") => {
                     body::json(200, &self.cache.lock().events(self.clock.now()))
                 }
-                _ => self.control(&req),
+                _ => self.handle_control(&req),
             };
             Ok(res)
         })
     }
 
     fn health(&self) -> http::Response<Body> {
-        self.with_state(body::json(200, &serde_json::json!({ "healthy": true })))
+        self.with_state_headers(body::json(200, &serde_json::json!({ "healthy": true })))
     }
 }
--- a/crates/curranthook_standin/src/engine/answer.rs
+++ b/crates/curranthook_standin/src/engine/answer.rs
@@ -33,7 +33,7 @@
     version: String,
     is_good: bool,
     n_tokens: u64,
-    is_whole: bool,
+    is_complete: bool,
 }
 
 impl Answer {
@@ -46,15 +46,15 @@
         mean_tokens: u64,
         max_tokens: Option<u64>,
     ) -> Self {
-        let spread = 0.5 + hash::fraction(&["length", request_id, version]);
-        let wanted = ((mean_tokens as f64 * spread).round() as u64).max(1);
-        let n_tokens = wanted.min(max_tokens.unwrap_or(u64::MAX)).max(1);
+        let length_factor = 0.5 + hash::fraction(&["length", request_id, version]);
+        let full_length = ((mean_tokens as f64 * length_factor).round() as u64).max(1);
+        let n_tokens = full_length.min(max_tokens.unwrap_or(u64::MAX)).max(1);
         Self {
             request_id: request_id.to_owned(),
             version: version.to_owned(),
             is_good,
             n_tokens,
-            is_whole: n_tokens == wanted,
+            is_complete: n_tokens == full_length,
         }
     }
 
@@ -73,8 +73,8 @@
         if n == 0 {
             return if self.is_good { GOOD } else { BAD }.to_owned();
         }
-        const WORDS: u64 = 10_000;
-        let word = hash::of(&["token", &self.request_id, &self.version, &n.to_string()]) % WORDS;
+        const N_WORDS: u64 = 10_000;
+        let word = hash::of(&["token", &self.request_id, &self.version, &n.to_string()]) % N_WORDS;
         format!(" w{word}")
     }
 
@@ -85,6 +85,6 @@
 
     /// The finish reason: `stop`, or `length` if truncated by `max_tokens`.
     pub fn finish_reason(&self) -> &'static str {
-        if self.is_whole { "stop" } else { "length" }
+        if self.is_complete { "stop" } else { "length" }
     }
 }
--- a/crates/curranthook_standin/src/engine/cache.rs
+++ b/crates/curranthook_standin/src/engine/cache.rs
@@ -19,7 +19,7 @@
 pub(super) struct Cache {
     max_entries: usize,
     lag: Duration,
-    gaps: f64,
+    drop_rate: f64,
     /// Hashes of prefixes, with the most recently used at the back.
     entries: VecDeque<u64>,
     events: VecDeque<(Instant, Event)>,
@@ -47,7 +47,7 @@
         Self {
             max_entries: profile.cache,
             lag: profile.cache_lag(),
-            gaps: profile.cache_gaps,
+            drop_rate: profile.cache_gaps,
             entries: VecDeque::new(),
             events: VecDeque::new(),
             sequence: 0,
@@ -60,30 +60,30 @@
             return false;
         }
         let key = hash::of(&[version, prefix]);
-        if let Some(place) = self.entries.iter().position(|it| *it == key) {
-            self.entries.remove(place);
+        if let Some(index) = self.entries.iter().position(|it| *it == key) {
+            self.entries.remove(index);
             self.entries.push_back(key);
             return true;
         }
         if self.max_entries <= self.entries.len()
             && let Some(oldest) = self.entries.pop_front()
         {
-            self.tell(Change::Evicted, oldest, now);
+            self.publish(Change::Evicted, oldest, now);
         }
         self.entries.push_back(key);
-        self.tell(Change::Added, key, now);
+        self.publish(Change::Added, key, now);
         false
     }
 
     /// The events that are visible to callers at `now`.
     pub(super) fn events(&self, now: Instant) -> Vec<Event> {
-        let told = self.events.iter().take_while(|(at, _)| *at + self.lag <= now);
-        told.map(|(_, event)| event.clone()).collect()
+        let visible = self.events.iter().take_while(|(at, _)| *at + self.lag <= now);
+        visible.map(|(_, event)| event.clone()).collect()
     }
 
-    fn tell(&mut self, change: Change, key: u64, now: Instant) {
+    fn publish(&mut self, change: Change, key: u64, now: Instant) {
         self.sequence += 1;
-        if hash::fraction(&["gap", &self.sequence.to_string()]) < self.gaps {
+        if hash::fraction(&["gap", &self.sequence.to_string()]) < self.drop_rate {
             return;
         }
         if MAX_EVENTS <= self.events.len() {
--- a/crates/curranthook_standin/src/engine/work.rs
+++ b/crates/curranthook_standin/src/engine/completion.rs
@@ -13,7 +13,7 @@
 use crate::{
     app::{self, HangUp, Request},
     hash,
-    program::millis,
+    program::duration_from_millis,
 };
 
 use super::{
@@ -38,10 +38,10 @@
     id: String,
     answer: Answer,
     version: String,
-    speed: Version,
-    from: u64,
+    version_profile: Version,
+    resume_from: u64,
     prompt_tokens: u64,
-    cut_after: Option<u64>,
+    cut_after_tokens: Option<u64>,
     has_end_marker: bool,
 }
 
@@ -54,28 +54,29 @@
 
 impl Engine {
     /// Runs a chat completion.
-    pub(super) async fn work(&self, req: &Request) -> http::Response<Body> {
+    pub(super) async fn complete_chat(&self, req: &Request) -> http::Response<Body> {
         let chat: chat::Request = match req.json() {
             Ok(chat) => chat,
-            Err(e) => return e.answer(),
+            Err(e) => return e.response(),
         };
         if !self.loaded.lock().contains(&chat.model) {
-            return self.not_started(404, "the version isn't loaded");
+            return self.reject_not_started(404, "the version isn't loaded");
         }
-        if self.refuses() {
-            return self.not_started(503, "not taking work");
+        if self.should_reject() {
+            return self.reject_not_started(503, "not taking work");
         }
         let prompt = answer::prompt(&chat);
-        let dies_on = self.faults.lock().die_on.clone();
-        if dies_on.is_some_and(|text| prompt.contains(&text)) {
+        let crash_text = self.faults.lock().die_on.clone();
+        if crash_text.is_some_and(|text| prompt.contains(&text)) {
             process::abort();
         }
         let own_id = self.request_id(req);
-        let speed = self.speed(&chat.model);
-        let is_good = answer::difficulty(&prompt) < speed.quality;
-        let answer = Answer::new(&own_id, &chat.model, is_good, speed.tokens, chat.max_tokens);
-        let from = req.number(header::RESUME_FROM).unwrap_or(0);
-        let priority = req.number(header::PRIORITY).unwrap_or(0);
+        let version_profile = self.version_profile(&chat.model);
+        let is_good = answer::difficulty(&prompt) < version_profile.quality;
+        let answer =
+            Answer::new(&own_id, &chat.model, is_good, version_profile.tokens, chat.max_tokens);
+        let resume_from = req.parsed_header(header::RESUME_FROM).unwrap_or(0);
+        let priority = req.parsed_header(header::PRIORITY).unwrap_or(0);
         let entry = self.record.begin(|started_millis| Run {
             request_id: own_id.clone(),
             version: chat.model.clone(),
@@ -83,75 +84,75 @@
             started_millis,
             finished_millis: None,
             outcome: Outcome::Running,
-            from_token: from,
+            from_token: resume_from,
             tokens: 0,
             good: is_good,
             priority,
         });
         let Ok(permit) = self.slots.acquire(priority).await else {
-            entry.close(Outcome::Refused);
-            return self.not_started(503, "the queue is full");
+            entry.finish(Outcome::Refused);
+            return self.reject_not_started(503, "the queue is full");
         };
-        let (id, cut_after, has_end_marker) = {
+        let (id, cut_after_tokens, has_end_marker) = {
             let mut faults = self.faults.lock();
-            let id = if faults.foreign_id.strikes() { format!("not-{own_id}") } else { own_id };
-            (id, faults.cut(), !faults.no_end_marker.strikes())
+            let id = if faults.foreign_id.triggers() { format!("not-{own_id}") } else { own_id };
+            (id, faults.next_cut(), !faults.no_end_marker.triggers())
         };
         let job = Job {
-            engine: self.me.upgrade().expect("a call is made on a living engine"),
+            engine: self.weak_self.upgrade().expect("a call is made on a live engine"),
             permit,
             entry,
             id,
             answer,
-            speed,
-            from,
-            prompt_tokens: n_words(&prompt),
-            cut_after,
+            version_profile,
+            resume_from,
+            prompt_tokens: count_words(&prompt),
+            cut_after_tokens,
             has_end_marker,
             version: chat.model.clone(),
         };
         job.run(&chat).await
     }
 
-    fn refuses(&self) -> bool {
+    fn should_reject(&self) -> bool {
         let is_full = self.slots.is_full();
         let mut faults = self.faults.lock();
-        faults.leaving || is_full || faults.refuse.strikes()
+        faults.leaving || is_full || faults.refuse.triggers()
     }
 
     fn request_id(&self, req: &Request) -> String {
         match req.header(header::REQUEST_ID) {
             Some(id) => id.to_owned(),
             None => {
-                format!("{}-unnamed-{}", self.id, self.n_unnamed.fetch_add(1, Ordering::Relaxed))
+                format!("{}-unnamed-{}", self.id, self.n_without_id.fetch_add(1, Ordering::Relaxed))
             }
         }
     }
 
-    fn speed(&self, version: &str) -> Version {
-        self.faults.lock().over(version, self.profile.version(version))
+    fn version_profile(&self, version: &str) -> Version {
+        self.faults.lock().apply_to(version, self.profile.version(version))
     }
 }
 
 impl Job {
     async fn run(self, chat: &chat::Request) -> http::Response<Body> {
-        let (hangs, late) = {
+        let (hangs, delay) = {
             let mut faults = self.engine.faults.lock();
-            (faults.hang_before_head.strikes(), Duration::from_millis(faults.answer_late_ms))
+            (faults.hang_before_head.triggers(), Duration::from_millis(faults.answer_late_ms))
         };
         if hangs {
             return future::pending().await;
         }
         self.pause(self.first_token_time(chat)).await;
-        self.pause(late).await;
-        let draw = hash::fraction(&["error", &self.id, &self.engine.id]);
-        if draw < self.speed.error_rate {
-            self.entry.close(Outcome::Failed);
-            return self.engine.with_state(app::error(500, "the engine failed"));
+        self.pause(delay).await;
+        let sample = hash::fraction(&["error", &self.id, &self.engine.id]);
+        if sample < self.version_profile.error_rate {
+            self.entry.finish(Outcome::Failed);
+            return self.engine.with_state_headers(app::error(500, "the engine failed"));
         }
         let (id, engine) = (self.id.clone(), Arc::clone(&self.engine));
-        let res = if chat.stream { self.stream() } else { self.whole().await };
-        let mut res = engine.with_state(res);
+        let res = if chat.stream { self.stream_response() } else { self.json_response().await };
+        let mut res = engine.with_state_headers(res);
         set_header(&mut res, header::REQUEST_ID, &id);
         res
     }
@@ -161,15 +162,15 @@
         let prefix = chat.messages.first().map_or("", |it| it.content.as_str());
         let now = self.engine.clock.now();
         let is_hit = self.engine.cache.lock().touch(&self.version, prefix, now);
-        let time = millis(self.speed.first_token_ms);
+        let time = duration_from_millis(self.version_profile.first_token_ms);
         if is_hit { time / 2 } else { time }
     }
 
     /// The time per token, which grows with each other request in the batch.
     fn token_time(&self) -> Duration {
-        let others = self.engine.slots.n_running().saturating_sub(1);
-        let slowdown = 1.0 + self.engine.profile.batch_slowdown * others as f64;
-        millis(self.speed.token_ms * slowdown)
+        let n_others = self.engine.slots.n_running().saturating_sub(1);
+        let slowdown = 1.0 + self.engine.profile.batch_slowdown * n_others as f64;
+        duration_from_millis(self.version_profile.token_ms * slowdown)
     }
 
     async fn pause(&self, time: Duration) {
@@ -180,42 +181,43 @@
 
     /// Whether the cut fault applies after the tokens generated so far.
     fn is_cut(&self) -> bool {
-        self.cut_after.is_some_and(|after| after <= self.entry.n_tokens())
+        self.cut_after_tokens.is_some_and(|n_tokens| n_tokens <= self.entry.n_tokens())
     }
 
-    async fn whole(mut self) -> http::Response<Body> {
-        let n_tokens = self.answer.n_tokens().saturating_sub(self.from);
-        if self.cut_after.is_none() && self.token_time().is_zero() {
+    async fn json_response(mut self) -> http::Response<Body> {
+        let n_tokens = self.answer.n_tokens().saturating_sub(self.resume_from);
+        if self.cut_after_tokens.is_none() && self.token_time().is_zero() {
             self.entry.add_tokens(n_tokens);
         } else {
             for _ in 0..n_tokens {
                 if self.is_cut() {
-                    return self.cut();
+                    return self.cut_response();
                 }
                 self.pause(self.token_time()).await;
                 self.entry.add_tokens(1);
             }
         }
-        let text = self.answer.text(self.from);
+        let text = self.answer.text(self.resume_from);
         let message = chat::Message { role: "assistant".to_owned(), content: text };
         let choice = chat::Choice { message: Some(message), ..self.last_choice() };
-        let res = body::json(200, &self.event("chat.completion", choice, Some(self.usage())));
-        self.entry.close(Outcome::Done);
+        let res =
+            body::json(200, &self.completion_object("chat.completion", choice, Some(self.usage())));
+        self.entry.finish(Outcome::Done);
         res
     }
 
     /// A response whose body fails immediately.
-    fn cut(self) -> http::Response<Body> {
-        self.entry.close(Outcome::Failed);
+    fn cut_response(self) -> http::Response<Body> {
+        self.entry.finish(Outcome::Failed);
         let broken = stream::once(Err::<Frame<Bytes>, _>(HangUp.into()));
         http::Response::new(StreamBody::new(broken).boxed_unsync())
     }
 
-    fn stream(mut self) -> http::Response<Body> {
-        let body = if self.cut_after.is_none() && self.token_time().is_zero() {
-            let text = self.events(self.from, self.answer.n_tokens()) + &self.end();
-            self.entry.add_tokens(self.answer.n_tokens().saturating_sub(self.from));
-            self.entry.close(Outcome::Done);
+    fn stream_response(mut self) -> http::Response<Body> {
+        let body = if self.cut_after_tokens.is_none() && self.token_time().is_zero() {
+            let text = self.events(self.resume_from, self.answer.n_tokens()) + &self.end_event();
+            self.entry.add_tokens(self.answer.n_tokens().saturating_sub(self.resume_from));
+            self.entry.finish(Outcome::Done);
             body::full(text)
         } else {
             let first = Step::Token(Box::new(self), 0);
@@ -238,15 +240,19 @@
         let is_last = n + 1 == self.answer.n_tokens();
         let choice = if is_last { self.last_choice() } else { chat::Choice::default() };
         let usage = is_last.then(|| self.usage());
-        let event = self.event("chat.completion.chunk", chat::Choice { delta, ..choice }, usage);
-        sse(&serde_json::to_string(&event).expect("an event can be written as JSON"))
+        let event = self.completion_object(
+            "chat.completion.chunk",
+            chat::Choice { delta, ..choice },
+            usage,
+        );
+        sse_event(&serde_json::to_string(&event).expect("an event can be written as JSON"))
     }
 
-    fn end(&self) -> String {
-        if self.has_end_marker { sse(chat::END_MARKER) } else { String::new() }
+    fn end_event(&self) -> String {
+        if self.has_end_marker { sse_event(chat::END_MARKER) } else { String::new() }
     }
 
-    fn event(
+    fn completion_object(
         &self,
         object: &str,
         choice: chat::Choice,
@@ -272,16 +278,16 @@
     }
 }
 
-type Piece = Result<Frame<Bytes>, body::Error>;
+type BodyChunk = Result<Frame<Bytes>, body::Error>;
 
 impl Step {
-    async fn run(self) -> (Piece, Option<Self>) {
+    async fn run(self) -> (BodyChunk, Option<Self>) {
         match self {
             Self::Token(job, n) => next_token(job, n).await,
             Self::End(job) => {
-                let text = job.end();
+                let text = job.end_event();
                 let Job { entry, permit, .. } = *job;
-                entry.close(Outcome::Done);
+                entry.finish(Outcome::Done);
                 drop(permit);
                 (Ok(Frame::data(text.into())), None)
             }
@@ -290,30 +296,30 @@
 }
 
 /// Generates the token at index `n` of this run.
-async fn next_token(mut job: Box<Job>, n: u64) -> (Piece, Option<Step>) {
+async fn next_token(mut job: Box<Job>, n: u64) -> (BodyChunk, Option<Step>) {
     if job.is_cut() {
         // The server discards unsent data when a body ends with an error. Without the pause, the
         // tokens before the cut would be recorded but never reach the caller.
         Timer::after(FLUSH_PAUSE).await;
-        job.entry.close(Outcome::Failed);
+        job.entry.finish(Outcome::Failed);
         return (Err(HangUp.into()), None);
     }
-    let place = job.from + n;
-    if job.answer.n_tokens() <= place {
+    let index = job.resume_from + n;
+    if job.answer.n_tokens() <= index {
         return (Ok(Frame::data(Bytes::new())), Some(Step::End(job)));
     }
     if 0 < n {
         job.pause(job.token_time()).await;
     }
     job.entry.add_tokens(1);
-    let text = job.token_event(place);
+    let text = job.token_event(index);
     (Ok(Frame::data(text.into())), Some(Step::Token(job, n + 1)))
 }
 
-fn sse(data: &str) -> String {
+fn sse_event(data: &str) -> String {
     format!("data: {data}\n\n")
 }
 
-fn n_words(text: &str) -> u64 {
+fn count_words(text: &str) -> u64 {
     u64::try_from(text.split_whitespace().count()).unwrap_or(u64::MAX)
 }
--- a/crates/curranthook_standin/src/engine/faults.rs
+++ b/crates/curranthook_standin/src/engine/faults.rs
@@ -43,27 +43,27 @@
 }
 
 impl Faults {
-    /// Applies the overrides to the profile of version `id`.
-    pub(super) fn over(&self, id: &str, version: &Version) -> Version {
-        let slow = self.slow_factor.unwrap_or(1.0);
+    /// Applies the overrides to the profile of version `version_id`.
+    pub(super) fn apply_to(&self, version_id: &str, version: &Version) -> Version {
+        let slow_factor = self.slow_factor.unwrap_or(1.0);
         Version {
-            quality: self.quality.get(id).copied().unwrap_or(version.quality),
-            first_token_ms: self.first_token_ms.unwrap_or(version.first_token_ms) * slow,
-            token_ms: self.token_ms.unwrap_or(version.token_ms) * slow,
+            quality: self.quality.get(version_id).copied().unwrap_or(version.quality),
+            first_token_ms: self.first_token_ms.unwrap_or(version.first_token_ms) * slow_factor,
+            token_ms: self.token_ms.unwrap_or(version.token_ms) * slow_factor,
             tokens: version.tokens,
             error_rate: self.error_rate.unwrap_or(version.error_rate),
         }
     }
 
     /// Returns the number of tokens after which the next answer is cut, if any, and counts it.
-    pub(super) fn cut(&mut self) -> Option<u64> {
-        let after = self.cut_after_tokens?;
+    pub(super) fn next_cut(&mut self) -> Option<u64> {
+        let n_tokens = self.cut_after_tokens?;
         match &mut self.cut_next {
-            None => Some(after),
+            None => Some(n_tokens),
             Some(0) => None,
             Some(n) => {
                 *n -= 1;
-                Some(after)
+                Some(n_tokens)
             }
         }
     }
--- a/crates/curranthook_standin/src/engine/load.rs
+++ b/crates/curranthook_standin/src/engine/load.rs
@@ -6,13 +6,13 @@
 #[derive(Debug)]
 pub(super) struct Load {
     lag: Duration,
-    shown: usize,
-    sampled: Option<(Instant, usize)>,
+    reported: usize,
+    sample: Option<(Instant, usize)>,
 }
 
 impl Load {
     pub(super) fn new(lag: Duration) -> Self {
-        Self { lag, shown: 0, sampled: None }
+        Self { lag, reported: 0, sample: None }
     }
 
     /// Returns the load to report now, sampled at least `lag` ago.
@@ -20,14 +20,14 @@
         if self.lag.is_zero() {
             return actual;
         }
-        match self.sampled {
+        match self.sample {
             Some((at, load)) if self.lag <= now.saturating_duration_since(at) => {
-                self.shown = load;
-                self.sampled = Some((now, actual));
+                self.reported = load;
+                self.sample = Some((now, actual));
             }
             Some(_) => {}
-            None => self.sampled = Some((now, actual)),
+            None => self.sample = Some((now, actual)),
         }
-        self.shown
+        self.reported
     }
 }
--- a/crates/curranthook_standin/src/engine/order.rs
+++ b/crates/curranthook_standin/src/engine/order.rs
@@ -52,13 +52,13 @@
 #[derive(Debug)]
 pub(super) struct Log {
     fencing: Fencing,
-    highest: u64,
+    highest_fence: u64,
     entries: Vec<Entry>,
 }
 
 impl Log {
     pub(super) fn new(fencing: Fencing) -> Self {
-        Self { fencing, highest: 0, entries: Vec::new() }
+        Self { fencing, highest_fence: 0, entries: Vec::new() }
     }
 
     pub(super) fn entries(&self) -> &[Entry] {
@@ -66,20 +66,20 @@
     }
 
     /// Applies `order` to `loaded` or rejects it, and logs the decision.
-    pub(super) fn take(
+    pub(super) fn apply(
         &mut self,
         order: Order,
         fence: Option<u64>,
         at_millis: u64,
         loaded: &mut BTreeSet<String>,
     ) -> Verdict {
-        let is_stale = fence.unwrap_or_default() < self.highest;
+        let is_stale = fence.unwrap_or_default() < self.highest_fence;
         let verdict = match self.fencing {
             Fencing::Checked if is_stale => Verdict::Stale,
             Fencing::Checked | Fencing::Ignored => Verdict::Obeyed,
         };
         if verdict == Verdict::Obeyed {
-            self.highest = self.highest.max(fence.unwrap_or_default());
+            self.highest_fence = self.highest_fence.max(fence.unwrap_or_default());
             match order.action {
                 Action::Load => loaded.insert(order.version.clone()),
                 Action::Unload => loaded.remove(&order.version),
--- a/crates/curranthook_standin/src/engine/record.rs
+++ b/crates/curranthook_standin/src/engine/record.rs
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(super) struct Entry {
     record: Arc<Record>,
-    place: Option<usize>,
+    index: Option<usize>,
     outcome: Outcome,
     n_tokens: u64,
 }
@@ -78,7 +78,7 @@
 
     /// Adds a run that starts now; `run` is called with the start time.
     pub(super) fn begin(self: &Arc<Self>, run: impl FnOnce(u64) -> Run) -> Entry {
-        let place = match self.recording {
+        let index = match self.recording {
             Recording::Off => None,
             Recording::On => {
                 let run = run(self.clock.unix_millis());
@@ -87,7 +87,7 @@
                 Some(runs.len() - 1)
             }
         };
-        Entry { record: Arc::clone(self), place, outcome: Outcome::Cancelled, n_tokens: 0 }
+        Entry { record: Arc::clone(self), index, outcome: Outcome::Cancelled, n_tokens: 0 }
     }
 }
 
@@ -95,8 +95,8 @@
     /// Adds `n` generated tokens.
     pub(super) fn add_tokens(&mut self, n: u64) {
         self.n_tokens += n;
-        if let Some(place) = self.place {
-            self.record.runs.lock()[place].tokens = self.n_tokens;
+        if let Some(index) = self.index {
+            self.record.runs.lock()[index].tokens = self.n_tokens;
         }
     }
 
@@ -106,16 +106,16 @@
     }
 
     /// Ends the run with `outcome`.
-    pub(super) fn close(mut self, outcome: Outcome) {
+    pub(super) fn finish(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        let Some(place) = self.place else { return };
+        let Some(index) = self.index else { return };
         let now = self.record.clock.unix_millis();
-        let run = &mut self.record.runs.lock()[place];
+        let run = &mut self.record.runs.lock()[index];
         run.finished_millis = Some(now);
         run.outcome = self.outcome;
     }
--- a/crates/curranthook_standin/src/engine/slots.rs
+++ b/crates/curranthook_standin/src/engine/slots.rs
@@ -33,7 +33,7 @@
 
 /// A queue entry, removed on drop.
 #[derive(Debug)]
-struct Ticket {
+struct Waiter {
     slots: Arc<Slots>,
     key: (i32, u64),
 }
@@ -44,7 +44,7 @@
     }
 
     /// The number of requests running or waiting.
-    pub(super) fn n_held(&self) -> usize {
+    pub(super) fn n_in_flight(&self) -> usize {
         let state = self.state.lock();
         state.n_running + state.queue.len()
     }
@@ -62,7 +62,7 @@
 
     /// Waits for a slot.
     pub(super) async fn acquire(self: &Arc<Self>, priority: i32) -> Result<Permit, Full> {
-        let (ticket, granted) = {
+        let (waiter, receiver) = {
             let mut state = self.state.lock();
             if state.n_running < self.n_slots {
                 state.n_running += 1;
@@ -71,19 +71,19 @@
             if self.max_queue <= state.queue.len() {
                 return Err(Full);
             }
-            let (tx, rx) = async_channel::bounded(1);
+            let (sender, receiver) = async_channel::bounded(1);
             let key = (priority, state.n_arrived);
             state.n_arrived += 1;
-            state.queue.insert(key, tx);
-            (Ticket { slots: Arc::clone(self), key }, rx)
+            state.queue.insert(key, sender);
+            (Waiter { slots: Arc::clone(self), key }, receiver)
         };
-        let permit = granted.recv().await.map_err(|_| Full);
-        drop(ticket);
+        let permit = receiver.recv().await.map_err(|_| Full);
+        drop(waiter);
         permit
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Waiter {
     fn drop(&mut self) {
         self.slots.state.lock().queue.remove(&self.key);
     }
@@ -103,6 +103,6 @@
         };
         // If the waiting request was cancelled in the meantime, `try_send` returns this permit
         // in its error, and dropping it passes the slot to the next request.
-        let _given_up = next.try_send(Self { slots: Arc::clone(&self.slots) });
+        let _cancelled_waiter = next.try_send(Self { slots: Arc::clone(&self.slots) });
     }
 }
--- a/crates/curranthook_standin/src/fault.rs
+++ b/crates/curranthook_standin/src/fault.rs
@@ -24,10 +24,10 @@
     /// ```
     /// use curranthook_standin::fault::Count;
     /// let mut once = Count::Next(1);
-    /// assert!(once.strikes());
-    /// assert!(!once.strikes());
+    /// assert!(once.triggers());
+    /// assert!(!once.triggers());
     /// ```
-    pub fn strikes(&mut self) -> bool {
+    pub fn triggers(&mut self) -> bool {
         match self {
             Self::Always(always) => *always,
             Self::Next(0) => false,
--- a/crates/curranthook_standin/src/hash.rs
+++ b/crates/curranthook_standin/src/hash.rs
@@ -24,8 +24,8 @@
 
 /// The hash of `parts` mapped to [0, 1).
 pub fn fraction(parts: &[&str]) -> f64 {
-    const BITS: u32 = 53;
-    (of(parts) >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
+    const MANTISSA_BITS: u32 = 53;
+    (of(parts) >> (u64::BITS - MANTISSA_BITS)) as f64 / (1_u64 << MANTISSA_BITS) as f64
 }
 
 fn finish(mut hash: u64) -> u64 {
--- a/crates/curranthook_standin/src/lib.rs
+++ b/crates/curranthook_standin/src/lib.rs
@@ -2,7 +2,8 @@
 //! tests and never part of the product.
 //!
 //! Each stand-in is one module with a binary `standin-<module>` in `src/bin`. Each implements
-//! [`app::App`], is served by [`program::run`] and is controlled with JSON over HTTP.
+//! [`app::App`], is served by [`program::run`] and is controlled with JSON under `/control/`,
+//! the proxy under `/links`.
 
 pub mod app;
 pub mod engine;
--- a/crates/curranthook_standin/src/platform.rs
+++ b/crates/curranthook_standin/src/platform.rs
@@ -29,7 +29,7 @@
 
 use self::{
     count::Counts,
-    fault::{Call, Faults, Mode},
+    fault::{Access, Faults, Mode},
     rate::Bucket,
     store::Store,
     vms::Vms,
@@ -89,53 +89,53 @@
     }
 
     async fn call(&self, service: Service, key: &str, req: &Request) -> Reply {
-        let call = if req.method == Method::GET { Call::Read } else { Call::Write };
-        let (mode, delay) = self.state.lock().faults.strike(service, key, call);
+        let access = if req.method == Method::GET { Access::Read } else { Access::Write };
+        let (mode, delay) = self.state.lock().faults.next_effect(service, key, access);
         match mode {
-            Mode::Up => Ok(self.run(service, key, call, req)),
+            Mode::Up => Ok(self.execute(service, key, access, req)),
             Mode::Down => {
-                self.state.lock().counts.of(service).refused += 1;
+                self.state.lock().counts.for_service(service).refused += 1;
                 Ok(app::error(503, "down"))
             }
             Mode::Slow => {
                 Timer::after(delay).await;
-                Ok(self.run(service, key, call, req))
+                Ok(self.execute(service, key, access, req))
             }
             Mode::Lost => {
                 Timer::after(delay).await;
-                let _lost = self.run(service, key, call, req);
+                let _lost_response = self.execute(service, key, access, req);
                 Err(HangUp)
             }
         }
     }
 
-    fn run(
+    fn execute(
         &self,
         service: Service,
         key: &str,
-        call: Call,
+        access: Access,
         req: &Request,
     ) -> http::Response<curranthook_http::Body> {
         let now = self.clock.now();
         let mut guard = self.state.lock();
         let state = &mut *guard;
-        let counts = state.counts.of(service);
-        let bucket = match call {
-            Call::Read => &mut state.reads,
-            Call::Write => &mut state.writes,
+        let counts = state.counts.for_service(service);
+        let bucket = match access {
+            Access::Read => &mut state.reads,
+            Access::Write => &mut state.writes,
         };
-        if service == Service::Table && !bucket.take(now) {
+        if service == Service::Table && !bucket.try_take(now) {
             counts.refused += 1;
             return app::error(429, "over the rate");
         }
-        match call {
-            Call::Read => counts.reads += 1,
-            Call::Write => counts.writes += 1,
+        match access {
+            Access::Read => counts.reads += 1,
+            Access::Write => counts.writes += 1,
         }
         let res = match service {
             Service::Table => state.table.table_call(key, req),
             Service::Objects => state.objects.object_call(key, req),
-            Service::Vms => state.vms.answer(req, now),
+            Service::Vms => state.vms.response(req, now),
         };
         if res.status() == 304 {
             counts.not_modified += 1;
@@ -143,17 +143,27 @@
         res
     }
 
-    fn control(&self, what: &str, req: &Request) -> http::Response<curranthook_http::Body> {
+    fn handle_control(
+        &self,
+        resource: &str,
+        req: &Request,
+    ) -> http::Response<curranthook_http::Body> {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        match (&req.method, what.split_once('/')) {
+        match (&req.method, resource.split_once('/')) {
             (&Method::GET, Some(("table", table))) => {
                 body::json(200, &state.table.rows(&format!("{table}/")))
             }
-            (&Method::GET, None) if what == "objects" => body::json(200, &state.objects.texts()),
-            (&Method::GET, None) if what == "counts" => body::json(200, &state.counts),
-            (&Method::PUT, None) if what == "faults" => req.store(|faults| state.faults = faults),
-            (&Method::PUT, None) if what == "vms" => req.store(|list| state.vms.set(list, now)),
+            (&Method::GET, None) if resource == "objects" => {
+                body::json(200, &state.objects.values_as_text())
+            }
+            (&Method::GET, None) if resource == "counts" => body::json(200, &state.counts),
+            (&Method::PUT, None) if resource == "faults" => {
+                req.apply_json(|faults| state.faults = faults)
+            }
+            (&Method::PUT, None) if resource == "vms" => {
+                req.apply_json(|list| state.vms.set(list, now))
+            }
             _ => app::error(404, "no such control"),
         }
     }
@@ -168,7 +178,7 @@
                 "table" => self.call(Service::Table, rest, &req).await,
                 "objects" => self.call(Service::Objects, rest, &req).await,
                 "vms" => self.call(Service::Vms, rest, &req).await,
-                "control" => Ok(self.control(rest, &req)),
+                "control" => Ok(self.handle_control(rest, &req)),
                 _ => Ok(app::error(404, "no such path")),
             }
         })
--- a/crates/curranthook_standin/src/platform/count.rs
+++ b/crates/curranthook_standin/src/platform/count.rs
@@ -29,7 +29,7 @@
 }
 
 impl Counts {
-    pub(super) fn of(&mut self, service: Service) -> &mut Calls {
+    pub(super) fn for_service(&mut self, service: Service) -> &mut Calls {
         match service {
             Service::Table => &mut self.table,
             Service::Objects => &mut self.objects,
--- a/crates/curranthook_standin/src/platform/fault.rs
+++ b/crates/curranthook_standin/src/platform/fault.rs
@@ -52,26 +52,32 @@
 
 /// Whether a call reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Call {
+pub(super) enum Access {
     Read,
     Write,
 }
 
 impl Faults {
-    pub(super) fn strike(&mut self, service: Service, key: &str, call: Call) -> (Mode, Duration) {
+    pub(super) fn next_effect(
+        &mut self,
+        service: Service,
+        key: &str,
+        access: Access,
+    ) -> (Mode, Duration) {
         match service {
-            Service::Table => self.table.strike(key, call),
-            Service::Objects => self.objects.strike(key, call),
-            Service::Vms => self.vms.strike(key, call),
+            Service::Table => self.table.next_effect(key, access),
+            Service::Objects => self.objects.next_effect(key, access),
+            Service::Vms => self.vms.next_effect(key, access),
         }
     }
 }
 
 impl Fault {
-    fn strike(&mut self, key: &str, call: Call) -> (Mode, Duration) {
+    fn next_effect(&mut self, key: &str, access: Access) -> (Mode, Duration) {
         let writes_only = (self.next.is_some() || self.mode == Mode::Lost) && !self.any;
-        let spared = (writes_only && call == Call::Read) || !key.starts_with(&self.key_prefix);
-        if spared || self.next == Some(0) {
+        let is_exempt =
+            (writes_only && access == Access::Read) || !key.starts_with(&self.key_prefix);
+        if is_exempt || self.next == Some(0) {
             return (Mode::Up, Duration::ZERO);
         }
         self.next = self.next.map(|n| n - 1);
--- a/crates/curranthook_standin/src/platform/store.rs
+++ b/crates/curranthook_standin/src/platform/store.rs
@@ -36,7 +36,7 @@
         match req.method {
             Method::GET if path.contains('/') => self.read(path, req),
             Method::GET => {
-                let prefix = req.param("prefix").unwrap_or_default();
+                let prefix = req.query_param("prefix").unwrap_or_default();
                 body::json(200, &self.rows(&format!("{path}/{prefix}")))
             }
             Method::PUT if path.contains('/') => self.write(path, req),
@@ -48,7 +48,7 @@
     pub(super) fn object_call(&mut self, key: &str, req: &Request) -> http::Response<Body> {
         match req.method {
             Method::GET if key.is_empty() => {
-                let prefix = req.param("prefix").unwrap_or_default();
+                let prefix = req.query_param("prefix").unwrap_or_default();
                 let keys = self.entries.keys().filter(|key| key.starts_with(prefix));
                 body::json(200, &keys.collect::<Vec<_>>())
             }
@@ -72,38 +72,38 @@
     }
 
     /// All values as text, by key.
-    pub(super) fn texts(&self) -> BTreeMap<&str, String> {
+    pub(super) fn values_as_text(&self) -> BTreeMap<&str, String> {
         self.entries.iter().map(|(key, entry)| (key.as_str(), text(&entry.value))).collect()
     }
 
     fn read(&self, path: &str, req: &Request) -> http::Response<Body> {
         let Some(entry) = self.entries.get(path) else { return app::error(404, "no such key") };
         if req.header("if-none-match") == Some(entry.tag.as_str()) {
-            return answer(304, &entry.tag, Bytes::new());
+            return tagged_response(304, &entry.tag, Bytes::new());
         }
-        answer(200, &entry.tag, entry.value.clone())
+        tagged_response(200, &entry.tag, entry.value.clone())
     }
 
     fn write(&mut self, path: &str, req: &Request) -> http::Response<Body> {
-        let found = self.entries.get(path).map(|entry| entry.tag.as_str());
-        let is_met = match (req.header("if-none-match"), req.header("if-match")) {
-            (Some("*"), None) => found.is_none(),
-            (None, Some(tag)) => found == Some(tag),
+        let current_tag = self.entries.get(path).map(|entry| entry.tag.as_str());
+        let is_condition_met = match (req.header("if-none-match"), req.header("if-match")) {
+            (Some("*"), None) => current_tag.is_none(),
+            (None, Some(tag)) => current_tag == Some(tag),
             _ => return app::error(428, "a write needs one condition"),
         };
-        if !is_met {
+        if !is_condition_met {
             return app::error(412, "the condition doesn't hold");
         }
-        let status = if found.is_none() { 201 } else { 200 };
+        let status = if current_tag.is_none() { 201 } else { 200 };
         self.n_writes += 1;
         let tag = format!("\"{}\"", self.n_writes);
         let entry = Entry { tag: tag.clone(), value: req.body.clone() };
         self.entries.insert(path.to_owned(), entry);
-        answer(status, &tag, Bytes::new())
+        tagged_response(status, &tag, Bytes::new())
     }
 }
 
-fn answer(status: u16, tag: &str, value: Bytes) -> http::Response<Body> {
+fn tagged_response(status: u16, tag: &str, value: Bytes) -> http::Response<Body> {
     http::Response::builder()
         .status(status)
         .header(header::ETAG, tag)
--- a/crates/curranthook_standin/src/program.rs
+++ b/crates/curranthook_standin/src/program.rs
@@ -16,10 +16,10 @@
 use crate::app::{self, App};
 
 /// The number of worker threads of a stand-in.
-const THREADS: usize = 4;
+const N_WORKER_THREADS: usize = 4;
 
 /// Converts milliseconds, including fractions, to a duration. Invalid values give zero.
-pub fn millis(millis: f64) -> Duration {
+pub fn duration_from_millis(millis: f64) -> Duration {
     const MILLIS_PER_SECOND: f64 = 1_000.0;
     Duration::try_from_secs_f64(millis / MILLIS_PER_SECOND).unwrap_or_default()
 }
@@ -33,7 +33,7 @@
     listen: SocketAddr,
     app: impl FnOnce(&runtime::Handle) -> Arc<A>,
 ) -> anyhow::Result<()> {
-    runtime::run(THREADS, |ex| async move {
+    runtime::run(N_WORKER_THREADS, |ex| async move {
         let app = app(&ex);
         let mut signals = Signals::new([Signal::Term, Signal::Int])?;
         let listener = Async::<TcpListener>::bind(listen).context("can't bind")?;
--- a/crates/curranthook_standin/src/proxy.rs
+++ b/crates/curranthook_standin/src/proxy.rs
@@ -9,7 +9,7 @@
 //! | `GET /links` | returns [`link::Status`] by name |
 
 pub mod link;
-mod pump;
+mod relay;
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -45,26 +45,26 @@
         Self { ex, links: Mutex::default() }
     }
 
-    fn open(&self, req: &Request) -> http::Response<Body> {
-        let new: NewLink = match req.json() {
-            Ok(new) => new,
-            Err(e) => return e.answer(),
+    fn open_link(&self, req: &Request) -> http::Response<Body> {
+        let new_link: NewLink = match req.json() {
+            Ok(new_link) => new_link,
+            Err(e) => return e.response(),
         };
         let mut links = self.links.lock();
-        if links.contains_key(&new.name) {
+        if links.contains_key(&new_link.name) {
             return app::error(409, "there is a link of that name");
         }
-        match Link::open(new.target, &self.ex) {
+        match Link::open(new_link.target, &self.ex) {
             Ok(link) => {
                 let listen = link.addr();
-                links.insert(new.name, link);
+                links.insert(new_link.name, link);
                 body::json(201, &serde_json::json!({ "listen": listen }))
             }
             Err(e) => app::error(500, &e.to_string()),
         }
     }
 
-    async fn change(&self, name: &str, req: &Request) -> http::Response<Body> {
+    async fn set_fault(&self, name: &str, req: &Request) -> http::Response<Body> {
         let Some(link) = self.links.lock().get(name).cloned() else {
             return app::error(404, "no link of that name");
         };
@@ -73,7 +73,7 @@
                 link.set(fault).await;
                 body::json(200, &link.status())
             }
-            Err(e) => e.answer(),
+            Err(e) => e.response(),
         }
     }
 
@@ -86,9 +86,9 @@
     fn handle(self: Arc<Self>, req: Request) -> Boxed<Reply> {
         Box::pin(async move {
             let res = match (req.method.as_str(), req.path.strip_prefix("/links/")) {
-                ("POST", None) if req.path == "/links" => self.open(&req),
+                ("POST", None) if req.path == "/links" => self.open_link(&req),
                 ("GET", None) if req.path == "/links" => body::json(200, &self.status()),
-                ("PUT", Some(name)) => self.change(name, &req).await,
+                ("PUT", Some(name)) => self.set_fault(name, &req).await,
                 _ => app::error(404, "no such path"),
             };
             Ok(res)
--- a/crates/curranthook_standin/src/proxy/link.rs
+++ b/crates/curranthook_standin/src/proxy/link.rs
@@ -17,7 +17,7 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-use super::pump;
+use super::relay;
 
 /// How a link treats connections and bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
     OneWayUp,
     /// Forwards only bytes from the target.
     OneWayDown,
-    /// Buffers bytes until the mode changes.
+    /// Holds back all bytes until the mode changes.
     Pause,
 }
 
@@ -84,23 +84,23 @@
 
 /// The direction of a byte stream: `Up` is to the target, `Down` from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Way {
+pub(super) enum Direction {
     Up,
     Down,
 }
 
 /// What happens to a connection after bytes were forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum Outcome {
     /// It continues.
-    None,
+    Continue,
     /// It is reset.
     Reset,
 }
 
 /// Bytes are held back until this signal fires.
 #[derive(Debug)]
-struct Held(Stop);
+struct Paused(Stop);
 
 /// A proxied link.
 #[derive(Debug)]
@@ -131,28 +131,28 @@
         matches!(self, Self::Cut | Self::Refuse)
     }
 
-    fn silences(self, way: Way) -> bool {
+    fn silences(self, direction: Direction) -> bool {
         match self {
             Self::SilenceAll => true,
-            Self::OneWayUp => way == Way::Down,
-            Self::OneWayDown => way == Way::Up,
+            Self::OneWayUp => direction == Direction::Down,
+            Self::OneWayDown => direction == Direction::Up,
             Self::Pass | Self::Cut | Self::Refuse | Self::SilenceOpen | Self::Pause => false,
         }
     }
 }
 
 impl Connection {
-    fn silence(&mut self, way: Way) {
-        match way {
-            Way::Up => self.silent_up = true,
-            Way::Down => self.silent_down = true,
+    fn silence(&mut self, direction: Direction) {
+        match direction {
+            Direction::Up => self.silent_up = true,
+            Direction::Down => self.silent_down = true,
         }
     }
 
-    fn is_silent(&self, way: Way) -> bool {
-        match way {
-            Way::Up => self.silent_up,
-            Way::Down => self.silent_down,
+    fn is_silent(&self, direction: Direction) -> bool {
+        match direction {
+            Direction::Up => self.silent_up,
+            Direction::Down => self.silent_down,
         }
     }
 }
@@ -180,7 +180,7 @@
             changed: stop::new(),
         };
         let link = Arc::new(Self { addr, state: Mutex::new(state) });
-        ex.spawn(Arc::clone(&link).listen(listener, Arc::clone(ex))).detach();
+        ex.spawn(Arc::clone(&link).run_listener(listener, Arc::clone(ex))).detach();
         Ok(link)
     }
 
@@ -197,10 +197,10 @@
 
     /// Activates `fault` and waits until the port is open or closed accordingly.
     pub async fn set(&self, fault: Fault) {
-        const POLL: Duration = Duration::from_millis(1);
+        const POLL_INTERVAL: Duration = Duration::from_millis(1);
         self.state.lock().set(fault);
         while self.is_changing() {
-            Timer::after(POLL).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
@@ -212,19 +212,19 @@
 
     /// Accepts connections while the mode allows it. Otherwise the port is closed, so that the
     /// operating system refuses callers as on a host whose process has exited.
-    async fn listen(self: Arc<Self>, mut listener: Async<TcpListener>, ex: runtime::Handle) {
-        const PAUSE: Duration = Duration::from_millis(5);
+    async fn run_listener(self: Arc<Self>, mut listener: Async<TcpListener>, ex: runtime::Handle) {
+        const REBIND_DELAY: Duration = Duration::from_millis(5);
         loop {
-            self.accept(&listener, &ex).await;
+            self.accept_until_refusing(&listener, &ex).await;
             drop(listener);
             self.state.lock().is_listening = false;
-            while let Some(changed) = self.refusing() {
+            while let Some(changed) = self.change_if_refusing() {
                 changed.wait().await;
             }
             listener = loop {
                 match Async::<TcpListener>::bind(self.addr) {
                     Ok(listener) => break listener,
-                    Err(_) => Timer::after(PAUSE).await,
+                    Err(_) => Timer::after(REBIND_DELAY).await,
                 };
             };
             self.state.lock().is_listening = true;
@@ -232,15 +232,19 @@
     }
 
     /// If the link refuses connections, returns the signal for the next change of the fault.
-    fn refusing(&self) -> Option<Stop> {
+    fn change_if_refusing(&self) -> Option<Stop> {
         let state = self.state.lock();
         state.fault.mode.refuses().then(|| state.changed.1.clone())
     }
 
-    async fn accept(self: &Arc<Self>, listener: &Async<TcpListener>, ex: &runtime::Handle) {
+    async fn accept_until_refusing(
+        self: &Arc<Self>,
+        listener: &Async<TcpListener>,
+        ex: &runtime::Handle,
+    ) {
         loop {
             let changed = self.state.lock().changed.1.clone();
-            if self.refusing().is_some() {
+            if self.change_if_refusing().is_some() {
                 return;
             }
             let accepted = async { listener.accept().await.ok().map(|(stream, _)| stream) };
@@ -249,44 +253,49 @@
                 None
             };
             if let Some(stream) = future::or(accepted, until_change).await {
-                ex.spawn(Arc::clone(self).connection(stream)).detach();
+                ex.spawn(Arc::clone(self).handle_connection(stream)).detach();
             }
         }
     }
 
-    async fn connection(self: Arc<Self>, caller: Async<TcpStream>) {
-        let (id, target, reset) = self.state.lock().add();
-        let work = async {
+    async fn handle_connection(self: Arc<Self>, caller: Async<TcpStream>) {
+        let (id, target, reset) = self.state.lock().add_connection();
+        let forward = async {
             match Async::<TcpStream>::connect(target).await {
-                Ok(target) => pump::run(&self, id, &caller, &target).await,
-                Err(_) => pump::reset_on_drop(&caller),
+                Ok(target) => relay::run(&self, id, &caller, &target).await,
+                Err(_) => relay::reset_on_drop(&caller),
             }
         };
-        let cut = async {
+        let reset_by_fault = async {
             reset.wait().await;
-            pump::reset_on_drop(&caller);
+            relay::reset_on_drop(&caller);
         };
-        future::or(cut, work).await;
+        future::or(reset_by_fault, forward).await;
         self.state.lock().open.remove(&id);
     }
 
     /// Returns how many of the `n_bytes` read on connection `id` to forward, and what to do with
     /// the connection then. The remaining bytes are dropped. Waits while the link is paused.
-    pub(super) async fn judge(&self, id: u64, way: Way, n_bytes: usize) -> (usize, End) {
+    pub(super) async fn admit(
+        &self,
+        id: u64,
+        direction: Direction,
+        n_bytes: usize,
+    ) -> (usize, Outcome) {
         loop {
-            let verdict = self.state.lock().judge(id, way, n_bytes);
-            match verdict {
-                Ok(verdict) => return verdict,
-                Err(Held(changed)) => changed.wait().await,
+            let admitted = self.state.lock().admit(id, direction, n_bytes);
+            match admitted {
+                Ok(admitted) => return admitted,
+                Err(Paused(changed)) => changed.wait().await,
             }
         }
     }
 
     /// Whether connection `id` drops everything in that direction, including its end.
-    pub(super) fn is_silent(&self, id: u64, way: Way) -> bool {
+    pub(super) fn is_silent(&self, id: u64, direction: Direction) -> bool {
         let state = self.state.lock();
-        let is_silent = state.open.get(&id).is_some_and(|conn| conn.is_silent(way));
-        is_silent || state.fault.mode.silences(way)
+        let is_silent = state.open.get(&id).is_some_and(|conn| conn.is_silent(direction));
+        is_silent || state.fault.mode.silences(direction)
     }
 
     /// The delay added in each direction.
@@ -306,8 +315,8 @@
             }
             Mode::SilenceOpen | Mode::SilenceAll => {
                 for conn in self.open.values_mut() {
-                    conn.silence(Way::Up);
-                    conn.silence(Way::Down);
+                    conn.silence(Direction::Up);
+                    conn.silence(Direction::Down);
                 }
             }
             Mode::Pass | Mode::Refuse | Mode::OneWayUp | Mode::OneWayDown | Mode::Pause => {}
@@ -317,7 +326,7 @@
         trigger.set();
     }
 
-    fn add(&mut self) -> (u64, SocketAddr, Stop) {
+    fn add_connection(&mut self) -> (u64, SocketAddr, Stop) {
         let id = self.status.accepted;
         self.status.accepted += 1;
         let (reset, stop) = stop::new();
@@ -331,50 +340,55 @@
         (id, self.status.target, stop)
     }
 
-    fn judge(&mut self, id: u64, way: Way, n_bytes: usize) -> Result<(usize, End), Held> {
-        let Some(conn) = self.open.get_mut(&id) else { return Ok((0, End::Reset)) };
-        if self.fault.mode.silences(way) {
+    fn admit(
+        &mut self,
+        id: u64,
+        direction: Direction,
+        n_bytes: usize,
+    ) -> Result<(usize, Outcome), Paused> {
+        let Some(conn) = self.open.get_mut(&id) else { return Ok((0, Outcome::Reset)) };
+        if self.fault.mode.silences(direction) {
             // A TCP stream with a gap is unusable, so all later bytes are dropped too.
-            conn.silence(way);
+            conn.silence(direction);
         }
-        if conn.is_silent(way) {
+        if conn.is_silent(direction) {
             self.status.swallowed += n_bytes as u64;
-            return Ok((0, End::None));
+            return Ok((0, Outcome::Continue));
         }
         if self.fault.mode == Mode::Pause {
-            return Err(Held(self.changed.1.clone()));
+            return Err(Paused(self.changed.1.clone()));
         }
-        let (n_passed, end) = match way {
-            Way::Up => match spend(&mut self.fault.swallow_up_after_bytes, n_bytes) {
-                Some(n_left) => {
-                    conn.silence(way);
-                    (n_left, End::None)
+        let (n_forwarded, outcome) = match direction {
+            Direction::Up => match consume(&mut self.fault.swallow_up_after_bytes, n_bytes) {
+                Some(n_remaining) => {
+                    conn.silence(direction);
+                    (n_remaining, Outcome::Continue)
                 }
-                None => (n_bytes, End::None),
+                None => (n_bytes, Outcome::Continue),
             },
-            Way::Down => match spend(&mut self.fault.cut_after_bytes_down, n_bytes) {
-                Some(n_left) => (n_left, End::Reset),
-                None => (n_bytes, End::None),
+            Direction::Down => match consume(&mut self.fault.cut_after_bytes_down, n_bytes) {
+                Some(n_remaining) => (n_remaining, Outcome::Reset),
+                None => (n_bytes, Outcome::Continue),
             },
         };
-        match way {
-            Way::Up => self.status.bytes_up += n_passed as u64,
-            Way::Down => self.status.bytes_down += n_passed as u64,
+        match direction {
+            Direction::Up => self.status.bytes_up += n_forwarded as u64,
+            Direction::Down => self.status.bytes_down += n_forwarded as u64,
         }
-        self.status.swallowed += (n_bytes - n_passed) as u64;
-        Ok((n_passed, end))
+        self.status.swallowed += (n_bytes - n_forwarded) as u64;
+        Ok((n_forwarded, outcome))
     }
 }
 
 /// Subtracts `n_bytes` from the byte limit. If they exceed it, clears the limit and returns how
 /// many of them were still within it.
-fn spend(allowance: &mut Option<u64>, n_bytes: usize) -> Option<usize> {
-    let left = allowance.as_mut()?;
-    let n_left = usize::try_from(*left).unwrap_or(usize::MAX);
-    if n_bytes <= n_left {
-        *left -= n_bytes as u64;
+fn consume(limit: &mut Option<u64>, n_bytes: usize) -> Option<usize> {
+    let remaining = limit.as_mut()?;
+    let n_remaining = usize::try_from(*remaining).unwrap_or(usize::MAX);
+    if n_bytes <= n_remaining {
+        *remaining -= n_bytes as u64;
         return None;
     }
-    *allowance = None;
-    Some(n_left)
+    *limit = None;
+    Some(n_remaining)
 }
--- a/crates/curranthook_standin/src/proxy/pump.rs
+++ b/crates/curranthook_standin/src/proxy/relay.rs
@@ -6,10 +6,10 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use socket2::SockRef;
 
-use super::link::{End, Link, Way};
+use super::link::{Direction, Link, Outcome};
 
 /// The size of the read buffer, in bytes.
-const CHUNK: usize = 64 * 1024;
+const BUFFER_BYTES: usize = 64 * 1024;
 
 /// Makes the socket send an RST instead of a FIN when dropped.
 pub(super) fn reset_on_drop(stream: &Async<TcpStream>) {
@@ -28,8 +28,8 @@
     // If the streams are dropped before both directions have ended, the connection was cut and
     // must send an RST. A regular end reverts this.
     reset_on_drop(target);
-    let up = one_way(link, id, Way::Up, caller, target);
-    let down = one_way(link, id, Way::Down, target, caller);
+    let up = forward(link, id, Direction::Up, caller, target);
+    let down = forward(link, id, Direction::Down, target, caller);
     match future::try_zip(up, down).await {
         Ok(_) => {
             let _best_effort = SockRef::from(target.get_ref()).set_linger(None);
@@ -38,15 +38,15 @@
     }
 }
 
-async fn one_way(
+async fn forward(
     link: &Link,
     id: u64,
-    way: Way,
+    direction: Direction,
     from: &Async<TcpStream>,
     to: &Async<TcpStream>,
 ) -> io::Result<()> {
     let (mut from, mut to) = (from, to);
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let read = from.read(&mut buf).await;
         let delay = link.delay();
@@ -57,8 +57,8 @@
             Ok(n_read) if 0 < n_read => n_read,
             ended => {
                 // A paused link delays the end of the stream as well.
-                link.judge(id, way, 0).await;
-                if link.is_silent(id, way) {
+                link.admit(id, direction, 0).await;
+                if link.is_silent(id, direction) {
                     // The peer must not notice that this side has closed.
                     return future::pending().await;
                 }
@@ -66,9 +66,9 @@
                 return to.get_ref().shutdown(Shutdown::Write);
             }
         };
-        let (n_passed, end) = link.judge(id, way, n_read).await;
-        to.write_all(&buf[..n_passed]).await?;
-        if end == End::Reset {
+        let (n_forwarded, outcome) = link.admit(id, direction, n_read).await;
+        to.write_all(&buf[..n_forwarded]).await?;
+        if outcome == Outcome::Reset {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
     }
--- a/crates/curranthook_standin/src/rater.rs
+++ b/crates/curranthook_standin/src/rater.rs
@@ -54,7 +54,7 @@
 /// The rating service.
 #[derive(Debug)]
 pub struct Rater {
-    noise: f64,
+    error_rate: f64,
     state: Mutex<State>,
 }
 
@@ -65,15 +65,15 @@
 }
 
 impl Rater {
-    /// Creates a rater that returns the wrong rating with probability `noise`.
-    pub fn new(noise: f64) -> Self {
-        Self { noise, state: Mutex::default() }
+    /// Creates a rater that returns the wrong rating with probability `error_rate`.
+    pub fn new(error_rate: f64) -> Self {
+        Self { error_rate, state: Mutex::default() }
     }
 
     async fn rate(&self, req: &Request) -> http::Response<curranthook_http::Body> {
         let case: Case = match req.json() {
             Ok(case) => case,
-            Err(e) => return e.answer(),
+            Err(e) => return e.response(),
         };
         let faults = self.state.lock().faults.clone();
         if faults.down {
@@ -85,8 +85,8 @@
         counts.rated += 1;
         *counts.versions.entry(case.version).or_default() += 1;
         // Including the count makes errors independent for repeated ratings of one answer.
-        let flips = hash::fraction(&[&case.answer, &counts.rated.to_string()]) < self.noise;
-        let is_good = case.answer.starts_with(GOOD) != flips;
+        let is_wrong = hash::fraction(&[&case.answer, &counts.rated.to_string()]) < self.error_rate;
+        let is_good = case.answer.starts_with(GOOD) != is_wrong;
         body::json(200, &serde_json::json!({ "rating": f64::from(u8::from(is_good)) }))
     }
 }
@@ -98,7 +98,7 @@
                 (&Method::POST, "/rate") => self.rate(&req).await,
                 (&Method::GET, "/control/counts") => body::json(200, &self.state.lock().counts),
                 (&Method::PUT, "/control/faults") => {
-                    req.store(|faults| self.state.lock().faults = faults)
+                    req.apply_json(|faults| self.state.lock().faults = faults)
                 }
                 _ => app::error(404, "no such path"),
             };
--- a/crates/curranthook_standin/src/service.rs
+++ b/crates/curranthook_standin/src/service.rs
@@ -78,7 +78,7 @@
     pub error_after_run: Count,
     /// Rejects calls with 503 and the "not started" header.
     pub refuse: Count,
-    /// Rejects calls as above and sets the leaving header.
+    /// Rejects calls with 503 and the "not started" and leaving headers.
     pub leaving: bool,
     /// Responds with another request's id.
     pub foreign_id: Count,
@@ -123,21 +123,21 @@
     }
 
     async fn run(&self, req: &Request) -> http::Response<Body> {
-        if let Some(refusal) = self.refusal() {
-            return refusal;
+        if let Some(rejection) = self.rejection() {
+            return rejection;
         }
         let _running = Running::new(&self.n_running);
-        if self.state.lock().faults.hang_before_head.strikes() {
+        if self.state.lock().faults.hang_before_head.triggers() {
             return future::pending().await;
         }
-        if self.state.lock().faults.error_before_run.strikes() {
+        if self.state.lock().faults.error_before_run.triggers() {
             return app::error(500, "broken before the run");
         }
-        let place = self.record(req);
-        let (hangs, dies, fails, late) = {
+        let index = self.record(req);
+        let (hangs, dies, fails, delay) = {
             let faults = &mut self.state.lock().faults;
             let (hangs, fails) =
-                (faults.hang_after_run.strikes(), faults.error_after_run.strikes());
+                (faults.hang_after_run.triggers(), faults.error_after_run.triggers());
             (hangs, faults.die_after_run, fails, Duration::from_millis(faults.answer_late_ms))
         };
         if dies {
@@ -146,21 +146,21 @@
         if hangs {
             return future::pending().await;
         }
-        Timer::after(late).await;
+        Timer::after(delay).await;
         if fails {
-            self.state.lock().calls[place].outcome = Outcome::Failed;
+            self.state.lock().calls[index].outcome = Outcome::Failed;
             return app::error(500, "broken after the run");
         }
-        self.state.lock().calls[place].outcome = Outcome::Done;
-        self.answer(req, place + 1)
+        self.state.lock().calls[index].outcome = Outcome::Done;
+        self.success_response(req, index + 1)
     }
 
-    fn refusal(&self) -> Option<http::Response<Body>> {
+    fn rejection(&self) -> Option<http::Response<Body>> {
         let faults = &mut self.state.lock().faults;
         if faults.die_before_run {
             process::abort();
         }
-        if !faults.leaving && !faults.refuse.strikes() {
+        if !faults.leaving && !faults.refuse.triggers() {
             return None;
         }
         let mut res = app::error(503, "not taking work");
@@ -189,11 +189,11 @@
         calls.len() - 1
     }
 
-    fn answer(&self, req: &Request, posted: usize) -> http::Response<Body> {
-        let own = req.header(header::REQUEST_ID).unwrap_or_default();
-        let is_foreign = self.state.lock().faults.foreign_id.strikes();
-        let id = if is_foreign { format!("not-{own}") } else { own.to_owned() };
-        let content = serde_json::json!({ "posted": posted, "id": id, "service": self.id });
+    fn success_response(&self, req: &Request, n_calls: usize) -> http::Response<Body> {
+        let own_id = req.header(header::REQUEST_ID).unwrap_or_default();
+        let is_foreign = self.state.lock().faults.foreign_id.triggers();
+        let id = if is_foreign { format!("not-{own_id}") } else { own_id.to_owned() };
+        let content = serde_json::json!({ "posted": n_calls, "id": id, "service": self.id });
         let mut res = body::json(200, &content);
         if let Ok(value) = http::HeaderValue::from_str(&id) {
             res.headers_mut().insert(header::REQUEST_ID, value);
@@ -203,10 +203,12 @@
         res
     }
 
-    fn control(&self, req: &Request) -> http::Response<Body> {
+    fn handle_control(&self, req: &Request) -> http::Response<Body> {
         match (req.method.as_str(), req.path.as_str()) {
             ("GET", "/control/record") => body::json(200, &self.state.lock().calls),
-            ("PUT", "/control/faults") => req.store(|faults| self.state.lock().faults = faults),
+            ("PUT", "/control/faults") => {
+                req.apply_json(|faults| self.state.lock().faults = faults)
+            }
             _ => app::error(404, "no such control"),
         }
     }
@@ -216,7 +218,7 @@
     fn handle(self: Arc<Self>, req: Request) -> Boxed<Reply> {
         Box::pin(async move {
             if req.path.starts_with("/control/") {
-                return Ok(self.control(&req));
+                return Ok(self.handle_control(&req));
             }
             Ok(self.run(&req).await)
         })
--- a/crates/curranthook_standin/tests/engine.rs
+++ b/crates/curranthook_standin/tests/engine.rs
@@ -15,14 +15,14 @@
 use curranthook_types::header;
 use yare::parameterized;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn engine(version: Version, args: &[&str]) -> (tempfile::TempDir, Engine) {
     let profile = Profile { default: version, ..Profile::default() };
-    with_profile(&profile, args)
+    start_with_profile(&profile, args)
 }
 
-fn with_profile(profile: &Profile, args: &[&str]) -> (tempfile::TempDir, Engine) {
+fn start_with_profile(profile: &Profile, args: &[&str]) -> (tempfile::TempDir, Engine) {
     let directory = tempfile::tempdir().expect("there is room for a directory");
     let versions = ["m@1".to_owned(), "m@2".to_owned()];
     let engine = Engine::start(directory.path(), "e1", &versions, profile, args);
@@ -37,7 +37,7 @@
     at_once = { 0.0 },
     token_by_token = { 0.5 },
 )]
-fn a_stream_and_a_whole_answer_say_the_same(token_ms: f64) {
+fn streamed_and_unstreamed_answers_are_equal(token_ms: f64) {
     run(async {
         let (_directory, engine) = engine(Version { token_ms, ..Version::default() }, &[]);
         let streamed = chat("r1").streamed().send(&engine.addr()).await.expect("it answers");
@@ -56,7 +56,7 @@
 
 /// A stream is cut after some tokens. A request to resume it returns only the remaining tokens.
 #[test]
-fn a_cut_stream_is_resumed_where_it_broke_off() -> anyhow::Result<()> {
+fn a_cut_stream_resumes_at_the_next_token() -> anyhow::Result<()> {
     run(async {
         let (_directory, engine) = engine(Version::default(), &[]);
         let whole = chat("r1").send(&engine.addr()).await?.text();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_cancels_its_run() -> anyhow::Result<()> {
+fn a_disconnected_caller_cancels_its_run() -> anyhow::Result<()> {
     run(async {
         let slow = Version { token_ms: 50.0, tokens: 1_000, ..Version::default() };
         let (_directory, engine) = engine(slow, &[]);
@@ -85,14 +85,14 @@
         stream.read_events(2).await?;
         drop(stream);
         let is_cancelled = async || Ok(engine.runs().await?[0].outcome == Outcome::Cancelled);
-        eventually(LIMIT, is_cancelled).await
+        eventually(TIMEOUT, is_cancelled).await
     })
 }
 
 /// The quality of a version is the fraction of prompts with a good answer. A prompt with a good
 /// answer from the version of lower quality gets one from the version of higher quality too.
 #[test]
-fn good_answers_follow_quality() -> anyhow::Result<()> {
+fn the_share_of_good_answers_matches_the_quality() -> anyhow::Result<()> {
     run(async {
         let quick = Version { first_token_ms: 0.0, token_ms: 0.0, ..Version::default() };
         let (_directory, engine) = engine(quick, &[]);
@@ -102,10 +102,10 @@
         for n in 0..200 {
             let prompt = format!("prompt {n}");
             let mut good = [false, false];
-            for (place, version) in ["m@1", "m@2"].iter().enumerate() {
+            for (index, version) in ["m@1", "m@2"].iter().enumerate() {
                 let answer = Chat::new("main", version, &prompt).send(&engine.addr()).await?;
-                good[place] = answer.text().starts_with(answer::GOOD);
-                n_good[place] += usize::from(good[place]);
+                good[index] = answer.text().starts_with(answer::GOOD);
+                n_good[index] += usize::from(good[index]);
             }
             assert!(good[0] <= good[1], "{prompt} is answered well by the worse version only");
         }
@@ -119,7 +119,7 @@
     checked = { &["--checks-fencing"], Verdict::Stale, &["m@2"] },
     ignored = { &[], Verdict::Obeyed, &["m@1", "m@2"] },
 )]
-fn an_old_order(args: &[&str], verdict: Verdict, loaded: &[&str]) {
+fn an_order_with_a_stale_fencing_token(args: &[&str], verdict: Verdict, loaded: &[&str]) {
     run(async {
         let (_directory, engine) = engine(Version::default(), args);
         for (action, fence) in [("unload", 8), ("load", 7)] {
@@ -138,7 +138,7 @@
     leaving = { Faults { leaving: true, ..Faults::default() } },
     refusing = { Faults { refuse: Count::Always(true), ..Faults::default() } },
 )]
-fn a_refusal_says_not_started_and_is_true(faults: Faults) {
+fn a_rejected_request_is_marked_not_started_and_not_run(faults: Faults) {
     run(async {
         let (_directory, engine) = engine(Version::default(), &[]);
         engine.set(&faults).await.expect("the fault is set");
@@ -152,18 +152,18 @@
 /// One request runs and two wait. The one with the lower priority number runs first although it
 /// arrived last, and a request beyond the queue's capacity is rejected.
 #[test]
-fn the_queue_goes_by_priority() -> anyhow::Result<()> {
+fn the_queue_is_served_by_priority() -> anyhow::Result<()> {
     run(async {
         let slow = Version { token_ms: 20.0, tokens: 20, ..Version::default() };
         let profile = Profile { default: slow, slots: 1, queue: 2, ..Profile::default() };
-        let (_directory, engine) = with_profile(&profile, &[]);
+        let (_directory, engine) = start_with_profile(&profile, &[]);
         let addr = engine.addr();
         let mut tasks = Vec::new();
         for (n, priority) in ["0", "5", "1"].iter().enumerate() {
             let call = chat(&format!("r{n}")).with_header(header::PRIORITY, priority);
             tasks.push(executor().spawn(async move { call.send(&addr).await }));
             let is_taken = async || Ok(engine.runs().await?.len() == n + 1);
-            eventually(LIMIT, is_taken).await?;
+            eventually(TIMEOUT, is_taken).await?;
         }
         assert_eq!(chat("r3").send(&addr).await?.status, 503);
         for task in tasks {
@@ -179,13 +179,13 @@
 
 /// A prompt that contains the configured text crashes the engine that runs it.
 #[test]
-fn a_deadly_prompt_ends_the_process() -> anyhow::Result<()> {
+fn a_poison_prompt_aborts_the_process() -> anyhow::Result<()> {
     run(async {
         let (_directory, mut engine) = engine(Version::default(), &[]);
         let faults = Faults { die_on: Some("crate 7".to_owned()), ..Faults::default() };
         engine.set(&faults).await?;
         assert!(chat("r1").send(&engine.addr()).await.is_err());
-        assert!(!engine.process.ended(LIMIT).await?.success());
+        assert!(!engine.process.ended(TIMEOUT).await?.success());
         Ok(())
     })
 }
@@ -205,7 +205,7 @@
         Faults { answer_late_ms: 100, ..Faults::default() }, "r1", true, Outcome::Done
     },
 )]
-fn a_faulty_answer(faults: Faults, id: &str, is_whole: bool, outcome: Outcome) {
+fn a_streamed_answer_under_a_fault(faults: Faults, id: &str, is_whole: bool, outcome: Outcome) {
     run(async {
         let (_directory, engine) = engine(Version::default(), &[]);
         engine.set(&faults).await.expect("the fault is set");
@@ -221,25 +221,25 @@
 
 /// The engine starts the work and never responds, and the caller disconnects.
 #[test]
-fn a_hung_run_is_cancelled_when_its_caller_leaves() -> anyhow::Result<()> {
+fn a_hung_run_is_cancelled_when_its_caller_disconnects() -> anyhow::Result<()> {
     run(async {
         let (_directory, engine) = engine(Version::default(), &[]);
         engine.set(&Faults { hang_before_head: Count::Next(1), ..Faults::default() }).await?;
         let addr = engine.addr();
         let hung = executor().spawn(async move { chat("r1").send(&addr).await });
         let is_taken = async || Ok(engine.runs().await?.len() == 1);
-        eventually(LIMIT, is_taken).await?;
+        eventually(TIMEOUT, is_taken).await?;
         assert_eq!(engine.runs().await?[0].outcome, Outcome::Running);
         hung.cancel().await;
         let is_cancelled = async || Ok(engine.runs().await?[0].outcome == Outcome::Cancelled);
-        eventually(LIMIT, is_cancelled).await
+        eventually(TIMEOUT, is_cancelled).await
     })
 }
 
 /// A cached first message halves the time to the first token. The cache events become visible
 /// after the lag.
 #[test]
-fn a_known_prefix_is_begun_sooner() -> anyhow::Result<()> {
+fn a_cached_prefix_shortens_the_time_to_first_token() -> anyhow::Result<()> {
     run(async {
         let slow = Version { first_token_ms: 400.0, ..Version::default() };
         let profile = Profile {
@@ -249,7 +249,7 @@
             cache_gaps: 0.0,
             ..Profile::default()
         };
-        let (_directory, engine) = with_profile(&profile, &[]);
+        let (_directory, engine) = start_with_profile(&profile, &[]);
         let addr = engine.addr();
         let events = async || -> anyhow::Result<usize> {
             let res = Exchange::get(addr, "/cache-events").run(pool()).await?;
@@ -260,7 +260,7 @@
         assert!(second + Duration::from_millis(100) < first, "{first:?} {second:?}");
         // Another prompt takes the only cache entry: one eviction and one insertion.
         Chat::new("main", "m@1", "another prompt").send(&addr).await?;
-        eventually(LIMIT, async || Ok(events().await? == 3)).await?;
+        eventually(TIMEOUT, async || Ok(events().await? == 3)).await?;
         let third = chat("r3").send(&addr).await?.head_after;
         assert!(second + Duration::from_millis(100) < third, "{second:?} {third:?}");
         Ok(())
--- a/crates/curranthook_standin/tests/platform.rs
+++ b/crates/curranthook_standin/tests/platform.rs
@@ -15,12 +15,12 @@
     Ok((directory, platform))
 }
 
-fn table(fault: Fault) -> Faults {
+fn table_fault(fault: Fault) -> Faults {
     Faults { table: fault, ..Faults::default() }
 }
 
 #[test]
-fn a_row_is_written_only_on_its_condition() -> anyhow::Result<()> {
+fn a_row_is_written_only_if_the_condition_holds() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&[])?;
         let (client, (table, key)) = (platform.client(), KEY);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn of_many_inserts_at_once_one_wins() -> anyhow::Result<()> {
+fn one_of_many_concurrent_inserts_succeeds() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&[])?;
         let tasks = (0..32).map(|n: u32| {
@@ -53,17 +53,17 @@
             curranthook_tests::executor()
                 .spawn(async move { client.insert(KEY.0, KEY.1, n.to_string().into()).await })
         });
-        let mut n_won = 0;
+        let mut n_inserted = 0;
         for task in tasks.collect::<Vec<_>>() {
-            n_won += usize::from(matches!(task.await?, Write::Done(_)));
+            n_inserted += usize::from(matches!(task.await?, Write::Done(_)));
         }
-        assert_eq!(n_won, 1);
+        assert_eq!(n_inserted, 1);
         Ok(())
     })
 }
 
 #[test]
-fn an_object_is_stored_once() -> anyhow::Result<()> {
+fn an_object_is_created_only_once() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&[])?;
         let client = platform.client();
@@ -78,12 +78,12 @@
 /// The platform executes an insert, but the connection is closed before the response is sent.
 /// The client can find out only by a read whether the insert took effect.
 #[test]
-fn a_lost_insert_has_taken_effect() -> anyhow::Result<()> {
+fn an_insert_whose_response_is_lost_takes_effect() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&[])?;
         let (client, (name, key)) = (platform.client(), KEY);
         let once = Fault { mode: Mode::Lost, next: Some(1), ..Fault::default() };
-        platform.set(&table(once)).await?;
+        platform.set(&table_fault(once)).await?;
         let lost = client.insert(name, key, "mine".into()).await;
         assert!(matches!(lost, Err(Error::Lost(_))), "{lost:?}");
         let row = Table::get(&client, name, key).await?.expect("the insert has taken effect");
@@ -99,12 +99,12 @@
     this_key = { "claims/a", Err(()) },
     another_key = { "sessions/", Ok(()) },
 )]
-fn down_refuses_what_the_prefix_names(prefix: &str, expected: Result<(), ()>) {
+fn an_outage_rejects_calls_to_keys_with_the_prefix(prefix: &str, expected: Result<(), ()>) {
     run(async {
         let (_directory, platform) = platform(&[]).expect("the platform starts");
         let client = platform.client();
         let fault = Fault { mode: Mode::Down, key_prefix: prefix.to_owned(), ..Fault::default() };
-        platform.set(&table(fault)).await.expect("the fault is set");
+        platform.set(&table_fault(fault)).await.expect("the fault is set");
         let written = client.insert(KEY.0, KEY.1, "1".into()).await;
         let was_down = matches!(written, Err(Error::Down(_)));
         assert_eq!(if was_down { Err(()) } else { Ok(()) }, expected, "{written:?}");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn calls_over_the_rate_are_refused() -> anyhow::Result<()> {
+fn calls_above_the_rate_limit_are_rejected() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&["--table-reads-per-second", "5"])?;
         let client = platform.client();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn the_list_of_vms_lags() -> anyhow::Result<()> {
+fn changes_of_the_vm_list_become_visible_after_the_lag() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&["--vm-list-lag-ms", "300"])?;
         let vm = curranthook_platform::Vm {
@@ -150,7 +150,7 @@
 /// Every router reads the list every two seconds. If it were sent in full each time, a list of a
 /// few dozen VMs would use up a router's entire bandwidth budget for control traffic.
 #[test]
-fn an_unchanged_list_of_vms_is_not_sent_again() -> anyhow::Result<()> {
+fn an_unchanged_vm_list_is_not_resent() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&[])?;
         let client = platform.client();
--- a/crates/curranthook_standin/tests/service.rs
+++ b/crates/curranthook_standin/tests/service.rs
@@ -40,7 +40,7 @@
 
 /// The service runs a call and never responds, so the caller can't tell whether it ran.
 #[test]
-fn a_call_may_run_though_no_answer_comes() -> anyhow::Result<()> {
+fn a_call_without_a_response_may_have_run() -> anyhow::Result<()> {
     run(async {
         let directory = tempfile::tempdir()?;
         let service = Service::start(directory.path(), "s1")?;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_rater_knows_good_answers() -> anyhow::Result<()> {
+fn the_rater_recognizes_good_answers() -> anyhow::Result<()> {
     run(async {
         let directory = tempfile::tempdir()?;
         let rater = Rater::start(directory.path(), 0.0)?;
