--- a/crates/curranthook_standin/src/engine.rs
+++ b/crates/curranthook_standin/src/engine.rs
@@ -112,7 +112,7 @@
         let at_millis = self.clock.unix_millis();
         let mut loaded = self.loaded.lock();
         match self.orders.lock().apply(order, fence, at_millis, &mut loaded) {
-            order::Verdict::Obeyed => body::json(200, &*loaded),
+            order::Verdict::Executed => body::json(200, &*loaded),
             order::Verdict::Stale => app::error(409, "the fencing number is old"),
         }
     }
--- a/crates/curranthook_standin/src/engine/order.rs
+++ b/crates/curranthook_standin/src/engine/order.rs
@@ -30,7 +30,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// The order was executed.
-    Obeyed,
+    #[serde(rename = "obeyed")]
+    Executed,
     /// The order was rejected because its fencing token was lower than one seen before.
     Stale,
 }
@@ -76,9 +77,9 @@
         let is_stale = fence.unwrap_or_default() < self.highest_fence;
         let verdict = match self.fencing {
             Fencing::Checked if is_stale => Verdict::Stale,
-            Fencing::Checked | Fencing::Ignored => Verdict::Obeyed,
+            Fencing::Checked | Fencing::Ignored => Verdict::Executed,
         };
-        if verdict == Verdict::Obeyed {
+        if verdict == Verdict::Executed {
             self.highest_fence = self.highest_fence.max(fence.unwrap_or_default());
             match order.action {
                 Action::Load => loaded.insert(order.version.clone()),
--- a/crates/curranthook_standin/tests/engine.rs
+++ b/crates/curranthook_standin/tests/engine.rs
@@ -117,7 +117,7 @@
 
 #[parameterized(
     checked = { &["--checks-fencing"], Verdict::Stale, &["m@2"] },
-    ignored = { &[], Verdict::Obeyed, &["m@1", "m@2"] },
+    ignored = { &[], Verdict::Executed, &["m@1", "m@2"] },
 )]
 fn an_order_with_a_stale_fencing_token(args: &[&str], verdict: Verdict, loaded: &[&str]) {
     run(async {
--- a/crates/curranthook_tests/tests/accepted_configuration/stewards.rs
+++ b/crates/curranthook_tests/tests/accepted_configuration/stewards.rs
@@ -110,7 +110,7 @@
         }
 
         let late = Order { action: Action::Load, version: "m@1".to_owned() };
-        for (id, verdict) in [("e1", Verdict::Stale), ("e5", Verdict::Obeyed)] {
+        for (id, verdict) in [("e1", Verdict::Stale), ("e5", Verdict::Executed)] {
             Exchange::post(site.engine(id).addr(), "/orders")
                 .with_header(header::FENCING, old.fencing.to_string())
                 .with_json(&late)
