--- a/crates/curranthook_standin/src/engine/cache.rs
+++ b/crates/curranthook_standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The bounded prefix cache and the events that it tells, late and with gaps.
+//! A bounded prefix cache and its events, which are published late and with some missing.
 
 use std::{
     collections::VecDeque,
@@ -11,25 +11,25 @@
 
 use super::profile::Profile;
 
-/// How many events are kept for callers that ask seldom.
+/// The maximum number of events retained for callers that poll infrequently.
 const MAX_EVENTS: usize = 1_024;
 
-/// A prefix cache that forgets what was used longest ago.
+/// A prefix cache with least-recently-used eviction.
 #[derive(Debug)]
 pub(super) struct Cache {
     max_entries: usize,
     lag: Duration,
-    gaps: f64,
-    /// Hashes of prefixes, the last used at the back.
+    drop_rate: f64,
+    /// Hashes of prefixes, with the most recently used at the back.
     entries: VecDeque<u64>,
     events: VecDeque<(Instant, Event)>,
     sequence: u64,
 }
 
-/// A change of the cache.
+/// A cache event.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Event {
-    /// Counts all events, told or not, so that gaps can be seen.
+    /// Numbers all events, published or dropped, so that a caller can detect gaps.
     sequence: u64,
     change: Change,
     prefix_hash: String,
@@ -47,43 +47,43 @@
         Self {
             max_entries: profile.cache,
             lag: profile.cache_lag(),
-            gaps: profile.cache_gaps,
+            drop_rate: profile.cache_gaps,
             entries: VecDeque::new(),
             events: VecDeque::new(),
             sequence: 0,
         }
     }
 
-    /// Looks `prefix` up and keeps it; whether it was there.
+    /// Marks `prefix` as used, inserting it if absent; returns whether it was cached.
     pub(super) fn touch(&mut self, version: &str, prefix: &str, now: Instant) -> bool {
         if self.max_entries == 0 {
             return false;
         }
         let key = hash::of(&[version, prefix]);
-        if let Some(place) = self.entries.iter().position(|it| *it == key) {
-            self.entries.remove(place);
+        if let Some(index) = self.entries.iter().position(|it| *it == key) {
+            self.entries.remove(index);
             self.entries.push_back(key);
             return true;
         }
         if self.max_entries <= self.entries.len()
             && let Some(oldest) = self.entries.pop_front()
         {
-            self.tell(Change::Evicted, oldest, now);
+            self.publish(Change::Evicted, oldest, now);
         }
         self.entries.push_back(key);
-        self.tell(Change::Added, key, now);
+        self.publish(Change::Added, key, now);
         false
     }
 
-    /// The events that callers see by now.
+    /// The events that are visible to callers at `now`.
     pub(super) fn events(&self, now: Instant) -> Vec<Event> {
-        let told = self.events.iter().take_while(|(at, _)| *at + self.lag <= now);
-        told.map(|(_, event)| event.clone()).collect()
+        let visible = self.events.iter().take_while(|(at, _)| *at + self.lag <= now);
+        visible.map(|(_, event)| event.clone()).collect()
     }
 
-    fn tell(&mut self, change: Change, key: u64, now: Instant) {
+    fn publish(&mut self, change: Change, key: u64, now: Instant) {
         self.sequence += 1;
-        if hash::fraction(&["gap", &self.sequence.to_string()]) < self.gaps {
+        if hash::fraction(&["gap", &self.sequence.to_string()]) < self.drop_rate {
             return;
         }
         if MAX_EVENTS <= self.events.len() {
--- a/crates/curranthook_standin/src/engine/load.rs
+++ b/crates/curranthook_standin/src/engine/load.rs
@@ -1,33 +1,33 @@
-//! The load that an engine reports, which is old.
+//! The load that an engine reports, delayed by a configurable lag.
 
 use std::time::{Duration, Instant};
 
-/// The load report.
+/// Delays the reported load.
 #[derive(Debug)]
 pub(super) struct Load {
     lag: Duration,
-    shown: usize,
-    sampled: Option<(Instant, usize)>,
+    reported: usize,
+    sample: Option<(Instant, usize)>,
 }
 
 impl Load {
     pub(super) fn new(lag: Duration) -> Self {
-        Self { lag, shown: 0, sampled: None }
+        Self { lag, reported: 0, sample: None }
     }
 
-    /// The load to report now: one sampled at least the lag ago.
+    /// Returns the load to report now, sampled at least `lag` ago.
     pub(super) fn report(&mut self, actual: usize, now: Instant) -> usize {
         if self.lag.is_zero() {
             return actual;
         }
-        match self.sampled {
+        match self.sample {
             Some((at, load)) if self.lag <= now.saturating_duration_since(at) => {
-                self.shown = load;
-                self.sampled = Some((now, actual));
+                self.reported = load;
+                self.sample = Some((now, actual));
             }
             Some(_) => {}
-            None => self.sampled = Some((now, actual)),
+            None => self.sample = Some((now, actual)),
         }
-        self.shown
+        self.reported
     }
 }
--- a/crates/curranthook_standin/src/engine/order.rs
+++ b/crates/curranthook_standin/src/engine/order.rs
@@ -9,77 +9,78 @@
 /// An order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Order {
-    /// What to do.
+    /// Whether to load or to unload.
     pub action: Action,
-    /// With which version.
+    /// The version to load or unload.
     pub version: String,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Serve the version.
+    /// Loads the version.
     Load,
-    /// Serve it no more.
+    /// Unloads the version.
     Unload,
 }
 
-/// What an engine made of an order.
+/// The engine's decision on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It did as told.
-    Obeyed,
-    /// It refused, for the fencing number was older than one seen before.
+    /// The order was executed.
+    #[serde(rename = "obeyed")]
+    Executed,
+    /// The order was rejected because its fencing token was lower than one seen before.
     Stale,
 }
 
-/// An order as logged.
+/// A log entry for an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Entry {
     /// The order.
     pub order: Order,
-    /// Its fencing number, if it had one.
+    /// Its fencing token, if any.
     pub fence: Option<u64>,
-    /// When it came, in milliseconds since 1970.
+    /// When it was received, in milliseconds since the Unix epoch.
     pub at_millis: u64,
-    /// What the engine made of it.
+    /// The engine's decision.
     pub verdict: Verdict,
 }
 
-/// All orders so far.
+/// A log of all orders received.
 #[derive(Debug)]
 pub(super) struct Log {
     fencing: Fencing,
-    highest: u64,
+    highest_fence: u64,
     entries: Vec<Entry>,
 }
 
 impl Log {
     pub(super) fn new(fencing: Fencing) -> Self {
-        Self { fencing, highest: 0, entries: Vec::new() }
+        Self { fencing, highest_fence: 0, entries: Vec::new() }
     }
 
     pub(super) fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Carries `order` out on `loaded`, or refuses it.
-    pub(super) fn take(
+    /// Applies `order` to `loaded` or rejects it, and logs the decision.
+    pub(super) fn apply(
         &mut self,
         order: Order,
         fence: Option<u64>,
         at_millis: u64,
         loaded: &mut BTreeSet<String>,
     ) -> Verdict {
-        let is_stale = fence.unwrap_or_default() < self.highest;
+        let is_stale = fence.unwrap_or_default() < self.highest_fence;
         let verdict = match self.fencing {
             Fencing::Checked if is_stale => Verdict::Stale,
-            Fencing::Checked | Fencing::Ignored => Verdict::Obeyed,
+            Fencing::Checked | Fencing::Ignored => Verdict::Executed,
         };
-        if verdict == Verdict::Obeyed {
-            self.highest = self.highest.max(fence.unwrap_or_default());
+        if verdict == Verdict::Executed {
+            self.highest_fence = self.highest_fence.max(fence.unwrap_or_default());
             match order.action {
                 Action::Load => loaded.insert(order.version.clone()),
                 Action::Unload => loaded.remove(&order.version),
--- a/crates/curranthook_standin/src/engine/slots.rs
+++ b/crates/curranthook_standin/src/engine/slots.rs
@@ -1,11 +1,11 @@
-//! Places in the batch, and the queue for them.
+//! Batch slots and the priority queue of requests waiting for one.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use async_channel::Sender;
 use parking_lot::Mutex;
 
-/// Places in the batch.
+/// The batch slots of an engine.
 #[derive(Debug)]
 pub(super) struct Slots {
     n_slots: usize,
@@ -17,23 +17,23 @@
 struct State {
     n_running: usize,
     n_arrived: u64,
-    /// By priority and arrival, the lowest first.
+    /// Ordered by priority, then arrival; the lowest is served first.
     queue: BTreeMap<(i32, u64), Sender<Permit>>,
 }
 
-/// Too many wait already.
+/// The queue is full.
 #[derive(Debug)]
 pub(super) struct Full;
 
-/// A place in the batch, given back when dropped.
+/// A slot in the batch, released on drop.
 #[derive(Debug)]
 pub(super) struct Permit {
     slots: Arc<Slots>,
 }
 
-/// A place in the queue, given up when dropped.
+/// A queue entry, removed on drop.
 #[derive(Debug)]
-struct Ticket {
+struct Waiter {
     slots: Arc<Slots>,
     key: (i32, u64),
 }
@@ -43,13 +43,13 @@
         Self { n_slots, max_queue, state: Mutex::default() }
     }
 
-    /// How many requests are running or waiting.
-    pub(super) fn n_held(&self) -> usize {
+    /// The number of requests running or waiting.
+    pub(super) fn n_in_flight(&self) -> usize {
         let state = self.state.lock();
         state.n_running + state.queue.len()
     }
 
-    /// How many requests are in the batch.
+    /// The number of requests in the batch.
     pub(super) fn n_running(&self) -> usize {
         self.state.lock().n_running
     }
@@ -60,9 +60,9 @@
         self.n_slots <= state.n_running && self.max_queue <= state.queue.len()
     }
 
-    /// Waits for a place.
+    /// Waits for a slot.
     pub(super) async fn acquire(self: &Arc<Self>, priority: i32) -> Result<Permit, Full> {
-        let (ticket, granted) = {
+        let (waiter, receiver) = {
             let mut state = self.state.lock();
             if state.n_running < self.n_slots {
                 state.n_running += 1;
@@ -71,19 +71,19 @@
             if self.max_queue <= state.queue.len() {
                 return Err(Full);
             }
-            let (tx, rx) = async_channel::bounded(1);
+            let (sender, receiver) = async_channel::bounded(1);
             let key = (priority, state.n_arrived);
             state.n_arrived += 1;
-            state.queue.insert(key, tx);
-            (Ticket { slots: Arc::clone(self), key }, rx)
+            state.queue.insert(key, sender);
+            (Waiter { slots: Arc::clone(self), key }, receiver)
         };
-        let permit = granted.recv().await.map_err(|_| Full);
-        drop(ticket);
+        let permit = receiver.recv().await.map_err(|_| Full);
+        drop(waiter);
         permit
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Waiter {
     fn drop(&mut self) {
         self.slots.state.lock().queue.remove(&self.key);
     }
@@ -101,8 +101,8 @@
                 }
             }
         };
-        // If the waiting request has just been given up, this permit comes back as an error and
-        // its drop passes the place on.
-        let _given_up = next.try_send(Self { slots: Arc::clone(&self.slots) });
+        // If the waiting request was cancelled in the meantime, `try_send` returns this permit
+        // in its error, and dropping it passes the slot to the next request.
+        let _cancelled_waiter = next.try_send(Self { slots: Arc::clone(&self.slots) });
     }
 }
--- a/crates/curranthook_standin/src/fault.rs
+++ b/crates/curranthook_standin/src/fault.rs
@@ -1,14 +1,14 @@
-//! Faults that strike always or a number of times.
+//! How often an injected fault applies.
 
 use serde::{Deserialize, Serialize};
 
-/// How often a fault strikes: `true` for always, or a number of times.
+/// How often a fault applies: `true` for always, `false` for never, or a number of times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Count {
     /// Always or never.
     Always(bool),
-    /// The next so many times.
+    /// The next N times.
     Next(u64),
 }
 
@@ -19,15 +19,15 @@
 }
 
 impl Count {
-    /// Whether the fault strikes now; counts it.
+    /// Returns whether the fault applies now, and decrements the remaining count if it does.
     ///
     /// ```
     /// use curranthook_standin::fault::Count;
     /// let mut once = Count::Next(1);
-    /// assert!(once.strikes());
-    /// assert!(!once.strikes());
+    /// assert!(once.triggers());
+    /// assert!(!once.triggers());
     /// ```
-    pub fn strikes(&mut self) -> bool {
+    pub fn triggers(&mut self) -> bool {
         match self {
             Self::Always(always) => *always,
             Self::Next(0) => false,
--- a/crates/curranthook_standin/src/platform.rs
+++ b/crates/curranthook_standin/src/platform.rs
@@ -1,11 +1,11 @@
-//! The platform: a transactional table, an object store and a list of VMs that lags.
+//! A simulated platform: a transactional table, an object store and a VM list with a lag.
 //!
-//! The interface is the one that `curranthook_platform::client` documents. Control:
+//! The API is documented in `curranthook_platform::client`. Control:
 //!
 //! | request | meaning |
 //! |---|---|
-//! | `PUT /control/faults` | [`fault::Faults`]; what is left out works again |
-//! | `PUT /control/vms` | the true list of VMs, served after the lag |
+//! | `PUT /control/faults` | replaces the [`fault::Faults`]; omitted fields are reset |
+//! | `PUT /control/vms` | sets the actual list of VMs, served after the lag |
 //! | `GET /control/counts` | [`count::Counts`] |
 //! | `GET /control/table/{table}` | the rows as `[{key, tag, value}]` |
 //! | `GET /control/objects` | the objects as `{key: text}` |
@@ -29,24 +29,24 @@
 
 use self::{
     count::Counts,
-    fault::{Call, Faults, Mode},
+    fault::{Access, Faults, Mode},
     rate::Bucket,
     store::Store,
     vms::Vms,
 };
 
-/// What the platform can do.
+/// Rate limits and lag of the platform.
 #[derive(Debug, Clone, Default)]
 pub struct Limit {
-    /// Reads of the table a second, if limited.
+    /// Table reads per second; unlimited if `None`.
     pub table_reads: Option<f64>,
-    /// Writes to the table a second, if limited.
+    /// Table writes per second; unlimited if `None`.
     pub table_writes: Option<f64>,
-    /// How long a change of the list of VMs stays unseen.
+    /// The delay before a change of the VM list becomes visible.
     pub vm_list_lag: Duration,
 }
 
-/// The platform.
+/// A simulated platform.
 #[derive(Debug)]
 pub struct Platform {
     clock: Arc<dyn Clock>,
@@ -73,7 +73,7 @@
 }
 
 impl Platform {
-    /// An empty platform.
+    /// Creates an empty platform.
     pub fn new(limit: Limit, clock: Arc<dyn Clock>) -> Self {
         let now = clock.now();
         let state = State {
@@ -89,53 +89,53 @@
     }
 
     async fn call(&self, service: Service, key: &str, req: &Request) -> Reply {
-        let call = if req.method == Method::GET { Call::Read } else { Call::Write };
-        let (mode, delay) = self.state.lock().faults.strike(service, key, call);
+        let access = if req.method == Method::GET { Access::Read } else { Access::Write };
+        let (mode, delay) = self.state.lock().faults.next_effect(service, key, access);
         match mode {
-            Mode::Up => Ok(self.run(service, key, call, req)),
+            Mode::Up => Ok(self.execute(service, key, access, req)),
             Mode::Down => {
-                self.state.lock().counts.of(service).refused += 1;
+                self.state.lock().counts.for_service(service).refused += 1;
                 Ok(app::error(503, "down"))
             }
             Mode::Slow => {
                 Timer::after(delay).await;
-                Ok(self.run(service, key, call, req))
+                Ok(self.execute(service, key, access, req))
             }
             Mode::Lost => {
                 Timer::after(delay).await;
-                let _lost = self.run(service, key, call, req);
+                let _lost_response = self.execute(service, key, access, req);
                 Err(HangUp)
             }
         }
     }
 
-    fn run(
+    fn execute(
         &self,
         service: Service,
         key: &str,
-        call: Call,
+        access: Access,
         req: &Request,
     ) -> http::Response<curranthook_http::Body> {
         let now = self.clock.now();
         let mut guard = self.state.lock();
         let state = &mut *guard;
-        let counts = state.counts.of(service);
-        let bucket = match call {
-            Call::Read => &mut state.reads,
-            Call::Write => &mut state.writes,
+        let counts = state.counts.for_service(service);
+        let bucket = match access {
+            Access::Read => &mut state.reads,
+            Access::Write => &mut state.writes,
         };
-        if service == Service::Table && !bucket.take(now) {
+        if service == Service::Table && !bucket.try_take(now) {
             counts.refused += 1;
             return app::error(429, "over the rate");
         }
-        match call {
-            Call::Read => counts.reads += 1,
-            Call::Write => counts.writes += 1,
+        match access {
+            Access::Read => counts.reads += 1,
+            Access::Write => counts.writes += 1,
         }
         let res = match service {
             Service::Table => state.table.table_call(key, req),
             Service::Objects => state.objects.object_call(key, req),
-            Service::Vms => state.vms.answer(req, now),
+            Service::Vms => state.vms.response(req, now),
         };
         if res.status() == 304 {
             counts.not_modified += 1;
@@ -143,17 +143,27 @@
         res
     }
 
-    fn control(&self, what: &str, req: &Request) -> http::Response<curranthook_http::Body> {
+    fn handle_control(
+        &self,
+        resource: &str,
+        req: &Request,
+    ) -> http::Response<curranthook_http::Body> {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        match (&req.method, what.split_once('/')) {
+        match (&req.method, resource.split_once('/')) {
             (&Method::GET, Some(("table", table))) => {
                 body::json(200, &state.table.rows(&format!("{table}/")))
             }
-            (&Method::GET, None) if what == "objects" => body::json(200, &state.objects.texts()),
-            (&Method::GET, None) if what == "counts" => body::json(200, &state.counts),
-            (&Method::PUT, None) if what == "faults" => req.store(|faults| state.faults = faults),
-            (&Method::PUT, None) if what == "vms" => req.store(|list| state.vms.set(list, now)),
+            (&Method::GET, None) if resource == "objects" => {
+                body::json(200, &state.objects.values_as_text())
+            }
+            (&Method::GET, None) if resource == "counts" => body::json(200, &state.counts),
+            (&Method::PUT, None) if resource == "faults" => {
+                req.apply_json(|faults| state.faults = faults)
+            }
+            (&Method::PUT, None) if resource == "vms" => {
+                req.apply_json(|list| state.vms.set(list, now))
+            }
             _ => app::error(404, "no such control"),
         }
     }
@@ -168,7 +178,7 @@
                 "table" => self.call(Service::Table, rest, &req).await,
                 "objects" => self.call(Service::Objects, rest, &req).await,
                 "vms" => self.call(Service::Vms, rest, &req).await,
-                "control" => Ok(self.control(rest, &req)),
+                "control" => Ok(self.handle_control(rest, &req)),
                 _ => Ok(app::error(404, "no such path")),
             }
         })
--- a/crates/curranthook_standin/src/platform/store.rs
+++ b/crates/curranthook_standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Rows or objects with a tag that each write changes.
+//! Rows or objects with an `ETag` that changes on each write.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use crate::app::{self, Request};
 
-/// Rows by key. Callers hold the platform's lock, so each call is atomic.
+/// Entries by key. Callers hold the platform's lock, so each call is atomic.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     entries: BTreeMap<String, Entry>,
@@ -22,7 +22,7 @@
     value: Bytes,
 }
 
-/// A row as it is listed.
+/// A row in a listing.
 #[derive(Debug, Serialize)]
 pub(super) struct Row {
     key: String,
@@ -31,12 +31,12 @@
 }
 
 impl Store {
-    /// A call to `{table}/{key}`, or to `{table}` for a list.
+    /// Handles a call to the row `{table}/{key}`, or a listing of `{table}`.
     pub(super) fn table_call(&mut self, path: &str, req: &Request) -> http::Response<Body> {
         match req.method {
             Method::GET if path.contains('/') => self.read(path, req),
             Method::GET => {
-                let prefix = req.param("prefix").unwrap_or_default();
+                let prefix = req.query_param("prefix").unwrap_or_default();
                 body::json(200, &self.rows(&format!("{path}/{prefix}")))
             }
             Method::PUT if path.contains('/') => self.write(path, req),
@@ -44,11 +44,11 @@
         }
     }
 
-    /// A call to the object `key`, or to all of them for a list.
+    /// Handles a call to the object `key`, or a listing if `key` is empty.
     pub(super) fn object_call(&mut self, key: &str, req: &Request) -> http::Response<Body> {
         match req.method {
             Method::GET if key.is_empty() => {
-                let prefix = req.param("prefix").unwrap_or_default();
+                let prefix = req.query_param("prefix").unwrap_or_default();
                 let keys = self.entries.keys().filter(|key| key.starts_with(prefix));
                 body::json(200, &keys.collect::<Vec<_>>())
             }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The rows whose `{table}/{key}` begins with `prefix`, under their key in the table.
+    /// The rows whose path `{table}/{key}` has this prefix, each with its key in the table.
     pub(super) fn rows(&self, prefix: &str) -> Vec<Row> {
         let all = self.entries.range(prefix.to_owned()..);
         let matching = all.take_while(|(path, _)| path.starts_with(prefix));
@@ -71,39 +71,39 @@
             .collect()
     }
 
-    /// Everything as text.
-    pub(super) fn texts(&self) -> BTreeMap<&str, String> {
+    /// All values as text, by key.
+    pub(super) fn values_as_text(&self) -> BTreeMap<&str, String> {
         self.entries.iter().map(|(key, entry)| (key.as_str(), text(&entry.value))).collect()
     }
 
     fn read(&self, path: &str, req: &Request) -> http::Response<Body> {
         let Some(entry) = self.entries.get(path) else { return app::error(404, "no such key") };
         if req.header("if-none-match") == Some(entry.tag.as_str()) {
-            return answer(304, &entry.tag, Bytes::new());
+            return tagged_response(304, &entry.tag, Bytes::new());
         }
-        answer(200, &entry.tag, entry.value.clone())
+        tagged_response(200, &entry.tag, entry.value.clone())
     }
 
     fn write(&mut self, path: &str, req: &Request) -> http::Response<Body> {
-        let found = self.entries.get(path).map(|entry| entry.tag.as_str());
-        let is_met = match (req.header("if-none-match"), req.header("if-match")) {
-            (Some("*"), None) => found.is_none(),
-            (None, Some(tag)) => found == Some(tag),
+        let current_tag = self.entries.get(path).map(|entry| entry.tag.as_str());
+        let is_condition_met = match (req.header("if-none-match"), req.header("if-match")) {
+            (Some("*"), None) => current_tag.is_none(),
+            (None, Some(tag)) => current_tag == Some(tag),
             _ => return app::error(428, "a write needs one condition"),
         };
-        if !is_met {
+        if !is_condition_met {
             return app::error(412, "the condition doesn't hold");
         }
-        let status = if found.is_none() { 201 } else { 200 };
+        let status = if current_tag.is_none() { 201 } else { 200 };
         self.n_writes += 1;
         let tag = format!("\"{}\"", self.n_writes);
         let entry = Entry { tag: tag.clone(), value: req.body.clone() };
         self.entries.insert(path.to_owned(), entry);
-        answer(status, &tag, Bytes::new())
+        tagged_response(status, &tag, Bytes::new())
     }
 }
 
-fn answer(status: u16, tag: &str, value: Bytes) -> http::Response<Body> {
+fn tagged_response(status: u16, tag: &str, value: Bytes) -> http::Response<Body> {
     http::Response::builder()
         .status(status)
         .header(header::ETAG, tag)
--- a/crates/curranthook_standin/src/proxy.rs
+++ b/crates/curranthook_standin/src/proxy.rs
@@ -1,15 +1,15 @@
-//! A TCP proxy that does what networks do at their worst.
+//! A TCP proxy that injects network faults.
 //!
-//! Each link listens on an address of its own and passes bytes to its target.
+//! Each link listens on its own address and forwards bytes to its target.
 //!
 //! | request | meaning |
 //! |---|---|
-//! | `POST /links` | [`NewLink`] in, `{"listen": address}` out |
-//! | `PUT /links/{name}` | [`link::Fault`]; what is left out works again |
-//! | `GET /links` | [`link::Status`] by name |
+//! | `POST /links` | opens a link: takes [`NewLink`], returns `{"listen": address}` |
+//! | `PUT /links/{name}` | replaces the [`link::Fault`]; omitted fields are reset, except the target |
+//! | `GET /links` | returns [`link::Status`] by name |
 
 pub mod link;
-mod pump;
+mod relay;
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -22,17 +22,17 @@
 
 use self::link::Link;
 
-/// A link to be opened.
+/// A request to open a link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewLink {
     /// Its name.
     pub name: String,
-    /// Where its bytes go.
+    /// The address that it forwards to.
     pub target: SocketAddr,
 }
 
-/// The proxy.
+/// A proxy with any number of links.
 #[derive(Debug)]
 pub struct Proxy {
     ex: runtime::Handle,
@@ -40,31 +40,31 @@
 }
 
 impl Proxy {
-    /// A proxy without links.
+    /// Creates a proxy without links.
     pub fn new(ex: runtime::Handle) -> Self {
         Self { ex, links: Mutex::default() }
     }
 
-    fn open(&self, req: &Request) -> http::Response<Body> {
-        let new: NewLink = match req.json() {
-            Ok(new) => new,
-            Err(e) => return e.answer(),
+    fn open_link(&self, req: &Request) -> http::Response<Body> {
+        let new_link: NewLink = match req.json() {
+            Ok(new_link) => new_link,
+            Err(e) => return e.response(),
         };
         let mut links = self.links.lock();
-        if links.contains_key(&new.name) {
+        if links.contains_key(&new_link.name) {
             return app::error(409, "there is a link of that name");
         }
-        match Link::open(new.target, &self.ex) {
+        match Link::open(new_link.target, &self.ex) {
             Ok(link) => {
                 let listen = link.addr();
-                links.insert(new.name, link);
+                links.insert(new_link.name, link);
                 body::json(201, &serde_json::json!({ "listen": listen }))
             }
             Err(e) => app::error(500, &e.to_string()),
         }
     }
 
-    async fn change(&self, name: &str, req: &Request) -> http::Response<Body> {
+    async fn set_fault(&self, name: &str, req: &Request) -> http::Response<Body> {
         let Some(link) = self.links.lock().get(name).cloned() else {
             return app::error(404, "no link of that name");
         };
@@ -73,7 +73,7 @@
                 link.set(fault).await;
                 body::json(200, &link.status())
             }
-            Err(e) => e.answer(),
+            Err(e) => e.response(),
         }
     }
 
@@ -86,9 +86,9 @@
     fn handle(self: Arc<Self>, req: Request) -> Boxed<Reply> {
         Box::pin(async move {
             let res = match (req.method.as_str(), req.path.strip_prefix("/links/")) {
-                ("POST", None) if req.path == "/links" => self.open(&req),
+                ("POST", None) if req.path == "/links" => self.open_link(&req),
                 ("GET", None) if req.path == "/links" => body::json(200, &self.status()),
-                ("PUT", Some(name)) => self.change(name, &req).await,
+                ("PUT", Some(name)) => self.set_fault(name, &req).await,
                 _ => app::error(404, "no such path"),
             };
             Ok(res)
--- a/crates/curranthook_standin/src/proxy/link.rs
+++ b/crates/curranthook_standin/src/proxy/link.rs
@@ -1,4 +1,4 @@
-//! One link of the proxy.
+//! A proxied link from one listening address to one target.
 
 use std::{
     collections::BTreeMap,
@@ -17,91 +17,92 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-use super::pump;
+use super::relay;
 
-/// What a link does with connections and bytes.
+/// How a link treats connections and bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Passes everything.
+    /// Forwards everything.
     #[default]
     Pass,
     /// Resets open connections and refuses new ones.
     Cut,
-    /// Refuses new connections; open ones go on.
+    /// Refuses new connections; open ones continue.
     Refuse,
-    /// Connections that are open now go silent for good, with no FIN and no RST. New ones work.
+    /// Connections open at this moment drop all bytes for good, with no FIN and no RST. New ones
+    /// work.
     SilenceOpen,
-    /// All connections go silent for good, new ones too.
+    /// All connections, including new ones, drop all bytes for good.
     SilenceAll,
-    /// Only bytes towards the target still pass.
+    /// Forwards only bytes to the target.
     OneWayUp,
-    /// Only bytes from the target still pass.
+    /// Forwards only bytes from the target.
     OneWayDown,
-    /// Holds bytes back until the mode changes.
+    /// Holds back all bytes until the mode changes.
     Pause,
 }
 
-/// The fault of a link. Whatever is left out works again, but the target stays.
+/// The fault of a link. Omitted fields return to normal operation, except the target, which stays.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
-    /// What happens to connections and bytes.
+    /// How connections and bytes are treated.
     pub mode: Mode,
-    /// How much later bytes come out, each way.
+    /// The delay added in each direction, in milliseconds.
     pub delay_ms: u64,
-    /// Passes so many more bytes from the target, then resets the connection that reached this,
-    /// and no other.
+    /// Forwards this many more bytes from the target, then resets only the connection that
+    /// exceeded the limit.
     pub cut_after_bytes_down: Option<u64>,
-    /// Passes so many more bytes to the target, then swallows all that come on that connection,
-    /// and on no other.
+    /// Forwards this many more bytes to the target, then drops all further ones, only on the
+    /// connection that exceeded the limit.
     pub swallow_up_after_bytes: Option<u64>,
-    /// A new target, for connections yet to come.
+    /// A new target, for new connections only.
     pub target: Option<SocketAddr>,
 }
 
-/// What a link has done.
+/// State and counters of a link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Status {
-    /// Where it listens.
+    /// The address that it listens on.
     pub listen: SocketAddr,
-    /// Where its bytes go.
+    /// The address that it forwards to.
     pub target: SocketAddr,
-    /// The fault in force, with what is left of its allowances.
+    /// The active fault, with the remaining byte limits.
     pub fault: Fault,
-    /// Connections open now.
+    /// The number of open connections.
     pub open: usize,
-    /// Connections accepted so far.
+    /// The number of connections accepted so far.
     pub accepted: u64,
-    /// Bytes passed to the target.
+    /// Bytes forwarded to the target.
     pub bytes_up: u64,
-    /// Bytes passed from the target.
+    /// Bytes forwarded from the target.
     pub bytes_down: u64,
-    /// Bytes swallowed, both ways.
+    /// Bytes dropped, in both directions.
     pub swallowed: u64,
 }
 
-/// Which way bytes go.
+/// The direction of a byte stream: `Up` is to the target, `Down` from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Way {
+pub(super) enum Direction {
     Up,
     Down,
 }
 
-/// What happens to a connection after some bytes.
+/// What happens to a connection after bytes were forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum End {
-    /// It goes on.
-    None,
+pub(super) enum Outcome {
+    /// It continues.
+    Continue,
     /// It is reset.
     Reset,
 }
 
-/// Bytes are held back until this signal comes.
+/// Bytes are held back until this signal fires.
 #[derive(Debug)]
-struct Held(Stop);
+struct Paused(Stop);
 
-/// A link.
+/// A proxied link.
 #[derive(Debug)]
 pub struct Link {
     addr: SocketAddr,
@@ -114,7 +115,7 @@
     status: Status,
     is_listening: bool,
     open: BTreeMap<u64, Connection>,
-    /// Set, and replaced, whenever the fault changes.
+    /// Triggered and replaced on each change of the fault.
     changed: (Trigger, Stop),
 }
 
@@ -130,34 +131,34 @@
         matches!(self, Self::Cut | Self::Refuse)
     }
 
-    fn silences(self, way: Way) -> bool {
+    fn silences(self, direction: Direction) -> bool {
         match self {
             Self::SilenceAll => true,
-            Self::OneWayUp => way == Way::Down,
-            Self::OneWayDown => way == Way::Up,
+            Self::OneWayUp => direction == Direction::Down,
+            Self::OneWayDown => direction == Direction::Up,
             Self::Pass | Self::Cut | Self::Refuse | Self::SilenceOpen | Self::Pause => false,
         }
     }
 }
 
 impl Connection {
-    fn silence(&mut self, way: Way) {
-        match way {
-            Way::Up => self.silent_up = true,
-            Way::Down => self.silent_down = true,
+    fn silence(&mut self, direction: Direction) {
+        match direction {
+            Direction::Up => self.silent_up = true,
+            Direction::Down => self.silent_down = true,
         }
     }
 
-    fn is_silent(&self, way: Way) -> bool {
-        match way {
-            Way::Up => self.silent_up,
-            Way::Down => self.silent_down,
+    fn is_silent(&self, direction: Direction) -> bool {
+        match direction {
+            Direction::Up => self.silent_up,
+            Direction::Down => self.silent_down,
         }
     }
 }
 
 impl Link {
-    /// Opens a link on a free port.
+    /// Opens a link on a free port of the loopback interface.
     pub fn open(target: SocketAddr, ex: &runtime::Handle) -> io::Result<Arc<Self>> {
         let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0))?;
         let addr = listener.get_ref().local_addr()?;
@@ -179,67 +180,71 @@
             changed: stop::new(),
         };
         let link = Arc::new(Self { addr, state: Mutex::new(state) });
-        ex.spawn(Arc::clone(&link).listen(listener, Arc::clone(ex))).detach();
+        ex.spawn(Arc::clone(&link).run_listener(listener, Arc::clone(ex))).detach();
         Ok(link)
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// What it has done.
+    /// The current state and counters.
     pub fn status(&self) -> Status {
         let state = self.state.lock();
         Status { open: state.open.len(), fault: state.fault.clone(), ..state.status.clone() }
     }
 
-    /// Puts `fault` in force and waits until the port is open or closed accordingly.
+    /// Activates `fault` and waits until the port is open or closed accordingly.
     pub async fn set(&self, fault: Fault) {
-        const POLL: Duration = Duration::from_millis(1);
+        const POLL_INTERVAL: Duration = Duration::from_millis(1);
         self.state.lock().set(fault);
         while self.is_changing() {
-            Timer::after(POLL).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// Whether the port is still to be opened or closed.
+    /// Whether the port has yet to be opened or closed.
     fn is_changing(&self) -> bool {
         let state = self.state.lock();
         state.is_listening == state.fault.mode.refuses()
     }
 
-    /// Accepts connections while the mode lets it. The port is closed while it doesn't, so that
-    /// callers are refused by the system, as by a host whose process is gone.
-    async fn listen(self: Arc<Self>, mut listener: Async<TcpListener>, ex: runtime::Handle) {
-        const PAUSE: Duration = Duration::from_millis(5);
+    /// Accepts connections while the mode allows it. Otherwise the port is closed, so that the
+    /// operating system refuses callers as on a host whose process has exited.
+    async fn run_listener(self: Arc<Self>, mut listener: Async<TcpListener>, ex: runtime::Handle) {
+        const REBIND_DELAY: Duration = Duration::from_millis(5);
         loop {
-            self.accept(&listener, &ex).await;
+            self.accept_until_refusing(&listener, &ex).await;
             drop(listener);
             self.state.lock().is_listening = false;
-            while let Some(changed) = self.refusing() {
+            while let Some(changed) = self.change_if_refusing() {
                 changed.wait().await;
             }
             listener = loop {
                 match Async::<TcpListener>::bind(self.addr) {
                     Ok(listener) => break listener,
-                    Err(_) => Timer::after(PAUSE).await,
+                    Err(_) => Timer::after(REBIND_DELAY).await,
                 };
             };
             self.state.lock().is_listening = true;
         }
     }
 
-    /// While it refuses connections, the signal that this may have changed.
-    fn refusing(&self) -> Option<Stop> {
+    /// If the link refuses connections, returns the signal for the next change of the fault.
+    fn change_if_refusing(&self) -> Option<Stop> {
         let state = self.state.lock();
         state.fault.mode.refuses().then(|| state.changed.1.clone())
     }
 
-    async fn accept(self: &Arc<Self>, listener: &Async<TcpListener>, ex: &runtime::Handle) {
+    async fn accept_until_refusing(
+        self: &Arc<Self>,
+        listener: &Async<TcpListener>,
+        ex: &runtime::Handle,
+    ) {
         loop {
             let changed = self.state.lock().changed.1.clone();
-            if self.refusing().is_some() {
+            if self.change_if_refusing().is_some() {
                 return;
             }
             let accepted = async { listener.accept().await.ok().map(|(stream, _)| stream) };
@@ -248,47 +253,52 @@
                 None
             };
             if let Some(stream) = future::or(accepted, until_change).await {
-                ex.spawn(Arc::clone(self).connection(stream)).detach();
+                ex.spawn(Arc::clone(self).handle_connection(stream)).detach();
             }
         }
     }
 
-    async fn connection(self: Arc<Self>, caller: Async<TcpStream>) {
-        let (id, target, reset) = self.state.lock().add();
-        let work = async {
+    async fn handle_connection(self: Arc<Self>, caller: Async<TcpStream>) {
+        let (id, target, reset) = self.state.lock().add_connection();
+        let forward = async {
             match Async::<TcpStream>::connect(target).await {
-                Ok(target) => pump::run(&self, id, &caller, &target).await,
-                Err(_) => pump::reset_on_drop(&caller),
+                Ok(target) => relay::run(&self, id, &caller, &target).await,
+                Err(_) => relay::reset_on_drop(&caller),
             }
         };
-        let cut = async {
+        let reset_by_fault = async {
             reset.wait().await;
-            pump::reset_on_drop(&caller);
+            relay::reset_on_drop(&caller);
         };
-        future::or(cut, work).await;
+        future::or(reset_by_fault, forward).await;
         self.state.lock().open.remove(&id);
     }
 
-    /// How many of `n_bytes` that were read on connection `id` pass, and what comes then. The
-    /// rest of them is swallowed. Waits while bytes are held back.
-    pub(super) async fn judge(&self, id: u64, way: Way, n_bytes: usize) -> (usize, End) {
+    /// Returns how many of the `n_bytes` read on connection `id` to forward, and what to do with
+    /// the connection then. The remaining bytes are dropped. Waits while the link is paused.
+    pub(super) async fn admit(
+        &self,
+        id: u64,
+        direction: Direction,
+        n_bytes: usize,
+    ) -> (usize, Outcome) {
         loop {
-            let verdict = self.state.lock().judge(id, way, n_bytes);
-            match verdict {
-                Ok(verdict) => return verdict,
-                Err(Held(changed)) => changed.wait().await,
+            let admitted = self.state.lock().admit(id, direction, n_bytes);
+            match admitted {
+                Ok(admitted) => return admitted,
+                Err(Paused(changed)) => changed.wait().await,
             }
         }
     }
 
-    /// Whether connection `id` passes nothing that way any more, not even its end.
-    pub(super) fn is_silent(&self, id: u64, way: Way) -> bool {
+    /// Whether connection `id` drops everything in that direction, including its end.
+    pub(super) fn is_silent(&self, id: u64, direction: Direction) -> bool {
         let state = self.state.lock();
-        let is_silent = state.open.get(&id).is_some_and(|conn| conn.is_silent(way));
-        is_silent || state.fault.mode.silences(way)
+        let is_silent = state.open.get(&id).is_some_and(|conn| conn.is_silent(direction));
+        is_silent || state.fault.mode.silences(direction)
     }
 
-    /// How much later bytes come out.
+    /// The delay added in each direction.
     pub(super) fn delay(&self) -> Duration {
         Duration::from_millis(self.state.lock().fault.delay_ms)
     }
@@ -305,8 +315,8 @@
             }
             Mode::SilenceOpen | Mode::SilenceAll => {
                 for conn in self.open.values_mut() {
-                    conn.silence(Way::Up);
-                    conn.silence(Way::Down);
+                    conn.silence(Direction::Up);
+                    conn.silence(Direction::Down);
                 }
             }
             Mode::Pass | Mode::Refuse | Mode::OneWayUp | Mode::OneWayDown | Mode::Pause => {}
@@ -316,11 +326,11 @@
         trigger.set();
     }
 
-    fn add(&mut self) -> (u64, SocketAddr, Stop) {
+    fn add_connection(&mut self) -> (u64, SocketAddr, Stop) {
         let id = self.status.accepted;
         self.status.accepted += 1;
         let (reset, stop) = stop::new();
-        // A connection accepted just before a cut is one of those to be reset.
+        // The connection may have been accepted just before the cut, so reset it as well.
         if self.fault.mode == Mode::Cut {
             reset.set();
         }
@@ -330,50 +340,55 @@
         (id, self.status.target, stop)
     }
 
-    fn judge(&mut self, id: u64, way: Way, n_bytes: usize) -> Result<(usize, End), Held> {
-        let Some(conn) = self.open.get_mut(&id) else { return Ok((0, End::Reset)) };
-        if self.fault.mode.silences(way) {
-            // One lost byte spoils the stream, so what follows stays lost too.
-            conn.silence(way);
+    fn admit(
+        &mut self,
+        id: u64,
+        direction: Direction,
+        n_bytes: usize,
+    ) -> Result<(usize, Outcome), Paused> {
+        let Some(conn) = self.open.get_mut(&id) else { return Ok((0, Outcome::Reset)) };
+        if self.fault.mode.silences(direction) {
+            // A TCP stream with a gap is unusable, so all later bytes are dropped too.
+            conn.silence(direction);
         }
-        if conn.is_silent(way) {
+        if conn.is_silent(direction) {
             self.status.swallowed += n_bytes as u64;
-            return Ok((0, End::None));
+            return Ok((0, Outcome::Continue));
         }
         if self.fault.mode == Mode::Pause {
-            return Err(Held(self.changed.1.clone()));
+            return Err(Paused(self.changed.1.clone()));
         }
-        let (n_passed, end) = match way {
-            Way::Up => match spend(&mut self.fault.swallow_up_after_bytes, n_bytes) {
-                Some(n_left) => {
-                    conn.silence(way);
-                    (n_left, End::None)
+        let (n_forwarded, outcome) = match direction {
+            Direction::Up => match consume(&mut self.fault.swallow_up_after_bytes, n_bytes) {
+                Some(n_remaining) => {
+                    conn.silence(direction);
+                    (n_remaining, Outcome::Continue)
                 }
-                None => (n_bytes, End::None),
+                None => (n_bytes, Outcome::Continue),
             },
-            Way::Down => match spend(&mut self.fault.cut_after_bytes_down, n_bytes) {
-                Some(n_left) => (n_left, End::Reset),
-                None => (n_bytes, End::None),
+            Direction::Down => match consume(&mut self.fault.cut_after_bytes_down, n_bytes) {
+                Some(n_remaining) => (n_remaining, Outcome::Reset),
+                None => (n_bytes, Outcome::Continue),
             },
         };
-        match way {
-            Way::Up => self.status.bytes_up += n_passed as u64,
-            Way::Down => self.status.bytes_down += n_passed as u64,
+        match direction {
+            Direction::Up => self.status.bytes_up += n_forwarded as u64,
+            Direction::Down => self.status.bytes_down += n_forwarded as u64,
         }
-        self.status.swallowed += (n_bytes - n_passed) as u64;
-        Ok((n_passed, end))
+        self.status.swallowed += (n_bytes - n_forwarded) as u64;
+        Ok((n_forwarded, outcome))
     }
 }
 
-/// Takes `n_bytes` off the allowance. When they are more than is left, the allowance is spent
-/// and gone, and the result is how many of them it still covers.
-fn spend(allowance: &mut Option<u64>, n_bytes: usize) -> Option<usize> {
-    let left = allowance.as_mut()?;
-    let n_left = usize::try_from(*left).unwrap_or(usize::MAX);
-    if n_bytes <= n_left {
-        *left -= n_bytes as u64;
+/// Subtracts `n_bytes` from the byte limit. If they exceed it, clears the limit and returns how
+/// many of them were still within it.
+fn consume(limit: &mut Option<u64>, n_bytes: usize) -> Option<usize> {
+    let remaining = limit.as_mut()?;
+    let n_remaining = usize::try_from(*remaining).unwrap_or(usize::MAX);
+    if n_bytes <= n_remaining {
+        *remaining -= n_bytes as u64;
         return None;
     }
-    *allowance = None;
-    Some(n_left)
+    *limit = None;
+    Some(n_remaining)
 }
--- a/crates/curranthook_standin/src/rater.rs
+++ b/crates/curranthook_standin/src/rater.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers: it knows the marker at the head of each engine's answer.
+//! A rating service, which recognizes good answers by the marker that engines put at their start.
 //!
 //! Control: `PUT /control/faults` takes [`Faults`], `GET /control/counts` gives [`Counts`].
 
@@ -20,41 +20,41 @@
 /// An answer to be rated.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Case {
-    /// The version that gave it.
+    /// The version that generated it.
     pub version: String,
     /// The kind of work.
     pub kind: String,
-    /// What was asked.
+    /// The prompt.
     pub prompt: String,
-    /// What was answered.
+    /// The answer to rate.
     pub answer: String,
 }
 
-/// The faults in force.
+/// The active faults.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How much later each rating comes.
+    /// The delay added to each rating, in milliseconds.
     pub delay_ms: u64,
-    /// Whether it refuses with 503.
+    /// Whether all calls are rejected with 503.
     pub down: bool,
 }
 
-/// What was rated.
+/// Counts of rating calls.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// Ratings given.
+    /// The number of ratings returned.
     pub rated: u64,
-    /// Calls refused while down.
+    /// The number of calls rejected while down.
     pub refused: u64,
-    /// Ratings given, by version.
+    /// The number of ratings returned, by version.
     pub versions: BTreeMap<String, u64>,
 }
 
 /// The rating service.
 #[derive(Debug)]
 pub struct Rater {
-    noise: f64,
+    error_rate: f64,
     state: Mutex<State>,
 }
 
@@ -65,15 +65,15 @@
 }
 
 impl Rater {
-    /// A rater that errs with probability `noise`.
-    pub fn new(noise: f64) -> Self {
-        Self { noise, state: Mutex::default() }
+    /// Creates a rater that returns the wrong rating with probability `error_rate`.
+    pub fn new(error_rate: f64) -> Self {
+        Self { error_rate, state: Mutex::default() }
     }
 
     async fn rate(&self, req: &Request) -> http::Response<curranthook_http::Body> {
         let case: Case = match req.json() {
             Ok(case) => case,
-            Err(e) => return e.answer(),
+            Err(e) => return e.response(),
         };
         let faults = self.state.lock().faults.clone();
         if faults.down {
@@ -84,9 +84,9 @@
         let counts = &mut self.state.lock().counts;
         counts.rated += 1;
         *counts.versions.entry(case.version).or_default() += 1;
-        // The count makes two ratings of one answer err independently.
-        let flips = hash::fraction(&[&case.answer, &counts.rated.to_string()]) < self.noise;
-        let is_good = case.answer.starts_with(GOOD) != flips;
+        // Including the count makes errors independent for repeated ratings of one answer.
+        let is_wrong = hash::fraction(&[&case.answer, &counts.rated.to_string()]) < self.error_rate;
+        let is_good = case.answer.starts_with(GOOD) != is_wrong;
         body::json(200, &serde_json::json!({ "rating": f64::from(u8::from(is_good)) }))
     }
 }
@@ -98,7 +98,7 @@
                 (&Method::POST, "/rate") => self.rate(&req).await,
                 (&Method::GET, "/control/counts") => body::json(200, &self.state.lock().counts),
                 (&Method::PUT, "/control/faults") => {
-                    req.store(|faults| self.state.lock().faults = faults)
+                    req.apply_json(|faults| self.state.lock().faults = faults)
                 }
                 _ => app::error(404, "no such path"),
             };
--- a/crates/curranthook_standin/src/service.rs
+++ b/crates/curranthook_standin/src/service.rs
@@ -1,7 +1,7 @@
-//! A plain service whose calls count: each one that arrives is run and recorded.
+//! A simulated service with side effects: every call that arrives is run and recorded.
 //!
-//! It never looks for repeats, so its record shows what a router let through. Control:
-//! `PUT /control/faults` takes [`Faults`], `GET /control/record` gives a list of [`Call`].
+//! It doesn't deduplicate, so its record shows every call that a router forwarded. Control:
+//! `PUT /control/faults` takes [`Faults`], `GET /control/record` returns a list of [`Call`].
 
 use std::{
     process,
@@ -28,9 +28,9 @@
 /// A call that was run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Call {
-    /// The request's id, empty for none.
+    /// The request's id, or an empty string.
     pub request_id: String,
-    /// The idempotency key, if there was one.
+    /// The idempotency key, if any.
     pub idempotency_key: Option<String>,
     /// The method.
     pub method: String,
@@ -40,51 +40,51 @@
     pub body_hash: String,
     /// The body as text.
     pub body: String,
-    /// When it was run, in milliseconds since 1970.
+    /// When it was run, in milliseconds since the Unix epoch.
     pub started_millis: u64,
-    /// What became of the answer.
+    /// The outcome of the response.
     pub outcome: Outcome,
 }
 
-/// What became of a call's answer. The call has run in any case.
+/// The outcome of a call's response. The call itself was run in every case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// None yet, or none at all because the caller left first.
+    /// Not sent yet, or never sent because the caller disconnected first.
     Running,
-    /// It was given.
+    /// A success response was returned.
     Done,
-    /// It was an error.
+    /// An error response was returned.
     Failed,
 }
 
-/// The faults in force.
+/// The active faults.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How much later the answer comes.
+    /// The delay added to each response, in milliseconds.
     pub answer_late_ms: u64,
-    /// Never runs the call and never answers.
+    /// Neither runs the call nor responds.
     pub hang_before_head: Count,
-    /// Runs the call and never answers.
+    /// Runs the call and never responds.
     pub hang_after_run: Count,
-    /// Runs the call and aborts the process.
+    /// Runs the call, then aborts the process.
     pub die_after_run: bool,
-    /// Aborts the process before it runs the call.
+    /// Aborts the process before running the call.
     pub die_before_run: bool,
-    /// Answers 500 without having run the call; doesn't say so.
+    /// Responds with 500 without running the call, and without the header that says so.
     pub error_before_run: Count,
-    /// Runs the call, then answers 500.
+    /// Runs the call, then responds with 500.
     pub error_after_run: Count,
-    /// Refuses with "not started".
+    /// Rejects calls with 503 and the "not started" header.
     pub refuse: Count,
-    /// Refuses as leaving.
+    /// Rejects calls with 503 and the "not started" and leaving headers.
     pub leaving: bool,
-    /// Answers with another request's id.
+    /// Responds with another request's id.
     pub foreign_id: Count,
 }
 
-/// A plain service.
+/// A simulated service.
 #[derive(Debug)]
 pub struct Service {
     id: String,
@@ -93,7 +93,7 @@
     state: Mutex<State>,
 }
 
-/// Counts a call as running until it is dropped.
+/// A guard that counts a call as running until dropped.
 #[derive(Debug)]
 struct Running<'a>(&'a AtomicUsize);
 
@@ -117,27 +117,27 @@
 }
 
 impl Service {
-    /// A service that has run nothing yet.
+    /// Creates a service with an empty record.
     pub fn new(id: &str, clock: Arc<dyn Clock>) -> Self {
         Self { id: id.to_owned(), clock, n_running: AtomicUsize::new(0), state: Mutex::default() }
     }
 
     async fn run(&self, req: &Request) -> http::Response<Body> {
-        if let Some(refusal) = self.refusal() {
-            return refusal;
+        if let Some(rejection) = self.rejection() {
+            return rejection;
         }
         let _running = Running::new(&self.n_running);
-        if self.state.lock().faults.hang_before_head.strikes() {
+        if self.state.lock().faults.hang_before_head.triggers() {
             return future::pending().await;
         }
-        if self.state.lock().faults.error_before_run.strikes() {
+        if self.state.lock().faults.error_before_run.triggers() {
             return app::error(500, "broken before the run");
         }
-        let place = self.record(req);
-        let (hangs, dies, fails, late) = {
+        let index = self.record(req);
+        let (hangs, dies, fails, delay) = {
             let faults = &mut self.state.lock().faults;
             let (hangs, fails) =
-                (faults.hang_after_run.strikes(), faults.error_after_run.strikes());
+                (faults.hang_after_run.triggers(), faults.error_after_run.triggers());
             (hangs, faults.die_after_run, fails, Duration::from_millis(faults.answer_late_ms))
         };
         if dies {
@@ -146,21 +146,21 @@
         if hangs {
             return future::pending().await;
         }
-        Timer::after(late).await;
+        Timer::after(delay).await;
         if fails {
-            self.state.lock().calls[place].outcome = Outcome::Failed;
+            self.state.lock().calls[index].outcome = Outcome::Failed;
             return app::error(500, "broken after the run");
         }
-        self.state.lock().calls[place].outcome = Outcome::Done;
-        self.answer(req, place + 1)
+        self.state.lock().calls[index].outcome = Outcome::Done;
+        self.success_response(req, index + 1)
     }
 
-    fn refusal(&self) -> Option<http::Response<Body>> {
+    fn rejection(&self) -> Option<http::Response<Body>> {
         let faults = &mut self.state.lock().faults;
         if faults.die_before_run {
             process::abort();
         }
-        if !faults.leaving && !faults.refuse.strikes() {
+        if !faults.leaving && !faults.refuse.triggers() {
             return None;
         }
         let mut res = app::error(503, "not taking work");
@@ -189,11 +189,11 @@
         calls.len() - 1
     }
 
-    fn answer(&self, req: &Request, posted: usize) -> http::Response<Body> {
-        let own = req.header(header::REQUEST_ID).unwrap_or_default();
-        let is_foreign = self.state.lock().faults.foreign_id.strikes();
-        let id = if is_foreign { format!("not-{own}") } else { own.to_owned() };
-        let content = serde_json::json!({ "posted": posted, "id": id, "service": self.id });
+    fn success_response(&self, req: &Request, n_calls: usize) -> http::Response<Body> {
+        let own_id = req.header(header::REQUEST_ID).unwrap_or_default();
+        let is_foreign = self.state.lock().faults.foreign_id.triggers();
+        let id = if is_foreign { format!("not-{own_id}") } else { own_id.to_owned() };
+        let content = serde_json::json!({ "posted": n_calls, "id": id, "service": self.id });
         let mut res = body::json(200, &content);
         if let Ok(value) = http::HeaderValue::from_str(&id) {
             res.headers_mut().insert(header::REQUEST_ID, value);
@@ -203,10 +203,12 @@
         res
     }
 
-    fn control(&self, req: &Request) -> http::Response<Body> {
+    fn handle_control(&self, req: &Request) -> http::Response<Body> {
         match (req.method.as_str(), req.path.as_str()) {
             ("GET", "/control/record") => body::json(200, &self.state.lock().calls),
-            ("PUT", "/control/faults") => req.store(|faults| self.state.lock().faults = faults),
+            ("PUT", "/control/faults") => {
+                req.apply_json(|faults| self.state.lock().faults = faults)
+            }
             _ => app::error(404, "no such control"),
         }
     }
@@ -216,7 +218,7 @@
     fn handle(self: Arc<Self>, req: Request) -> Boxed<Reply> {
         Box::pin(async move {
             if req.path.starts_with("/control/") {
-                return Ok(self.control(&req));
+                return Ok(self.handle_control(&req));
             }
             Ok(self.run(&req).await)
         })
