--- a/crates/curranthook_load/src/client.rs
+++ b/crates/curranthook_load/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and reads the whole answer.
+//! HTTP client of a simulated caller: sends one request and reads the complete response.
 
 use std::{
     net::SocketAddr,
@@ -22,38 +22,38 @@
     sse,
 };
 
-/// The largest answer that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER: usize = 16 * 1024 * 1024;
 
-/// A call ready to be sent.
+/// A request with its destination, scheduled time and timeout.
 #[derive(Debug)]
 pub struct Call {
-    /// Where to.
+    /// Address of the server.
     pub addr: SocketAddr,
-    /// The request.
+    /// The HTTP request.
     pub req: http::Request<Bytes>,
-    /// The id that the answer must carry, where the protocol has one.
+    /// Request ID that the response must carry, for protocols that return one.
     pub expected_id: Option<String>,
-    /// The time from which latency counts.
+    /// Scheduled send time, from which latency is measured.
     pub intended: Instant,
-    /// When to give up, counted from the intended time.
+    /// Time-out, counted from the scheduled time.
     pub limit: Duration,
 }
 
-/// Callers' connections, kept open between calls.
+/// HTTP client with a pool of persistent connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     pool: Arc<Pool>,
 }
 
 impl Client {
-    /// A client that uses the connections of `pool`.
+    /// Creates a client that uses the connections of `pool`.
     pub fn new(pool: Arc<Pool>) -> Self {
         Self { pool }
     }
 
-    /// Makes the call. Latency counts from the intended time, so the wait of a request that
-    /// went out late, behind others, is part of it.
+    /// Sends the request. Latency is measured from the scheduled time, so it includes the delay of a
+    /// request that was sent late because others were still in progress.
     pub async fn run(&self, call: Call) -> Outcome {
         let left = (call.intended + call.limit).saturating_duration_since(Instant::now());
         match timeout::run(left, self.attempt(call)).await {
@@ -99,7 +99,7 @@
     head.headers.get(name)?.to_str().ok()
 }
 
-/// The body of a refusal, and the last event of a stream that was given up on.
+/// Body of a refusal, and of the last event of a stream that the router aborted.
 #[derive(Debug, Deserialize)]
 struct Body {
     error: Refusal,
@@ -118,7 +118,7 @@
 ) -> Result<Answer, Failure> {
     let bytes = body::read(incoming, MAX_ANSWER).await.map_err(|_| Failure::CutOff)?;
     let Some(expected_id) = expected_id else {
-        // A plain service answers in a form of its own.
+        // A plain service has its own response format.
         return Ok(Answer::default());
     };
     let answer: chat::Answer = serde_json::from_slice(&bytes).map_err(|_| Failure::Unreadable)?;
@@ -209,7 +209,7 @@
     version::Id::new(text(head, header::VERSION).unwrap_or(&answer.model))
 }
 
-/// Something between two ends can hand an answer to the wrong caller; its id shows it.
+/// Checks the ID in the response, since an intermediary can deliver a response to the wrong caller.
 fn check_id(answer: &chat::Answer, expected: &str) -> Result<(), Failure> {
     if answer.id == expected { Ok(()) } else { Err(Failure::Foreign) }
 }
--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -1,4 +1,4 @@
-//! Plain load on one address, a router or an engine, to measure what the router adds.
+//! Load on a single address, a router or an engine, to measure the overhead of the router.
 
 use std::{
     net::SocketAddr,
@@ -22,68 +22,68 @@
     timing::{Recorder, Summary},
 };
 
-/// How long a call may take.
+/// Time-out of a call.
 const CALL_LIMIT: Duration = Duration::from_secs(30);
-/// The most calls of one run.
+/// Maximum number of calls in a run.
 const MAX_CALLS: usize = 5_000_000;
 
-/// When calls go out.
+/// When calls are sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Pace {
-    /// At this rate a second, whatever the answers do.
+    /// Open loop: at this rate per second, regardless of responses.
     Open(f64),
-    /// As soon as a connection is free.
+    /// Closed loop: as soon as a connection is free.
     Closed,
 }
 
-/// What to send, where to, and how much.
+/// Parameters of a load run.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Where to.
+    /// Address that receives the calls.
     pub target: SocketAddr,
-    /// When calls go out.
+    /// When calls are sent.
     pub pace: Pace,
-    /// For how long.
+    /// Duration of the run.
     pub duration: Duration,
-    /// How many connections.
+    /// Number of connections.
     pub n_connections: usize,
-    /// What each call sends.
+    /// Content of each call.
     pub question: Question,
-    /// The seed of the arrivals.
+    /// Seed of the arrival times.
     pub seed: u64,
 }
 
-/// What each call sends.
+/// Content of each call.
 #[derive(Debug, Clone)]
 pub struct Question {
     /// The API key.
     pub key: String,
     /// The model or version.
     pub model: String,
-    /// The kind of work.
+    /// The kind of work, sent as a request header.
     pub kind: String,
-    /// The prompt.
+    /// The prompt text.
     pub text: String,
-    /// Whether the answer is streamed.
+    /// Whether to request a streamed response.
     pub stream: bool,
 }
 
-/// What was measured.
+/// Results of a load run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcomes {
-    /// Calls that were made.
+    /// Number of calls made.
     pub calls: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Typed refusals.
+    /// Refusals with a typed reason.
     pub refused: u64,
-    /// Neither.
+    /// Calls that ended with neither an answer nor a typed refusal.
     pub failed: u64,
-    /// Whole answers a second.
+    /// Complete answers per second.
     pub rate: f64,
-    /// To the end of answers, from the intended time.
+    /// Latency of complete answers, from the scheduled time.
     pub whole: Summary,
-    /// To the first token of streams, from the intended time.
+    /// Time to first token of streamed answers, from the scheduled time.
     pub first_token: Summary,
 }
 
@@ -119,7 +119,7 @@
 }
 
 impl Load {
-    /// The times at which calls are meant to go out; none for a closed loop.
+    /// Scheduled times of the calls; empty for a closed loop.
     ///
     /// ```
     /// use std::time::Duration;
@@ -146,7 +146,7 @@
 }
 
 impl Question {
-    /// The request with id `id`, to be sent to `target`.
+    /// Builds the request with ID `id`, addressed to `target`.
     pub fn request(&self, target: SocketAddr, id: &str, body: Bytes) -> http::Request<Bytes> {
         http::Request::post("/v1/chat/completions")
             .header(http::header::HOST, target.to_string())
@@ -158,7 +158,7 @@
             .expect("the command line gave plain names")
     }
 
-    /// The body of every request.
+    /// Body shared by all requests.
     pub fn body(&self) -> Bytes {
         let chat = chat::Request {
             model: self.model.clone(),
@@ -178,8 +178,8 @@
         Self { load, body, times, next: AtomicUsize::new(0), start: Instant::now() }
     }
 
-    /// Makes calls on one connection until there are no more to make. A call that finds every
-    /// connection busy goes out late, and the wait counts, as its time was set before.
+    /// Makes calls on one connection until none are left. A call that finds every connection busy
+    /// is sent late, and the delay counts as latency because its time was scheduled beforehand.
     async fn work(self: Arc<Self>, client: Client) -> Tally {
         let mut tally = Tally::default();
         while let Some((index, intended)) = self.next_call() {
--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -1,4 +1,4 @@
-//! The open loop: each request goes out at its intended time, whatever became of the others.
+//! Open-loop sender: each request is sent at its scheduled time, whether or not others have finished.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,23 +24,23 @@
     scenario::{self, Kind, Scenario},
 };
 
-/// Past this many outstanding requests the tool itself would be what is measured.
+/// Maximum number of outstanding requests; beyond it, the load tool itself would be the bottleneck.
 const MAX_OUTSTANDING: usize = 20_000;
-/// How long past its deadline a caller still waits, to tell a late answer from none.
+/// Time to wait after the deadline, to tell a late answer from a missing one.
 const GRACE: Duration = Duration::from_secs(5);
 
-/// Where callers send their requests.
+/// Addresses that callers send their requests to.
 #[derive(Debug, Clone, Default)]
 pub struct Entry {
-    /// Addresses for models, used in turn.
+    /// Addresses for model requests, used round-robin.
     pub models: Vec<SocketAddr>,
-    /// Addresses for plain services, used in turn, by service.
+    /// Addresses for plain services, used round-robin, by service.
     pub services: BTreeMap<String, Vec<SocketAddr>>,
-    /// The version asked for in place of the model of the kind of work.
+    /// Version to request instead of the model configured for the kind of work.
     pub version: Option<version::Id>,
 }
 
-/// The callers of a run.
+/// The simulated callers of a run.
 #[derive(Debug)]
 pub struct Callers {
     scenario: Arc<Scenario>,
@@ -51,8 +51,8 @@
 }
 
 impl Callers {
-    /// Callers that spread their requests over the addresses of `entry`, as the platform's
-    /// balancer does.
+    /// Creates callers that distribute their requests over the given addresses, as the platform's
+    /// load balancer does.
     pub fn new(scenario: Arc<Scenario>, client: Client, entry: Entry) -> Self {
         Self {
             scenario,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sends every request of `plan`, counting its times from `start`, and waits for all ends.
+    /// Sends every request of `plan`, scheduled relative to `start`, and waits for all to end.
     pub async fn drive(
         self: Arc<Self>,
         ex: &runtime::Handle,
@@ -97,7 +97,7 @@
             let intended = start + request.at;
             let outcome = callers.send(index, request, intended).await;
             let whole = intended.elapsed();
-            // The receiver waits for every sender.
+            // The receiver outlives every sender, so the send cannot fail.
             let _received = tx.send(Sample { index, whole, outcome }).await;
         })
         .detach();
--- a/crates/curranthook_load/src/event.rs
+++ b/crates/curranthook_load/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet while requests arrive.
+//! Timed events that change the fleet while requests arrive.
 
 use std::time::Duration;
 
@@ -6,71 +6,71 @@
 use serde::Deserialize;
 use serde_with::{DurationSecondsWithFrac, serde_as};
 
-/// Something that happens at a set time.
+/// An event at a scheduled time.
 #[serde_as]
 #[derive(Debug, Clone, Deserialize)]
 pub struct Event {
-    /// When, from the start of the arrivals.
+    /// Time since the start of the arrivals.
     #[serde(rename = "at_seconds")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub at: Duration,
-    /// What.
+    /// The action to apply.
     #[serde(flatten)]
     pub action: Action,
 }
 
-/// What happens.
+/// The action of an event.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
 pub enum Action {
-    /// Engines get faults, in the words of the stand-in's `PUT /control/faults`.
+    /// Injects faults into engines, in the format of the stand-in's `PUT /control/faults`.
     Fault {
-        /// Which engines.
+        /// Engines to change.
         engines: Targets,
-        /// The faults.
+        /// Faults to merge into those in force.
         set: serde_json::Value,
     },
-    /// Engines die without a word.
+    /// Kills engines without a graceful shutdown.
     Kill {
-        /// Which engines.
+        /// Engines to kill.
         engines: Targets,
     },
-    /// A version turns better or worse on every engine.
+    /// Changes the quality of a version on every engine.
     Quality {
-        /// Which version.
+        /// Version to change.
         version: version::Id,
-        /// Its quality from now on.
+        /// Its quality from this time on.
         quality: f64,
     },
-    /// An operator withdraws a version.
+    /// Withdraws a version, as an operator would.
     Withdraw {
-        /// Which version.
+        /// Version to withdraw.
         version: version::Id,
     },
-    /// An operator starts a roll-out.
+    /// Starts a rollout, as an operator would.
     Rollout {
         /// The version that is replaced.
         from: version::Id,
-        /// The version that replaces it.
+        /// The new version.
         to: version::Id,
         /// The share of new sessions at each stage.
         stages: Vec<f64>,
     },
 }
 
-/// Which engines.
+/// Selects engines.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Targets {
-    /// Every one.
+    /// All engines.
     All,
-    /// Those named.
+    /// Engines with these IDs.
     #[serde(untagged)]
     Some(Vec<String>),
 }
 
 impl Targets {
-    /// Whether the engine `id` is one of them.
+    /// Whether the engine `id` is selected.
     pub fn contains(&self, id: &str) -> bool {
         match self {
             Self::All => true,
@@ -80,7 +80,7 @@
 }
 
 impl Event {
-    /// The new quality of a version and the time of the change, if this event changes it.
+    /// Returns the new quality of version `id` and the time of the change, if this event changes it.
     pub fn quality_of(&self, id: &version::Id) -> Option<(Duration, f64)> {
         match &self.action {
             Action::Quality { version, quality } if version == id => Some((self.at, *quality)),
--- a/crates/curranthook_load/src/evidence.rs
+++ b/crates/curranthook_load/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What endpoints and platform recorded, against which the router's own word is checked.
+//! Records of endpoints and platform, used to verify the router's own counters.
 
 use std::collections::BTreeMap;
 
@@ -8,54 +8,54 @@
 /// An engine's record of one attempt.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Record {
-    /// The request.
+    /// Request ID.
     pub request_id: String,
-    /// The version that ran it.
+    /// Version that served the attempt.
     pub version: version::Id,
-    /// When it began, in milliseconds since 1970.
+    /// Start time, in milliseconds since the Unix epoch.
     pub started_millis: u64,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: String,
-    /// The tokens of the answer, as far as it went.
+    /// Number of tokens generated, also if the answer was cut off.
     #[serde(default)]
     pub tokens: u64,
 }
 
 impl Record {
-    /// Whether the engine did any work; one that found its queue full did none.
+    /// Whether the engine did any work; an attempt refused because the queue was full did none.
     pub fn was_begun(&self) -> bool {
         const REFUSED: &str = "refused";
         self.outcome != REFUSED
     }
 }
 
-/// An event as it took effect.
+/// An event that was applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// Its index in the scenario.
+    /// Index of the event in the scenario.
     pub index: usize,
-    /// When, in milliseconds since 1970.
+    /// Time of application, in milliseconds since the Unix epoch.
     pub at_millis: u64,
 }
 
-/// Everything that was recorded in a run.
+/// All records of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
-    /// The attempts of all engines.
+    /// Attempts of all engines.
     pub records: Vec<Record>,
-    /// The engines whose record couldn't be read, as after a crash.
+    /// Engines whose record couldn't be read, for example after a crash.
     pub unread: Vec<String>,
-    /// The processes that ended by themselves.
+    /// Processes that exited on their own.
     pub died: Vec<String>,
-    /// The bill lines in the object store, each stored line once.
+    /// Billing lines in the object store, each stored line once.
     pub bills: Vec<bill::Line>,
-    /// The routers' own counters, added up.
+    /// Sums of the counters of all routers.
     pub counters: BTreeMap<String, u64>,
-    /// The events.
+    /// Applied events.
     pub applied: Vec<Applied>,
 }
 
-/// The bill lines among the objects of the store.
+/// Extracts the billing lines from the objects of the store.
 ///
 /// ```
 /// let text = r#"{"origin": {"vm": "vm-1", "incarnation": 7}, "first": 0, "lines": [
--- a/crates/curranthook_load/src/fleet.rs
+++ b/crates/curranthook_load/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The real processes of a run: stand-ins, routers and stewards.
+//! The processes of a run: stand-ins, routers and stewards.
 
 use std::{
     collections::BTreeMap,
@@ -28,11 +28,11 @@
 use process::Process;
 pub use setup::{Front, Setup};
 
-/// How long routers may take until they serve.
+/// Maximum time for routers to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// How often a router is asked whether it serves.
+/// Interval between readiness checks of a router.
 const READY_POLL: Duration = Duration::from_millis(50);
-/// A secret between peers; a scenario's site guards nothing.
+/// Shared key of the peers; a fixed value suffices, as a scenario's site protects no real data.
 const PEER_KEY: [u8; 32] = [9; 32];
 
 /// The running processes.
@@ -51,7 +51,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until each router serves.
+    /// Starts all processes and waits until every router is ready.
     pub async fn start(setup: Setup, pool: Arc<Pool>) -> anyhow::Result<Self> {
         let platform = setup.spawn("standin-platform", "platform", &setup::listen())?;
         let mut fleet = Self {
@@ -73,7 +73,7 @@
         Ok(fleet)
     }
 
-    /// Where callers send their requests.
+    /// Addresses that callers send their requests to.
     pub fn entry(&self) -> Entry {
         match &self.setup.front {
             Front::Routers(_) => Entry {
@@ -84,16 +84,16 @@
         }
     }
 
-    /// The processes and where they listen, for those who want to look at one.
+    /// The processes and their listening addresses, for inspection.
     pub fn processes(&self) -> impl Iterator<Item = &Process> {
         let endpoints = self.engines.iter().chain(&self.services).chain(&self.rater);
         let entry = self.routers.iter().chain(&self.stewards);
         std::iter::once(&self.platform).chain(endpoints).chain(entry)
     }
 
-    /// Stops everything; what engines and platform recorded.
+    /// Stops all processes and returns what engines and platform recorded.
     ///
-    /// Routers go first, so that they can hand over their last bill lines, the platform last.
+    /// Routers stop first, so that they can upload their last billing lines; the platform stops last.
     pub async fn close(mut self) -> anyhow::Result<Evidence> {
         self.note_deaths();
         self.read_counters().await;
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Adds up the counters of all routers; one that has died is left out, and is in `died`.
+    /// Sums the counters of all routers. A router that has exited is left out and listed in `died`.
     async fn read_counters(&mut self) {
         let addrs: Vec<_> = self.routers.iter().map(|it| it.addr("callers")).collect();
         for addr in addrs {
@@ -269,13 +269,13 @@
     }
 }
 
-/// The part of a router's `GET /status` that is read.
+/// Part of a router's `GET /status` response.
 #[derive(Debug, Deserialize)]
 struct Status {
     counters: BTreeMap<String, u64>,
 }
 
-/// Tells all to finish before it waits for any, so that the waits run side by side.
+/// Signals all processes to stop before waiting for any, so that they shut down concurrently.
 fn close_all(processes: impl IntoIterator<Item = Process>) {
     let all: Vec<Process> = processes.into_iter().collect();
     all.iter().for_each(Process::request_stop);
--- a/crates/curranthook_load/src/fleet/change.rs
+++ b/crates/curranthook_load/src/fleet/change.rs
@@ -1,4 +1,4 @@
-//! Events, applied to the running processes.
+//! Applies events to the running processes.
 
 use std::{
     sync::Arc,
@@ -16,13 +16,13 @@
 
 use super::{Applied, Fleet};
 
-/// How often an edit is tried again when another operator was quicker.
+/// Maximum number of attempts at an edit that conflicts with concurrent edits.
 const EDIT_ATTEMPTS: usize = 5;
-/// The pause before an edit is tried again.
+/// Delay before a conflicting edit is retried.
 const EDIT_PAUSE: Duration = Duration::from_millis(20);
 
 impl Fleet {
-    /// Applies all events of the scenario at their times, counted from `start`.
+    /// Applies all events of the scenario at their times, relative to `start`.
     pub async fn apply_events(&mut self, start: Instant) -> anyhow::Result<()> {
         let scenario = Arc::clone(&self.setup.scenario);
         let mut events: Vec<(usize, &Event)> = scenario.events.iter().enumerate().collect();
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Adds faults to those in force. A stand-in replaces all of its faults at once, so without
-    /// the sum kept here a later event would undo an earlier one.
+    /// Adds faults to those in force. A stand-in replaces all of its faults at once, so the merged
+    /// set is kept here; otherwise a later event would undo an earlier one.
     async fn set_faults(
         &mut self,
         targets: &Targets,
@@ -77,8 +77,8 @@
         Ok(())
     }
 
-    /// The record is read first, as it dies with the engine; attempts that are still running
-    /// are in it without an end.
+    /// The record is read first, since it is lost with the engine; attempts still running appear
+    /// in it without an end.
     async fn kill(&mut self, targets: &Targets) {
         let all = std::mem::take(&mut self.engines);
         let (doomed, kept) = all.into_iter().partition(|it| targets.contains(it.name()));
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Changes the published document as an operator's command does: by compare-and-set.
+    /// Changes the published document the way an operator's command does: by compare-and-set.
     async fn edit(&self, change: impl Fn(&mut Document)) -> anyhow::Result<()> {
         let (table, key) = curranthook_settings::document::ROW;
         for _ in 0..EDIT_ATTEMPTS {
--- a/crates/curranthook_load/src/fleet/document.rs
+++ b/crates/curranthook_load/src/fleet/document.rs
@@ -1,4 +1,4 @@
-//! The configuration that a scenario's site is published with.
+//! Builds the initial configuration of a scenario's site.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,13 +11,13 @@
 
 use crate::scenario::{Kind, Scenario};
 
-/// A secret that signs session tokens; a scenario's site guards nothing.
+/// Secret that signs session tokens; a fixed value suffices, as a scenario's site protects no real data.
 const SESSION_SECRET: [u8; 32] = [7; 32];
 
-/// Where the endpoints of a scenario listen, by id.
+/// Listening addresses of the scenario's endpoints, by ID.
 pub type Addresses = BTreeMap<String, SocketAddr>;
 
-/// The first document.
+/// Builds the first configuration document.
 pub fn first(scenario: &Scenario, addrs: &Addresses, rater: Option<SocketAddr>) -> Document {
     let config = Config {
         site: scenario.site.clone(),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Deals places out to the failure domains in turn.
+/// Assigns failure domains round-robin.
 pub fn domain(scenario: &Scenario, place: usize) -> curranthook_types::domain::Id {
     scenario.failure_domains[place % scenario.failure_domains.len()].clone()
 }
--- a/crates/curranthook_load/src/fleet/process.rs
+++ b/crates/curranthook_load/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One started program.
+//! A child process.
 
 use std::{
     collections::BTreeMap,
@@ -14,35 +14,35 @@
 
 use serde::Deserialize;
 
-/// How long a program may take until it says where it listens.
+/// Maximum time for a program to print its listening addresses.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a program may take to finish after it was told to.
+/// Maximum time for a program to exit after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
-/// How often a program that was told to finish is looked at.
+/// Interval between checks whether a stopping program has exited.
 const STOP_POLL: Duration = Duration::from_millis(10);
 
-/// Why a program couldn't be started.
+/// Reasons why a program couldn't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The system didn't start it.
+    /// The operating system failed to start it.
     #[error("can't start {program}: {why}")]
     Spawn {
-        /// The program.
+        /// Path of the program.
         program: String,
-        /// What the system said.
+        /// Error from the operating system.
         why: std::io::Error,
     },
-    /// It didn't say where it listens; its log tells more.
+    /// The program didn't print its listening addresses; see its log.
     #[error("{name} didn't get ready; its log is {log}")]
     NotReady {
-        /// The process.
+        /// Name of the process.
         name: String,
-        /// Its log file.
+        /// Path of its log file.
         log: String,
     },
 }
 
-/// A running program and the addresses that it printed.
+/// A child process and the listening addresses that it printed.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -50,14 +50,14 @@
     listening: BTreeMap<String, SocketAddr>,
 }
 
-/// The line that each program prints when it's ready.
+/// The line that each program prints when it is ready.
 #[derive(Debug, Deserialize)]
 struct Ready {
     listening: BTreeMap<String, SocketAddr>,
 }
 
 impl Process {
-    /// Starts `program` and waits for its line of addresses.
+    /// Starts `program` and waits until it prints its addresses.
     pub fn start(
         program: &Path,
         args: &[String],
@@ -83,52 +83,52 @@
         Ok(process)
     }
 
-    /// The name it was given.
+    /// The name passed to [`Process::start`].
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where it listens for `purpose`.
+    /// The listening address for `purpose`.
     ///
     /// # Panics
     ///
-    /// If it printed no such address.
+    /// If the program printed no such address.
     pub fn addr(&self, purpose: &str) -> SocketAddr {
         let addr = self.listening.get(purpose);
         *addr.unwrap_or_else(|| panic!("{} has no address for {purpose}", self.name))
     }
 
-    /// Its process id.
+    /// The process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// All addresses that it printed, by purpose.
+    /// All listening addresses, by purpose.
     pub fn listening(&self) -> &BTreeMap<String, SocketAddr> {
         &self.listening
     }
 
-    /// Whether it ended by itself.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Asks it to finish; [`Process::close`] waits for that.
+    /// Sends SIGTERM; [`Process::close`] waits for the exit.
     pub fn request_stop(&self) {
         let pid = i32::try_from(self.child.id()).ok().and_then(rustix::process::Pid::from_raw);
         if let Some(pid) = pid {
-            // It may have ended before.
+            // The process may have exited already.
             let _gone = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
         }
     }
 
-    /// Ends it without a word, as a crash would.
+    /// Sends SIGKILL, to simulate a crash.
     pub fn kill(&mut self) {
         let _gone = self.child.kill();
         let _status = self.child.wait();
     }
 
-    /// Asks it to finish, waits for a while, and ends it if it doesn't.
+    /// Sends SIGTERM, waits for the exit, and kills the process on time-out.
     pub fn close(mut self) {
         if self.has_ended() {
             return;
@@ -142,7 +142,7 @@
 }
 
 impl Drop for Process {
-    // An early return on an error would otherwise leave the program running after the tool ends.
+    // Otherwise an early return on an error would leave the program running after the tool exits.
     fn drop(&mut self) {
         if !self.has_ended() {
             self.kill();
@@ -156,7 +156,7 @@
         let mut lines = BufReader::new(stdout).lines().map_while(Result::ok);
         let ready = lines.find_map(|it| serde_json::from_str(&it).ok());
         let _waiting = tx.send(ready);
-        // A full pipe would stop the program, so the rest is read and dropped.
+        // A full pipe would block the program, so the remaining output is read and discarded.
         lines.for_each(drop);
     });
     rx.recv_timeout(READY_TIMEOUT).ok().flatten()
--- a/crates/curranthook_load/src/fleet/setup.rs
+++ b/crates/curranthook_load/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! How each program is started, and the files it's given.
+//! Command lines and configuration files of the programs.
 
 use std::{
     path::{Path, PathBuf},
@@ -12,14 +12,14 @@
 use super::process::Process;
 use crate::scenario::Scenario;
 
-/// Any free port of the loopback interface.
+/// Loopback address with a port chosen by the operating system.
 pub(super) const LOOPBACK: &str = "127.0.0.1:0";
-/// Who stands between callers and endpoints.
+/// What handles requests between callers and endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Front {
     /// Routers with this policy.
     Routers(String),
-    /// Nobody: callers ask the engines for this version, as a baseline.
+    /// Nothing: callers request this version directly from the engines, as a baseline.
     None(version::Id),
 }
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// What a fleet is started from.
+/// Parameters for starting a fleet.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// The scenario.
     pub scenario: Arc<Scenario>,
-    /// Who stands between callers and endpoints.
+    /// What handles requests between callers and endpoints.
     pub front: Front,
-    /// Where the programs are.
+    /// Directory of the programs.
     pub bin_dir: PathBuf,
-    /// Where logs and settings files go.
+    /// Directory for logs and settings files.
     pub work_dir: PathBuf,
 }
 
@@ -116,8 +116,8 @@
     std::fs::write(file, text).with_context(|| format!("can't write {}", file.display()))
 }
 
-/// The settings as an operator would write them: a key without a value is left out, as the check
-/// of settings asks.
+/// Formats settings as an operator would write them: null values are left out, as settings
+/// validation requires.
 pub(super) fn settings_text(settings: &node::Settings) -> anyhow::Result<String> {
     let mut value = serde_json::to_value(settings)?;
     if let Some(map) = value.as_object_mut() {
--- a/crates/curranthook_load/src/lib.rs
+++ b/crates/curranthook_load/src/lib.rs
@@ -1,12 +1,12 @@
-//! Load and experiment tool: a scenario in, cost, quality, latency and exposure out.
+//! Load generator and experiment runner: runs a scenario and reports cost, quality, latency, exposure.
 //!
-//! The data goes one way: [`scenario`] (what the file says) -> [`plan`] (every request, with the
-//! time at which it is meant to go out, from one seed) -> [`fleet`] (the real processes) ->
-//! [`drive`] (open-loop sending through [`client`], timed [`event`]s) -> [`sample`] (what callers
-//! saw) and [`evidence`] (what endpoints and platform recorded) -> [`report`] -> [`table`] and
+//! Data flows one way: [`scenario`] (parsed file) -> [`plan`] (every request, with the
+//! time at which it is scheduled to be sent, from one seed) -> [`fleet`] (real processes) ->
+//! [`drive`] (open-loop sending through [`client`], timed [`event`]s) -> [`sample`] (results as
+//! callers saw them) and [`evidence`] (records of endpoints and platform) -> [`report`] -> [`table`] and
 //! [`plot`].
 //!
-//! [`direct`] and [`streams`] load a single address, to measure what a router adds.
+//! [`direct`] and [`streams`] load a single address, to measure the overhead of a router.
 
 pub mod client;
 pub mod direct;
--- a/crates/curranthook_load/src/plan.rs
+++ b/crates/curranthook_load/src/plan.rs
@@ -1,4 +1,4 @@
-//! Every request of a run, made before the first is sent.
+//! Generates every request of a run before the first is sent.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,7 +11,7 @@
     schedule,
 };
 
-/// Words that prompts are made of.
+/// Vocabulary of generated prompts.
 const WORDS: [&str; 12] = [
     "weight",
     "crate",
@@ -26,35 +26,35 @@
     "query",
     "dossier",
 ];
-/// Tells the random numbers of prompts from those of arrival times.
+/// Stream number that separates the random numbers of prompts from those of arrival times.
 const PROMPT_STREAM: u64 = 0x70_72_6f_6d_70_74;
 
-/// A request to be sent.
+/// A planned request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its id, unique in the run.
+    /// Request ID, unique in the run.
     pub id: String,
-    /// The intended time, from the start of the arrivals.
+    /// Scheduled time since the start of the arrivals.
     pub at: Duration,
-    /// The index of its phase.
+    /// Index of the arrival phase.
     pub phase: usize,
-    /// Who sends it.
+    /// Client account that sends it.
     pub account: account::Id,
     /// The kind of work.
     pub kind: kind::Id,
-    /// The session that it belongs to.
+    /// Session ID, if the request belongs to a session.
     pub session: Option<String>,
-    /// The prompt.
+    /// Prompt text.
     pub text: String,
 }
 
 impl Request {
-    /// The words of the prompt, which stand-in engines count as tokens.
+    /// Number of words in the prompt, which stand-in engines count as tokens.
     pub fn prompt_tokens(&self) -> u64 {
         u64::try_from(self.text.split_whitespace().count()).unwrap_or(u64::MAX)
     }
 
-    /// The body for `model`.
+    /// Builds the request body for `model`.
     pub fn chat(&self, kind: &Kind, model: &str) -> chat::Request {
         chat::Request {
             model: model.to_owned(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// All requests of a run, in the order of their times; the same for the same seed.
+/// All requests of a run, ordered by time; deterministic for a seed.
 ///
 /// ```no_run
 /// # fn main() -> Result<(), curranthook_load::scenario::Error> {
@@ -126,7 +126,7 @@
     }
 
     fn text(&mut self, kind: &kind::Id, n_words: usize) -> String {
-        // The number makes each prompt, and so its difficulty, one of its own.
+        // The number makes each prompt, and therefore its difficulty, unique.
         let mut text = format!("{kind} {}-{}", self.seed, self.n_requests);
         for _ in 2..n_words {
             text.push(' ');
@@ -150,7 +150,7 @@
     })
 }
 
-/// Picks by weight; `draw` is a random number from 0 to 1.
+/// Selects an item by weight; `draw` is a random number from 0 to 1.
 fn pick<'a, T>(choices: impl Iterator<Item = (&'a T, f64)> + Clone, draw: f64) -> &'a T {
     let mut rest = draw * choices.clone().map(|(_, weight)| weight).sum::<f64>();
     let mut last = None;
@@ -161,6 +161,6 @@
         rest -= weight;
         last = Some(choice);
     }
-    // Rounding can leave a crumb beyond the last weight.
+    // Rounding can leave a small remainder after the last weight.
     last.expect("a checked scenario has accounts and kinds")
 }
--- a/crates/curranthook_load/src/plot.rs
+++ b/crates/curranthook_load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Reports side by side, as plots in SVG.
+//! Plots that compare reports, in SVG.
 
 use std::path::{Path, PathBuf};
 
@@ -13,12 +13,12 @@
 const SIZE: (u32, u32) = (900, 560);
 const MARGIN: u32 = 24;
 const LABEL_AREA: u32 = 64;
-/// Room for the names of the policies, at the right of bars.
+/// Width reserved for policy names to the right of the bars, in pixels.
 const LEGEND_AREA: u32 = 190;
-/// Room beyond the greatest value, so that no label is cut.
+/// Factor by which the axis exceeds the greatest value, so that no label is clipped.
 const HEADROOM: f64 = 1.15;
 
-/// One group of bars for each policy.
+/// A bar chart with one group of bars per policy.
 struct Bars<'a> {
     title: String,
     unit: &'a str,
@@ -26,7 +26,7 @@
     figures: &'a [Figure],
 }
 
-/// Writes the plots of every scenario into `dir`; the files written.
+/// Writes the plots of every scenario into `dir` and returns the paths of the files.
 pub fn write(reports: &[Report], dir: &Path) -> anyhow::Result<Vec<PathBuf>> {
     let groups = table::groups(reports);
     let mut files = Vec::new();
@@ -102,7 +102,7 @@
     }
 }
 
-/// Bars side by side: one cluster a figure, one colour a policy.
+/// Draws grouped bars: one cluster per figure, one colour per policy.
 fn bars(groups: &[Group<'_>], bars: &Bars<'_>, file: &Path) -> anyhow::Result<()> {
     let greatest = greatest(groups, bars.figures);
     let n_clusters = bars.names.len();
@@ -168,7 +168,7 @@
     if greatest == 0.0 { 1.0 } else { greatest * HEADROOM }
 }
 
-/// The drawing errors of the library borrow from the backend; only their text can be kept.
+/// Drawing errors of the library borrow from the backend, so only their text is kept.
 fn draw_error(e: impl std::fmt::Display) -> anyhow::Error {
     anyhow!("can't draw: {e}")
 }
--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario, from the start of the fleet to the report.
+//! Runs a scenario, from starting the fleet to the report.
 
 use std::{
     collections::BTreeMap,
@@ -23,25 +23,25 @@
     scenario::Scenario,
 };
 
-/// The time between the last preparation and the first arrival.
+/// Delay between the end of preparations and the first arrival.
 const LEAD: Duration = Duration::from_millis(200);
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Debug)]
 pub struct Options {
     /// The scenario.
     pub scenario: Scenario,
-    /// Who stands between callers and endpoints.
+    /// What handles requests between callers and endpoints.
     pub front: Front,
-    /// The seed of arrivals and prompts.
+    /// Seed of arrivals and prompts.
     pub seed: u64,
-    /// Where the programs are.
+    /// Directory of the programs.
     pub bin_dir: PathBuf,
-    /// Where logs and settings files go.
+    /// Directory for logs and settings files.
     pub work_dir: PathBuf,
 }
 
-/// Runs a scenario on real processes, stops them all and computes the figures.
+/// Runs a scenario on real processes, stops them all and computes the report.
 pub async fn run(ex: &runtime::Handle, options: Options) -> anyhow::Result<Report> {
     let Options { scenario, front, seed, bin_dir, work_dir } = options;
     let scenario = Arc::new(scenario);
@@ -53,7 +53,7 @@
     let start = Instant::now() + LEAD;
     let driven = Arc::new(callers).drive(ex, &plan, start);
     let (samples, applied) = future::zip(driven, fleet.apply_events(start)).await;
-    // A run whose events failed measured something else; it still stops what it started.
+    // If an event failed, the results are invalid; the processes are still stopped first.
     let evidence = fleet.close().await?;
     applied?;
     Ok(Report::new(&Run {
@@ -66,17 +66,17 @@
     }))
 }
 
-/// A running process, for those who want to look at it.
+/// A running process, for inspection.
 #[derive(Debug, Serialize)]
 pub struct Running {
-    /// Its process id.
+    /// Process ID.
     pub pid: u32,
-    /// Where it listens, by purpose.
+    /// Listening addresses, by purpose.
     pub listening: BTreeMap<String, SocketAddr>,
 }
 
-/// Starts a scenario's processes, tells `ready` of them by name, and stops them after `duration`.
-/// No request is sent.
+/// Starts a scenario's processes, passes them by name to `ready`, and stops them after `duration`.
+/// Sends no requests.
 pub async fn hold(
     ex: &runtime::Handle,
     options: Options,
--- a/crates/curranthook_load/src/sample.rs
+++ b/crates/curranthook_load/src/sample.rs
@@ -1,47 +1,47 @@
-//! What a caller saw of one request.
+//! Result of one request, as seen by the caller.
 
 use std::time::Duration;
 
 use curranthook_types::{refusal, version};
 
-/// How one request went.
+/// Result of one request.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// The index of the request in the plan.
+    /// Index of the request in the plan.
     pub index: usize,
-    /// From the intended time to the end, good or bad.
+    /// Latency from the scheduled time to the end, for any outcome.
     pub whole: Duration,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Debug, Clone)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// Complete answer.
     Answered(Answer),
-    /// With a typed refusal.
+    /// Refusal with a typed reason.
     Refused(refusal::Reason, refusal::Run),
-    /// With neither.
+    /// Neither an answer nor a typed refusal.
     Failed(Failure),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
-    /// The version that gave it; plain services have none.
+    /// Version that served it; absent for plain services.
     pub version: Option<version::Id>,
-    /// From the intended time to the first token, for streams.
+    /// Time to first token since the scheduled time, for streams.
     pub first_token: Option<Duration>,
-    /// The gaps between tokens, for streams.
+    /// Intervals between tokens, for streams.
     pub gaps: Vec<Duration>,
-    /// What the stand-in says of it; plain services say nothing.
+    /// Quality marker set by the stand-in; absent for plain services.
     pub mark: Option<Mark>,
-    /// The token that keeps the session on its version.
+    /// Token that pins the session to its version.
     pub session_token: Option<String>,
 }
 
-/// The marker that begins each answer of a stand-in engine.
+/// Quality marker at the start of each answer of a stand-in engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mark {
     /// `[good]`
@@ -51,7 +51,7 @@
 }
 
 impl Mark {
-    /// Reads the marker of an answer.
+    /// Parses the marker at the start of an answer.
     ///
     /// ```
     /// use curranthook_load::sample::Mark;
@@ -67,31 +67,31 @@
     }
 }
 
-/// An end that is neither an answer nor a typed refusal.
+/// A failure that is neither an answer nor a typed refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Failure {
-    /// The connection couldn't be made.
+    /// The connection couldn't be established.
     #[error("connect")]
     Connect,
-    /// The connection closed before an answer.
+    /// The connection closed before a response arrived.
     #[error("closed")]
     Closed,
-    /// No end of the answer within the time limit.
+    /// The response didn't complete within the time-out.
     #[error("timeout")]
     Timeout,
-    /// The answer broke off.
+    /// The response was cut off.
     #[error("cut_off")]
     CutOff,
-    /// The answer carries another request's id.
+    /// The response carries another request's ID.
     #[error("foreign")]
     Foreign,
-    /// An error that isn't a typed refusal, as engines give.
+    /// An error response without a typed refusal, such as those of engines.
     #[error("untyped_error")]
     UntypedError,
-    /// An answer that can't be read.
+    /// The response couldn't be parsed.
     #[error("unreadable")]
     Unreadable,
-    /// Too many requests were outstanding in the load tool itself.
+    /// The load tool reached its limit of outstanding requests.
     #[error("not_sent")]
     NotSent,
 }
--- a/crates/curranthook_load/src/schedule.rs
+++ b/crates/curranthook_load/src/schedule.rs
@@ -1,7 +1,7 @@
-//! When requests are meant to go out.
+//! Arrival times of requests.
 //!
-//! The loop is open: the times are fixed before the first request is sent. A closed loop waits
-//! for answers, so a slow system gets fewer requests and looks quicker than it is.
+//! The load is open-loop: times are fixed before the first request is sent. A closed loop waits
+//! for responses, so a slow system receives fewer requests and appears faster than it is.
 
 use std::time::Duration;
 
@@ -11,43 +11,43 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationSecondsWithFrac, serde_as};
 
-/// How arrivals are spaced.
+/// Distribution of the intervals between arrivals.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spacing {
-    /// Independent callers: gaps are exponential.
+    /// Poisson process of independent callers: intervals are exponentially distributed.
     #[default]
     Poisson,
-    /// Equal gaps.
+    /// Constant intervals.
     Fixed,
 }
 
-/// A stretch of time at one rate.
+/// A time span with a constant rate.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// How long it lasts.
+    /// Duration of the phase.
     #[serde(rename = "seconds")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub duration: Duration,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// How arrivals are spaced.
+    /// Distribution of the intervals between arrivals.
     #[serde(default)]
     pub spacing: Spacing,
 }
 
-/// One arrival.
+/// A scheduled arrival.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// The intended time, from the start of the run.
+    /// Scheduled time since the start of the run.
     pub at: Duration,
-    /// The index of its phase.
+    /// Index of the phase.
     pub phase: usize,
 }
 
-/// The arrivals of all phases, in order; the same for the same seed.
+/// Arrivals of all phases, in order; deterministic for a seed.
 ///
 /// ```
 /// use std::time::Duration;
@@ -72,7 +72,7 @@
     if 0.0 < phase.rate {
         let gaps = Exp::new(phase.rate).expect("the rate is above zero");
         let gap = 1.0 / phase.rate;
-        // Fixed arrivals are multiplied out, as a sum of gaps would drift by rounding.
+        // Fixed arrival times are computed by multiplication, since summing intervals accumulates rounding error.
         let mut at = 0.0;
         for n in 0_u32.. {
             at = match phase.spacing {
--- a/crates/curranthook_load/src/sse.rs
+++ b/crates/curranthook_load/src/sse.rs
@@ -1,9 +1,9 @@
-//! Server-sent events out of a stream of chunks.
+//! Parser for server-sent events in a stream of chunks.
 
-/// Collects chunks and gives out the data of whole events.
+/// Buffers chunks and returns the data of complete events.
 ///
-/// A chunk may end anywhere, also within a character, so bytes are kept until their line is
-/// whole.
+/// A chunk may end anywhere, even within a UTF-8 character, so bytes are buffered until their line
+/// is complete.
 ///
 /// ```
 /// let mut reader = curranthook_load::sse::Reader::default();
@@ -18,7 +18,7 @@
 }
 
 impl Reader {
-    /// Adds a chunk; the data of the events that it completes.
+    /// Adds a chunk and returns the data of the events that it completes.
     pub fn push(&mut self, chunk: &[u8]) -> Vec<String> {
         let mut events = Vec::new();
         for &byte in chunk {
--- a/crates/curranthook_load/src/streams.rs
+++ b/crates/curranthook_load/src/streams.rs
@@ -1,4 +1,4 @@
-//! Many open streams at one address, to measure what each costs a router.
+//! Opens many concurrent streams at one address, to measure the cost of each to a router.
 
 use std::{
     net::SocketAddr,
@@ -26,42 +26,42 @@
     timing::{Recorder, Summary},
 };
 
-/// How long the last stream may take to begin.
+/// Maximum time to wait for the first chunk of the last stream.
 const OPEN_LIMIT: Duration = Duration::from_secs(30);
 
-/// What to hold open.
+/// Parameters of the stream load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Where to.
+    /// Address that receives the requests.
     pub target: SocketAddr,
-    /// How many streams.
+    /// Number of streams.
     pub n_streams: usize,
-    /// How many are begun a second.
+    /// Streams opened per second.
     pub rate: f64,
-    /// How long they are held once all have begun.
+    /// Time to keep streams open after all have begun.
     pub hold: Duration,
-    /// What each asks.
+    /// Content of each request.
     pub question: Question,
-    /// The process whose memory is read while all are open.
+    /// Process whose memory is measured while all streams are open.
     pub pid: Option<u32>,
 }
 
-/// What was measured.
+/// Results of the stream load.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcomes {
-    /// Streams asked for.
+    /// Streams requested.
     pub asked: usize,
-    /// Streams that gave a first chunk.
+    /// Streams that received a first chunk.
     pub begun: u64,
-    /// Streams still open when memory was read.
+    /// Streams still open when memory was measured.
     pub open: usize,
-    /// Streams that ended with the marker before that.
+    /// Streams that had ended with the end marker by then.
     pub ended: usize,
-    /// Streams that couldn't be opened, or ended without the marker.
+    /// Streams that couldn't be opened, or ended without the end marker.
     pub failed: usize,
-    /// To the first chunk.
+    /// Time to the first chunk.
     pub first_chunk: Summary,
-    /// Resident memory of the process, in kilobytes, where one was named.
+    /// Resident memory of the process in kilobytes, if a process was given.
     pub resident_kb: Option<u64>,
 }
 
@@ -72,7 +72,7 @@
     failed: AtomicUsize,
 }
 
-/// Opens the streams, holds them, and closes them.
+/// Opens the streams, keeps them open, and closes them.
 pub async fn run(ex: &runtime::Handle, load: Load) -> Outcomes {
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
     let counts = Arc::new(Counts::default());
@@ -110,7 +110,7 @@
     outcomes
 }
 
-/// Reads a stream to its end marker; `None` if it didn't come to one.
+/// Reads a stream up to its end marker; returns `None` if the marker is missing.
 async fn hold(
     pool: &Pool,
     target: SocketAddr,
@@ -128,7 +128,7 @@
     let mut reader = sse::Reader::default();
     let mut has_ended = read(&mut reader, body.frame().await?.ok()?);
     counts.open.fetch_add(1, Ordering::Relaxed);
-    // Nobody may be waiting any more.
+    // The receiver may have timed out already.
     let _late = tx.try_send(begun.elapsed());
     drop(tx);
     while let Some(Ok(frame)) = body.frame().await {
@@ -138,7 +138,7 @@
     has_ended.then_some(())
 }
 
-/// Whether the marker is in `frame`.
+/// Whether `frame` completes an event with the end marker.
 fn read(reader: &mut sse::Reader, frame: Frame<Bytes>) -> bool {
     let Ok(chunk) = frame.into_data() else { return false };
     reader.push(&chunk).iter().any(|it| it == chat::END_MARKER)
@@ -152,7 +152,7 @@
             recorder.record(latency);
         }
     };
-    // What began by then is counted; the figures show how many didn't.
+    // On time-out, the streams begun so far are counted; the results show how many weren't.
     let _late = timeout::run(OPEN_LIMIT, receive()).await;
     recorder
 }
