--- a/crates/curranthook_load/src/client.rs
+++ b/crates/curranthook_load/src/client.rs
@@ -52,8 +52,8 @@
         Self { pool }
     }
 
-    /// Sends the request. Latency is measured from the scheduled time, so it includes the delay of a
-    /// request that was sent late because others were still in progress.
+    /// Sends the request. Latency is measured from the scheduled time, so it includes the delay of
+    /// a request that was sent late because others were still in progress.
     pub async fn run(&self, call: Call) -> Outcome {
         let left = (call.intended + call.limit).saturating_duration_since(Instant::now());
         match timeout::run(left, self.attempt(call)).await {
@@ -209,7 +209,7 @@
     version::Id::new(text(head, header::VERSION).unwrap_or(&answer.model))
 }
 
-/// Checks the ID in the response, since an intermediary can deliver a response to the wrong caller.
+/// Checks the ID in the response: an intermediary can deliver a response to the wrong caller.
 fn check_id(answer: &chat::Answer, expected: &str) -> Result<(), Failure> {
     if answer.id == expected { Ok(()) } else { Err(Failure::Foreign) }
 }
--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -1,4 +1,4 @@
-//! Open-loop sender: each request is sent at its scheduled time, whether or not others have finished.
+//! Open-loop sender: each request is sent at its scheduled time, regardless of the others.
 
 use std::{
     collections::{BTreeMap, HashMap},
--- a/crates/curranthook_load/src/event.rs
+++ b/crates/curranthook_load/src/event.rs
@@ -80,7 +80,7 @@
 }
 
 impl Event {
-    /// Returns the new quality of version `id` and the time of the change, if this event changes it.
+    /// The new quality of version `id` and the time of the change, if this event changes it.
     pub fn quality_of(&self, id: &version::Id) -> Option<(Duration, f64)> {
         match &self.action {
             Action::Quality { version, quality } if version == id => Some((self.at, *quality)),
--- a/crates/curranthook_load/src/fleet.rs
+++ b/crates/curranthook_load/src/fleet.rs
@@ -93,7 +93,7 @@
 
     /// Stops all processes and returns what engines and platform recorded.
     ///
-    /// Routers stop first, so that they can upload their last billing lines; the platform stops last.
+    /// Routers stop first, so that they can upload their last billing lines; the platform last.
     pub async fn close(mut self) -> anyhow::Result<Evidence> {
         self.note_deaths();
         self.read_counters().await;
--- a/crates/curranthook_load/src/fleet/document.rs
+++ b/crates/curranthook_load/src/fleet/document.rs
@@ -11,7 +11,7 @@
 
 use crate::scenario::{Kind, Scenario};
 
-/// Secret that signs session tokens; a fixed value suffices, as a scenario's site protects no real data.
+/// Secret that signs session tokens; fixed, as a scenario's site protects no real data.
 const SESSION_SECRET: [u8; 32] = [7; 32];
 
 /// Listening addresses of the scenario's endpoints, by ID.
--- a/crates/curranthook_load/src/lib.rs
+++ b/crates/curranthook_load/src/lib.rs
@@ -1,9 +1,9 @@
-//! Load generator and experiment runner: runs a scenario and reports cost, quality, latency, exposure.
+//! Load generator and experiment runner. Reports cost, quality, latency and exposure of a scenario.
 //!
 //! Data flows one way: [`scenario`] (parsed file) -> [`plan`] (every request, with the
 //! time at which it is scheduled to be sent, from one seed) -> [`fleet`] (real processes) ->
-//! [`drive`] (open-loop sending through [`client`], timed [`event`]s) -> [`sample`] (results as
-//! callers saw them) and [`evidence`] (records of endpoints and platform) -> [`report`] -> [`table`] and
+//! [`drive`] (open-loop sending through [`client`], timed [`event`]s) -> [`sample`] (results seen
+//! by callers) and [`evidence`] (records of endpoints and platform) -> [`report`] -> [`table`] and
 //! [`plot`].
 //!
 //! [`direct`] and [`streams`] load a single address, to measure the overhead of a router.
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -21,11 +21,11 @@
 };
 use curranthook_types::version;
 
-/// Load and experiment tool.
+/// Load generator and experiment runner.
 #[derive(Debug, Parser)]
 #[command(name = "curranthook-load", version)]
 struct Cli {
-    /// Threads of the load tool itself.
+    /// Number of threads of the load tool itself.
     #[arg(long, global = true, default_value_t = 2)]
     threads: usize,
     #[command(subcommand)]
@@ -38,7 +38,7 @@
     ///
     /// Example: curranthook-load run scenarios/mekong.yaml --policy ours --seed 1 --out r.json
     Run(RunArgs),
-    /// Start a scenario's processes and hold them, sending nothing; prints where they listen.
+    /// Start a scenario's processes without sending requests, and print where they listen.
     ///
     /// Example: curranthook-load hold scenarios/overhead.yaml --seconds 60
     Hold(HoldArgs),
@@ -46,15 +46,15 @@
     ///
     /// Example: curranthook-load check scenarios/*.yaml
     Check {
-        /// The files.
+        /// Scenario files.
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
     },
-    /// Load one address, open-loop unless told otherwise.
+    /// Load one address; open-loop by default.
     ///
     /// Example: curranthook-load direct --target 127.0.0.1:8080 --rate 1000 --seconds 10
     Direct(DirectArgs),
-    /// Hold many streams open at one address.
+    /// Keep many streams open at one address.
     ///
     /// Example: curranthook-load streams --target 127.0.0.1:8080 --open 5000 --pid 4711
     Streams(StreamsArgs),
@@ -62,7 +62,7 @@
     ///
     /// Example: curranthook-load compare ours.json best.json
     Compare {
-        /// The reports.
+        /// Report files.
         #[arg(required = true)]
         reports: Vec<PathBuf>,
     },
@@ -70,10 +70,10 @@
     ///
     /// Example: curranthook-load report reports/*.json --out-dir docs/figures
     Report {
-        /// The reports.
+        /// Report files.
         #[arg(required = true)]
         reports: Vec<PathBuf>,
-        /// Where the table and the plots go.
+        /// Directory for the table and the plots.
         #[arg(long)]
         out_dir: PathBuf,
     },
@@ -81,18 +81,18 @@
 
 #[derive(Debug, Args)]
 struct FleetArgs {
-    /// The scenario file.
+    /// Scenario file.
     scenario: PathBuf,
-    /// The policy of the routers.
+    /// Policy of the routers.
     #[arg(long, default_value = "ours")]
     policy: String,
-    /// Start no routers; callers ask the engines for this version.
+    /// Start no routers; callers request this version directly from the engines.
     #[arg(long, conflicts_with = "policy", value_name = "VERSION")]
     direct: Option<String>,
-    /// Where the programs are; beside this one if not set.
+    /// Directory of the programs; defaults to the directory of this executable.
     #[arg(long)]
     bin_dir: Option<PathBuf>,
-    /// Where logs and settings files are kept; dropped after the run if not set.
+    /// Directory for logs and settings files; by default a temporary directory, deleted after the run.
     #[arg(long)]
     work_dir: Option<PathBuf>,
 }
@@ -101,10 +101,10 @@
 struct RunArgs {
     #[command(flatten)]
     fleet: FleetArgs,
-    /// The seed of arrivals and prompts.
+    /// Seed of arrivals and prompts.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Where the report goes.
+    /// File to write the report to.
     #[arg(long)]
     out: PathBuf,
 }
@@ -113,48 +113,48 @@
 struct HoldArgs {
     #[command(flatten)]
     fleet: FleetArgs,
-    /// For how long.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
 }
 
 #[derive(Debug, Args)]
 struct QuestionArgs {
-    /// The API key.
+    /// API key.
     #[arg(long, default_value = "key-load")]
     key: String,
-    /// The model or version asked for.
+    /// Model or version to request.
     #[arg(long, default_value = "auto")]
     model: String,
-    /// The kind of work.
+    /// Kind of work.
     #[arg(long, default_value = "summary")]
     kind: String,
-    /// The prompt.
+    /// Prompt text.
     #[arg(long, default_value = "How much did the herd weigh?")]
     prompt: String,
 }
 
 #[derive(Debug, Args)]
 struct DirectArgs {
-    /// Where to.
+    /// Address that receives the calls.
     #[arg(long)]
     target: SocketAddr,
-    /// Calls a second.
+    /// Calls per second.
     #[arg(long, default_value_t = 1_000.0)]
     rate: f64,
-    /// For how long.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// How many connections.
+    /// Number of connections.
     #[arg(long, default_value_t = 64)]
     connections: usize,
-    /// Ask for streams.
+    /// Request streamed responses.
     #[arg(long)]
     stream: bool,
-    /// Send as fast as connections get free, in place of a rate.
+    /// Closed loop: send as soon as a connection is free, instead of at a fixed rate.
     #[arg(long)]
     closed: bool,
-    /// The seed of the arrivals.
+    /// Seed of the arrival times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
@@ -163,19 +163,19 @@
 
 #[derive(Debug, Args)]
 struct StreamsArgs {
-    /// Where to.
+    /// Address that receives the requests.
     #[arg(long)]
     target: SocketAddr,
-    /// How many streams.
+    /// Number of streams.
     #[arg(long)]
     open: usize,
-    /// How many are begun a second.
+    /// Streams to open per second.
     #[arg(long, default_value_t = 1_000.0)]
     rate: f64,
-    /// How long they are held once all have begun.
+    /// Seconds to keep the streams open after all have begun.
     #[arg(long, default_value_t = 2.0)]
     hold_seconds: f64,
-    /// The process whose memory is read while all are open.
+    /// Process ID to read the memory of while all streams are open.
     #[arg(long)]
     pid: Option<u32>,
     #[command(flatten)]
--- a/crates/curranthook_load/src/report.rs
+++ b/crates/curranthook_load/src/report.rs
@@ -1,4 +1,4 @@
-//! The figures of one run.
+//! Metrics of one run.
 
 use std::collections::BTreeMap;
 
@@ -10,205 +10,205 @@
 mod cost;
 mod exposure;
 
-/// What a report is made from.
+/// Input of a report.
 #[derive(Debug)]
 pub struct Run<'a> {
-    /// The scenario.
+    /// The scenario that was run.
     pub scenario: &'a Scenario,
-    /// The policy of the routers.
+    /// Policy of the routers.
     pub policy: &'a str,
-    /// The seed of arrivals and prompts.
+    /// Seed of arrivals and prompts.
     pub seed: u64,
-    /// The requests.
+    /// All planned requests.
     pub plan: &'a [plan::Request],
-    /// What callers saw.
+    /// Results as seen by callers.
     pub samples: &'a [Sample],
-    /// What endpoints and platform recorded.
+    /// Records of endpoints and platform.
     pub evidence: &'a Evidence,
 }
 
-/// The figures of one run. Requests of the warm-up are left out, but for exposure.
+/// Metrics of one run. Requests of the warm-up are excluded, except from exposure.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy of the routers.
+    /// Policy of the routers.
     pub policy: String,
-    /// The seed of arrivals and prompts.
+    /// Seed of arrivals and prompts.
     pub seed: u64,
-    /// The time measured, in seconds.
+    /// Measured time in seconds, without the warm-up.
     pub seconds: f64,
-    /// How requests ended.
+    /// Numbers of requests by outcome.
     pub ends: Ends,
-    /// Latencies from the intended time.
+    /// Latencies from the scheduled time.
     pub latency: Latency,
     /// Refusals by reason.
     pub refusals: BTreeMap<String, Refused>,
-    /// Ends with neither answer nor refusal, by cause.
+    /// Failures (neither answer nor refusal) by cause.
     pub failures: BTreeMap<String, u64>,
-    /// Quality of the answers by kind of work.
+    /// Quality of answers by kind of work.
     pub quality: BTreeMap<String, Quality>,
-    /// What the answers cost.
+    /// Cost of answers.
     pub cost: Cost,
-    /// What the engines did.
+    /// Attempts recorded by engines.
     pub engines: Attempts,
-    /// Answers by versions that had turned bad, were being tried, or were withdrawn.
+    /// Answers by versions that had degraded, were being rolled out, or were withdrawn.
     pub exposure: Vec<Exposure>,
-    /// The phases of the arrivals.
+    /// Metrics per arrival phase.
     pub phases: Vec<Phase>,
-    /// The client accounts.
+    /// Metrics per client account.
     pub accounts: BTreeMap<String, Account>,
-    /// Sessions that got answers of more than one version.
+    /// Number of sessions answered by more than one version.
     pub split_sessions: u64,
-    /// The routers' own counters, such as `retry.connect`, warm-up included.
+    /// Sums of the routers' counters, such as `retry.connect`, including the warm-up.
     #[serde(default)]
     pub counters: BTreeMap<String, u64>,
-    /// Processes that ended by themselves.
+    /// Processes that exited on their own.
     pub died: Vec<String>,
 }
 
-/// How requests ended.
+/// Numbers of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ends {
     /// All requests.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Whole answers within the deadline.
+    /// Complete answers within the deadline.
     pub in_time: u64,
-    /// Typed refusals.
+    /// Refusals with a typed reason.
     pub refused: u64,
-    /// Neither.
+    /// Neither an answer nor a typed refusal.
     pub failed: u64,
-    /// Whole answers within the deadline, a second.
+    /// Complete answers within the deadline, per second.
     pub goodput: f64,
 }
 
-/// Latencies from the intended time.
+/// Latencies from the scheduled time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
-    /// To the first token of streams.
+    /// Time to first token of streams.
     pub first_token: Summary,
-    /// To the end of answers.
+    /// Time to the end of complete answers.
     pub whole: Summary,
-    /// Between the tokens of streams.
+    /// Time between tokens of streams.
     pub gap: Summary,
-    /// To refusals.
+    /// Time to refusals.
     pub refusal: Summary,
 }
 
-/// Refusals of one reason.
+/// Refusals with one reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Refused {
-    /// Those that say that the request didn't run.
+    /// Refusals stating that the request wasn't executed.
     pub not_run: u64,
-    /// Time to the refusal.
+    /// Time to refusal.
     pub latency: Summary,
 }
 
-/// Quality of the answers of one kind of work.
+/// Quality of answers for one kind of work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quality {
-    /// The share wanted.
+    /// Target share of good answers.
     pub target: f64,
-    /// Answers with a marker.
+    /// Answers with a quality marker.
     pub marked: u64,
-    /// Those marked good.
+    /// Answers marked good.
     pub good: u64,
-    /// The share of good ones.
+    /// Share of good answers among those marked.
     pub share: f64,
 }
 
-/// What the answers cost, in millionths of the site's currency.
+/// Cost of answers, in millionths of the site's currency.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// By the bill lines.
+    /// Cost according to the billing lines.
     pub billed: u64,
-    /// By the engines' records, all attempts.
+    /// Cost according to the engines' records, including all attempts.
     pub engines: u64,
-    /// For one who knows beforehand which version will do; answered requests only.
+    /// Cost of an oracle that knows in advance which version suffices; answered requests only.
     pub oracle: u64,
-    /// Requests with a bill line.
+    /// Requests with a billing line.
     pub n_billed: u64,
-    /// Further lines of a request that has one; a double bill if compaction didn't drop it.
+    /// Additional billing lines of a request; billed twice unless compaction removes them.
     pub n_repeated_lines: u64,
-    /// Answered requests without a bill line.
+    /// Answered requests without a billing line.
     pub n_unbilled: u64,
-    /// The engines' cost for each answered request.
+    /// Engine cost per answered request.
     pub per_answer: f64,
-    /// The bills' cost for each billed request.
+    /// Billed cost per billed request.
     pub per_bill: f64,
-    /// The engines' cost against the oracle's.
+    /// Ratio of engine cost to oracle cost.
     pub against_oracle: f64,
-    /// Answers whose marker isn't what the difficulty function says. Unless it's nearly none,
-    /// the oracle's cost is worth nothing.
+    /// Answers whose marker contradicts the difficulty function. Unless this is close to zero,
+    /// the oracle cost is meaningless.
     pub n_mark_mismatches: u64,
 }
 
-/// What the engines did.
+/// Attempts recorded by engines.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Attempts {
-    /// Attempts recorded.
+    /// Attempts started.
     pub attempts: u64,
-    /// Requests that were attempted.
+    /// Requests with at least one attempt.
     pub requests: u64,
-    /// Attempts beyond the first of each request: retries and escalations.
+    /// Attempts after the first of each request: retries and escalations.
     pub again: u64,
     /// Attempts by version.
     pub by_version: BTreeMap<String, u64>,
     /// Attempts by outcome.
     pub by_outcome: BTreeMap<String, u64>,
-    /// Engines whose record is lost, so that the counts above are too low.
+    /// Engines whose record is lost, so the counts above are too low.
     pub unread: Vec<String>,
 }
 
 /// Answers by one version after an event.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Exposure {
-    /// The event.
+    /// Label of the event.
     pub event: String,
-    /// The version.
+    /// Version affected by the event.
     pub version: String,
-    /// Its answers to requests sent after the event.
+    /// Its answers to requests scheduled at or after the event.
     pub answers: u64,
-    /// Those marked bad.
+    /// Answers marked bad.
     pub bad: u64,
-    /// Attempts that engines began after the event, seen by callers or not.
+    /// Attempts that engines started after the event, whether or not callers saw the answer.
     pub attempts: u64,
-    /// Seconds from the event to the last such attempt.
+    /// Seconds from the event to the last of these attempts.
     pub last_attempt_seconds: f64,
     /// Seconds from the event to the end of the arrivals.
     pub remaining_seconds: f64,
 }
 
-/// One phase of the arrivals.
+/// Metrics of one arrival phase.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Phase {
-    /// Requests a second, as intended.
+    /// Scheduled requests per second.
     pub rate: f64,
-    /// How its requests ended.
+    /// Numbers of its requests by outcome.
     pub ends: Ends,
-    /// Time to answers.
+    /// Time to complete answers.
     pub whole: Summary,
     /// Time to refusals.
     pub refusal: Summary,
 }
 
-/// One client account.
+/// Metrics of one client account.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// How its requests ended.
+    /// Numbers of its requests by outcome.
     pub ends: Ends,
-    /// The share of good answers.
+    /// Share of good answers among those marked.
     pub good_share: f64,
-    /// Time to answers.
+    /// Time to complete answers.
     pub whole: Summary,
-    /// By the bill lines.
+    /// Cost according to the billing lines.
     pub billed: u64,
 }
 
 impl Report {
-    /// Computes the figures.
+    /// Computes the metrics.
     pub fn new(run: &Run<'_>) -> Self {
         let counted = counted(run);
         let seconds = run.scenario.duration().saturating_sub(run.scenario.warmup);
@@ -235,13 +235,13 @@
     }
 }
 
-/// The samples of requests after the warm-up.
+/// Samples of requests scheduled after the warm-up.
 fn counted<'a>(run: &Run<'a>) -> Vec<&'a Sample> {
     let warmup = run.scenario.warmup;
     run.samples.iter().filter(|it| warmup <= run.plan[it.index].at).collect()
 }
 
-/// A quotient, zero where there's nothing to divide by.
+/// Returns `part / whole`, or zero if `whole` is zero.
 ///
 /// ```
 /// use curranthook_load::report::ratio;
--- a/crates/curranthook_load/src/report/callers.rs
+++ b/crates/curranthook_load/src/report/callers.rs
@@ -1,4 +1,4 @@
-//! Figures of what callers saw.
+//! Metrics from the callers' samples.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -128,7 +128,7 @@
     versions.values().filter(|it| 1 < it.len()).count() as u64
 }
 
-/// The samples that ended with a whole answer.
+/// Samples that ended with a complete answer.
 pub(super) fn answers<'a>(
     samples: &[&'a Sample],
 ) -> impl Iterator<Item = (&'a Sample, &'a Answer)> {
--- a/crates/curranthook_load/src/report/cost.rs
+++ b/crates/curranthook_load/src/report/cost.rs
@@ -1,4 +1,4 @@
-//! Figures of money: bills, engines' records, and the oracle.
+//! Cost metrics from billing lines, engine records and the oracle.
 
 use std::collections::{HashMap, HashSet};
 
@@ -57,7 +57,7 @@
     figures
 }
 
-/// What the bill lines say of one account.
+/// Billed cost of one account.
 pub(super) fn billed_to(run: &Run<'_>, account: &str) -> u64 {
     let by_id = requests(run);
     let mut seen = HashSet::new();
@@ -66,14 +66,14 @@
     lines.filter(|it| seen.insert(it.request.as_str())).map(|it| it.cost.0).sum()
 }
 
-/// The requests that count, by id.
+/// Requests after the warm-up, by ID.
 fn requests<'a>(run: &Run<'a>) -> HashMap<&'a str, &'a plan::Request> {
     let warmup = run.scenario.warmup;
     let counted = run.plan.iter().filter(|it| warmup <= it.at);
     counted.map(|it| (it.id.as_str(), it)).collect()
 }
 
-/// Engines were paid for every attempt that gave tokens, whoever saw them.
+/// Cost of every attempt that produced tokens, whether or not a caller received them.
 fn engines_cost(run: &Run<'_>, truth: &Truth, by_id: &HashMap<&str, &plan::Request>) -> u64 {
     let attempts = run.evidence.records.iter().filter(|it| 0 < it.tokens);
     let cost = attempts.filter_map(|it| {
@@ -84,7 +84,7 @@
     cost.sum()
 }
 
-/// Adds the bill lines up; the ids of the requests that have one.
+/// Sums the billing lines into `cost` and returns the IDs of billed requests.
 fn bills<'a>(
     run: &Run<'a>,
     by_id: &HashMap<&str, &plan::Request>,
--- a/crates/curranthook_load/src/report/exposure.rs
+++ b/crates/curranthook_load/src/report/exposure.rs
@@ -1,4 +1,4 @@
-//! Figures of versions that should no longer be used, or not yet by many.
+//! Exposure to versions that have degraded, are being rolled out, or are withdrawn.
 
 use curranthook_types::version;
 
@@ -39,7 +39,7 @@
     })
 }
 
-/// The version to watch after an event, if there is one.
+/// The version to track after an event, with a label for the event, if there is one.
 fn watched<'a>(run: &Run<'_>, event: &'a Event) -> Option<(String, &'a version::Id)> {
     match &event.action {
         Action::Quality { version, quality } => {
--- a/crates/curranthook_load/src/scenario.rs
+++ b/crates/curranthook_load/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: a site, its versions as they really are, its callers, and what happens when.
+//! Scenario files: a site, the true behaviour of its versions, its callers, and timed events.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,89 +20,89 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, for tables.
+    /// Scenario name, used in tables.
     pub name: String,
-    /// The site's name.
+    /// Site ID.
     pub site: site::Id,
-    /// The site's failure domains; processes are dealt out to them in turn.
+    /// Failure domains of the site; processes are assigned to them round-robin.
     pub failure_domains: Vec<domain::Id>,
-    /// How many routers are started.
+    /// Number of routers.
     pub routers: usize,
-    /// How many stewards are started, each beside a router.
+    /// Number of stewards, each on the VM of a router.
     #[serde(default)]
     pub stewards: usize,
-    /// The published settings of the policy.
+    /// Published policy settings.
     #[serde(default)]
     pub policy: config::Policy,
-    /// The versions of models.
+    /// Model versions.
     pub versions: BTreeMap<version::Id, Version>,
-    /// The groups of model engines.
+    /// Groups of model engines.
     pub engines: Vec<Engines>,
-    /// The plain services.
+    /// Plain services.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// The rating service, if there is one.
+    /// Rating service, if any.
     #[serde(default)]
     pub rater: Option<Rater>,
-    /// The client accounts.
+    /// Client accounts.
     pub accounts: BTreeMap<account::Id, Account>,
-    /// The kinds of work.
+    /// Kinds of work.
     pub kinds: BTreeMap<kind::Id, Kind>,
-    /// Requests that arrive before this are sent but left out of the figures.
+    /// Requests that arrive within this time are sent but excluded from the metrics.
     #[serde(rename = "warmup_seconds", default)]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub warmup: Duration,
-    /// The arrivals.
+    /// Arrival phases.
     pub phases: Vec<Phase>,
-    /// Requests that are sent again and again with the same text.
+    /// Requests that are sent repeatedly with the same text.
     #[serde(default)]
     pub repeats: Vec<Repeat>,
-    /// What happens while requests arrive.
+    /// Timed events during the run.
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
-/// A version as it really is.
+/// True behaviour of a version.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// What it costs.
+    /// Price of the version.
     pub price: price::Rate,
-    /// The share of prompts that it answers well.
+    /// Share of prompts that it answers well.
     pub quality: f64,
-    /// The share that its makers claim; none for a version they say nothing of.
+    /// Quality claimed by the provider; absent if nothing is claimed.
     #[serde(default)]
     pub claimed: Option<f64>,
-    /// Milliseconds to the first token.
+    /// Time to first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Milliseconds between tokens.
+    /// Time between tokens, in milliseconds.
     pub token_ms: u64,
-    /// Tokens of an answer.
+    /// Tokens per answer.
     pub tokens: u64,
-    /// The share of requests that end in a server error.
+    /// Share of requests that end in a server error.
     #[serde(default)]
     pub error_rate: f64,
 }
 
-/// Model engines that are alike.
+/// A group of identical model engines.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
-    /// Their ids are this with `-1`, `-2` and so on.
+    /// ID prefix; engine IDs add `-1`, `-2` and so on.
     pub name: String,
-    /// How many there are.
+    /// Number of engines.
     pub count: usize,
-    /// What they serve.
+    /// Versions that they serve.
     pub versions: BTreeSet<version::Id>,
-    /// How many requests each runs at once.
+    /// Number of concurrent requests per engine.
     pub slots: usize,
-    /// How much longer a token takes for each other request in the batch, as a share.
+    /// Relative increase in time per token for each other request in the batch.
     #[serde(default = "default_batch_slowdown")]
     pub batch_slowdown: f64,
 }
 
 impl Engines {
-    /// The ids of the engines.
+    /// Engine IDs.
     pub fn ids(&self) -> impl Iterator<Item = String> {
         (1..=self.count).map(|n| format!("{}-{n}", self.name))
     }
@@ -112,27 +112,27 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name; the ids of its instances are this with `-1`, `-2` and so on.
+    /// Name and ID prefix; instance IDs add `-1`, `-2` and so on.
     pub name: String,
-    /// How many instances there are.
+    /// Number of instances.
     pub count: usize,
-    /// The price of a call.
+    /// Price per call.
     #[serde(default)]
     pub price: price::Micros,
 }
 
 impl Service {
-    /// The ids of the instances.
+    /// Instance IDs.
     pub fn ids(&self) -> impl Iterator<Item = String> {
         (1..=self.count).map(|n| format!("{}-{n}", self.name))
     }
 }
 
-/// The rating service.
+/// Rating service.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rater {
-    /// The share of its ratings that are wrong.
+    /// Share of ratings that are wrong.
     pub noise: f64,
 }
 
@@ -140,12 +140,12 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Its share of the arrivals, against the others.
+    /// Weight of the account in the distribution of arrivals.
     pub weight: f64,
-    /// The versions it may use; all of the site if left out.
+    /// Versions that it may use; all versions of the site if omitted.
     #[serde(default)]
     pub versions: BTreeSet<version::Id>,
-    /// How much it may ask for.
+    /// Usage limits of the account.
     #[serde(default)]
     pub limit: config::Limit,
     /// Whether its sessions may move when their version is withdrawn.
@@ -158,100 +158,100 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its share of the arrivals, against the others.
+    /// Weight of the kind in the distribution of arrivals.
     pub weight: f64,
-    /// The share of answers that must be good enough; unused for services.
+    /// Target share of good answers; unused for services.
     #[serde(default)]
     pub quality: f64,
-    /// The priority passed to engines, lowest first.
+    /// Priority passed to engines, lowest first.
     #[serde(default)]
     pub priority: i32,
-    /// The model asked for; `auto` leaves it to the router.
+    /// Model to request; `auto` lets the router choose.
     #[serde(default = "default_model")]
     pub model: String,
-    /// The plain service called in place of a model.
+    /// Plain service to call instead of a model.
     #[serde(default)]
     pub service: Option<String>,
-    /// What a call of the plain service does.
+    /// Type of call to the plain service.
     #[serde(default)]
     pub call: Call,
-    /// Whether the answer is streamed.
+    /// Whether to request a streamed response.
     #[serde(default)]
     pub stream: bool,
-    /// Words of a prompt.
+    /// Number of words in a prompt.
     #[serde(default = "default_words")]
     pub words: usize,
-    /// How many requests make up a session; without sessions if left out.
+    /// Number of requests per session; no sessions if omitted.
     #[serde(default)]
     pub session_length: Option<u64>,
-    /// How long a caller waits.
+    /// Deadline of a request.
     #[serde(rename = "deadline_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub deadline: Duration,
 }
 
-/// What a call of a plain service does.
+/// Type of call to a plain service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
-    /// It writes an entry, which must not happen twice.
+    /// Writes an entry; must not be executed twice.
     #[default]
     Write,
-    /// It reads, which may be repeated.
+    /// Reads; safe to repeat.
     Read,
 }
 
-/// A request that its caller sends again and again.
+/// A request that is sent repeatedly.
 #[serde_as]
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Repeat {
-    /// Who sends it.
+    /// Client account that sends it.
     pub account: account::Id,
     /// The kind of work.
     pub kind: kind::Id,
-    /// The prompt.
+    /// Prompt text.
     pub text: String,
-    /// When it's first sent.
+    /// Time of the first request.
     #[serde(rename = "at_seconds")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub at: Duration,
-    /// How often it's sent.
+    /// Number of times it is sent.
     pub times: u32,
-    /// The time between.
+    /// Interval between requests.
     #[serde(rename = "every_seconds")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub every: Duration,
 }
 
-/// Why a scenario can't be used.
+/// Reasons why a scenario can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
     #[error("can't read {path}: {why}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error from the operating system.
         why: std::io::Error,
     },
-    /// It isn't a scenario in YAML.
+    /// The file isn't valid YAML of a scenario.
     #[error("not a scenario: {0}")]
     Parse(#[from] serde_saphyr::Error),
-    /// It contradicts itself.
+    /// The scenario is inconsistent.
     #[error("the scenario doesn't hold together: {}", .0.join("; "))]
     Check(Vec<String>),
 }
 
 impl Scenario {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path)
             .map_err(|why| Error::Read { path: path.display().to_string(), why })?;
         Self::parse(&text)
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and validates the text of a file.
     ///
     /// ```
     /// use curranthook_load::scenario::Scenario;
@@ -263,18 +263,18 @@
         if faults.is_empty() { Ok(scenario) } else { Err(Error::Check(faults)) }
     }
 
-    /// How long requests arrive.
+    /// Total duration of the arrivals.
     pub fn duration(&self) -> Duration {
         self.phases.iter().map(|it| it.duration).sum()
     }
 
-    /// The versions that an account may use.
+    /// Versions that an account may use.
     pub fn allowed(&self, account: &account::Id) -> BTreeSet<version::Id> {
         let own = self.accounts.get(account).map(|it| it.versions.clone()).unwrap_or_default();
         if own.is_empty() { self.versions.keys().cloned().collect() } else { own }
     }
 
-    /// Each version's true quality over time.
+    /// True quality of each version over time.
     pub fn truth(&self) -> truth::Truth {
         let version = |(id, it): (&version::Id, &Version)| {
             let mut quality = vec![(Duration::ZERO, it.quality)];
--- a/crates/curranthook_load/src/scenario/check.rs
+++ b/crates/curranthook_load/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! What the file's form can't tell: names that point nowhere, shares out of range.
+//! Validation beyond the file format: references to unknown names, and values out of range.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -8,12 +8,12 @@
 
 use super::Scenario;
 
-/// The longest run, so that a slip in a file can't hold a machine for hours.
+/// Maximum duration of the arrivals, so that a typo in a file can't occupy a machine for hours.
 const MAX_DURATION: Duration = Duration::from_secs(300);
-/// The most arrivals of a run.
+/// Maximum number of arrivals in a run.
 const MAX_ARRIVALS: f64 = 200_000.0;
 
-/// Every fault of `scenario`, in words.
+/// Returns a message for each error in `scenario`.
 pub(super) fn faults(scenario: &Scenario) -> Vec<String> {
     let mut faults = Vec::new();
     sizes(scenario, &mut faults);
--- a/crates/curranthook_load/src/table.rs
+++ b/crates/curranthook_load/src/table.rs
@@ -1,4 +1,4 @@
-//! Reports side by side, as a table in Markdown.
+//! Comparison of reports, as a table in Markdown.
 
 use std::{collections::BTreeMap, fmt::Write as _};
 
@@ -6,7 +6,7 @@
 
 mod details;
 
-/// The reports of one scenario and policy, one a seed.
+/// Reports of one scenario and policy, one per seed.
 #[derive(Debug)]
 pub struct Group<'a> {
     /// The scenario.
@@ -17,7 +17,7 @@
     pub reports: Vec<&'a Report>,
 }
 
-/// The mean of several seeds, and the least and the greatest.
+/// Mean, minimum and maximum over several seeds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
     /// The mean.
@@ -29,7 +29,7 @@
 }
 
 impl Spread {
-    /// The spread of `values`; all zero for none.
+    /// Computes the spread of `values`; all zero if empty.
     ///
     /// ```
     /// use curranthook_load::table::Spread;
@@ -58,14 +58,14 @@
 }
 
 impl Group<'_> {
-    /// The spread of one figure over the seeds.
+    /// The spread of one metric over the seeds.
     pub fn spread(&self, figure: impl Fn(&Report) -> f64) -> Spread {
         let values: Vec<f64> = self.reports.iter().map(|it| figure(it)).collect();
         Spread::new(&values)
     }
 }
 
-/// Groups reports by scenario and policy, in order of their names.
+/// Groups reports by scenario and policy, sorted by name.
 pub fn groups(reports: &[Report]) -> Vec<Group<'_>> {
     let mut groups: BTreeMap<(&str, &str), Vec<&Report>> = BTreeMap::new();
     for report in reports {
@@ -75,10 +75,10 @@
     groups.into_iter().map(group).collect()
 }
 
-/// A figure of a report.
+/// Extracts a metric from a report.
 pub type Figure = fn(&Report) -> f64;
 
-/// The columns of the table.
+/// Columns of the main table.
 const COLUMNS: [(&str, Figure); 18] = [
     ("requests", |it| it.ends.requests as f64),
     ("cost an answer (engines)", |it| it.cost.per_answer),
@@ -100,21 +100,21 @@
     ("engine records lost", |it| it.engines.unread.len() as f64),
 ];
 
-/// The share of good answers, all kinds of work together.
+/// Share of good answers, over all kinds of work.
 pub fn good_share(report: &Report) -> f64 {
     let good: u64 = report.quality.values().map(|it| it.good).sum();
     let marked: u64 = report.quality.values().map(|it| it.marked).sum();
     ratio(good as f64, marked as f64)
 }
 
-/// How far the worst kind of work is above its target.
+/// Smallest difference between quality and target over all kinds of work.
 pub fn margin(report: &Report) -> f64 {
     let margins = report.quality.values().map(|it| it.share - it.target);
     margins.reduce(f64::min).unwrap_or(0.0)
 }
 
-/// A table in Markdown: a row for each scenario and policy; with several seeds the mean, and
-/// the least and greatest in brackets.
+/// Formats a Markdown table with a row per scenario and policy; with several seeds, cells show
+/// the mean, with the minimum and maximum in brackets.
 ///
 /// ```
 /// assert!(curranthook_load::table::markdown(&[]).starts_with("| scenario | policy |"));
@@ -148,7 +148,7 @@
     text.push('\n');
 }
 
-/// The mean cost of an answer against that of the policy `best`, if it was run.
+/// Mean cost per answer relative to that of the policy `best`, if it was run.
 fn against_best(group: &Group<'_>, all: &[Group<'_>]) -> String {
     const BEST: &str = "best";
     let best = all.iter().find(|it| it.scenario == group.scenario && it.policy == BEST);
--- a/crates/curranthook_load/src/table/details.rs
+++ b/crates/curranthook_load/src/table/details.rs
@@ -1,11 +1,11 @@
-//! The tables below the main one: kinds of work, phases, and versions to watch.
+//! Tables after the main one: kinds of work, phases, exposure and retries.
 
 use std::{collections::BTreeSet, fmt::Display};
 
 use super::{Group, Spread, push};
 use crate::report::{Exposure, Phase, Quality, ratio};
 
-/// Whether each kind of work reached its quality.
+/// Target and achieved quality of each kind of work.
 pub(super) fn qualities(text: &mut String, groups: &[Group<'_>]) {
     head(text, &["scenario", "policy", "kind", "target", "good share"]);
     for group in groups {
@@ -18,7 +18,7 @@
     }
 }
 
-/// How each phase went, for scenarios with more than one.
+/// Metrics per phase, for scenarios with more than one.
 pub(super) fn phases(text: &mut String, groups: &[Group<'_>]) {
     let many = |it: &&Group<'_>| it.reports.iter().any(|it| 1 < it.phases.len());
     let groups: Vec<&Group<'_>> = groups.iter().filter(many).collect();
@@ -50,7 +50,7 @@
     }
 }
 
-/// Answers by versions that had turned bad, were being tried, or were withdrawn.
+/// Answers by versions that had degraded, were being rolled out, or were withdrawn.
 pub(super) fn exposures(text: &mut String, groups: &[Group<'_>]) {
     if groups.iter().flat_map(|it| &it.reports).all(|it| it.exposure.is_empty()) {
         return;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Retries by reason, as the routers count them.
+/// Retries by reason, as counted by the routers.
 pub(super) fn retries(text: &mut String, groups: &[Group<'_>]) {
     const PREFIX: &str = "retry.";
     let all = groups.iter().flat_map(|it| &it.reports).flat_map(|it| it.counters.keys());
--- a/crates/curranthook_load/src/timing.rs
+++ b/crates/curranthook_load/src/timing.rs
@@ -1,16 +1,16 @@
-//! Latencies, collected in HDR histograms.
+//! Latency recording in HDR histograms.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// The longest latency that is told apart, in microseconds: an hour.
+/// Maximum recorded latency in microseconds (one hour); longer ones are recorded as this value.
 const MAX_MICROS: u64 = 3_600_000_000;
-/// Significant decimal digits.
+/// Precision of the histogram, in significant decimal digits.
 const DIGITS: u8 = 3;
 
-/// Latencies of one kind.
+/// Histogram of latencies of one kind.
 #[derive(Debug, Clone)]
 pub struct Recorder(Histogram<u64>);
 
@@ -21,18 +21,18 @@
 }
 
 impl Recorder {
-    /// Adds a latency.
+    /// Records a latency.
     pub fn record(&mut self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_MICROS);
         self.0.saturating_record(micros);
     }
 
-    /// Adds the latencies of another.
+    /// Adds the latencies of another recorder.
     pub fn merge(&mut self, other: &Self) {
         self.0.add(&other.0).expect("both have the same bounds");
     }
 
-    /// The figures for a report.
+    /// Returns the percentiles for a report.
     ///
     /// ```
     /// use curranthook_load::timing::Recorder;
@@ -63,7 +63,7 @@
 /// Percentiles in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// How many latencies.
+    /// Number of latencies.
     pub n: u64,
     /// The median.
     #[serde(rename = "p50_ms")]
@@ -74,7 +74,7 @@
     /// The 99th percentile.
     #[serde(rename = "p99_ms")]
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     #[serde(rename = "max_ms")]
     pub max: f64,
 }
--- a/crates/curranthook_load/src/truth.rs
+++ b/crates/curranthook_load/src/truth.rs
@@ -1,43 +1,43 @@
-//! What the scenario knows and the router doesn't: each version's true quality over time.
+//! Ground truth known to the scenario but not to the router: true quality of versions over time.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use curranthook_types::{price, version};
 
-/// How difficult a prompt is, from 0 to 1: a version answers it well if its quality is higher.
-/// The oracle has to know what the stand-in engines will do, so their function is used.
+/// Difficulty of a prompt, from 0 to 1; a version answers it well if its quality is higher.
+/// The oracle has to predict the stand-in engines, so it uses their function.
 pub use curranthook_standin::engine::answer::difficulty;
 
-/// One version as it really is.
+/// True behaviour of one version.
 #[derive(Debug, Clone)]
 pub struct Version {
-    /// What it costs.
+    /// Price of the version.
     pub price: price::Rate,
-    /// The tokens of its answers.
+    /// Tokens per answer.
     pub tokens: u64,
-    /// Its quality from each time on, the first from zero.
+    /// Quality from each start time on; the first entry starts at zero.
     pub quality: Vec<(Duration, f64)>,
 }
 
 impl Version {
-    /// The quality in force at `at`.
+    /// The quality in force at time `at`.
     pub fn quality_at(&self, at: Duration) -> f64 {
         let begun = self.quality.iter().take_while(|(since, _)| *since <= at);
         begun.last().map_or(0.0, |(_, quality)| *quality)
     }
 }
 
-/// All versions as they really are.
+/// True behaviour of all versions.
 #[derive(Debug, Clone, Default)]
 pub struct Truth {
-    /// The versions, by id.
+    /// Versions by ID.
     pub versions: BTreeMap<version::Id, Version>,
 }
 
 impl Truth {
-    /// What the answer costs one who knows beforehand which version will do: the cheapest of
-    /// `allowed` that is good enough for the prompt. Where none is, the cheapest of all, as
-    /// money can't buy a good answer then.
+    /// Cost of an answer with advance knowledge of which version suffices: the cheapest of
+    /// `allowed` that is good enough for the prompt. If none is, the cheapest of all, since
+    /// no version can give a good answer at any price.
     pub fn oracle<'a>(
         &self,
         allowed: impl Iterator<Item = &'a version::Id>,
--- a/crates/curranthook_load/tests/caller.rs
+++ b/crates/curranthook_load/tests/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller makes of the answers of a small server in the same process.
+//! How the load client interprets the responses of a small in-process server.
 
 use std::{
     io::{Read as _, Write as _},
@@ -18,15 +18,15 @@
 use curranthook_types::{clock, refusal};
 use yare::parameterized;
 
-/// A server of one connection that gives each call the same answer after `delay`, with the
-/// call's id in place of `ID`. Its threads end with the connection.
+/// Starts a server that accepts one connection and returns the same response after `delay`, with
+/// the request ID in place of `ID`. Its thread ends with the connection.
 fn serve(answer: Canned, delay: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut buf = [0; 4096];
-        // Each call fits one read.
+        // Each request fits in one read.
         while let Ok(n @ 1..) = stream.read(&mut buf) {
             let head = String::from_utf8_lossy(&buf[..n]).into_owned();
             let id = head.lines().find_map(|it| it.strip_prefix("x-request-id: "));
@@ -119,8 +119,8 @@
     );
 }
 
-/// A router that gives a stream up after it began can't change the status any more; it tells the
-/// reason in the last event. Counted as cut off, such requests would hide that they were refused.
+/// A router that aborts a stream after the response head can't change the status; it sends the
+/// reason in the last event. Counting such requests as cut off would hide that they were refused.
 #[test]
 fn refusal_within_a_stream_is_a_refusal() {
     let refused = refusal::Refusal::unknown(refusal::Reason::Deadline, "too late").body();
@@ -153,9 +153,9 @@
     assert!(LATE <= answer.first_token.unwrap(), "the time before sending counts");
 }
 
-/// A server answers only every 50 ms on the one connection there is, but calls are meant to go
-/// out every 10 ms. A tool that counted from the moment of sending would report 50 ms and hide
-/// that callers wait longer and longer. Counted from the intended time, the last waits longest.
+/// The server responds every 50 ms on a single connection, but calls are scheduled every 10 ms.
+/// Latency measured from the actual send time would be 50 ms and hide that callers wait longer and
+/// longer. Measured from the scheduled time, the last call has the highest latency.
 #[test]
 fn slow_server_does_not_move_later_arrivals() {
     const DELAY: Duration = Duration::from_millis(50);
--- a/crates/curranthook_load/tests/process.rs
+++ b/crates/curranthook_load/tests/process.rs
@@ -1,4 +1,4 @@
-//! Programs that a run starts never outlive it, whatever they do.
+//! Programs started by a run are always stopped, whatever they do.
 
 use std::{path::Path, time::Instant};
 
@@ -9,7 +9,7 @@
 
 fn start(script: &str) -> Result<(Process, tempfile::TempDir), Error> {
     let dir = tempfile::tempdir().unwrap();
-    // The shell's own id is in the log, so that a test can look for the process afterwards.
+    // The shell writes its process ID to the log, so that a test can check later whether it runs.
     let script = format!("echo $$ >&2; {script}");
     let process = Process::start(Path::new("/bin/sh"), &["-c".to_owned(), script], "p", dir.path());
     process.map(|it| (it, dir))
@@ -29,8 +29,8 @@
     assert!(!is_running(&dir));
 }
 
-/// A program that ignores the request to finish would hold its port and a core for good, and the
-/// next run would be measured beside it.
+/// A program that ignores SIGTERM would keep its port and a CPU core, and distort the measurements
+/// of the next run.
 #[test]
 fn program_that_ignores_the_request_is_ended() {
     let script = format!("trap '' TERM; {READY}; while :; do sleep 0.1; done");
--- a/crates/curranthook_load/tests/report.rs
+++ b/crates/curranthook_load/tests/report.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of reports, on a run made by hand.
+//! Calculations of reports, on a small synthetic run.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 events: [{at_seconds: 2, do: quality, version: m@1, quality: 0}]
 ";
 
-/// Four words each. The first two are easy enough for `m@1`, the third is not.
+/// Prompts of four words each. The first two are easy enough for `m@1`, the third is not.
 fn texts() -> [String; 3] {
     let text = |is_hard: bool, from: u32| {
         let mut texts = (from..).map(|n| format!("how much did{n} weigh"));
@@ -157,11 +157,11 @@
 #[test]
 fn cost_counts_every_attempt_and_each_bill_once() {
     let cost = report().cost;
-    // m@1: 4 words at 1 and 10 tokens at 10; m@2 twice that.
+    // Cost on m@1: 4 prompt tokens at 1 and 10 completion tokens at 10; on m@2 twice that.
     assert_eq!(cost.engines, 3 * 104 + 208);
     assert_eq!((cost.billed, cost.n_billed), (208, 2));
     assert_eq!((cost.n_repeated_lines, cost.n_unbilled), (1, 1));
-    // m@1 does for r1; it has turned bad by r2 and was never good enough for r3.
+    // m@1 suffices for r1; its quality has dropped by r2, and r3 was always too hard for it.
     assert_eq!(cost.oracle, 104 + 208 + 208);
     assert_eq!(cost.against_oracle, 1.0);
     assert_eq!(cost.n_mark_mismatches, 0);
@@ -232,7 +232,7 @@
 fn percentiles(percent: u32, millis: f64) {
     let summary = (1..=1_000).map(Duration::from_millis).collect::<Recorder>().summary();
     let measured = if percent == 50 { summary.p50 } else { summary.p99 };
-    // Three significant digits.
+    // The histogram keeps three significant digits.
     assert!((measured - millis).abs() <= millis / 1_000.0 + 0.5, "{measured}");
     assert_eq!(summary.n, 1_000);
 }
--- a/crates/curranthook_load/tests/scenarios.rs
+++ b/crates/curranthook_load/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario that is shipped can be run, and slips in one are found before a run.
+//! All scenarios in the repository are valid, and errors in a scenario are found before a run.
 
 use std::path::Path;
 
--- a/crates/curranthook_load/tests/schedule.rs
+++ b/crates/curranthook_load/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule is fixed by its seed, and nothing that a server does moves it.
+//! The schedule depends only on its seed, not on the server.
 
 use std::time::Duration;
 
--- a/crates/curranthook_load/tests/sse.rs
+++ b/crates/curranthook_load/tests/sse.rs
@@ -1,4 +1,4 @@
-//! Events are the same wherever the network cuts the stream.
+//! Parsed events don't depend on chunk boundaries.
 
 use curranthook_load::sse::Reader;
 use proptest::prelude::*;
