--- a/crates/curranthook_load/src/client.rs
+++ b/crates/curranthook_load/src/client.rs
@@ -23,7 +23,7 @@
 };
 
 /// Maximum size of a response body, in bytes.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A request with its destination, scheduled time and timeout.
 #[derive(Debug)]
@@ -74,11 +74,11 @@
             }
         };
         let outcome = if !head.status.is_success() {
-            refusal(incoming).await?
+            read_refusal(incoming).await?
         } else if is_stream(&head) {
-            stream(&head, incoming, call.intended, call.expected_id.as_deref()).await?
+            read_stream(&head, incoming, call.intended, call.expected_id.as_deref()).await?
         } else {
-            Outcome::Answered(whole(&head, incoming, call.expected_id.as_deref()).await?)
+            Outcome::Answered(read_answer(&head, incoming, call.expected_id.as_deref()).await?)
         };
         self.pool.put(conn);
         Ok(outcome)
@@ -92,31 +92,31 @@
 }
 
 fn is_stream(head: &http::response::Parts) -> bool {
-    text(head, "content-type").is_some_and(|it| it.starts_with("text/event-stream"))
+    header_value(head, "content-type").is_some_and(|it| it.starts_with("text/event-stream"))
 }
 
-fn text<'a>(head: &'a http::response::Parts, name: &str) -> Option<&'a str> {
+fn header_value<'a>(head: &'a http::response::Parts, name: &str) -> Option<&'a str> {
     head.headers.get(name)?.to_str().ok()
 }
 
 /// Body of a refusal, and of the last event of a stream that the router aborted.
 #[derive(Debug, Deserialize)]
-struct Body {
+struct RefusalBody {
     error: Refusal,
 }
 
-async fn refusal(incoming: Incoming) -> Result<Outcome, Failure> {
-    let bytes = body::read(incoming, MAX_ANSWER).await.map_err(|_| Failure::CutOff)?;
-    let body: Body = serde_json::from_slice(&bytes).map_err(|_| Failure::UntypedError)?;
+async fn read_refusal(incoming: Incoming) -> Result<Outcome, Failure> {
+    let bytes = body::read(incoming, MAX_RESPONSE_BYTES).await.map_err(|_| Failure::CutOff)?;
+    let body: RefusalBody = serde_json::from_slice(&bytes).map_err(|_| Failure::UntypedError)?;
     Ok(Outcome::Refused(body.error.code, body.error.not_run))
 }
 
-async fn whole(
+async fn read_answer(
     head: &http::response::Parts,
     incoming: Incoming,
     expected_id: Option<&str>,
 ) -> Result<Answer, Failure> {
-    let bytes = body::read(incoming, MAX_ANSWER).await.map_err(|_| Failure::CutOff)?;
+    let bytes = body::read(incoming, MAX_RESPONSE_BYTES).await.map_err(|_| Failure::CutOff)?;
     let Some(expected_id) = expected_id else {
         // A plain service has its own response format.
         return Ok(Answer::default());
@@ -125,27 +125,27 @@
     check_id(&answer, expected_id)?;
     let message = answer.choices.first().and_then(|it| it.message.as_ref());
     Ok(Answer {
-        version: Some(version(head, &answer)),
+        version: Some(served_version(head, &answer)),
         mark: message.and_then(|it| Mark::parse(&it.content)),
-        session_token: text(head, header::SESSION_TOKEN).map(str::to_owned),
+        session_token: header_value(head, header::SESSION_TOKEN).map(str::to_owned),
         ..Answer::default()
     })
 }
 
-async fn stream(
+async fn read_stream(
     head: &http::response::Parts,
     mut incoming: Incoming,
     intended: Instant,
     expected_id: Option<&str>,
 ) -> Result<Outcome, Failure> {
     let mut reader = sse::Reader::default();
-    let mut state = Streamed::default();
+    let mut state = StreamState::default();
     while let Some(frame) = incoming.frame().await {
         let frame = frame.map_err(|_| Failure::CutOff)?;
         let Ok(chunk) = frame.into_data() else { continue };
         let now = Instant::now();
         for data in reader.push(&chunk) {
-            state.event(&data, now, intended, head, expected_id)?;
+            state.handle_event(&data, now, intended, head, expected_id)?;
         }
     }
     if let Some(refusal) = state.refusal {
@@ -155,12 +155,12 @@
         return Err(Failure::CutOff);
     }
     state.answer.mark = Mark::parse(&state.text);
-    state.answer.session_token = text(head, header::SESSION_TOKEN).map(str::to_owned);
+    state.answer.session_token = header_value(head, header::SESSION_TOKEN).map(str::to_owned);
     Ok(Outcome::Answered(state.answer))
 }
 
 #[derive(Debug, Default)]
-struct Streamed {
+struct StreamState {
     answer: Answer,
     text: String,
     last: Option<Instant>,
@@ -168,8 +168,8 @@
     refusal: Option<Refusal>,
 }
 
-impl Streamed {
-    fn event(
+impl StreamState {
+    fn handle_event(
         &mut self,
         data: &str,
         now: Instant,
@@ -181,7 +181,7 @@
             self.ended = true;
             return Ok(());
         }
-        if let Ok(body) = serde_json::from_str::<Body>(data) {
+        if let Ok(body) = serde_json::from_str::<RefusalBody>(data) {
             self.refusal = Some(body.error);
             return Ok(());
         }
@@ -189,7 +189,7 @@
         if let Some(expected_id) = expected_id {
             check_id(&event, expected_id)?;
         }
-        self.answer.version.get_or_insert_with(|| version(head, &event));
+        self.answer.version.get_or_insert_with(|| served_version(head, &event));
         let Some(delta) = event.choices.first().and_then(|it| it.delta.as_ref()) else {
             return Ok(());
         };
@@ -205,8 +205,8 @@
     }
 }
 
-fn version(head: &http::response::Parts, answer: &chat::Answer) -> version::Id {
-    version::Id::new(text(head, header::VERSION).unwrap_or(&answer.model))
+fn served_version(head: &http::response::Parts, answer: &chat::Answer) -> version::Id {
+    version::Id::new(header_value(head, header::VERSION).unwrap_or(&answer.model))
 }
 
 /// Checks the ID in the response: an intermediary can deliver a response to the wrong caller.
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -92,7 +92,7 @@
     /// Directory of the programs; defaults to the directory of this executable.
     #[arg(long)]
     bin_dir: Option<PathBuf>,
-    /// Directory for logs and settings files; by default a temporary directory, deleted after the run.
+    /// Directory for logs and settings files; defaults to one that is deleted after the run.
     #[arg(long)]
     work_dir: Option<PathBuf>,
 }
--- a/crates/curranthook_load/src/plan.rs
+++ b/crates/curranthook_load/src/plan.rs
@@ -26,7 +26,7 @@
     "query",
     "dossier",
 ];
-/// Stream number that separates the random numbers of prompts from those of arrival times.
+/// Value XORed into the seed, so that prompts and arrival times use different random numbers.
 const PROMPT_STREAM: u64 = 0x70_72_6f_6d_70_74;
 
 /// A planned request.
