--- a/crates/curranthook_capacity/src/measure/data.rs
+++ b/crates/curranthook_capacity/src/measure/data.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use curranthook_load::{
-    direct::{self, Load, Pace, Question},
+    direct::{self, Load, Mode, Question},
     fleet::process::Process,
     streams,
 };
@@ -218,7 +218,7 @@
     fn load(&self, target: SocketAddr, model: &str, rate: f64, duration: Duration) -> Load {
         Load {
             target,
-            pace: Pace::Open(rate),
+            mode: Mode::Open(rate),
             duration,
             n_connections: N_CONNECTIONS,
             question: question(model),
--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -29,7 +29,7 @@
 
 /// When calls are sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Pace {
+pub enum Mode {
     /// Open loop: at this rate per second, regardless of responses.
     Open(f64),
     /// Closed loop: as soon as a connection is free.
@@ -42,7 +42,7 @@
     /// Address that receives the calls.
     pub target: SocketAddr,
     /// When calls are sent.
-    pub pace: Pace,
+    pub mode: Mode,
     /// Duration of the run.
     pub duration: Duration,
     /// Number of connections.
@@ -123,14 +123,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use curranthook_load::direct::{Load, Pace, Question};
+    /// use curranthook_load::direct::{Load, Mode, Question};
     /// # let question = Question {
     /// #     key: "key-a".into(), model: "auto".into(), kind: "summary".into(),
     /// #     text: "How much?".into(), stream: false,
     /// # };
     /// let load = Load {
     ///     target: "127.0.0.1:8080".parse().unwrap(),
-    ///     pace: Pace::Open(100.0),
+    ///     mode: Mode::Open(100.0),
     ///     duration: Duration::from_secs(1),
     ///     n_connections: 8,
     ///     question,
@@ -139,7 +139,7 @@
     /// assert_eq!(load.arrivals(), load.arrivals());
     /// ```
     pub fn arrivals(&self) -> Vec<schedule::Arrival> {
-        let Pace::Open(rate) = self.pace else { return Vec::new() };
+        let Mode::Open(rate) = self.mode else { return Vec::new() };
         let phase = Phase { duration: self.duration, rate, spacing: Spacing::Poisson };
         schedule::arrivals(&[phase], self.seed)
     }
@@ -192,9 +192,9 @@
 
     fn next_call(&self) -> Option<(usize, Instant)> {
         let index = self.next.fetch_add(1, Ordering::Relaxed);
-        let intended = match self.load.pace {
-            Pace::Open(_) => self.start + self.times.get(index)?.at,
-            Pace::Closed => Instant::now(),
+        let intended = match self.load.mode {
+            Mode::Open(_) => self.start + self.times.get(index)?.at,
+            Mode::Closed => Instant::now(),
         };
         let is_over = self.start + self.load.duration <= intended || MAX_CALLS <= index;
         (!is_over).then_some((index, intended))
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -246,10 +246,10 @@
 }
 
 fn run_direct(threads: usize, args: &DirectArgs) -> anyhow::Result<()> {
-    let pace = if args.closed { direct::Pace::Closed } else { direct::Pace::Open(args.rate) };
+    let mode = if args.closed { direct::Mode::Closed } else { direct::Mode::Open(args.rate) };
     let load = direct::Load {
         target: args.target,
-        pace,
+        mode,
         duration: Duration::try_from_secs_f64(args.seconds)?,
         n_connections: args.connections,
         question: direct::Question { stream: args.stream, ..question(&args.question) },
--- a/crates/curranthook_load/tests/caller.rs
+++ b/crates/curranthook_load/tests/caller.rs
@@ -12,7 +12,7 @@
 use curranthook_http::{client::Pool, runtime};
 use curranthook_load::{
     client::{Call, Client},
-    direct::{self, Load, Pace, Question},
+    direct::{self, Load, Mode, Question},
     sample::{Failure, Mark, Outcome},
 };
 use curranthook_types::{clock, refusal};
@@ -181,5 +181,5 @@
         stream: false,
     };
     let duration = Duration::from_millis(500);
-    Load { target, pace: Pace::Open(100.0), duration, n_connections: 1, question, seed: 1 }
+    Load { target, mode: Mode::Open(100.0), duration, n_connections: 1, question, seed: 1 }
 }
