--- a/crates/curranthook_capacity/src/measure/data.rs
+++ b/crates/curranthook_capacity/src/measure/data.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use curranthook_load::{
-    direct::{self, Load, Mode, Question},
+    direct::{self, Load, Mode, Template},
     fleet::process::Process,
     streams,
 };
@@ -148,7 +148,7 @@
             n_streams,
             rate: 500.0,
             hold: Duration::from_secs(2),
-            question: question(OPEN),
+            template: request_template(OPEN),
             pid: Some(pid),
         };
         let it = streams::run(&site.bench.ex, load).await;
@@ -221,7 +221,7 @@
             mode: Mode::Open(rate),
             duration,
             n_connections: N_CONNECTIONS,
-            question: question(model),
+            template: request_template(model),
             seed: 1,
         }
     }
@@ -232,8 +232,8 @@
     }
 }
 
-fn question(model: &str) -> Question {
-    Question {
+fn request_template(model: &str) -> Template {
+    Template {
         key: document::key("account-0"),
         model: model.to_owned(),
         kind: "summary".to_owned(),
--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -48,14 +48,14 @@
     /// Number of connections.
     pub n_connections: usize,
     /// Content of each call.
-    pub question: Question,
+    pub template: Template,
     /// Seed of the arrival times.
     pub seed: u64,
 }
 
 /// Content of each call.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct Template {
     /// The API key.
     pub key: String,
     /// The model or version.
@@ -123,8 +123,8 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use curranthook_load::direct::{Load, Mode, Question};
-    /// # let question = Question {
+    /// use curranthook_load::direct::{Load, Mode, Template};
+    /// # let template = Template {
     /// #     key: "key-a".into(), model: "auto".into(), kind: "summary".into(),
     /// #     text: "How much?".into(), stream: false,
     /// # };
@@ -133,7 +133,7 @@
     ///     mode: Mode::Open(100.0),
     ///     duration: Duration::from_secs(1),
     ///     n_connections: 8,
-    ///     question,
+    ///     template,
     ///     seed: 1,
     /// };
     /// assert_eq!(load.arrivals(), load.arrivals());
@@ -145,7 +145,7 @@
     }
 }
 
-impl Question {
+impl Template {
     /// Builds the request with ID `id`, addressed to `target`.
     pub fn request(&self, target: SocketAddr, id: &str, body: Bytes) -> http::Request<Bytes> {
         http::Request::post("/v1/chat/completions")
@@ -174,7 +174,7 @@
 impl Shared {
     fn new(load: Load) -> Self {
         let times = load.arrivals();
-        let body = load.question.body();
+        let body = load.template.body();
         Self { load, body, times, next: AtomicUsize::new(0), start: Instant::now() }
     }
 
@@ -205,7 +205,7 @@
         let target = self.load.target;
         Call {
             addr: target,
-            req: self.load.question.request(target, &id, self.body.clone()),
+            req: self.load.template.request(target, &id, self.body.clone()),
             expected_id: Some(id),
             intended,
             limit: CALL_LIMIT,
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -119,7 +119,7 @@
 }
 
 #[derive(Debug, Args)]
-struct QuestionArgs {
+struct TemplateArgs {
     /// API key.
     #[arg(long, default_value = "key-load")]
     key: String,
@@ -158,7 +158,7 @@
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
-    question: QuestionArgs,
+    template: TemplateArgs,
 }
 
 #[derive(Debug, Args)]
@@ -179,7 +179,7 @@
     #[arg(long)]
     pid: Option<u32>,
     #[command(flatten)]
-    question: QuestionArgs,
+    template: TemplateArgs,
 }
 
 fn main() -> anyhow::Result<()> {
@@ -252,7 +252,7 @@
         mode,
         duration: Duration::try_from_secs_f64(args.seconds)?,
         n_connections: args.connections,
-        question: direct::Question { stream: args.stream, ..question(&args.question) },
+        template: direct::Template { stream: args.stream, ..template(&args.template) },
         seed: args.seed,
     };
     let outcomes = runtime::run(threads, |ex| async move { direct::run(&ex, load).await });
@@ -266,7 +266,7 @@
         n_streams: args.open,
         rate: args.rate,
         hold: Duration::try_from_secs_f64(args.hold_seconds)?,
-        question: question(&args.question),
+        template: template(&args.template),
         pid: args.pid,
     };
     let outcomes = runtime::run(threads, |ex| async move { streams::run(&ex, load).await });
@@ -274,8 +274,8 @@
     Ok(())
 }
 
-fn question(args: &QuestionArgs) -> direct::Question {
-    direct::Question {
+fn template(args: &TemplateArgs) -> direct::Template {
+    direct::Template {
         key: args.key.clone(),
         model: args.model.clone(),
         kind: args.kind.clone(),
--- a/crates/curranthook_load/src/streams.rs
+++ b/crates/curranthook_load/src/streams.rs
@@ -21,7 +21,7 @@
 use serde::Serialize;
 
 use crate::{
-    direct::Question,
+    direct::Template,
     sse,
     timing::{Recorder, Summary},
 };
@@ -41,7 +41,7 @@
     /// Time to keep streams open after all have begun.
     pub hold: Duration,
     /// Content of each request.
-    pub question: Question,
+    pub template: Template,
     /// Process whose memory is measured while all streams are open.
     pub pid: Option<u32>,
 }
@@ -78,12 +78,12 @@
     let counts = Arc::new(Counts::default());
     let (tx, rx) = async_channel::unbounded();
     let start = Instant::now();
-    let body = load.question.body();
+    let body = load.template.body();
     let mut streams = Vec::with_capacity(load.n_streams);
     for index in 0..load.n_streams {
         Timer::at(start + Duration::from_secs_f64(index as f64 / load.rate)).await;
         let id = format!("stream-{index}");
-        let req = load.question.request(load.target, &id, body.clone());
+        let req = load.template.request(load.target, &id, body.clone());
         let (pool, counts, tx) = (Arc::clone(&pool), Arc::clone(&counts), tx.clone());
         let target = load.target;
         streams.push(ex.spawn(async move {
--- a/crates/curranthook_load/tests/caller.rs
+++ b/crates/curranthook_load/tests/caller.rs
@@ -12,7 +12,7 @@
 use curranthook_http::{client::Pool, runtime};
 use curranthook_load::{
     client::{Call, Client},
-    direct::{self, Load, Mode, Question},
+    direct::{self, Load, Mode, Template},
     sample::{Failure, Mark, Outcome},
 };
 use curranthook_types::{clock, refusal};
@@ -173,7 +173,7 @@
 }
 
 fn load(target: SocketAddr) -> Load {
-    let question = Question {
+    let template = Template {
         key: "key-test".to_owned(),
         model: "auto".to_owned(),
         kind: "summary".to_owned(),
@@ -181,5 +181,5 @@
         stream: false,
     };
     let duration = Duration::from_millis(500);
-    Load { target, mode: Mode::Open(100.0), duration, n_connections: 1, question, seed: 1 }
+    Load { target, mode: Mode::Open(100.0), duration, n_connections: 1, template, seed: 1 }
 }
