--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -31,7 +31,7 @@
 
 /// Addresses that callers send their requests to.
 #[derive(Debug, Clone, Default)]
-pub struct Entry {
+pub struct Ingress {
     /// Addresses for model requests, used round-robin.
     pub models: Vec<SocketAddr>,
     /// Addresses for plain services, used round-robin, by service.
@@ -45,7 +45,7 @@
 pub struct Callers {
     scenario: Arc<Scenario>,
     client: Client,
-    entry: Entry,
+    ingress: Ingress,
     session_tokens: Mutex<HashMap<String, String>>,
     n_outstanding: AtomicUsize,
 }
@@ -53,11 +53,11 @@
 impl Callers {
     /// Creates callers that distribute their requests over the given addresses, as the platform's
     /// load balancer does.
-    pub fn new(scenario: Arc<Scenario>, client: Client, entry: Entry) -> Self {
+    pub fn new(scenario: Arc<Scenario>, client: Client, ingress: Ingress) -> Self {
         Self {
             scenario,
             client,
-            entry,
+            ingress,
             session_tokens: Mutex::default(),
             n_outstanding: AtomicUsize::new(0),
         }
@@ -117,7 +117,7 @@
 
     fn call(&self, index: usize, request: &plan::Request, intended: Instant) -> Call {
         let kind = &self.scenario.kinds[&request.kind];
-        let addr = self.entry.addr(index, kind);
+        let addr = self.ingress.addr(index, kind);
         Call {
             addr,
             req: self.http(addr, request, kind),
@@ -150,7 +150,7 @@
     }
 
     fn body(&self, request: &plan::Request, kind: &Kind) -> Bytes {
-        let json = match (&kind.service, &self.entry.version) {
+        let json = match (&kind.service, &self.ingress.version) {
             (Some(_), _) if kind.call == scenario::Call::Read => return Bytes::new(),
             (Some(_), _) => serde_json::to_vec(&serde_json::json!({"entry": request.text})),
             (None, None) => serde_json::to_vec(&request.chat(kind, &kind.model)),
@@ -169,7 +169,7 @@
     }
 }
 
-impl Entry {
+impl Ingress {
     fn addr(&self, index: usize, kind: &Kind) -> SocketAddr {
         let service = kind.service.as_ref().and_then(|it| self.services.get(it));
         let addrs = service.unwrap_or(&self.models);
--- a/crates/curranthook_load/src/fleet.rs
+++ b/crates/curranthook_load/src/fleet.rs
@@ -16,7 +16,7 @@
 use serde::Deserialize;
 
 use crate::{
-    drive::Entry,
+    drive::Ingress,
     evidence::{Applied, Evidence},
 };
 
@@ -26,7 +26,7 @@
 mod setup;
 
 use process::Process;
-pub use setup::{Front, Setup};
+pub use setup::{Setup, Topology};
 
 /// Maximum time for routers to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
@@ -67,28 +67,28 @@
             platform,
         };
         fleet.publish().await?;
-        if let Front::Routers(policy) = fleet.setup.front.clone() {
+        if let Topology::Routers(policy) = fleet.setup.topology.clone() {
             fleet.start_vms(&policy).await?;
         }
         Ok(fleet)
     }
 
     /// Addresses that callers send their requests to.
-    pub fn entry(&self) -> Entry {
-        match &self.setup.front {
-            Front::Routers(_) => Entry {
+    pub fn ingress(&self) -> Ingress {
+        match &self.setup.topology {
+            Topology::Routers(_) => Ingress {
                 models: self.routers.iter().map(|it| it.addr("callers")).collect(),
-                ..Entry::default()
+                ..Ingress::default()
             },
-            Front::None(version) => self.endpoints(version),
+            Topology::Direct(version) => self.endpoints(version),
         }
     }
 
     /// The processes and their listening addresses, for inspection.
     pub fn processes(&self) -> impl Iterator<Item = &Process> {
         let endpoints = self.engines.iter().chain(&self.services).chain(&self.rater);
-        let entry = self.routers.iter().chain(&self.stewards);
-        std::iter::once(&self.platform).chain(endpoints).chain(entry)
+        let vm_processes = self.routers.iter().chain(&self.stewards);
+        std::iter::once(&self.platform).chain(endpoints).chain(vm_processes)
     }
 
     /// Stops all processes and returns what engines and platform recorded.
@@ -128,7 +128,7 @@
         }
     }
 
-    fn endpoints(&self, version: &version::Id) -> Entry {
+    fn endpoints(&self, version: &version::Id) -> Ingress {
         let scenario = &self.setup.scenario;
         let addrs = |processes: &[Process], ids: &[String]| -> Vec<SocketAddr> {
             let named = processes.iter().filter(|it| ids.iter().any(|id| id == it.name()));
@@ -139,7 +139,7 @@
         let service = |it: &crate::scenario::Service| {
             (it.name.clone(), addrs(&self.services, &it.ids().collect::<Vec<_>>()))
         };
-        Entry {
+        Ingress {
             models: addrs(&self.engines, &ids),
             services: scenario.services.iter().map(service).collect(),
             version: Some(version.clone()),
--- a/crates/curranthook_load/src/fleet/setup.rs
+++ b/crates/curranthook_load/src/fleet/setup.rs
@@ -16,18 +16,18 @@
 pub(super) const LOOPBACK: &str = "127.0.0.1:0";
 /// What handles requests between callers and endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Front {
+pub enum Topology {
     /// Routers with this policy.
     Routers(String),
     /// Nothing: callers request this version directly from the engines, as a baseline.
-    None(version::Id),
+    Direct(version::Id),
 }
 
-impl std::fmt::Display for Front {
+impl std::fmt::Display for Topology {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Routers(policy) => f.write_str(policy),
-            Self::None(version) => write!(f, "direct to {version}"),
+            Self::Direct(version) => write!(f, "direct to {version}"),
         }
     }
 }
@@ -38,7 +38,7 @@
     /// The scenario.
     pub scenario: Arc<Scenario>,
     /// What handles requests between callers and endpoints.
-    pub front: Front,
+    pub topology: Topology,
     /// Directory of the programs.
     pub bin_dir: PathBuf,
     /// Directory for logs and settings files.
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -12,7 +12,7 @@
 use curranthook_http::runtime;
 use curranthook_load::{
     direct,
-    fleet::Front,
+    fleet::Topology,
     plot,
     report::Report,
     run::{self, Options},
@@ -221,11 +221,11 @@
     let work_dir = args.work_dir.unwrap_or_else(|| temporary.to_owned());
     fs::create_dir_all(&work_dir)?;
     let bin_dir = args.bin_dir.map_or_else(own_dir, Ok)?;
-    let front = match args.direct {
-        Some(version) => Front::None(version::Id::new(version)),
-        None => Front::Routers(args.policy),
+    let topology = match args.direct {
+        Some(version) => Topology::Direct(version::Id::new(version)),
+        None => Topology::Routers(args.policy),
     };
-    Ok(Options { scenario, front, seed, bin_dir, work_dir })
+    Ok(Options { scenario, topology, seed, bin_dir, work_dir })
 }
 
 fn own_dir() -> anyhow::Result<PathBuf> {
--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -17,7 +17,7 @@
 use crate::{
     client::Client,
     drive::Callers,
-    fleet::{Fleet, Front, Setup},
+    fleet::{Fleet, Setup, Topology},
     plan,
     report::{Report, Run},
     scenario::Scenario,
@@ -32,7 +32,7 @@
     /// The scenario.
     pub scenario: Scenario,
     /// What handles requests between callers and endpoints.
-    pub front: Front,
+    pub topology: Topology,
     /// Seed of arrivals and prompts.
     pub seed: u64,
     /// Directory of the programs.
@@ -43,13 +43,14 @@
 
 /// Runs a scenario on real processes, stops them all and computes the report.
 pub async fn run(ex: &runtime::Handle, options: Options) -> anyhow::Result<Report> {
-    let Options { scenario, front, seed, bin_dir, work_dir } = options;
+    let Options { scenario, topology, seed, bin_dir, work_dir } = options;
     let scenario = Arc::new(scenario);
     let plan: Arc<[plan::Request]> = plan::requests(&scenario, seed).into();
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
-    let setup = Setup { scenario: Arc::clone(&scenario), front: front.clone(), bin_dir, work_dir };
+    let setup =
+        Setup { scenario: Arc::clone(&scenario), topology: topology.clone(), bin_dir, work_dir };
     let mut fleet = Fleet::start(setup, Arc::clone(&pool)).await?;
-    let callers = Callers::new(Arc::clone(&scenario), Client::new(pool), fleet.entry());
+    let callers = Callers::new(Arc::clone(&scenario), Client::new(pool), fleet.ingress());
     let start = Instant::now() + LEAD;
     let driven = Arc::new(callers).drive(ex, &plan, start);
     let (samples, applied) = future::zip(driven, fleet.apply_events(start)).await;
@@ -58,7 +59,7 @@
     applied?;
     Ok(Report::new(&Run {
         scenario: &scenario,
-        policy: &front.to_string(),
+        policy: &topology.to_string(),
         seed,
         plan: &plan,
         samples: &samples,
@@ -83,9 +84,9 @@
     duration: Duration,
     ready: impl FnOnce(&BTreeMap<String, Running>),
 ) -> anyhow::Result<()> {
-    let Options { scenario, front, bin_dir, work_dir, .. } = options;
+    let Options { scenario, topology, bin_dir, work_dir, .. } = options;
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
-    let setup = Setup { scenario: Arc::new(scenario), front, bin_dir, work_dir };
+    let setup = Setup { scenario: Arc::new(scenario), topology, bin_dir, work_dir };
     let fleet = Fleet::start(setup, pool).await?;
     let running = fleet.processes().map(|it| {
         let running = Running { pid: it.id(), listening: it.listening().clone() };
