--- a/crates/curranthook_capacity/src/measure/data.rs
+++ b/crates/curranthook_capacity/src/measure/data.rs
@@ -147,7 +147,7 @@
             target: site.router(),
             n_streams,
             rate: 500.0,
-            hold: Duration::from_secs(2),
+            hold_duration: Duration::from_secs(2),
             template: request_template(OPEN),
             pid: Some(pid),
         };
--- a/crates/curranthook_load/src/client.rs
+++ b/crates/curranthook_load/src/client.rs
@@ -35,9 +35,9 @@
     /// Request ID that the response must carry, for protocols that return one.
     pub expected_id: Option<String>,
     /// Scheduled send time, from which latency is measured.
-    pub intended: Instant,
+    pub scheduled: Instant,
     /// Time-out, counted from the scheduled time.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// HTTP client with a pool of persistent connections.
@@ -55,7 +55,7 @@
     /// Sends the request. Latency is measured from the scheduled time, so it includes the delay of
     /// a request that was sent late because others were still in progress.
     pub async fn run(&self, call: Call) -> Outcome {
-        let left = (call.intended + call.limit).saturating_duration_since(Instant::now());
+        let left = (call.scheduled + call.timeout).saturating_duration_since(Instant::now());
         match timeout::run(left, self.attempt(call)).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(failure)) => Outcome::Failed(failure),
@@ -76,7 +76,7 @@
         let outcome = if !head.status.is_success() {
             read_refusal(incoming).await?
         } else if is_stream(&head) {
-            read_stream(&head, incoming, call.intended, call.expected_id.as_deref()).await?
+            read_stream(&head, incoming, call.scheduled, call.expected_id.as_deref()).await?
         } else {
             Outcome::Answered(read_answer(&head, incoming, call.expected_id.as_deref()).await?)
         };
@@ -135,7 +135,7 @@
 async fn read_stream(
     head: &http::response::Parts,
     mut incoming: Incoming,
-    intended: Instant,
+    scheduled: Instant,
     expected_id: Option<&str>,
 ) -> Result<Outcome, Failure> {
     let mut reader = sse::Reader::default();
@@ -145,7 +145,7 @@
         let Ok(chunk) = frame.into_data() else { continue };
         let now = Instant::now();
         for data in reader.push(&chunk) {
-            state.handle_event(&data, now, intended, head, expected_id)?;
+            state.handle_event(&data, now, scheduled, head, expected_id)?;
         }
     }
     if let Some(refusal) = state.refusal {
@@ -173,7 +173,7 @@
         &mut self,
         data: &str,
         now: Instant,
-        intended: Instant,
+        scheduled: Instant,
         head: &http::response::Parts,
         expected_id: Option<&str>,
     ) -> Result<(), Failure> {
@@ -198,7 +198,7 @@
         }
         self.text.push_str(&delta.content);
         match self.last.replace(now) {
-            None => self.answer.first_token = Some(now.saturating_duration_since(intended)),
+            None => self.answer.first_token = Some(now.saturating_duration_since(scheduled)),
             Some(last) => self.answer.gaps.push(now - last),
         }
         Ok(())
--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -23,7 +23,7 @@
 };
 
 /// Time-out of a call.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum number of calls in a run.
 const MAX_CALLS: usize = 5_000_000;
 
@@ -88,7 +88,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Totals {
     answered: u64,
     refused: u64,
     failed: u64,
@@ -109,13 +109,13 @@
 pub async fn run(ex: &runtime::Handle, load: Load) -> Outcomes {
     let shared = Arc::new(Shared::new(load));
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
-    let worker = |_| ex.spawn(Arc::clone(&shared).work(Client::new(Arc::clone(&pool))));
+    let worker = |_| ex.spawn(Arc::clone(&shared).run_worker(Client::new(Arc::clone(&pool))));
     let workers: Vec<_> = (0..shared.load.n_connections).map(worker).collect();
-    let mut sum = Tally::default();
+    let mut totals = Totals::default();
     for worker in workers {
-        sum.add(worker.await);
+        totals.add(worker.await);
     }
-    sum.outcomes(shared.start.elapsed())
+    totals.outcomes(shared.start.elapsed())
 }
 
 impl Load {
@@ -180,40 +180,40 @@
 
     /// Makes calls on one connection until none are left. A call that finds every connection busy
     /// is sent late, and the delay counts as latency because its time was scheduled beforehand.
-    async fn work(self: Arc<Self>, client: Client) -> Tally {
-        let mut tally = Tally::default();
-        while let Some((index, intended)) = self.next_call() {
-            Timer::at(intended).await;
-            let outcome = client.run(self.call(index, intended)).await;
-            tally.record(&outcome, intended.elapsed());
+    async fn run_worker(self: Arc<Self>, client: Client) -> Totals {
+        let mut totals = Totals::default();
+        while let Some((index, scheduled)) = self.next_call() {
+            Timer::at(scheduled).await;
+            let outcome = client.run(self.call(index, scheduled)).await;
+            totals.record(&outcome, scheduled.elapsed());
         }
-        tally
+        totals
     }
 
     fn next_call(&self) -> Option<(usize, Instant)> {
         let index = self.next.fetch_add(1, Ordering::Relaxed);
-        let intended = match self.load.mode {
+        let scheduled = match self.load.mode {
             Mode::Open(_) => self.start + self.times.get(index)?.at,
             Mode::Closed => Instant::now(),
         };
-        let is_over = self.start + self.load.duration <= intended || MAX_CALLS <= index;
-        (!is_over).then_some((index, intended))
+        let is_over = self.start + self.load.duration <= scheduled || MAX_CALLS <= index;
+        (!is_over).then_some((index, scheduled))
     }
 
-    fn call(&self, index: usize, intended: Instant) -> Call {
+    fn call(&self, index: usize, scheduled: Instant) -> Call {
         let id = format!("direct-{}-{index}", self.load.seed);
         let target = self.load.target;
         Call {
             addr: target,
             req: self.load.template.request(target, &id, self.body.clone()),
             expected_id: Some(id),
-            intended,
-            limit: CALL_LIMIT,
+            scheduled,
+            timeout: CALL_TIMEOUT,
         }
     }
 }
 
-impl Tally {
+impl Totals {
     fn record(&mut self, outcome: &Outcome, whole: Duration) {
         match outcome {
             Outcome::Answered(answer) => {
--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -27,7 +27,7 @@
 /// Maximum number of outstanding requests; beyond it, the load tool itself would be the bottleneck.
 const MAX_OUTSTANDING: usize = 20_000;
 /// Time to wait after the deadline, to tell a late answer from a missing one.
-const GRACE: Duration = Duration::from_secs(5);
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Addresses that callers send their requests to.
 #[derive(Debug, Clone, Default)]
@@ -94,40 +94,45 @@
         let callers = Arc::clone(self);
         ex.spawn(async move {
             let request = &plan[index];
-            let intended = start + request.at;
-            let outcome = callers.send(index, request, intended).await;
-            let whole = intended.elapsed();
+            let scheduled = start + request.at;
+            let outcome = callers.send(index, request, scheduled).await;
+            let latency = scheduled.elapsed();
             // The receiver outlives every sender, so the send cannot fail.
-            let _received = tx.send(Sample { index, whole, outcome }).await;
+            let _received = tx.send(Sample { index, latency, outcome }).await;
         })
         .detach();
     }
 
-    async fn send(&self, index: usize, request: &plan::Request, intended: Instant) -> Outcome {
+    async fn send(&self, index: usize, request: &plan::Request, scheduled: Instant) -> Outcome {
         if MAX_OUTSTANDING <= self.n_outstanding.fetch_add(1, Ordering::Relaxed) {
             self.n_outstanding.fetch_sub(1, Ordering::Relaxed);
             return Outcome::Failed(Failure::NotSent);
         }
-        let call = self.call(index, request, intended);
+        let call = self.call(index, request, scheduled);
         let outcome = self.client.run(call).await;
         self.n_outstanding.fetch_sub(1, Ordering::Relaxed);
-        self.keep_token(request, &outcome);
+        self.store_session_token(request, &outcome);
         outcome
     }
 
-    fn call(&self, index: usize, request: &plan::Request, intended: Instant) -> Call {
+    fn call(&self, index: usize, request: &plan::Request, scheduled: Instant) -> Call {
         let kind = &self.scenario.kinds[&request.kind];
         let addr = self.ingress.addr(index, kind);
         Call {
             addr,
-            req: self.http(addr, request, kind),
+            req: self.http_request(addr, request, kind),
             expected_id: kind.service.is_none().then(|| request.id.clone()),
-            intended,
-            limit: kind.deadline + GRACE,
+            scheduled,
+            timeout: kind.deadline + LATE_ANSWER_TIMEOUT,
         }
     }
 
-    fn http(&self, addr: SocketAddr, request: &plan::Request, kind: &Kind) -> http::Request<Bytes> {
+    fn http_request(
+        &self,
+        addr: SocketAddr,
+        request: &plan::Request,
+        kind: &Kind,
+    ) -> http::Request<Bytes> {
         let mut req = http::Request::builder()
             .method(method(kind))
             .uri(path(kind))
@@ -159,7 +164,7 @@
         json.expect("a request has only plain fields").into()
     }
 
-    fn keep_token(&self, request: &plan::Request, outcome: &Outcome) {
+    fn store_session_token(&self, request: &plan::Request, outcome: &Outcome) {
         let (Some(session), Outcome::Answered(answer)) = (&request.session, outcome) else {
             return;
         };
--- a/crates/curranthook_load/src/fleet.rs
+++ b/crates/curranthook_load/src/fleet.rs
@@ -31,7 +31,7 @@
 /// Maximum time for routers to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Interval between readiness checks of a router.
-const READY_POLL: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Shared key of the peers; a fixed value suffices, as a scenario's site protects no real data.
 const PEER_KEY: [u8; 32] = [9; 32];
 
@@ -53,11 +53,11 @@
 impl Fleet {
     /// Starts all processes and waits until every router is ready.
     pub async fn start(setup: Setup, pool: Arc<Pool>) -> anyhow::Result<Self> {
-        let platform = setup.spawn("standin-platform", "platform", &setup::listen())?;
+        let platform = setup.spawn("standin-platform", "platform", &setup::listen_args())?;
         let mut fleet = Self {
-            engines: setup.engines()?,
-            services: setup.services()?,
-            rater: setup.rater()?,
+            engines: setup.start_engines()?,
+            services: setup.start_services()?,
+            rater: setup.start_rater()?,
             routers: Vec::new(),
             stewards: Vec::new(),
             faults: BTreeMap::new(),
@@ -80,7 +80,7 @@
                 models: self.routers.iter().map(|it| it.addr("callers")).collect(),
                 ..Ingress::default()
             },
-            Topology::Direct(version) => self.endpoints(version),
+            Topology::Direct(version) => self.direct_ingress(version),
         }
     }
 
@@ -95,21 +95,21 @@
     ///
     /// Routers stop first, so that they can upload their last billing lines; the platform last.
     pub async fn close(mut self) -> anyhow::Result<Evidence> {
-        self.note_deaths();
+        self.record_exited_processes();
         self.read_counters().await;
         let stewards = std::mem::take(&mut self.stewards);
         let routers = std::mem::take(&mut self.routers);
-        close_all(routers);
-        close_all(stewards);
+        stop_all(routers);
+        stop_all(stewards);
         let engines = std::mem::take(&mut self.engines);
         for engine in &engines {
             self.read_record(engine).await;
         }
         let objects = self.get(self.platform.addr("http"), "/control/objects").await?;
         self.evidence.bills = crate::evidence::bills(&serde_json::from_slice(&objects)?);
-        close_all(engines);
-        close_all(std::mem::take(&mut self.services));
-        close_all(self.rater.take());
+        stop_all(engines);
+        stop_all(std::mem::take(&mut self.services));
+        stop_all(self.rater.take());
         self.platform.close();
         Ok(self.evidence)
     }
@@ -119,16 +119,16 @@
         let processes = self.engines.iter().chain(&self.services);
         let addrs = processes.map(|it| (it.name().to_owned(), it.addr("http"))).collect();
         let rater = self.rater.as_ref().map(|it| it.addr("http"));
-        let document = document::first(&self.setup.scenario, &addrs, rater);
+        let document = document::initial(&self.setup.scenario, &addrs, rater);
         let (table, key) = curranthook_settings::document::ROW;
         let text = serde_json::to_vec(&document)?;
-        match self.table().insert(table, key, text.into()).await? {
+        match self.platform_client().insert(table, key, text.into()).await? {
             Write::Done(_) => Ok(()),
-            Write::Conflict => bail!("a fresh platform has a configuration already"),
+            Write::Conflict => bail!("a newly started platform already has a configuration"),
         }
     }
 
-    fn endpoints(&self, version: &version::Id) -> Ingress {
+    fn direct_ingress(&self, version: &version::Id) -> Ingress {
         let scenario = &self.setup.scenario;
         let addrs = |processes: &[Process], ids: &[String]| -> Vec<SocketAddr> {
             let named = processes.iter().filter(|it| ids.iter().any(|id| id == it.name()));
@@ -147,44 +147,44 @@
     }
 
     async fn start_vms(&mut self, policy: &str) -> anyhow::Result<()> {
-        for place in 0..self.setup.scenario.routers {
-            self.start_vm(place, policy)?;
+        for index in 0..self.setup.scenario.routers {
+            self.start_vm(index, policy)?;
         }
-        self.list_vms().await?;
+        self.publish_vms().await?;
         self.wait_ready().await
     }
 
-    fn table(&self) -> Platform {
+    fn platform_client(&self) -> Platform {
         Platform::new(self.platform.addr("http"), Arc::clone(&self.pool))
     }
 
-    fn start_vm(&mut self, place: usize, policy: &str) -> anyhow::Result<()> {
-        let settings = self.node_settings(place)?;
-        let path = self.setup.work_dir.join(format!("vm-{place}.yaml"));
+    fn start_vm(&mut self, index: usize, policy: &str) -> anyhow::Result<()> {
+        let settings = self.node_settings(index)?;
+        let path = self.setup.work_dir.join(format!("vm-{index}.yaml"));
         std::fs::write(&path, setup::settings_text(&settings)?)?;
         let file = path.display().to_string();
         let mut args = vec!["--settings".to_owned(), file.clone()];
-        if place < self.setup.scenario.stewards {
-            let name = format!("steward-{place}");
+        if index < self.setup.scenario.stewards {
+            let name = format!("steward-{index}");
             self.stewards.push(self.setup.spawn("curranthook-steward", &name, &args)?);
         }
         args.extend(["--policy".to_owned(), policy.to_owned()]);
-        let name = format!("router-{place}");
+        let name = format!("router-{index}");
         self.routers.push(self.setup.spawn("curranthook-router", &name, &args)?);
         Ok(())
     }
 
-    fn node_settings(&self, place: usize) -> anyhow::Result<node::Settings> {
-        let any: SocketAddr = setup::LOOPBACK.parse()?;
+    fn node_settings(&self, index: usize) -> anyhow::Result<node::Settings> {
+        let any_port: SocketAddr = setup::LOOPBACK.parse()?;
         let platform = self.platform.addr("http");
         Ok(node::Settings {
-            vm: vm_id(place),
+            vm: vm_id(index),
             site: self.setup.scenario.site.clone(),
-            failure_domain: document::domain(&self.setup.scenario, place),
-            listen: any,
-            peer_listen: any,
+            failure_domain: document::failure_domain(&self.setup.scenario, index),
+            listen: any_port,
+            peer_listen: any_port,
             peer_address: None,
-            steward_listen: any,
+            steward_listen: any_port,
             platform: node::Platform { table: platform, objects: platform, vms: platform },
             seeds: self.routers.iter().map(|it| it.addr("peers")).collect(),
             peer_key: PEER_KEY.to_vec(),
@@ -193,11 +193,11 @@
         })
     }
 
-    async fn list_vms(&self) -> anyhow::Result<()> {
-        let vm = |(place, router): (usize, &Process)| Vm {
-            id: vm_id(place),
+    async fn publish_vms(&self) -> anyhow::Result<()> {
+        let vm = |(index, router): (usize, &Process)| Vm {
+            id: vm_id(index),
             address: router.addr("peers"),
-            failure_domain: document::domain(&self.setup.scenario, place),
+            failure_domain: document::failure_domain(&self.setup.scenario, index),
             state: VmState::Live,
             role: Role::Entry,
         };
@@ -206,21 +206,21 @@
     }
 
     async fn wait_ready(&self) -> anyhow::Result<()> {
-        let limit = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for router in &self.routers {
             while self.get(router.addr("callers"), "/readyz").await.is_err() {
-                if limit < Instant::now() {
-                    bail!("{} isn't ready", router.name());
+                if deadline < Instant::now() {
+                    bail!("{} wasn't ready within {READY_TIMEOUT:?}", router.name());
                 }
-                Timer::after(READY_POLL).await;
+                Timer::after(READY_POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
     async fn read_record(&mut self, engine: &Process) {
-        let read = self.get(engine.addr("http"), "/control/record").await;
-        let records = read.and_then(|it| Ok(serde_json::from_slice::<Vec<_>>(&it)?));
+        let body = self.get(engine.addr("http"), "/control/record").await;
+        let records = body.and_then(|it| Ok(serde_json::from_slice::<Vec<_>>(&it)?));
         match records {
             Ok(records) => self.evidence.records.extend(records),
             Err(_) => self.evidence.unread.push(engine.name().to_owned()),
@@ -239,11 +239,11 @@
         }
     }
 
-    fn note_deaths(&mut self) {
+    fn record_exited_processes(&mut self) {
         let all = self.engines.iter_mut().chain(&mut self.services).chain(&mut self.rater);
         let all = all.chain(&mut self.routers).chain(&mut self.stewards);
-        let dead = all.filter_map(|it| it.has_ended().then(|| it.name().to_owned()));
-        self.evidence.died.extend(dead);
+        let exited = all.filter_map(|it| it.has_exited().then(|| it.name().to_owned()));
+        self.evidence.died.extend(exited);
     }
 
     async fn get(&self, addr: SocketAddr, path: &str) -> anyhow::Result<bytes::Bytes> {
@@ -276,12 +276,12 @@
 }
 
 /// Signals all processes to stop before waiting for any, so that they shut down concurrently.
-fn close_all(processes: impl IntoIterator<Item = Process>) {
+fn stop_all(processes: impl IntoIterator<Item = Process>) {
     let all: Vec<Process> = processes.into_iter().collect();
     all.iter().for_each(Process::request_stop);
     all.into_iter().for_each(Process::close);
 }
 
-fn vm_id(place: usize) -> vm::Id {
-    vm::Id::new(format!("vm-{place}"))
+fn vm_id(index: usize) -> vm::Id {
+    vm::Id::new(format!("vm-{index}"))
 }
--- a/crates/curranthook_load/src/fleet/change.rs
+++ b/crates/curranthook_load/src/fleet/change.rs
@@ -19,7 +19,7 @@
 /// Maximum number of attempts at an edit that conflicts with concurrent edits.
 const EDIT_ATTEMPTS: usize = 5;
 /// Delay before a conflicting edit is retried.
-const EDIT_PAUSE: Duration = Duration::from_millis(20);
+const EDIT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Fleet {
     /// Applies all events of the scenario at their times, relative to `start`.
@@ -51,16 +51,16 @@
                 let withdraw = |it: &mut Document| {
                     it.withdrawn.insert(version.clone());
                 };
-                self.edit(withdraw).await
+                self.edit_document(withdraw).await
             }
             Action::Rollout { from, to, stages } => {
-                self.edit(|it| start_rollout(it, from, to, stages)).await
+                self.edit_document(|it| start_rollout(it, from, to, stages)).await
             }
         }
     }
 
     /// Adds faults to those in force. A stand-in replaces all of its faults at once, so the merged
-    /// set is kept here; otherwise a later event would undo an earlier one.
+    /// set is remaining here; otherwise a later event would undo an earlier one.
     async fn set_faults(
         &mut self,
         targets: &Targets,
@@ -81,31 +81,37 @@
     /// in it without an end.
     async fn kill(&mut self, targets: &Targets) {
         let all = std::mem::take(&mut self.engines);
-        let (doomed, kept) = all.into_iter().partition(|it| targets.contains(it.name()));
-        self.engines = kept;
-        let doomed: Vec<super::Process> = doomed;
-        for mut engine in doomed {
+        let (killed, remaining) = all.into_iter().partition(|it| targets.contains(it.name()));
+        self.engines = remaining;
+        let killed: Vec<super::Process> = killed;
+        for mut engine in killed {
             self.read_record(&engine).await;
             engine.kill();
         }
     }
 
     /// Changes the published document the way an operator's command does: by compare-and-set.
-    async fn edit(&self, change: impl Fn(&mut Document)) -> anyhow::Result<()> {
+    async fn edit_document(&self, change: impl Fn(&mut Document)) -> anyhow::Result<()> {
         let (table, key) = curranthook_settings::document::ROW;
         for _ in 0..EDIT_ATTEMPTS {
-            let row = self.table().get(table, key).await?.context("nothing is published")?;
+            let row = self
+                .platform_client()
+                .get(table, key)
+                .await?
+                .context("no configuration is published")?;
             let mut document: Document = serde_json::from_slice(&row.value)?;
             change(&mut document);
             document.epoch = document.epoch.next();
             document.at_millis = clock::System.unix_millis();
             let text = serde_json::to_vec(&document)?;
-            if let Write::Done(_) = self.table().replace(table, key, &row.tag, text.into()).await? {
+            if let Write::Done(_) =
+                self.platform_client().replace(table, key, &row.tag, text.into()).await?
+            {
                 return Ok(());
             }
-            Timer::after(EDIT_PAUSE).await;
+            Timer::after(EDIT_RETRY_DELAY).await;
         }
-        bail!("another operator was quicker {EDIT_ATTEMPTS} times");
+        bail!("concurrent edits conflicted with all {EDIT_ATTEMPTS} attempts");
     }
 }
 
--- a/crates/curranthook_load/src/fleet/document.rs
+++ b/crates/curranthook_load/src/fleet/document.rs
@@ -18,7 +18,7 @@
 pub type Addresses = BTreeMap<String, SocketAddr>;
 
 /// Builds the first configuration document.
-pub fn first(scenario: &Scenario, addrs: &Addresses, rater: Option<SocketAddr>) -> Document {
+pub fn initial(scenario: &Scenario, addrs: &Addresses, rater: Option<SocketAddr>) -> Document {
     let config = Config {
         site: scenario.site.clone(),
         versions: versions(scenario),
@@ -66,7 +66,7 @@
                 service: None,
                 checks_fencing: true,
                 slots: engines.slots,
-                ..bare(scenario, addrs, &id, all.len())
+                ..base_endpoint(scenario, addrs, &id, all.len())
             };
             all.insert(endpoint::Id::new(&id), endpoint);
         }
@@ -75,7 +75,7 @@
         for id in service.ids() {
             let endpoint = config::Endpoint {
                 service: Some(service.name.clone()),
-                ..bare(scenario, addrs, &id, all.len())
+                ..base_endpoint(scenario, addrs, &id, all.len())
             };
             all.insert(endpoint::Id::new(&id), endpoint);
         }
@@ -83,11 +83,16 @@
     all
 }
 
-fn bare(scenario: &Scenario, addrs: &Addresses, id: &str, place: usize) -> config::Endpoint {
+fn base_endpoint(
+    scenario: &Scenario,
+    addrs: &Addresses,
+    id: &str,
+    index: usize,
+) -> config::Endpoint {
     const SERVICE_SLOTS: usize = 64;
     config::Endpoint {
         address: addrs[id],
-        failure_domain: domain(scenario, place),
+        failure_domain: failure_domain(scenario, index),
         versions: BTreeSet::new(),
         service: None,
         checks_fencing: false,
@@ -96,8 +101,8 @@
 }
 
 /// Assigns failure domains round-robin.
-pub fn domain(scenario: &Scenario, place: usize) -> curranthook_types::domain::Id {
-    scenario.failure_domains[place % scenario.failure_domains.len()].clone()
+pub fn failure_domain(scenario: &Scenario, index: usize) -> curranthook_types::domain::Id {
+    scenario.failure_domains[index % scenario.failure_domains.len()].clone()
 }
 
 fn accounts(scenario: &Scenario) -> BTreeMap<account::Id, config::Account> {
--- a/crates/curranthook_load/src/fleet/process.rs
+++ b/crates/curranthook_load/src/fleet/process.rs
@@ -19,7 +19,7 @@
 /// Maximum time for a program to exit after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 /// Interval between checks whether a stopping program has exited.
-const STOP_POLL: Duration = Duration::from_millis(10);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Reasons why a program couldn't be started.
 #[derive(Debug, thiserror::Error)]
@@ -33,7 +33,7 @@
         why: std::io::Error,
     },
     /// The program didn't print its listening addresses; see its log.
-    #[error("{name} didn't get ready; its log is {log}")]
+    #[error("{name} didn't print its listening addresses; see its log, {log}")]
     NotReady {
         /// Name of the process.
         name: String,
@@ -52,7 +52,7 @@
 
 /// The line that each program prints when it is ready.
 #[derive(Debug, Deserialize)]
-struct Ready {
+struct ReadyLine {
     listening: BTreeMap<String, SocketAddr>,
 }
 
@@ -75,7 +75,7 @@
             .map_err(spawn_error)?;
         let stdout = child.stdout.take().expect("stdout is piped");
         let mut process = Self { name: name.to_owned(), child, listening: BTreeMap::new() };
-        let ready = read_ready(stdout).ok_or_else(|| Error::NotReady {
+        let ready = wait_for_ready_line(stdout).ok_or_else(|| Error::NotReady {
             name: name.to_owned(),
             log: log.display().to_string(),
         })?;
@@ -109,7 +109,7 @@
     }
 
     /// Whether the process has exited.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -130,13 +130,13 @@
 
     /// Sends SIGTERM, waits for the exit, and kills the process on time-out.
     pub fn close(mut self) {
-        if self.has_ended() {
+        if self.has_exited() {
             return;
         }
         self.request_stop();
-        let limit = Instant::now() + STOP_TIMEOUT;
-        while !self.has_ended() && Instant::now() < limit {
-            thread::sleep(STOP_POLL);
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        while !self.has_exited() && Instant::now() < deadline {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 }
@@ -144,13 +144,13 @@
 impl Drop for Process {
     // Otherwise an early return on an error would leave the program running after the tool exits.
     fn drop(&mut self) {
-        if !self.has_ended() {
+        if !self.has_exited() {
             self.kill();
         }
     }
 }
 
-fn read_ready(stdout: ChildStdout) -> Option<Ready> {
+fn wait_for_ready_line(stdout: ChildStdout) -> Option<ReadyLine> {
     let (tx, rx) = mpsc::channel();
     thread::spawn(move || {
         let mut lines = BufReader::new(stdout).lines().map_while(Result::ok);
--- a/crates/curranthook_load/src/fleet/setup.rs
+++ b/crates/curranthook_load/src/fleet/setup.rs
@@ -55,14 +55,14 @@
         Ok(Process::start(&self.bin_dir.join(program), args, name, &self.work_dir)?)
     }
 
-    pub(super) fn engines(&self) -> anyhow::Result<Vec<Process>> {
+    pub(super) fn start_engines(&self) -> anyhow::Result<Vec<Process>> {
         let mut all = Vec::new();
         for engines in &self.scenario.engines {
             let file = self.work_dir.join(format!("{}.profile.yaml", engines.name));
             write_profile(&file, &self.scenario, engines)?;
             let versions: Vec<&str> = engines.versions.iter().map(version::Id::as_str).collect();
             for id in engines.ids() {
-                let mut args = listen();
+                let mut args = listen_args();
                 args.extend(["--id".to_owned(), id.clone()]);
                 args.extend(["--versions".to_owned(), versions.join(",")]);
                 args.extend(["--profile".to_owned(), file.display().to_string()]);
@@ -72,19 +72,19 @@
         Ok(all)
     }
 
-    pub(super) fn services(&self) -> anyhow::Result<Vec<Process>> {
+    pub(super) fn start_services(&self) -> anyhow::Result<Vec<Process>> {
         let ids = self.scenario.services.iter().flat_map(crate::scenario::Service::ids);
         let start = |id: String| {
-            let mut args = listen();
+            let mut args = listen_args();
             args.extend(["--id".to_owned(), id.clone()]);
             self.spawn("standin-service", &id, &args)
         };
         ids.map(start).collect()
     }
 
-    pub(super) fn rater(&self) -> anyhow::Result<Option<Process>> {
+    pub(super) fn start_rater(&self) -> anyhow::Result<Option<Process>> {
         let Some(rater) = self.scenario.rater else { return Ok(None) };
-        let mut args = listen();
+        let mut args = listen_args();
         args.extend(["--noise".to_owned(), rater.noise.to_string()]);
         self.spawn("standin-rater", "rater", &args).map(Some)
     }
@@ -126,6 +126,6 @@
     Ok(serde_saphyr::to_string(&value)?)
 }
 
-pub(super) fn listen() -> Vec<String> {
+pub(super) fn listen_args() -> Vec<String> {
     vec!["--listen".to_owned(), LOOPBACK.to_owned()]
 }
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -186,21 +186,21 @@
     let cli = Cli::parse();
     match cli.command {
         Command::Run(args) => run_scenario(cli.threads, args),
-        Command::Hold(args) => hold(cli.threads, args),
+        Command::Hold(args) => hold_fleet(cli.threads, args),
         Command::Check { scenarios } => check(&scenarios),
         Command::Direct(args) => run_direct(cli.threads, &args),
         Command::Streams(args) => run_streams(cli.threads, &args),
         Command::Compare { reports } => {
-            print!("{}", table::markdown(&read(&reports)?));
+            print!("{}", table::markdown(&read_reports(&reports)?));
             Ok(())
         }
-        Command::Report { reports, out_dir } => write_report(&read(&reports)?, &out_dir),
+        Command::Report { reports, out_dir } => write_report(&read_reports(&reports)?, &out_dir),
     }
 }
 
 fn run_scenario(threads: usize, args: RunArgs) -> anyhow::Result<()> {
-    let temporary = tempfile::tempdir()?;
-    let options = options(args.fleet, args.seed, temporary.path())?;
+    let temp_dir = tempfile::tempdir()?;
+    let options = options(args.fleet, args.seed, temp_dir.path())?;
     let report = runtime::run(threads, |ex| async move { run::run(&ex, options).await })?;
     fs::write(&args.out, serde_json::to_vec_pretty(&report)?)
         .with_context(|| format!("can't write {}", args.out.display()))?;
@@ -208,19 +208,19 @@
     Ok(())
 }
 
-fn hold(threads: usize, args: HoldArgs) -> anyhow::Result<()> {
-    let temporary = tempfile::tempdir()?;
-    let options = options(args.fleet, 0, temporary.path())?;
+fn hold_fleet(threads: usize, args: HoldArgs) -> anyhow::Result<()> {
+    let temp_dir = tempfile::tempdir()?;
+    let options = options(args.fleet, 0, temp_dir.path())?;
     let duration = Duration::try_from_secs_f64(args.seconds)?;
     let print = |running: &_| println!("{}", serde_json::json!(running));
     runtime::run(threads, |ex| async move { run::hold(&ex, options, duration, print).await })
 }
 
-fn options(args: FleetArgs, seed: u64, temporary: &Path) -> anyhow::Result<Options> {
-    let scenario = load(&args.scenario)?;
-    let work_dir = args.work_dir.unwrap_or_else(|| temporary.to_owned());
+fn options(args: FleetArgs, seed: u64, temp_dir: &Path) -> anyhow::Result<Options> {
+    let scenario = load_scenario(&args.scenario)?;
+    let work_dir = args.work_dir.unwrap_or_else(|| temp_dir.to_owned());
     fs::create_dir_all(&work_dir)?;
-    let bin_dir = args.bin_dir.map_or_else(own_dir, Ok)?;
+    let bin_dir = args.bin_dir.map_or_else(executable_dir, Ok)?;
     let topology = match args.direct {
         Some(version) => Topology::Direct(version::Id::new(version)),
         None => Topology::Routers(args.policy),
@@ -228,20 +228,20 @@
     Ok(Options { scenario, topology, seed, bin_dir, work_dir })
 }
 
-fn own_dir() -> anyhow::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    Ok(own.parent().context("the program lies in no directory")?.to_owned())
+fn executable_dir() -> anyhow::Result<PathBuf> {
+    let executable = std::env::current_exe()?;
+    Ok(executable.parent().context("the executable has no parent directory")?.to_owned())
 }
 
 fn check(files: &[PathBuf]) -> anyhow::Result<()> {
     for file in files {
-        let scenario = load(file)?;
+        let scenario = load_scenario(file)?;
         println!("{}: {} s, sound", scenario.name, scenario.duration().as_secs_f64());
     }
     Ok(())
 }
 
-fn load(file: &Path) -> anyhow::Result<Scenario> {
+fn load_scenario(file: &Path) -> anyhow::Result<Scenario> {
     Scenario::load(file).with_context(|| file.display().to_string())
 }
 
@@ -252,7 +252,7 @@
         mode,
         duration: Duration::try_from_secs_f64(args.seconds)?,
         n_connections: args.connections,
-        template: direct::Template { stream: args.stream, ..template(&args.template) },
+        template: direct::Template { stream: args.stream, ..template_from(&args.template) },
         seed: args.seed,
     };
     let outcomes = runtime::run(threads, |ex| async move { direct::run(&ex, load).await });
@@ -265,8 +265,8 @@
         target: args.target,
         n_streams: args.open,
         rate: args.rate,
-        hold: Duration::try_from_secs_f64(args.hold_seconds)?,
-        template: template(&args.template),
+        hold_duration: Duration::try_from_secs_f64(args.hold_seconds)?,
+        template: template_from(&args.template),
         pid: args.pid,
     };
     let outcomes = runtime::run(threads, |ex| async move { streams::run(&ex, load).await });
@@ -274,7 +274,7 @@
     Ok(())
 }
 
-fn template(args: &TemplateArgs) -> direct::Template {
+fn template_from(args: &TemplateArgs) -> direct::Template {
     direct::Template {
         key: args.key.clone(),
         model: args.model.clone(),
@@ -284,7 +284,7 @@
     }
 }
 
-fn read(files: &[PathBuf]) -> anyhow::Result<Vec<Report>> {
+fn read_reports(files: &[PathBuf]) -> anyhow::Result<Vec<Report>> {
     let read = |file: &PathBuf| {
         let text = fs::read(file).with_context(|| file.display().to_string())?;
         serde_json::from_slice(&text).with_context(|| file.display().to_string())
--- a/crates/curranthook_load/src/plan.rs
+++ b/crates/curranthook_load/src/plan.rs
@@ -12,7 +12,7 @@
 };
 
 /// Vocabulary of generated prompts.
-const WORDS: [&str; 12] = [
+const VOCABULARY: [&str; 12] = [
     "weight",
     "crate",
     "herd",
@@ -27,7 +27,7 @@
     "dossier",
 ];
 /// Value XORed into the seed, so that prompts and arrival times use different random numbers.
-const PROMPT_STREAM: u64 = 0x70_72_6f_6d_70_74;
+const PROMPT_SEED_MASK: u64 = 0x70_72_6f_6d_70_74;
 
 /// A planned request.
 #[derive(Debug, Clone, PartialEq)]
@@ -76,16 +76,16 @@
 /// # Ok(()) }
 /// ```
 pub fn requests(scenario: &Scenario, seed: u64) -> Vec<Request> {
-    let mut maker = Maker::new(scenario, seed);
+    let mut generator = Generator::new(scenario, seed);
     let arrivals = schedule::arrivals(&scenario.phases, seed);
-    let mut all: Vec<Request> = arrivals.iter().map(|it| maker.request(it)).collect();
-    all.extend(repeats(scenario, seed));
+    let mut all: Vec<Request> = arrivals.iter().map(|it| generator.request(it)).collect();
+    all.extend(repeated_requests(scenario, seed));
     all.sort_by_key(|it| it.at);
     all
 }
 
 #[derive(Debug)]
-struct Maker<'a> {
+struct Generator<'a> {
     scenario: &'a Scenario,
     seed: u64,
     rng: Pcg64,
@@ -93,17 +93,17 @@
     sessions: HashMap<(account::Id, kind::Id), u64>,
 }
 
-impl<'a> Maker<'a> {
+impl<'a> Generator<'a> {
     fn new(scenario: &'a Scenario, seed: u64) -> Self {
-        let rng = Pcg64::seed_from_u64(seed ^ PROMPT_STREAM);
+        let rng = Pcg64::seed_from_u64(seed ^ PROMPT_SEED_MASK);
         Self { scenario, seed, rng, n_requests: 0, sessions: HashMap::new() }
     }
 
     fn request(&mut self, arrival: &schedule::Arrival) -> Request {
         let accounts = self.scenario.accounts.iter().map(|(id, it)| (id, it.weight));
-        let account = pick(accounts, self.rng.random()).clone();
+        let account = weighted_choice(accounts, self.rng.random()).clone();
         let kinds = self.scenario.kinds.iter().map(|(id, it)| (id, it.weight));
-        let kind = pick(kinds, self.rng.random()).clone();
+        let kind = weighted_choice(kinds, self.rng.random()).clone();
         let spec = &self.scenario.kinds[&kind];
         let (seed, n) = (self.seed, self.n_requests);
         self.n_requests += 1;
@@ -112,7 +112,7 @@
             at: arrival.at,
             phase: arrival.phase,
             session: spec.session_length.map(|it| self.session(&account, &kind, it)),
-            text: self.text(&kind, spec.words),
+            text: self.prompt_text(&kind, spec.words),
             account,
             kind,
         }
@@ -125,18 +125,18 @@
         format!("{account}-{kind}-{}-{session}", self.seed)
     }
 
-    fn text(&mut self, kind: &kind::Id, n_words: usize) -> String {
+    fn prompt_text(&mut self, kind: &kind::Id, n_words: usize) -> String {
         // The number makes each prompt, and therefore its difficulty, unique.
         let mut text = format!("{kind} {}-{}", self.seed, self.n_requests);
         for _ in 2..n_words {
             text.push(' ');
-            text.push_str(WORDS[self.rng.random_range(0..WORDS.len())]);
+            text.push_str(VOCABULARY[self.rng.random_range(0..VOCABULARY.len())]);
         }
         text
     }
 }
 
-fn repeats(scenario: &Scenario, seed: u64) -> impl Iterator<Item = Request> {
+fn repeated_requests(scenario: &Scenario, seed: u64) -> impl Iterator<Item = Request> {
     scenario.repeats.iter().enumerate().flat_map(move |(index, repeat)| {
         (0..repeat.times).map(move |n| Request {
             id: format!("repeat-{seed}-{index}-{n}"),
@@ -151,14 +151,14 @@
 }
 
 /// Selects an item by weight; `draw` is a random number from 0 to 1.
-fn pick<'a, T>(choices: impl Iterator<Item = (&'a T, f64)> + Clone, draw: f64) -> &'a T {
-    let mut rest = draw * choices.clone().map(|(_, weight)| weight).sum::<f64>();
+fn weighted_choice<'a, T>(choices: impl Iterator<Item = (&'a T, f64)> + Clone, draw: f64) -> &'a T {
+    let mut remaining = draw * choices.clone().map(|(_, weight)| weight).sum::<f64>();
     let mut last = None;
     for (choice, weight) in choices {
-        if rest < weight {
+        if remaining < weight {
             return choice;
         }
-        rest -= weight;
+        remaining -= weight;
         last = Some(choice);
     }
     // Rounding can leave a small remainder after the last weight.
--- a/crates/curranthook_load/src/plot.rs
+++ b/crates/curranthook_load/src/plot.rs
@@ -10,13 +10,13 @@
     table::{self, Figure, Group},
 };
 
-const SIZE: (u32, u32) = (900, 560);
-const MARGIN: u32 = 24;
-const LABEL_AREA: u32 = 64;
+const SIZE_PX: (u32, u32) = (900, 560);
+const MARGIN_PX: u32 = 24;
+const LABEL_AREA_PX: u32 = 64;
 /// Width reserved for policy names to the right of the bars, in pixels.
-const LEGEND_AREA: u32 = 190;
+const LEGEND_WIDTH_PX: u32 = 190;
 /// Factor by which the axis exceeds the greatest value, so that no label is clipped.
-const HEADROOM: f64 = 1.15;
+const AXIS_HEADROOM_FACTOR: f64 = 1.15;
 
 /// A bar chart with one group of bars per policy.
 struct Bars<'a> {
@@ -33,26 +33,26 @@
     for chunk in groups.chunk_by(|a, b| a.scenario == b.scenario) {
         let scenario = chunk[0].scenario;
         let file = |plot: &str| dir.join(format!("{scenario}-{plot}.svg"));
-        cost_and_quality(chunk, &file("cost-quality"))?;
-        bars(chunk, &latency(scenario), &file("latency"))?;
-        bars(chunk, &refusals(scenario), &file("refusals"))?;
+        draw_cost_and_quality(chunk, &file("cost-quality"))?;
+        draw_bars(chunk, &latency_bars(scenario), &file("latency"))?;
+        draw_bars(chunk, &outcome_bars(scenario), &file("refusals"))?;
         files.extend(["cost-quality", "latency", "refusals"].map(file));
     }
     Ok(files)
 }
 
-fn cost_and_quality(groups: &[Group<'_>], file: &Path) -> anyhow::Result<()> {
-    const RADIUS: i32 = 5;
+fn draw_cost_and_quality(groups: &[Group<'_>], file: &Path) -> anyhow::Result<()> {
+    const RADIUS_PX: i32 = 5;
     let cost = |it: &Report| it.cost.per_answer;
-    let greatest = greatest(groups, &[cost]);
-    let root = SVGBackend::new(file, SIZE).into_drawing_area();
+    let maximum = axis_maximum(groups, &[cost]);
+    let root = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     root.fill(&WHITE).map_err(draw_error)?;
     let mut chart = ChartBuilder::on(&root)
         .caption(format!("{}: cost and quality, a point a seed", groups[0].scenario), FONT)
-        .margin(MARGIN)
-        .x_label_area_size(LABEL_AREA)
-        .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d(0.0..greatest, 0.0..1.0)
+        .margin(MARGIN_PX)
+        .x_label_area_size(LABEL_AREA_PX)
+        .y_label_area_size(LABEL_AREA_PX)
+        .build_cartesian_2d(0.0..maximum, 0.0..1.0)
         .map_err(draw_error)?;
     let mut mesh = chart.configure_mesh();
     mesh.x_desc("cost an answer (millionths)").y_desc("share of good answers");
@@ -60,11 +60,11 @@
     for (index, group) in groups.iter().enumerate() {
         let points = group.reports.iter().map(|it| (cost(it), table::good_share(it)));
         let color = Palette99::pick(index).to_rgba();
-        let circles = points.map(|it| Circle::new(it, RADIUS, color.filled()));
+        let circles = points.map(|it| Circle::new(it, RADIUS_PX, color.filled()));
         let series = chart.draw_series(circles).map_err(draw_error)?;
         series
             .label(group.policy)
-            .legend(move |(x, y)| Circle::new((x + RADIUS, y), RADIUS, color.filled()));
+            .legend(move |(x, y)| Circle::new((x + RADIUS_PX, y), RADIUS_PX, color.filled()));
     }
     let mut legend = chart.configure_series_labels();
     legend.position(SeriesLabelPosition::LowerRight).border_style(BLACK).background_style(WHITE);
@@ -72,7 +72,7 @@
     root.present().map_err(draw_error)
 }
 
-fn latency(scenario: &str) -> Bars<'static> {
+fn latency_bars(scenario: &str) -> Bars<'static> {
     Bars {
         title: format!("{scenario}: latency from the intended time, mean of the seeds"),
         unit: "ms",
@@ -88,7 +88,7 @@
     }
 }
 
-fn refusals(scenario: &str) -> Bars<'static> {
+fn outcome_bars(scenario: &str) -> Bars<'static> {
     Bars {
         title: format!("{scenario}: how requests ended, mean of the seeds"),
         unit: "share of requests",
@@ -103,18 +103,18 @@
 }
 
 /// Draws grouped bars: one cluster per figure, one colour per policy.
-fn bars(groups: &[Group<'_>], bars: &Bars<'_>, file: &Path) -> anyhow::Result<()> {
-    let greatest = greatest(groups, bars.figures);
+fn draw_bars(groups: &[Group<'_>], bars: &Bars<'_>, file: &Path) -> anyhow::Result<()> {
+    let maximum = axis_maximum(groups, bars.figures);
     let n_clusters = bars.names.len();
-    let root = SVGBackend::new(file, SIZE).into_drawing_area();
+    let root = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     root.fill(&WHITE).map_err(draw_error)?;
     let mut chart = ChartBuilder::on(&root)
         .caption(&bars.title, FONT)
-        .margin(MARGIN)
-        .margin_right(LEGEND_AREA)
-        .x_label_area_size(LABEL_AREA)
-        .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d((0..n_clusters).into_segmented(), 0.0..greatest)
+        .margin(MARGIN_PX)
+        .margin_right(LEGEND_WIDTH_PX)
+        .x_label_area_size(LABEL_AREA_PX)
+        .y_label_area_size(LABEL_AREA_PX)
+        .build_cartesian_2d((0..n_clusters).into_segmented(), 0.0..maximum)
         .map_err(draw_error)?;
     let name = |it: &SegmentValue<usize>| match it {
         SegmentValue::CenterOf(n) => bars.names.get(*n).copied().unwrap_or_default().to_owned(),
@@ -126,46 +126,47 @@
     let plane = chart.plotting_area();
     let (width, height) = plane.dim_in_pixel();
     let (left, top) = plane.get_base_pixel();
-    let cluster = f64::from(width) / n_clusters as f64;
-    let bar = cluster / (groups.len() + 1) as f64;
+    let cluster_width = f64::from(width) / n_clusters as f64;
+    let bar_width = cluster_width / (groups.len() + 1) as f64;
     for (index, group) in groups.iter().enumerate() {
         let color = Palette99::pick(index);
-        for (place, figure) in bars.figures.iter().enumerate() {
-            let x = cluster * place as f64 + bar * (index as f64 + 0.5);
-            let tall = f64::from(height) * group.spread(figure).mean / greatest;
-            let from = (left + x as i32, top + (f64::from(height) - tall) as i32);
-            let to = (left + (x + bar) as i32, top + height as i32);
+        for (cluster_index, figure) in bars.figures.iter().enumerate() {
+            let x = cluster_width * cluster_index as f64 + bar_width * (index as f64 + 0.5);
+            let bar_height = f64::from(height) * group.spread(figure).mean / maximum;
+            let from = (left + x as i32, top + (f64::from(height) - bar_height) as i32);
+            let to = (left + (x + bar_width) as i32, top + height as i32);
             root.draw(&Rectangle::new([from, to], color.filled())).map_err(draw_error)?;
         }
-        label(&root, group.policy, index, &color)?;
+        draw_legend_entry(&root, group.policy, index, &color)?;
     }
     root.present().map_err(draw_error)
 }
 
-fn label(
+fn draw_legend_entry(
     root: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     policy: &str,
     index: usize,
     color: &PaletteColor<Palette99>,
 ) -> anyhow::Result<()> {
-    const LEFT: i32 = (SIZE.0 - LEGEND_AREA) as i32 + 10;
-    const TOP: i32 = 70;
-    const LINE: i32 = 18;
-    const BOX: i32 = 10;
-    let y = TOP + LINE * index as i32;
-    let swatch = Rectangle::new([(LEFT, y), (LEFT + BOX, y + BOX)], color.filled());
+    const LEFT_PX: i32 = (SIZE_PX.0 - LEGEND_WIDTH_PX) as i32 + 10;
+    const TOP_PX: i32 = 70;
+    const LINE_HEIGHT_PX: i32 = 18;
+    const SWATCH_PX: i32 = 10;
+    let y = TOP_PX + LINE_HEIGHT_PX * index as i32;
+    let swatch =
+        Rectangle::new([(LEFT_PX, y), (LEFT_PX + SWATCH_PX, y + SWATCH_PX)], color.filled());
     root.draw(&swatch).map_err(draw_error)?;
-    let text = Text::new(policy.to_owned(), (LEFT + LINE, y), ("sans-serif", 13));
+    let text = Text::new(policy.to_owned(), (LEFT_PX + LINE_HEIGHT_PX, y), ("sans-serif", 13));
     root.draw(&text).map_err(draw_error)
 }
 
 const FONT: (&str, u32) = ("sans-serif", 18);
 
-fn greatest(groups: &[Group<'_>], figures: &[Figure]) -> f64 {
+fn axis_maximum(groups: &[Group<'_>], figures: &[Figure]) -> f64 {
     let reports = groups.iter().flat_map(|it| &it.reports);
     let values = reports.flat_map(|it| figures.iter().map(|figure| figure(it)));
-    let greatest = values.fold(0.0, f64::max);
-    if greatest == 0.0 { 1.0 } else { greatest * HEADROOM }
+    let maximum = values.fold(0.0, f64::max);
+    if maximum == 0.0 { 1.0 } else { maximum * AXIS_HEADROOM_FACTOR }
 }
 
 /// Drawing errors of the library borrow from the backend, so only their text is kept.
--- a/crates/curranthook_load/src/report/callers.rs
+++ b/crates/curranthook_load/src/report/callers.rs
@@ -29,25 +29,25 @@
 
 pub(super) fn latency(samples: &[&Sample]) -> Latency {
     Latency {
-        first_token: answers(samples)
+        first_token: answered(samples)
             .filter_map(|(_, it)| it.first_token)
             .collect::<Recorder>()
             .summary(),
-        whole: whole(samples),
-        gap: answers(samples)
+        whole: answer_latency(samples),
+        gap: answered(samples)
             .flat_map(|(_, it)| it.gaps.iter().copied())
             .collect::<Recorder>()
             .summary(),
-        refusal: refused(samples).map(|(it, ..)| it.whole).collect::<Recorder>().summary(),
+        refusal: refused(samples).map(|(it, ..)| it.latency).collect::<Recorder>().summary(),
     }
 }
 
 pub(super) fn refusals(samples: &[&Sample]) -> BTreeMap<String, Refused> {
     let mut by_reason: BTreeMap<refusal::Reason, (u64, Recorder)> = BTreeMap::new();
-    for (sample, reason, is_run) in refused(samples) {
+    for (sample, reason, execution) in refused(samples) {
         let (not_run, recorder) = by_reason.entry(reason).or_default();
-        *not_run += u64::from(is_run == refusal::Run::Not);
-        recorder.record(sample.whole);
+        *not_run += u64::from(execution == refusal::Run::Not);
+        recorder.record(sample.latency);
     }
     let figures = |(reason, (not_run, recorder)): (refusal::Reason, (u64, Recorder))| {
         (reason.name().to_owned(), Refused { not_run, latency: recorder.summary() })
@@ -67,7 +67,7 @@
 
 pub(super) fn quality(samples: &[&Sample], run: &Run<'_>) -> BTreeMap<String, Quality> {
     let mut all: BTreeMap<String, Quality> = BTreeMap::new();
-    for (sample, answer) in answers(samples) {
+    for (sample, answer) in answered(samples) {
         let Some(mark) = answer.mark else { continue };
         let kind = &run.plan[sample.index].kind;
         let quality = all.entry(kind.as_str().to_owned()).or_default();
@@ -86,8 +86,8 @@
         Phase {
             rate: spec.rate,
             ends: ends(&samples, run, spec.duration.as_secs_f64()),
-            whole: whole(&samples),
-            refusal: refused(&samples).map(|(it, ..)| it.whole).collect::<Recorder>().summary(),
+            whole: answer_latency(&samples),
+            refusal: refused(&samples).map(|(it, ..)| it.latency).collect::<Recorder>().summary(),
         }
     };
     run.scenario.phases.iter().enumerate().map(phase).collect()
@@ -103,12 +103,12 @@
         groups.entry(run.plan[sample.index].account.as_str()).or_default().push(sample);
     }
     let figures = |(id, samples): (&str, Vec<&Sample>)| {
-        let marks: Vec<Mark> = answers(&samples).filter_map(|(_, it)| it.mark).collect();
+        let marks: Vec<Mark> = answered(&samples).filter_map(|(_, it)| it.mark).collect();
         let n_good = marks.iter().filter(|it| **it == Mark::Good).count();
         let account = Account {
             ends: ends(&samples, run, seconds),
             good_share: ratio(n_good as f64, marks.len() as f64),
-            whole: whole(&samples),
+            whole: answer_latency(&samples),
             billed: super::cost::billed_to(run, id),
         };
         (id.to_owned(), account)
@@ -119,7 +119,7 @@
 pub(super) fn split_sessions(run: &Run<'_>) -> u64 {
     let mut versions: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
     let samples: Vec<&Sample> = run.samples.iter().collect();
-    for (sample, answer) in answers(&samples) {
+    for (sample, answer) in answered(&samples) {
         let session = run.plan[sample.index].session.as_deref();
         if let (Some(session), Some(version)) = (session, &answer.version) {
             versions.entry(session).or_default().insert(version.as_str());
@@ -129,7 +129,7 @@
 }
 
 /// Samples that ended with a complete answer.
-pub(super) fn answers<'a>(
+pub(super) fn answered<'a>(
     samples: &[&'a Sample],
 ) -> impl Iterator<Item = (&'a Sample, &'a Answer)> {
     samples.iter().filter_map(|it| match &it.outcome {
@@ -147,11 +147,11 @@
     })
 }
 
-fn whole(samples: &[&Sample]) -> crate::timing::Summary {
-    answers(samples).map(|(it, _)| it.whole).collect::<Recorder>().summary()
+fn answer_latency(samples: &[&Sample]) -> crate::timing::Summary {
+    answered(samples).map(|(it, _)| it.latency).collect::<Recorder>().summary()
 }
 
 fn is_in_time(sample: &Sample, run: &Run<'_>) -> bool {
     let kind = &run.plan[sample.index].kind;
-    sample.whole <= run.scenario.kinds[kind].deadline
+    sample.latency <= run.scenario.kinds[kind].deadline
 }
--- a/crates/curranthook_load/src/report/cost.rs
+++ b/crates/curranthook_load/src/report/cost.rs
@@ -11,11 +11,11 @@
 
 pub(super) fn cost(samples: &[&Sample], run: &Run<'_>) -> Cost {
     let truth = run.scenario.truth();
-    let by_id = requests(run);
+    let by_id = counted_requests(run);
     let mut cost = Cost { engines: engines_cost(run, &truth, &by_id), ..Cost::default() };
-    let billed = bills(run, &by_id, &mut cost);
+    let billed = sum_bills(run, &by_id, &mut cost);
     let mut n_answers = 0_u64;
-    for (sample, answer) in callers::answers(samples) {
+    for (sample, answer) in callers::answered(samples) {
         let request = &run.plan[sample.index];
         cost.n_unbilled += u64::from(!billed.contains(request.id.as_str()));
         let Some(version) = &answer.version else { continue };
@@ -37,7 +37,7 @@
 }
 
 pub(super) fn attempts(run: &Run<'_>) -> Attempts {
-    let by_id = requests(run);
+    let by_id = counted_requests(run);
     let mut figures = Attempts { unread: run.evidence.unread.clone(), ..Attempts::default() };
     let mut seen = HashSet::new();
     for record in &run.evidence.records {
@@ -59,7 +59,7 @@
 
 /// Billed cost of one account.
 pub(super) fn billed_to(run: &Run<'_>, account: &str) -> u64 {
-    let by_id = requests(run);
+    let by_id = counted_requests(run);
     let mut seen = HashSet::new();
     let lines = run.evidence.bills.iter().filter(|it| it.account.as_str() == account);
     let lines = lines.filter(|it| by_id.contains_key(it.request.as_str()));
@@ -67,7 +67,7 @@
 }
 
 /// Requests after the warm-up, by ID.
-fn requests<'a>(run: &Run<'a>) -> HashMap<&'a str, &'a plan::Request> {
+fn counted_requests<'a>(run: &Run<'a>) -> HashMap<&'a str, &'a plan::Request> {
     let warmup = run.scenario.warmup;
     let counted = run.plan.iter().filter(|it| warmup <= it.at);
     counted.map(|it| (it.id.as_str(), it)).collect()
@@ -85,7 +85,7 @@
 }
 
 /// Sums the billing lines into `cost` and returns the IDs of billed requests.
-fn bills<'a>(
+fn sum_bills<'a>(
     run: &Run<'a>,
     by_id: &HashMap<&str, &plan::Request>,
     cost: &mut Cost,
--- a/crates/curranthook_load/src/report/exposure.rs
+++ b/crates/curranthook_load/src/report/exposure.rs
@@ -11,14 +11,14 @@
 
 pub(super) fn exposure(run: &Run<'_>) -> Vec<Exposure> {
     let events = run.evidence.applied.iter();
-    events.filter_map(|it| after(run, it, &run.scenario.events[it.index])).collect()
+    events.filter_map(|it| exposure_after(run, it, &run.scenario.events[it.index])).collect()
 }
 
-fn after(run: &Run<'_>, applied: &Applied, event: &Event) -> Option<Exposure> {
-    let (label, version) = watched(run, event)?;
+fn exposure_after(run: &Run<'_>, applied: &Applied, event: &Event) -> Option<Exposure> {
+    let (label, version) = tracked_version(run, event)?;
     let samples: Vec<&Sample> =
         run.samples.iter().filter(|it| event.at <= run.plan[it.index].at).collect();
-    let marks: Vec<Option<Mark>> = callers::answers(&samples)
+    let marks: Vec<Option<Mark>> = callers::answered(&samples)
         .filter(|(_, it)| it.version.as_ref() == Some(version))
         .map(|(_, it)| it.mark)
         .collect();
@@ -40,7 +40,7 @@
 }
 
 /// The version to track after an event, with a label for the event, if there is one.
-fn watched<'a>(run: &Run<'_>, event: &'a Event) -> Option<(String, &'a version::Id)> {
+fn tracked_version<'a>(run: &Run<'_>, event: &'a Event) -> Option<(String, &'a version::Id)> {
     match &event.action {
         Action::Quality { version, quality } => {
             let before = run.scenario.versions.get(version)?.quality;
@@ -54,6 +54,6 @@
 }
 
 fn seconds(millis: u64) -> f64 {
-    const MILLIS: f64 = 1_000.0;
-    millis as f64 / MILLIS
+    const MILLIS_PER_SECOND: f64 = 1_000.0;
+    millis as f64 / MILLIS_PER_SECOND
 }
--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -24,7 +24,7 @@
 };
 
 /// Delay between the end of preparations and the first arrival.
-const LEAD: Duration = Duration::from_millis(200);
+const START_DELAY: Duration = Duration::from_millis(200);
 
 /// Parameters of a run.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
         Setup { scenario: Arc::clone(&scenario), topology: topology.clone(), bin_dir, work_dir };
     let mut fleet = Fleet::start(setup, Arc::clone(&pool)).await?;
     let callers = Callers::new(Arc::clone(&scenario), Client::new(pool), fleet.ingress());
-    let start = Instant::now() + LEAD;
+    let start = Instant::now() + START_DELAY;
     let driven = Arc::new(callers).drive(ex, &plan, start);
     let (samples, applied) = future::zip(driven, fleet.apply_events(start)).await;
     // If an event failed, the results are invalid; the processes are still stopped first.
--- a/crates/curranthook_load/src/sample.rs
+++ b/crates/curranthook_load/src/sample.rs
@@ -10,7 +10,7 @@
     /// Index of the request in the plan.
     pub index: usize,
     /// Latency from the scheduled time to the end, for any outcome.
-    pub whole: Duration,
+    pub latency: Duration,
     /// Outcome of the request.
     pub outcome: Outcome,
 }
--- a/crates/curranthook_load/src/scenario.rs
+++ b/crates/curranthook_load/src/scenario.rs
@@ -239,7 +239,7 @@
     #[error("not a scenario: {0}")]
     Parse(#[from] serde_saphyr::Error),
     /// The scenario is inconsistent.
-    #[error("the scenario doesn't hold together: {}", .0.join("; "))]
+    #[error("inconsistent scenario: {}", .0.join("; "))]
     Check(Vec<String>),
 }
 
@@ -259,8 +259,8 @@
     /// ```
     pub fn parse(text: &str) -> Result<Self, Error> {
         let scenario: Self = serde_saphyr::from_str(text)?;
-        let faults = check::faults(&scenario);
-        if faults.is_empty() { Ok(scenario) } else { Err(Error::Check(faults)) }
+        let errors = check::errors(&scenario);
+        if errors.is_empty() { Ok(scenario) } else { Err(Error::Check(errors)) }
     }
 
     /// Total duration of the arrivals.
--- a/crates/curranthook_load/src/scenario/check.rs
+++ b/crates/curranthook_load/src/scenario/check.rs
@@ -14,99 +14,104 @@
 const MAX_ARRIVALS: f64 = 200_000.0;
 
 /// Returns a message for each error in `scenario`.
-pub(super) fn faults(scenario: &Scenario) -> Vec<String> {
-    let mut faults = Vec::new();
-    sizes(scenario, &mut faults);
-    versions(scenario, &mut faults);
-    callers(scenario, &mut faults);
-    events(scenario, &mut faults);
-    faults
+pub(super) fn errors(scenario: &Scenario) -> Vec<String> {
+    let mut errors = Vec::new();
+    check_limits(scenario, &mut errors);
+    check_versions(scenario, &mut errors);
+    check_callers(scenario, &mut errors);
+    check_events(scenario, &mut errors);
+    errors
 }
 
-fn sizes(scenario: &Scenario, faults: &mut Vec<String>) {
+fn check_limits(scenario: &Scenario, errors: &mut Vec<String>) {
     let duration = scenario.duration();
     let arrivals = scenario.phases.iter().map(|it| it.duration.as_secs_f64() * it.rate);
     let arrivals: f64 = arrivals.sum();
-    let has_length = !duration.is_zero() && duration <= MAX_DURATION;
-    expect(has_length, faults, || format!("{duration:?} of arrivals"));
-    expect(arrivals <= MAX_ARRIVALS, faults, || format!("{arrivals} arrivals"));
-    expect(!scenario.failure_domains.is_empty(), faults, || "no failure domain".to_owned());
-    expect(0 < scenario.routers, faults, || "no router".to_owned());
-    expect(scenario.stewards <= scenario.routers, faults, || {
+    let is_valid_duration = !duration.is_zero() && duration <= MAX_DURATION;
+    require(is_valid_duration, errors, || format!("{duration:?} of arrivals"));
+    require(arrivals <= MAX_ARRIVALS, errors, || format!("{arrivals} arrivals"));
+    require(!scenario.failure_domains.is_empty(), errors, || "no failure domain".to_owned());
+    require(0 < scenario.routers, errors, || "no router".to_owned());
+    require(scenario.stewards <= scenario.routers, errors, || {
         "more stewards than routers".to_owned()
     });
-    expect(scenario.warmup < duration, faults, || "nothing but warm-up".to_owned());
+    require(scenario.warmup < duration, errors, || "nothing but warm-up".to_owned());
 }
 
-fn versions(scenario: &Scenario, faults: &mut Vec<String>) {
+fn check_versions(scenario: &Scenario, errors: &mut Vec<String>) {
     for (id, version) in &scenario.versions {
         for share in [version.quality, version.error_rate, version.claimed.unwrap_or_default()] {
-            expect((0.0..=1.0).contains(&share), faults, || format!("{id}: {share} is no share"));
+            require((0.0..=1.0).contains(&share), errors, || format!("{id}: {share} is no share"));
         }
         let serves = scenario.engines.iter().any(|it| it.versions.contains(id));
-        expect(serves, faults, || format!("no engine serves {id}"));
+        require(serves, errors, || format!("no engine serves {id}"));
     }
     for engines in &scenario.engines {
-        known(&engines.name, &engines.versions, scenario, faults);
+        require_known_versions(&engines.name, &engines.versions, scenario, errors);
     }
 }
 
-fn callers(scenario: &Scenario, faults: &mut Vec<String>) {
-    expect(!scenario.accounts.is_empty(), faults, || "no account".to_owned());
-    expect(!scenario.kinds.is_empty(), faults, || "no kind of work".to_owned());
+fn check_callers(scenario: &Scenario, errors: &mut Vec<String>) {
+    require(!scenario.accounts.is_empty(), errors, || "no account".to_owned());
+    require(!scenario.kinds.is_empty(), errors, || "no kind of work".to_owned());
     for (id, account) in &scenario.accounts {
-        expect(0.0 < account.weight, faults, || format!("{id}: weight {}", account.weight));
-        known(id.as_str(), &account.versions, scenario, faults);
+        require(0.0 < account.weight, errors, || format!("{id}: weight {}", account.weight));
+        require_known_versions(id.as_str(), &account.versions, scenario, errors);
     }
     for (id, kind) in &scenario.kinds {
-        expect(0.0 < kind.weight, faults, || format!("{id}: weight {}", kind.weight));
+        require(0.0 < kind.weight, errors, || format!("{id}: weight {}", kind.weight));
         let Some(service) = &kind.service else { continue };
         let exists = scenario.services.iter().any(|it| it.name == *service);
-        expect(exists, faults, || format!("{id}: no service {service}"));
+        require(exists, errors, || format!("{id}: no service {service}"));
     }
     for repeat in &scenario.repeats {
         let exists = scenario.accounts.contains_key(&repeat.account)
             && scenario.kinds.contains_key(&repeat.kind);
-        expect(exists, faults, || format!("repeat {:?}: unknown account or kind", repeat.text));
+        require(exists, errors, || format!("repeat {:?}: unknown account or kind", repeat.text));
     }
 }
 
-fn events(scenario: &Scenario, faults: &mut Vec<String>) {
+fn check_events(scenario: &Scenario, errors: &mut Vec<String>) {
     let ids: BTreeSet<String> = scenario.engines.iter().flat_map(super::Engines::ids).collect();
     let last = scenario.duration();
     for event in &scenario.events {
         let at = event.at;
-        expect(at <= last, faults, || format!("event at {at:?}, after the last arrival"));
+        require(at <= last, errors, || format!("event at {at:?}, after the last arrival"));
         match &event.action {
             Action::Fault { engines, .. } | Action::Kill { engines } => {
                 let Targets::Some(named) = engines else { continue };
                 for id in named.iter().filter(|id| !ids.contains(*id)) {
-                    faults.push(format!("event at {at:?}: no engine {id}"));
+                    errors.push(format!("event at {at:?}: no engine {id}"));
                 }
             }
             Action::Quality { version, .. } | Action::Withdraw { version } => {
-                known("event", &[version.clone()].into(), scenario, faults);
+                require_known_versions("event", &[version.clone()].into(), scenario, errors);
             }
             Action::Rollout { from, to, .. } => {
-                known("event", &[from.clone(), to.clone()].into(), scenario, faults);
+                require_known_versions(
+                    "event",
+                    &[from.clone(), to.clone()].into(),
+                    scenario,
+                    errors,
+                );
             }
         }
     }
 }
 
-fn known(
-    place: &str,
+fn require_known_versions(
+    context: &str,
     versions: &BTreeSet<version::Id>,
     scenario: &Scenario,
-    faults: &mut Vec<String>,
+    errors: &mut Vec<String>,
 ) {
     for id in versions.iter().filter(|id| !scenario.versions.contains_key(*id)) {
-        faults.push(format!("{place}: unknown version {id}"));
+        errors.push(format!("{context}: unknown version {id}"));
     }
 }
 
-fn expect(holds: bool, faults: &mut Vec<String>, fault: impl FnOnce() -> String) {
-    if !holds {
-        faults.push(fault());
+fn require(is_valid: bool, errors: &mut Vec<String>, message: impl FnOnce() -> String) {
+    if !is_valid {
+        errors.push(message());
     }
 }
--- a/crates/curranthook_load/src/streams.rs
+++ b/crates/curranthook_load/src/streams.rs
@@ -27,7 +27,7 @@
 };
 
 /// Maximum time to wait for the first chunk of the last stream.
-const OPEN_LIMIT: Duration = Duration::from_secs(30);
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Parameters of the stream load.
 #[derive(Debug, Clone)]
@@ -39,7 +39,7 @@
     /// Streams opened per second.
     pub rate: f64,
     /// Time to keep streams open after all have begun.
-    pub hold: Duration,
+    pub hold_duration: Duration,
     /// Content of each request.
     pub template: Template,
     /// Process whose memory is measured while all streams are open.
@@ -87,7 +87,7 @@
         let (pool, counts, tx) = (Arc::clone(&pool), Arc::clone(&counts), tx.clone());
         let target = load.target;
         streams.push(ex.spawn(async move {
-            let end = match hold(&pool, target, req, &counts, tx).await {
+            let end = match run_stream(&pool, target, req, &counts, tx).await {
                 Some(()) => &counts.ended,
                 None => &counts.failed,
             };
@@ -95,8 +95,8 @@
         }));
     }
     drop(tx);
-    let first_chunks = first_chunks(&rx, load.n_streams).await;
-    Timer::after(load.hold).await;
+    let first_chunks = collect_first_chunk_latencies(&rx, load.n_streams).await;
+    Timer::after(load.hold_duration).await;
     let outcomes = Outcomes {
         asked: load.n_streams,
         begun: first_chunks.summary().n,
@@ -111,14 +111,14 @@
 }
 
 /// Reads a stream up to its end marker; returns `None` if the marker is missing.
-async fn hold(
+async fn run_stream(
     pool: &Pool,
     target: SocketAddr,
     req: http::Request<Bytes>,
     counts: &Counts,
     tx: async_channel::Sender<Duration>,
 ) -> Option<()> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut conn = pool.take(target, Freshness::New).await.ok()?;
     let res = conn.send(req).await.ok()?;
     if !res.status().is_success() {
@@ -126,25 +126,28 @@
     }
     let mut body = res.into_body();
     let mut reader = sse::Reader::default();
-    let mut has_ended = read(&mut reader, body.frame().await?.ok()?);
+    let mut has_ended = contains_end_marker(&mut reader, body.frame().await?.ok()?);
     counts.open.fetch_add(1, Ordering::Relaxed);
     // The receiver may have timed out already.
-    let _late = tx.try_send(begun.elapsed());
+    let _late = tx.try_send(start.elapsed());
     drop(tx);
     while let Some(Ok(frame)) = body.frame().await {
-        has_ended |= read(&mut reader, frame);
+        has_ended |= contains_end_marker(&mut reader, frame);
     }
     counts.open.fetch_sub(1, Ordering::Relaxed);
     has_ended.then_some(())
 }
 
 /// Whether `frame` completes an event with the end marker.
-fn read(reader: &mut sse::Reader, frame: Frame<Bytes>) -> bool {
+fn contains_end_marker(reader: &mut sse::Reader, frame: Frame<Bytes>) -> bool {
     let Ok(chunk) = frame.into_data() else { return false };
     reader.push(&chunk).iter().any(|it| it == chat::END_MARKER)
 }
 
-async fn first_chunks(rx: &async_channel::Receiver<Duration>, n_streams: usize) -> Recorder {
+async fn collect_first_chunk_latencies(
+    rx: &async_channel::Receiver<Duration>,
+    n_streams: usize,
+) -> Recorder {
     let mut recorder = Recorder::default();
     let mut receive = async || {
         for _ in 0..n_streams {
@@ -153,7 +156,7 @@
         }
     };
     // On time-out, the streams begun so far are counted; the results show how many weren't.
-    let _late = timeout::run(OPEN_LIMIT, receive()).await;
+    let _late = timeout::run(FIRST_CHUNK_TIMEOUT, receive()).await;
     recorder
 }
 
--- a/crates/curranthook_load/src/table.rs
+++ b/crates/curranthook_load/src/table.rs
@@ -85,7 +85,7 @@
     ("cost a bill", |it| it.cost.per_bill),
     ("cost / oracle", |it| it.cost.against_oracle),
     ("good share", good_share),
-    ("least good − target", margin),
+    ("least good − target", min_quality_margin),
     ("first token p50 ms", |it| it.latency.first_token.p50),
     ("p95", |it| it.latency.first_token.p95),
     ("p99", |it| it.latency.first_token.p99),
@@ -108,7 +108,7 @@
 }
 
 /// Smallest difference between quality and target over all kinds of work.
-pub fn margin(report: &Report) -> f64 {
+pub fn min_quality_margin(report: &Report) -> f64 {
     let margins = report.quality.values().map(|it| it.share - it.target);
     margins.reduce(f64::min).unwrap_or(0.0)
 }
@@ -124,10 +124,10 @@
     let mut text = String::from("| scenario | policy | seeds | cost / `best` |");
     let mut rule = String::from("|---|---|---|---|");
     for (name, _) in COLUMNS {
-        push(&mut text, format_args!(" {name} |"));
+        append(&mut text, format_args!(" {name} |"));
         rule.push_str("---|");
     }
-    push(&mut text, format_args!("\n{rule}\n"));
+    append(&mut text, format_args!("\n{rule}\n"));
     for group in &groups {
         row(&mut text, group, &groups);
     }
@@ -140,22 +140,22 @@
 
 fn row(text: &mut String, group: &Group<'_>, all: &[Group<'_>]) {
     let (scenario, policy, seeds) = (group.scenario, group.policy, group.reports.len());
-    let against_best = against_best(group, all);
-    push(text, format_args!("| {scenario} | {policy} | {seeds} | {against_best} |"));
+    let cost_relative_to_best = cost_relative_to_best(group, all);
+    append(text, format_args!("| {scenario} | {policy} | {seeds} | {cost_relative_to_best} |"));
     for (_, figure) in COLUMNS {
-        push(text, format_args!(" {} |", group.spread(figure)));
+        append(text, format_args!(" {} |", group.spread(figure)));
     }
     text.push('\n');
 }
 
 /// Mean cost per answer relative to that of the policy `best`, if it was run.
-fn against_best(group: &Group<'_>, all: &[Group<'_>]) -> String {
+fn cost_relative_to_best(group: &Group<'_>, all: &[Group<'_>]) -> String {
     const BEST: &str = "best";
     let best = all.iter().find(|it| it.scenario == group.scenario && it.policy == BEST);
     let cost = |it: &Group<'_>| it.spread(|report| report.cost.per_answer).mean;
     best.map_or("–".to_owned(), |it| format!("{:.3}", ratio(cost(group), cost(it))))
 }
 
-fn push(text: &mut String, args: std::fmt::Arguments<'_>) {
+fn append(text: &mut String, args: std::fmt::Arguments<'_>) {
     text.write_fmt(args).expect("a string takes any text");
 }
--- a/crates/curranthook_load/src/table/details.rs
+++ b/crates/curranthook_load/src/table/details.rs
@@ -2,32 +2,32 @@
 
 use std::{collections::BTreeSet, fmt::Display};
 
-use super::{Group, Spread, push};
+use super::{Group, Spread, append};
 use crate::report::{Exposure, Phase, Quality, ratio};
 
 /// Target and achieved quality of each kind of work.
 pub(super) fn qualities(text: &mut String, groups: &[Group<'_>]) {
-    head(text, &["scenario", "policy", "kind", "target", "good share"]);
+    append_header(text, &["scenario", "policy", "kind", "target", "good share"]);
     for group in groups {
         let Some(first) = group.reports.first() else { continue };
         for (kind, quality) in &first.quality {
-            let found = |it: &Quality| it.share;
-            let share = group.spread(|it| it.quality.get(kind).map_or(0.0, found));
-            row(text, group, &[kind, &quality.target, &share]);
+            let share_of = |it: &Quality| it.share;
+            let share = group.spread(|it| it.quality.get(kind).map_or(0.0, share_of));
+            append_row(text, group, &[kind, &quality.target, &share]);
         }
     }
 }
 
 /// Metrics per phase, for scenarios with more than one.
 pub(super) fn phases(text: &mut String, groups: &[Group<'_>]) {
-    let many = |it: &&Group<'_>| it.reports.iter().any(|it| 1 < it.phases.len());
-    let groups: Vec<&Group<'_>> = groups.iter().filter(many).collect();
+    let has_phases = |it: &&Group<'_>| it.reports.iter().any(|it| 1 < it.phases.len());
+    let groups: Vec<&Group<'_>> = groups.iter().filter(has_phases).collect();
     if groups.is_empty() {
         return;
     }
     let columns = ["scenario", "policy", "rate /s", "goodput /s", "refused share", "failed"];
     let columns = [&columns[..], &["refusal p99 ms", "whole p50 ms", "whole p99 ms"]].concat();
-    head(text, &columns);
+    append_header(text, &columns);
     for group in groups {
         let Some(first) = group.reports.first() else { continue };
         for (index, phase) in first.phases.iter().enumerate() {
@@ -45,7 +45,7 @@
             ];
             let cells = figures.iter().map(|it| it as &dyn Display);
             let cells: Vec<&dyn Display> = [&phase.rate as _].into_iter().chain(cells).collect();
-            row(text, group, &cells);
+            append_row(text, group, &cells);
         }
     }
 }
@@ -56,7 +56,7 @@
         return;
     }
     let columns = ["scenario", "policy", "version", "event", "answers after", "marked bad"];
-    head(text, &[&columns[..], &["last attempt after, s", "of s"]].concat());
+    append_header(text, &[&columns[..], &["last attempt after, s", "of s"]].concat());
     for group in groups {
         let Some(first) = group.reports.first() else { continue };
         for (index, exposure) in first.exposure.iter().enumerate() {
@@ -68,7 +68,7 @@
             let last = spread(|it| it.last_attempt_seconds);
             let (version, event) = (&exposure.version, &exposure.event);
             let remaining = &exposure.remaining_seconds;
-            row(text, group, &[version, event, &answers, &bad, &last, remaining]);
+            append_row(text, group, &[version, event, &answers, &bad, &last, remaining]);
         }
     }
 }
@@ -82,27 +82,27 @@
         return;
     }
     let names: Vec<&str> = reasons.iter().map(|it| it.as_str()).collect();
-    head(text, &[&["scenario", "policy"], &names[..]].concat());
+    append_header(text, &[&["scenario", "policy"], &names[..]].concat());
     for group in groups {
         let count = |name: &String| {
             group.spread(|it| it.counters.get(name).copied().unwrap_or_default() as f64)
         };
         let counts: Vec<Spread> = reasons.iter().map(|it| count(it)).collect();
         let cells: Vec<&dyn Display> = counts.iter().map(|it| it as _).collect();
-        row(text, group, &cells);
+        append_row(text, group, &cells);
     }
 }
 
-fn head(text: &mut String, columns: &[&str]) {
+fn append_header(text: &mut String, columns: &[&str]) {
     text.push('\n');
-    push(text, format_args!("| {} |\n", columns.join(" | ")));
-    push(text, format_args!("|{}\n", "---|".repeat(columns.len())));
+    append(text, format_args!("| {} |\n", columns.join(" | ")));
+    append(text, format_args!("|{}\n", "---|".repeat(columns.len())));
 }
 
-fn row(text: &mut String, group: &Group<'_>, cells: &[&dyn Display]) {
-    push(text, format_args!("| {} | {} |", group.scenario, group.policy));
+fn append_row(text: &mut String, group: &Group<'_>, cells: &[&dyn Display]) {
+    append(text, format_args!("| {} | {} |", group.scenario, group.policy));
     for cell in cells {
-        push(text, format_args!(" {cell} |"));
+        append(text, format_args!(" {cell} |"));
     }
     text.push('\n');
 }
--- a/crates/curranthook_load/src/timing.rs
+++ b/crates/curranthook_load/src/timing.rs
@@ -8,7 +8,7 @@
 /// Maximum recorded latency in microseconds (one hour); longer ones are recorded as this value.
 const MAX_MICROS: u64 = 3_600_000_000;
 /// Precision of the histogram, in significant decimal digits.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Histogram of latencies of one kind.
 #[derive(Debug, Clone)]
@@ -16,7 +16,10 @@
 
 impl Default for Recorder {
     fn default() -> Self {
-        Self(Histogram::new_with_max(MAX_MICROS, DIGITS).expect("bounds and digits are valid"))
+        Self(
+            Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS)
+                .expect("bounds and digits are valid"),
+        )
     }
 }
 
@@ -80,6 +83,6 @@
 }
 
 fn as_millis(micros: u64) -> f64 {
-    const MICROS: f64 = 1_000.0;
-    micros as f64 / MICROS
+    const MICROS_PER_MILLI: f64 = 1_000.0;
+    micros as f64 / MICROS_PER_MILLI
 }
--- a/crates/curranthook_load/src/truth.rs
+++ b/crates/curranthook_load/src/truth.rs
@@ -22,8 +22,8 @@
 impl Version {
     /// The quality in force at time `at`.
     pub fn quality_at(&self, at: Duration) -> f64 {
-        let begun = self.quality.iter().take_while(|(since, _)| *since <= at);
-        begun.last().map_or(0.0, |(_, quality)| *quality)
+        let in_force = self.quality.iter().take_while(|(since, _)| *since <= at);
+        in_force.last().map_or(0.0, |(_, quality)| *quality)
     }
 }
 
@@ -45,10 +45,10 @@
         prompt_tokens: u64,
         at: Duration,
     ) -> Option<price::Micros> {
-        let offers = allowed.filter_map(|id| self.versions.get(id)).map(|it| {
+        let candidates = allowed.filter_map(|id| self.versions.get(id)).map(|it| {
             let is_good = difficulty < it.quality_at(at);
             (!is_good, it.price.cost(prompt_tokens, it.tokens))
         });
-        offers.min().map(|(_, cost)| cost)
+        candidates.min().map(|(_, cost)| cost)
     }
 }
--- a/crates/curranthook_load/tests/process.rs
+++ b/crates/curranthook_load/tests/process.rs
@@ -5,7 +5,7 @@
 use curranthook_load::fleet::process::{Error, Process};
 use yare::parameterized;
 
-const READY: &str = r#"echo '{"listening":{"http":"127.0.0.1:9"}}'"#;
+const PRINT_READY_LINE: &str = r#"echo '{"listening":{"http":"127.0.0.1:9"}}'"#;
 
 fn start(script: &str) -> Result<(Process, tempfile::TempDir), Error> {
     let dir = tempfile::tempdir().unwrap();
@@ -21,8 +21,9 @@
 }
 
 #[test]
-fn address_is_read_past_other_lines() {
-    let (process, dir) = start(&format!("echo starting; {READY}; exec sleep 30")).unwrap();
+fn address_is_read_after_other_lines() {
+    let (process, dir) =
+        start(&format!("echo starting; {PRINT_READY_LINE}; exec sleep 30")).unwrap();
     assert_eq!(process.addr("http"), "127.0.0.1:9".parse().unwrap());
     assert!(is_running(&dir));
     process.close();
@@ -32,33 +33,36 @@
 /// A program that ignores SIGTERM would keep its port and a CPU core, and distort the measurements
 /// of the next run.
 #[test]
-fn program_that_ignores_the_request_is_ended() {
-    let script = format!("trap '' TERM; {READY}; while :; do sleep 0.1; done");
+fn program_that_ignores_sigterm_is_killed() {
+    let script = format!("trap '' TERM; {PRINT_READY_LINE}; while :; do sleep 0.1; done");
     let (mut process, dir) = start(&script).unwrap();
     process.request_stop();
-    assert!(!process.has_ended());
+    assert!(!process.has_exited());
     drop(process);
     assert!(!is_running(&dir));
 }
 
 #[parameterized(
-    ends_at_once = { "exit 3" },
-    closes_its_output = { "exec sleep 30 >&-" },
+    exits_immediately = { "exit 3" },
+    closes_stdout = { "exec sleep 30 >&-" },
 )]
-fn program_without_address_is_an_error_at_once(script: &str) {
-    let begun = Instant::now();
+fn program_without_address_fails_immediately(script: &str) {
+    let start_time = Instant::now();
     let e = start(script).expect_err("no address was printed");
     assert!(matches!(e, Error::NotReady { .. }), "{e}");
-    assert!(begun.elapsed().as_secs() < 5, "the end of the output is enough to tell");
+    assert!(
+        start_time.elapsed().as_secs() < 5,
+        "closed output is detected without waiting for the time-out"
+    );
 }
 
 #[test]
-fn own_end_is_seen() {
-    let (mut process, _dir) = start(READY).unwrap();
-    let limit = Instant::now() + std::time::Duration::from_secs(5);
-    while !process.has_ended() && Instant::now() < limit {
+fn exit_is_detected() {
+    let (mut process, _dir) = start(PRINT_READY_LINE).unwrap();
+    let deadline = Instant::now() + std::time::Duration::from_secs(5);
+    while !process.has_exited() && Instant::now() < deadline {
         std::thread::yield_now();
     }
-    assert!(process.has_ended());
+    assert!(process.has_exited());
     process.close();
 }
--- a/crates/curranthook_load/tests/report.rs
+++ b/crates/curranthook_load/tests/report.rs
@@ -44,7 +44,7 @@
 ";
 
 /// Prompts of four words each. The first two are easy enough for `m@1`, the third is not.
-fn texts() -> [String; 3] {
+fn prompts() -> [String; 3] {
     let text = |is_hard: bool, from: u32| {
         let mut texts = (from..).map(|n| format!("how much did{n} weigh"));
         texts.find(|it| (0.5 <= truth::difficulty(it)) == is_hard).unwrap()
@@ -65,12 +65,12 @@
 }
 
 fn plan() -> Vec<Request> {
-    let [easy, easy_too, hard] = texts();
+    let [easy, other_easy, hard] = prompts();
     let millis = Duration::from_millis;
     vec![
         request("warm", millis(500), &easy),
         request("r1", millis(1_500), &easy),
-        request("r2", millis(2_500), &easy_too),
+        request("r2", millis(2_500), &other_easy),
         request("r3", millis(3_000), &hard),
         request("r4", millis(3_500), &hard),
         request("r5", millis(4_000), &hard),
@@ -84,7 +84,7 @@
 
 fn samples() -> Vec<Sample> {
     let sample =
-        |index, millis, outcome| Sample { index, whole: Duration::from_millis(millis), outcome };
+        |index, millis, outcome| Sample { index, latency: Duration::from_millis(millis), outcome };
     vec![
         sample(0, 10, answered("m@1", Mark::Good)),
         sample(1, 100, answered("m@1", Mark::Good)),
@@ -105,7 +105,7 @@
     }
 }
 
-fn line(request: &str, cost: u64) -> bill::Line {
+fn bill_line(request: &str, cost: u64) -> bill::Line {
     bill::Line {
         request: request.into(),
         account: "one".into(),
@@ -127,7 +127,12 @@
             record("r3", "m@2", 3_100, 10),
             Record { outcome: "refused".to_owned(), ..record("r4", "m@1", 3_500, 0) },
         ],
-        bills: vec![line("warm", 104), line("r1", 104), line("r2", 104), line("r2", 104)],
+        bills: vec![
+            bill_line("warm", 104),
+            bill_line("r1", 104),
+            bill_line("r2", 104),
+            bill_line("r2", 104),
+        ],
         counters: [("retry.escalated".to_owned(), 1), ("refusal.overloaded".to_owned(), 1)].into(),
         applied: vec![Applied { index: 0, at_millis: 2_000 }],
         ..Evidence::default()
@@ -147,7 +152,7 @@
 }
 
 #[test]
-fn ends_leave_out_the_warm_up() {
+fn outcome_counts_exclude_the_warm_up() {
     let ends = report().ends;
     assert_eq!((ends.requests, ends.answered, ends.refused, ends.failed), (5, 3, 1, 1));
     assert_eq!(ends.in_time, 2, "1.2 s is past the deadline");
@@ -168,14 +173,14 @@
 }
 
 #[test]
-fn attempts_leave_out_those_not_begun() {
+fn attempts_exclude_those_not_started() {
     let engines = report().engines;
     assert_eq!((engines.attempts, engines.requests, engines.again), (4, 3, 1));
     assert_eq!(engines.by_outcome["refused"], 1);
 }
 
 #[test]
-fn exposure_begins_with_the_event() {
+fn exposure_starts_at_the_event() {
     let exposure = &report().exposure[0];
     assert_eq!((exposure.answers, exposure.bad, exposure.attempts), (1, 1, 2));
     assert_eq!((exposure.last_attempt_seconds, exposure.remaining_seconds), (1.0, 3.0));
@@ -194,14 +199,14 @@
 }
 
 #[test]
-fn report_survives_its_file() {
+fn report_round_trips_through_json() {
     let report = report();
     let text = serde_json::to_string(&report).unwrap();
     assert_eq!(serde_json::from_str::<Report>(&text).unwrap(), report);
 }
 
 #[test]
-fn table_has_a_row_a_policy_and_compares_with_best() {
+fn table_has_a_row_per_policy_and_compares_with_best() {
     let ours = report();
     let mut best = Report { policy: "best".to_owned(), ..ours.clone() };
     best.cost.per_answer *= 2.0;
@@ -215,7 +220,7 @@
 }
 
 #[test]
-fn plots_are_drawn() {
+fn plots_are_written() {
     let dir = tempfile::tempdir().unwrap();
     let files = curranthook_load::plot::write(&[report()], dir.path()).unwrap();
     assert_eq!(files.len(), 3);
--- a/crates/curranthook_load/tests/scenarios.rs
+++ b/crates/curranthook_load/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use curranthook_load::scenario::{Error, Scenario};
 use yare::parameterized;
 
-const NAMES: [&str; 9] = [
+const SCENARIO_NAMES: [&str; 9] = [
     "mekong",
     "port-louis",
     "overload",
@@ -17,15 +17,16 @@
     "overhead",
 ];
 
-fn text(name: &str) -> String {
+fn read_scenario(name: &str) -> String {
     let file = Path::new("../../scenarios").join(format!("{name}.yaml"));
     std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{}: {e}", file.display()))
 }
 
 #[test]
-fn all_are_sound() {
-    for name in NAMES {
-        let scenario = Scenario::parse(&text(name)).unwrap_or_else(|e| panic!("{name}: {e}"));
+fn all_scenarios_are_valid() {
+    for name in SCENARIO_NAMES {
+        let scenario =
+            Scenario::parse(&read_scenario(name)).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(scenario.name, name, "the file has the scenario's name");
     }
 }
@@ -34,8 +35,8 @@
     mekong = { "mekong", 3, &[12, 3] },
     port_louis = { "port-louis", 4, &[18, 4] },
 )]
-fn sizes_are_those_of_today(name: &str, n_domains: usize, workers: &[usize]) {
-    let scenario = Scenario::parse(&text(name)).unwrap();
+fn site_sizes_match(name: &str, n_domains: usize, workers: &[usize]) {
+    let scenario = Scenario::parse(&read_scenario(name)).unwrap();
     assert_eq!(scenario.failure_domains.len(), n_domains);
     assert_eq!(scenario.accounts.len(), 10);
     let engines = scenario.engines.iter().map(|it| it.count);
@@ -46,26 +47,26 @@
 #[parameterized(
     unknown_version = { "version: tally-llm@1, quality", "version: tally-llm@9, quality", "unknown version" },
     late_event = { "at_seconds: 20", "at_seconds: 90", "after the last arrival" },
-    share = { "quality: 0.95", "quality: 1.95", "is no share" },
-    endless = { "seconds: 40", "seconds: 4000", "of arrivals" },
-    unserved = { "[tally-llm@1, tally-llm@2]", "[tally-llm@1]", "no engine serves" },
+    share_out_of_range = { "quality: 0.95", "quality: 1.95", "is no share" },
+    too_long = { "seconds: 40", "seconds: 4000", "of arrivals" },
+    unserved_version = { "[tally-llm@1, tally-llm@2]", "[tally-llm@1]", "no engine serves" },
 )]
-fn slip_is_found(from: &str, to: &str, message: &str) {
-    let slipped = text("bad-version").replace(from, to);
-    let e = Scenario::parse(&slipped).expect_err("the slip is found");
+fn invalid_scenario_is_rejected(from: &str, to: &str, message: &str) {
+    let invalid = read_scenario("bad-version").replace(from, to);
+    let e = Scenario::parse(&invalid).expect_err("the scenario is invalid");
     assert!(matches!(e, Error::Check(_)), "{e}");
     assert!(e.to_string().contains(message), "{e}");
 }
 
 #[test]
-fn unknown_key_is_found() {
-    let slipped = text("mekong").replace("stewards:", "stewarts:");
-    assert!(matches!(Scenario::parse(&slipped), Err(Error::Parse(_))));
+fn unknown_key_is_rejected() {
+    let invalid = read_scenario("mekong").replace("stewards:", "stewarts:");
+    assert!(matches!(Scenario::parse(&invalid), Err(Error::Parse(_))));
 }
 
 #[test]
 fn quality_changes_at_the_event() {
-    let scenario = Scenario::parse(&text("bad-version")).unwrap();
+    let scenario = Scenario::parse(&read_scenario("bad-version")).unwrap();
     let truth = scenario.truth();
     let version = &truth.versions["tally-llm@1"];
     let event = scenario.events[0].at;
--- a/crates/curranthook_load/tests/schedule.rs
+++ b/crates/curranthook_load/tests/schedule.rs
@@ -30,9 +30,9 @@
 
 #[parameterized(
     slow = { 20.0 },
-    quick = { 400.0 },
+    fast = { 400.0 },
 )]
-fn poisson_gaps_average_to_the_rate(rate: f64) {
+fn poisson_arrivals_match_the_rate(rate: f64) {
     const SECONDS: u32 = 200;
     let arrivals = schedule::arrivals(&[phase(SECONDS.into(), rate, Spacing::Poisson)], 7);
     let expected = rate * f64::from(SECONDS);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn sessions_have_their_length() {
+fn sessions_do_not_exceed_their_length() {
     let scenario = Scenario::load(std::path::Path::new("../../scenarios/mekong.yaml")).unwrap();
     let mut lengths = std::collections::BTreeMap::<String, u64>::new();
     for request in plan::requests(&scenario, 1) {
--- a/crates/curranthook_load/tests/sse.rs
+++ b/crates/curranthook_load/tests/sse.rs
@@ -10,7 +10,7 @@
 }
 
 #[parameterized(
-    one = { "data: a\n\n", &["a"] },
+   one_event = { "data: a\n\n", &["a"] },
     carriage_returns = { "data: a\r\n\r\ndata: b\r\n\r\n", &["a", "b"] },
     no_space = { "data:a\n\n", &["a"] },
     two_lines = { "data: a\ndata: b\n\n", &["a\nb"] },
@@ -19,15 +19,15 @@
     unfinished = { "data: a\n\ndata: b\n", &["a"] },
     only_comment = { ": ping\n\n", &[] },
 )]
-fn reads(text: &str, events: &[&str]) {
+fn parses_events(text: &str, events: &[&str]) {
     assert_eq!(read(&[text.as_bytes()]), events);
 }
 
 proptest! {
     #[test]
-    fn cuts_do_not_matter(texts in prop::collection::vec("[a-z äö€𝄞]{0,12}", 1..6), cut in 1_usize..9) {
+    fn chunk_boundaries_do_not_matter(texts in prop::collection::vec("[a-z äö€𝄞]{0,12}", 1..6), chunk_size in 1_usize..9) {
         let stream: String = texts.iter().map(|it| format!("data: {it}\n\n")).collect();
-        let chunks: Vec<&[u8]> = stream.as_bytes().chunks(cut).collect();
+        let chunks: Vec<&[u8]> = stream.as_bytes().chunks(chunk_size).collect();
         prop_assert_eq!(read(&chunks), texts);
     }
 }
