--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -100,7 +100,7 @@
 struct Shared {
     load: Load,
     body: Bytes,
-    times: Vec<schedule::Arrival>,
+    arrivals: Vec<schedule::Arrival>,
     next: AtomicUsize,
     start: Instant,
 }
@@ -173,9 +173,9 @@
 
 impl Shared {
     fn new(load: Load) -> Self {
-        let times = load.arrivals();
+        let arrivals = load.arrivals();
         let body = load.template.body();
-        Self { load, body, times, next: AtomicUsize::new(0), start: Instant::now() }
+        Self { load, body, arrivals, next: AtomicUsize::new(0), start: Instant::now() }
     }
 
     /// Makes calls on one connection until none are left. A call that finds every connection busy
@@ -193,7 +193,7 @@
     fn next_call(&self) -> Option<(usize, Instant)> {
         let index = self.next.fetch_add(1, Ordering::Relaxed);
         let scheduled = match self.load.mode {
-            Mode::Open(_) => self.start + self.times.get(index)?.at,
+            Mode::Open(_) => self.start + self.arrivals.get(index)?.at,
             Mode::Closed => Instant::now(),
         };
         let is_over = self.start + self.load.duration <= scheduled || MAX_CALLS <= index;
--- a/crates/curranthook_load/src/plot.rs
+++ b/crates/curranthook_load/src/plot.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     report::{Report, ratio},
-    table::{self, Figure, Group},
+    table::{self, Group, Metric},
 };
 
 const SIZE_PX: (u32, u32) = (900, 560);
@@ -22,8 +22,8 @@
 struct Bars<'a> {
     title: String,
     unit: &'a str,
-    names: &'a [&'a str],
-    figures: &'a [Figure],
+    cluster_labels: &'a [&'a str],
+    metrics: &'a [Metric],
 }
 
 /// Writes the plots of every scenario into `dir` and returns the paths of the files.
@@ -76,8 +76,15 @@
     Bars {
         title: format!("{scenario}: latency from the intended time, mean of the seeds"),
         unit: "ms",
-        names: &["first p50", "first p95", "first p99", "whole p50", "whole p95", "whole p99"],
-        figures: &[
+        cluster_labels: &[
+            "first p50",
+            "first p95",
+            "first p99",
+            "whole p50",
+            "whole p95",
+            "whole p99",
+        ],
+        metrics: &[
             |it| it.latency.first_token.p50,
             |it| it.latency.first_token.p95,
             |it| it.latency.first_token.p99,
@@ -92,8 +99,8 @@
     Bars {
         title: format!("{scenario}: how requests ended, mean of the seeds"),
         unit: "share of requests",
-        names: &["in time", "late", "refused", "failed"],
-        figures: &[
+        cluster_labels: &["in time", "late", "refused", "failed"],
+        metrics: &[
             |it| ratio(it.ends.in_time as f64, it.ends.requests as f64),
             |it| ratio((it.ends.answered - it.ends.in_time) as f64, it.ends.requests as f64),
             |it| ratio(it.ends.refused as f64, it.ends.requests as f64),
@@ -102,10 +109,10 @@
     }
 }
 
-/// Draws grouped bars: one cluster per figure, one colour per policy.
+/// Draws grouped bars: one cluster per metric, one colour per policy.
 fn draw_bars(groups: &[Group<'_>], bars: &Bars<'_>, file: &Path) -> anyhow::Result<()> {
-    let maximum = axis_maximum(groups, bars.figures);
-    let n_clusters = bars.names.len();
+    let maximum = axis_maximum(groups, bars.metrics);
+    let n_clusters = bars.cluster_labels.len();
     let root = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     root.fill(&WHITE).map_err(draw_error)?;
     let mut chart = ChartBuilder::on(&root)
@@ -116,12 +123,14 @@
         .y_label_area_size(LABEL_AREA_PX)
         .build_cartesian_2d((0..n_clusters).into_segmented(), 0.0..maximum)
         .map_err(draw_error)?;
-    let name = |it: &SegmentValue<usize>| match it {
-        SegmentValue::CenterOf(n) => bars.names.get(*n).copied().unwrap_or_default().to_owned(),
+    let cluster_label = |it: &SegmentValue<usize>| match it {
+        SegmentValue::CenterOf(n) => {
+            bars.cluster_labels.get(*n).copied().unwrap_or_default().to_owned()
+        }
         SegmentValue::Exact(_) | SegmentValue::Last => String::new(),
     };
     let mut mesh = chart.configure_mesh();
-    mesh.disable_x_mesh().y_desc(bars.unit).x_label_formatter(&name).x_labels(n_clusters);
+    mesh.disable_x_mesh().y_desc(bars.unit).x_label_formatter(&cluster_label).x_labels(n_clusters);
     mesh.draw().map_err(draw_error)?;
     let plane = chart.plotting_area();
     let (width, height) = plane.dim_in_pixel();
@@ -130,12 +139,13 @@
     let bar_width = cluster_width / (groups.len() + 1) as f64;
     for (index, group) in groups.iter().enumerate() {
         let color = Palette99::pick(index);
-        for (cluster_index, figure) in bars.figures.iter().enumerate() {
+        for (cluster_index, metric) in bars.metrics.iter().enumerate() {
             let x = cluster_width * cluster_index as f64 + bar_width * (index as f64 + 0.5);
-            let bar_height = f64::from(height) * group.spread(figure).mean / maximum;
-            let from = (left + x as i32, top + (f64::from(height) - bar_height) as i32);
-            let to = (left + (x + bar_width) as i32, top + height as i32);
-            root.draw(&Rectangle::new([from, to], color.filled())).map_err(draw_error)?;
+            let bar_height = f64::from(height) * group.spread(metric).mean / maximum;
+            let top_left = (left + x as i32, top + (f64::from(height) - bar_height) as i32);
+            let bottom_right = (left + (x + bar_width) as i32, top + height as i32);
+            root.draw(&Rectangle::new([top_left, bottom_right], color.filled()))
+                .map_err(draw_error)?;
         }
         draw_legend_entry(&root, group.policy, index, &color)?;
     }
@@ -162,9 +172,9 @@
 
 const FONT: (&str, u32) = ("sans-serif", 18);
 
-fn axis_maximum(groups: &[Group<'_>], figures: &[Figure]) -> f64 {
+fn axis_maximum(groups: &[Group<'_>], metrics: &[Metric]) -> f64 {
     let reports = groups.iter().flat_map(|it| &it.reports);
-    let values = reports.flat_map(|it| figures.iter().map(|figure| figure(it)));
+    let values = reports.flat_map(|it| metrics.iter().map(|metric| metric(it)));
     let maximum = values.fold(0.0, f64::max);
     if maximum == 0.0 { 1.0 } else { maximum * AXIS_HEADROOM_FACTOR }
 }
--- a/crates/curranthook_load/src/report/callers.rs
+++ b/crates/curranthook_load/src/report/callers.rs
@@ -49,10 +49,10 @@
         *not_run += u64::from(execution == refusal::Run::Not);
         recorder.record(sample.latency);
     }
-    let figures = |(reason, (not_run, recorder)): (refusal::Reason, (u64, Recorder))| {
+    let metrics = |(reason, (not_run, recorder)): (refusal::Reason, (u64, Recorder))| {
         (reason.name().to_owned(), Refused { not_run, latency: recorder.summary() })
     };
-    by_reason.into_iter().map(figures).collect()
+    by_reason.into_iter().map(metrics).collect()
 }
 
 pub(super) fn failures(samples: &[&Sample]) -> BTreeMap<String, u64> {
@@ -102,7 +102,7 @@
     for sample in samples {
         groups.entry(run.plan[sample.index].account.as_str()).or_default().push(sample);
     }
-    let figures = |(id, samples): (&str, Vec<&Sample>)| {
+    let metrics = |(id, samples): (&str, Vec<&Sample>)| {
         let marks: Vec<Mark> = answered(&samples).filter_map(|(_, it)| it.mark).collect();
         let n_good = marks.iter().filter(|it| **it == Mark::Good).count();
         let account = Account {
@@ -113,7 +113,7 @@
         };
         (id.to_owned(), account)
     };
-    groups.into_iter().map(figures).collect()
+    groups.into_iter().map(metrics).collect()
 }
 
 pub(super) fn split_sessions(run: &Run<'_>) -> u64 {
--- a/crates/curranthook_load/src/report/cost.rs
+++ b/crates/curranthook_load/src/report/cost.rs
@@ -38,23 +38,23 @@
 
 pub(super) fn attempts(run: &Run<'_>) -> Attempts {
     let by_id = counted_requests(run);
-    let mut figures = Attempts { unread: run.evidence.unread.clone(), ..Attempts::default() };
+    let mut metrics = Attempts { unread: run.evidence.unread.clone(), ..Attempts::default() };
     let mut seen = HashSet::new();
     for record in &run.evidence.records {
         if !by_id.contains_key(record.request_id.as_str()) {
             continue;
         }
-        *figures.by_outcome.entry(record.outcome.clone()).or_default() += 1;
+        *metrics.by_outcome.entry(record.outcome.clone()).or_default() += 1;
         if !record.was_begun() {
             continue;
         }
-        figures.attempts += 1;
+        metrics.attempts += 1;
         seen.insert(record.request_id.as_str());
-        *figures.by_version.entry(record.version.to_string()).or_default() += 1;
+        *metrics.by_version.entry(record.version.to_string()).or_default() += 1;
     }
-    figures.requests = seen.len() as u64;
-    figures.again = figures.attempts - figures.requests;
-    figures
+    metrics.requests = seen.len() as u64;
+    metrics.again = metrics.attempts - metrics.requests;
+    metrics
 }
 
 /// Billed cost of one account.
--- a/crates/curranthook_load/src/scenario/check.rs
+++ b/crates/curranthook_load/src/scenario/check.rs
@@ -28,23 +28,29 @@
     let arrivals = scenario.phases.iter().map(|it| it.duration.as_secs_f64() * it.rate);
     let arrivals: f64 = arrivals.sum();
     let is_valid_duration = !duration.is_zero() && duration <= MAX_DURATION;
-    require(is_valid_duration, errors, || format!("{duration:?} of arrivals"));
-    require(arrivals <= MAX_ARRIVALS, errors, || format!("{arrivals} arrivals"));
+    require(is_valid_duration, errors, || {
+        format!("arrivals last {duration:?}, at most {MAX_DURATION:?} is allowed")
+    });
+    require(arrivals <= MAX_ARRIVALS, errors, || {
+        format!("{arrivals} arrivals, at most {MAX_ARRIVALS} are allowed")
+    });
     require(!scenario.failure_domains.is_empty(), errors, || "no failure domain".to_owned());
     require(0 < scenario.routers, errors, || "no router".to_owned());
     require(scenario.stewards <= scenario.routers, errors, || {
         "more stewards than routers".to_owned()
     });
-    require(scenario.warmup < duration, errors, || "nothing but warm-up".to_owned());
+    require(scenario.warmup < duration, errors, || "the warm-up covers all arrivals".to_owned());
 }
 
 fn check_versions(scenario: &Scenario, errors: &mut Vec<String>) {
     for (id, version) in &scenario.versions {
         for share in [version.quality, version.error_rate, version.claimed.unwrap_or_default()] {
-            require((0.0..=1.0).contains(&share), errors, || format!("{id}: {share} is no share"));
+            require((0.0..=1.0).contains(&share), errors, || {
+                format!("{id}: {share} is not a share between 0 and 1")
+            });
         }
-        let serves = scenario.engines.iter().any(|it| it.versions.contains(id));
-        require(serves, errors, || format!("no engine serves {id}"));
+        let is_served = scenario.engines.iter().any(|it| it.versions.contains(id));
+        require(is_served, errors, || format!("no engine serves {id}"));
     }
     for engines in &scenario.engines {
         require_known_versions(&engines.name, &engines.versions, scenario, errors);
--- a/crates/curranthook_load/src/sse.rs
+++ b/crates/curranthook_load/src/sse.rs
@@ -34,9 +34,9 @@
 
     fn end_line(&mut self, line: &[u8]) -> Option<String> {
         if line.is_empty() {
-            let whole = std::mem::take(&mut self.has_data);
+            let is_complete = std::mem::take(&mut self.has_data);
             let data = std::mem::take(&mut self.data);
-            return whole.then_some(data);
+            return is_complete.then_some(data);
         }
         let value = line.strip_prefix(b"data:")?;
         let value = value.strip_prefix(b" ").unwrap_or(value);
--- a/crates/curranthook_load/src/table.rs
+++ b/crates/curranthook_load/src/table.rs
@@ -59,8 +59,8 @@
 
 impl Group<'_> {
     /// The spread of one metric over the seeds.
-    pub fn spread(&self, figure: impl Fn(&Report) -> f64) -> Spread {
-        let values: Vec<f64> = self.reports.iter().map(|it| figure(it)).collect();
+    pub fn spread(&self, metric: impl Fn(&Report) -> f64) -> Spread {
+        let values: Vec<f64> = self.reports.iter().map(|it| metric(it)).collect();
         Spread::new(&values)
     }
 }
@@ -76,10 +76,10 @@
 }
 
 /// Extracts a metric from a report.
-pub type Figure = fn(&Report) -> f64;
+pub type Metric = fn(&Report) -> f64;
 
 /// Columns of the main table.
-const COLUMNS: [(&str, Figure); 18] = [
+const COLUMNS: [(&str, Metric); 18] = [
     ("requests", |it| it.ends.requests as f64),
     ("cost an answer (engines)", |it| it.cost.per_answer),
     ("cost a bill", |it| it.cost.per_bill),
@@ -142,8 +142,8 @@
     let (scenario, policy, seeds) = (group.scenario, group.policy, group.reports.len());
     let cost_relative_to_best = cost_relative_to_best(group, all);
     append(text, format_args!("| {scenario} | {policy} | {seeds} | {cost_relative_to_best} |"));
-    for (_, figure) in COLUMNS {
-        append(text, format_args!(" {} |", group.spread(figure)));
+    for (_, metric) in COLUMNS {
+        append(text, format_args!(" {} |", group.spread(metric)));
     }
     text.push('\n');
 }
--- a/crates/curranthook_load/src/table/details.rs
+++ b/crates/curranthook_load/src/table/details.rs
@@ -31,11 +31,11 @@
     for group in groups {
         let Some(first) = group.reports.first() else { continue };
         for (index, phase) in first.phases.iter().enumerate() {
-            let spread = |figure: fn(&Phase) -> f64| {
-                group.spread(|it| it.phases.get(index).map_or(0.0, figure))
+            let spread = |metric: fn(&Phase) -> f64| {
+                group.spread(|it| it.phases.get(index).map_or(0.0, metric))
             };
             let refused = |it: &Phase| ratio(it.ends.refused as f64, it.ends.requests as f64);
-            let figures = [
+            let metrics = [
                 spread(|it| it.ends.goodput),
                 spread(refused),
                 spread(|it| it.ends.failed as f64),
@@ -43,7 +43,7 @@
                 spread(|it| it.whole.p50),
                 spread(|it| it.whole.p99),
             ];
-            let cells = figures.iter().map(|it| it as &dyn Display);
+            let cells = metrics.iter().map(|it| it as &dyn Display);
             let cells: Vec<&dyn Display> = [&phase.rate as _].into_iter().chain(cells).collect();
             append_row(text, group, &cells);
         }
@@ -60,8 +60,8 @@
     for group in groups {
         let Some(first) = group.reports.first() else { continue };
         for (index, exposure) in first.exposure.iter().enumerate() {
-            let spread = |figure: fn(&Exposure) -> f64| -> Spread {
-                group.spread(|it| it.exposure.get(index).map_or(0.0, figure))
+            let spread = |metric: fn(&Exposure) -> f64| -> Spread {
+                group.spread(|it| it.exposure.get(index).map_or(0.0, metric))
             };
             let answers = spread(|it| it.answers as f64);
             let bad = spread(|it| it.bad as f64);
--- a/crates/curranthook_load/tests/scenarios.rs
+++ b/crates/curranthook_load/tests/scenarios.rs
@@ -47,8 +47,8 @@
 #[parameterized(
     unknown_version = { "version: tally-llm@1, quality", "version: tally-llm@9, quality", "unknown version" },
     late_event = { "at_seconds: 20", "at_seconds: 90", "after the last arrival" },
-    share_out_of_range = { "quality: 0.95", "quality: 1.95", "is no share" },
-    too_long = { "seconds: 40", "seconds: 4000", "of arrivals" },
+    share_out_of_range = { "quality: 0.95", "quality: 1.95", "is not a share between 0 and 1" },
+    too_long = { "seconds: 40", "seconds: 4000", "arrivals last" },
     unserved_version = { "[tally-llm@1, tally-llm@2]", "[tally-llm@1]", "no engine serves" },
 )]
 fn invalid_scenario_is_rejected(from: &str, to: &str, message: &str) {
--- a/crates/curranthook_load/tests/sse.rs
+++ b/crates/curranthook_load/tests/sse.rs
@@ -10,7 +10,7 @@
 }
 
 #[parameterized(
-   one_event = { "data: a\n\n", &["a"] },
+    one_event = { "data: a\n\n", &["a"] },
     carriage_returns = { "data: a\r\n\r\ndata: b\r\n\r\n", &["a", "b"] },
     no_space = { "data:a\n\n", &["a"] },
     two_lines = { "data: a\ndata: b\n\n", &["a\nb"] },
