--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -158,8 +158,10 @@
         let json = match (&kind.service, &self.ingress.version) {
             (Some(_), _) if kind.call == scenario::Call::Read => return Bytes::new(),
             (Some(_), _) => serde_json::to_vec(&serde_json::json!({"entry": request.text})),
-            (None, None) => serde_json::to_vec(&request.chat(kind, &kind.model)),
-            (None, Some(version)) => serde_json::to_vec(&request.chat(kind, version.as_str())),
+            (None, None) => serde_json::to_vec(&request.chat_request(kind, &kind.model)),
+            (None, Some(version)) => {
+                serde_json::to_vec(&request.chat_request(kind, version.as_str()))
+            }
         };
         json.expect("a request has only plain fields").into()
     }
--- a/crates/curranthook_load/src/fleet/process.rs
+++ b/crates/curranthook_load/src/fleet/process.rs
@@ -25,12 +25,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The operating system failed to start it.
-    #[error("can't start {program}: {why}")]
+    #[error("can't start {program}: {error}")]
     Spawn {
         /// Path of the program.
         program: String,
         /// Error from the operating system.
-        why: std::io::Error,
+        error: std::io::Error,
     },
     /// The program didn't print its listening addresses; see its log.
     #[error("{name} didn't print its listening addresses; see its log, {log}")]
@@ -64,7 +64,7 @@
         name: &str,
         log_dir: &Path,
     ) -> Result<Self, Error> {
-        let spawn_error = |why| Error::Spawn { program: program.display().to_string(), why };
+        let spawn_error = |error| Error::Spawn { program: program.display().to_string(), error };
         let log = log_dir.join(format!("{name}.log"));
         let mut child = Command::new(program)
             .args(args)
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -213,7 +213,10 @@
     let options = options(args.fleet, 0, temp_dir.path())?;
     let duration = Duration::try_from_secs_f64(args.seconds)?;
     let print = |running: &_| println!("{}", serde_json::json!(running));
-    runtime::run(threads, |ex| async move { run::hold(&ex, options, duration, print).await })
+    runtime::run(
+        threads,
+        |ex| async move { run::keep_running(&ex, options, duration, print).await },
+    )
 }
 
 fn options(args: FleetArgs, seed: u64, temp_dir: &Path) -> anyhow::Result<Options> {
--- a/crates/curranthook_load/src/plan.rs
+++ b/crates/curranthook_load/src/plan.rs
@@ -55,7 +55,7 @@
     }
 
     /// Builds the request body for `model`.
-    pub fn chat(&self, kind: &Kind, model: &str) -> chat::Request {
+    pub fn chat_request(&self, kind: &Kind, model: &str) -> chat::Request {
         chat::Request {
             model: model.to_owned(),
             messages: vec![chat::Message { role: "user".to_owned(), content: self.text.clone() }],
--- a/crates/curranthook_load/src/plot.rs
+++ b/crates/curranthook_load/src/plot.rs
@@ -132,9 +132,9 @@
     let mut mesh = chart.configure_mesh();
     mesh.disable_x_mesh().y_desc(bars.unit).x_label_formatter(&cluster_label).x_labels(n_clusters);
     mesh.draw().map_err(draw_error)?;
-    let plane = chart.plotting_area();
-    let (width, height) = plane.dim_in_pixel();
-    let (left, top) = plane.get_base_pixel();
+    let plot_area = chart.plotting_area();
+    let (width, height) = plot_area.dim_in_pixel();
+    let (left, top) = plot_area.get_base_pixel();
     let cluster_width = f64::from(width) / n_clusters as f64;
     let bar_width = cluster_width / (groups.len() + 1) as f64;
     for (index, group) in groups.iter().enumerate() {
--- a/crates/curranthook_load/src/report/cost.rs
+++ b/crates/curranthook_load/src/report/cost.rs
@@ -22,7 +22,8 @@
         n_answers += 1;
         let difficulty = truth::difficulty(&request.text);
         let allowed = run.scenario.allowed(&request.account);
-        let oracle = truth.oracle(allowed.iter(), difficulty, request.prompt_tokens(), request.at);
+        let oracle =
+            truth.oracle_cost(allowed.iter(), difficulty, request.prompt_tokens(), request.at);
         cost.oracle += oracle.map_or(0, |it| it.0);
         let (Some(mark), Some(known)) = (answer.mark, truth.versions.get(version)) else {
             continue;
--- a/crates/curranthook_load/src/report/exposure.rs
+++ b/crates/curranthook_load/src/report/exposure.rs
@@ -23,7 +23,7 @@
         .map(|(_, it)| it.mark)
         .collect();
     let records = run.evidence.records.iter();
-    let starts: Vec<u64> = records
+    let start_offsets_millis: Vec<u64> = records
         .filter(|it| it.version == *version && it.was_begun())
         .filter(|it| applied.at_millis <= it.started_millis)
         .map(|it| it.started_millis - applied.at_millis)
@@ -33,8 +33,10 @@
         version: version.to_string(),
         answers: marks.len() as u64,
         bad: marks.iter().filter(|it| **it == Some(Mark::Bad)).count() as u64,
-        attempts: starts.len() as u64,
-        last_attempt_seconds: seconds(starts.iter().max().copied().unwrap_or_default()),
+        attempts: start_offsets_millis.len() as u64,
+        last_attempt_seconds: seconds(
+            start_offsets_millis.iter().max().copied().unwrap_or_default(),
+        ),
         remaining_seconds: run.scenario.duration().saturating_sub(event.at).as_secs_f64(),
     })
 }
--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -69,30 +69,30 @@
 
 /// A running process, for inspection.
 #[derive(Debug, Serialize)]
-pub struct Running {
+pub struct ProcessInfo {
     /// Process ID.
     pub pid: u32,
     /// Listening addresses, by purpose.
     pub listening: BTreeMap<String, SocketAddr>,
 }
 
-/// Starts a scenario's processes, passes them by name to `ready`, and stops them after `duration`.
+/// Starts a scenario's processes, passes them by name to `on_ready`, and stops them after `duration`.
 /// Sends no requests.
-pub async fn hold(
+pub async fn keep_running(
     ex: &runtime::Handle,
     options: Options,
     duration: Duration,
-    ready: impl FnOnce(&BTreeMap<String, Running>),
+    on_ready: impl FnOnce(&BTreeMap<String, ProcessInfo>),
 ) -> anyhow::Result<()> {
     let Options { scenario, topology, bin_dir, work_dir, .. } = options;
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
     let setup = Setup { scenario: Arc::new(scenario), topology, bin_dir, work_dir };
     let fleet = Fleet::start(setup, pool).await?;
     let running = fleet.processes().map(|it| {
-        let running = Running { pid: it.id(), listening: it.listening().clone() };
+        let running = ProcessInfo { pid: it.id(), listening: it.listening().clone() };
         (it.name().to_owned(), running)
     });
-    ready(&running.collect());
+    on_ready(&running.collect());
     Timer::after(duration).await;
     fleet.close().await?;
     Ok(())
--- a/crates/curranthook_load/src/scenario.rs
+++ b/crates/curranthook_load/src/scenario.rs
@@ -228,12 +228,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
-    #[error("can't read {path}: {why}")]
+    #[error("can't read {path}: {error}")]
     Read {
         /// Path of the file.
         path: String,
         /// Error from the operating system.
-        why: std::io::Error,
+        error: std::io::Error,
     },
     /// The file isn't valid YAML of a scenario.
     #[error("not a scenario: {0}")]
@@ -247,7 +247,7 @@
     /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path)
-            .map_err(|why| Error::Read { path: path.display().to_string(), why })?;
+            .map_err(|error| Error::Read { path: path.display().to_string(), error })?;
         Self::parse(&text)
     }
 
--- a/crates/curranthook_load/src/scenario/check.rs
+++ b/crates/curranthook_load/src/scenario/check.rs
@@ -29,7 +29,7 @@
     let arrivals: f64 = arrivals.sum();
     let is_valid_duration = !duration.is_zero() && duration <= MAX_DURATION;
     require(is_valid_duration, errors, || {
-        format!("arrivals last {duration:?}, at most {MAX_DURATION:?} is allowed")
+        format!("arrivals last {duration:?}, must be above 0 and at most {MAX_DURATION:?}")
     });
     require(arrivals <= MAX_ARRIVALS, errors, || {
         format!("{arrivals} arrivals, at most {MAX_ARRIVALS} are allowed")
--- a/crates/curranthook_load/src/schedule.rs
+++ b/crates/curranthook_load/src/schedule.rs
@@ -60,14 +60,14 @@
     let mut all = Vec::new();
     let mut begin = Duration::ZERO;
     for (index, phase) in phases.iter().enumerate() {
-        let times = offsets(phase, &mut rng);
+        let times = arrival_offsets(phase, &mut rng);
         all.extend(times.map(|it| Arrival { at: begin + it, phase: index }));
         begin += phase.duration;
     }
     all
 }
 
-fn offsets(phase: &Phase, rng: &mut Pcg64) -> impl Iterator<Item = Duration> {
+fn arrival_offsets(phase: &Phase, rng: &mut Pcg64) -> impl Iterator<Item = Duration> {
     let mut times = Vec::new();
     if 0.0 < phase.rate {
         let gaps = Exp::new(phase.rate).expect("the rate is above zero");
--- a/crates/curranthook_load/src/table.rs
+++ b/crates/curranthook_load/src/table.rs
@@ -150,8 +150,8 @@
 
 /// Mean cost per answer relative to that of the policy `best`, if it was run.
 fn cost_relative_to_best(group: &Group<'_>, all: &[Group<'_>]) -> String {
-    const BEST: &str = "best";
-    let best = all.iter().find(|it| it.scenario == group.scenario && it.policy == BEST);
+    const REFERENCE_POLICY: &str = "best";
+    let best = all.iter().find(|it| it.scenario == group.scenario && it.policy == REFERENCE_POLICY);
     let cost = |it: &Group<'_>| it.spread(|report| report.cost.per_answer).mean;
     best.map_or("–".to_owned(), |it| format!("{:.3}", ratio(cost(group), cost(it))))
 }
