--- a/crates/curranthook_load/src/fleet/change.rs
+++ b/crates/curranthook_load/src/fleet/change.rs
@@ -60,7 +60,7 @@
     }
 
     /// Adds faults to those in force. A stand-in replaces all of its faults at once, so the merged
-    /// set is remaining here; otherwise a later event would undo an earlier one.
+    /// set is kept here; otherwise a later event would undo an earlier one.
     async fn set_faults(
         &mut self,
         targets: &Targets,
