--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -76,7 +76,7 @@
     pub listening: BTreeMap<String, SocketAddr>,
 }
 
-/// Starts a scenario's processes, passes them by name to `on_ready`, and stops them after `duration`.
+/// Starts a scenario's processes, passes them to `on_ready` by name, stops them after `duration`.
 /// Sends no requests.
 pub async fn keep_running(
     ex: &runtime::Handle,
--- a/crates/curranthook_load/src/schedule.rs
+++ b/crates/curranthook_load/src/schedule.rs
@@ -72,7 +72,7 @@
     if 0.0 < phase.rate {
         let gaps = Exp::new(phase.rate).expect("the rate is above zero");
         let gap = 1.0 / phase.rate;
-        // Fixed arrival times are multiplied out; summing intervals would accumulate rounding errors.
+        // Fixed times are multiplied out; summing intervals would accumulate rounding errors.
         let mut at = 0.0;
         for n in 0_u32.. {
             at = match phase.spacing {
