--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -239,7 +239,7 @@
 fn check(files: &[PathBuf]) -> anyhow::Result<()> {
     for file in files {
         let scenario = load_scenario(file)?;
-        println!("{}: {} s, valid", scenario.name, scenario.duration().as_secs_f64());
+        println!("{}: {} s, sound", scenario.name, scenario.duration().as_secs_f64());
     }
     Ok(())
 }
