--- a/crates/curranthook_load/src/report.rs
+++ b/crates/curranthook_load/src/report.rs
@@ -43,7 +43,7 @@
     /// Latencies from the scheduled time.
     pub latency: Latency,
     /// Refusals by reason.
-    pub refusals: BTreeMap<String, Refused>,
+    pub refusals: BTreeMap<String, RefusalMetrics>,
     /// Failures (neither answer nor refusal) by cause.
     pub failures: BTreeMap<String, u64>,
     /// Quality of answers by kind of work.
@@ -57,7 +57,7 @@
     /// Metrics per arrival phase.
     pub phases: Vec<Phase>,
     /// Metrics per client account.
-    pub accounts: BTreeMap<String, Account>,
+    pub accounts: BTreeMap<String, AccountMetrics>,
     /// Number of sessions answered by more than one version.
     pub split_sessions: u64,
     /// Sums of the routers' counters, such as `retry.connect`, including the warm-up.
@@ -99,7 +99,7 @@
 
 /// Refusals with one reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Refused {
+pub struct RefusalMetrics {
     /// Refusals stating that the request wasn't executed.
     pub not_run: u64,
     /// Time to refusal.
@@ -196,7 +196,7 @@
 
 /// Metrics of one client account.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Account {
+pub struct AccountMetrics {
     /// Numbers of its requests by outcome.
     pub ends: Ends,
     /// Share of good answers among those marked.
--- a/crates/curranthook_load/src/report/callers.rs
+++ b/crates/curranthook_load/src/report/callers.rs
@@ -4,7 +4,7 @@
 
 use curranthook_types::refusal;
 
-use super::{Account, Ends, Latency, Phase, Quality, Refused, Run, ratio};
+use super::{AccountMetrics, Ends, Latency, Phase, Quality, RefusalMetrics, Run, ratio};
 use crate::{
     sample::{Answer, Mark, Outcome, Sample},
     timing::Recorder,
@@ -42,7 +42,7 @@
     }
 }
 
-pub(super) fn refusals(samples: &[&Sample]) -> BTreeMap<String, Refused> {
+pub(super) fn refusals(samples: &[&Sample]) -> BTreeMap<String, RefusalMetrics> {
     let mut by_reason: BTreeMap<refusal::Reason, (u64, Recorder)> = BTreeMap::new();
     for (sample, reason, execution) in refused(samples) {
         let (not_run, recorder) = by_reason.entry(reason).or_default();
@@ -50,7 +50,7 @@
         recorder.record(sample.latency);
     }
     let metrics = |(reason, (not_run, recorder)): (refusal::Reason, (u64, Recorder))| {
-        (reason.name().to_owned(), Refused { not_run, latency: recorder.summary() })
+        (reason.name().to_owned(), RefusalMetrics { not_run, latency: recorder.summary() })
     };
     by_reason.into_iter().map(metrics).collect()
 }
@@ -97,7 +97,7 @@
     samples: &[&Sample],
     run: &Run<'_>,
     seconds: f64,
-) -> BTreeMap<String, Account> {
+) -> BTreeMap<String, AccountMetrics> {
     let mut groups: BTreeMap<&str, Vec<&Sample>> = BTreeMap::new();
     for sample in samples {
         groups.entry(run.plan[sample.index].account.as_str()).or_default().push(sample);
@@ -105,7 +105,7 @@
     let metrics = |(id, samples): (&str, Vec<&Sample>)| {
         let marks: Vec<Mark> = answered(&samples).filter_map(|(_, it)| it.mark).collect();
         let n_good = marks.iter().filter(|it| **it == Mark::Good).count();
-        let account = Account {
+        let account = AccountMetrics {
             ends: ends(&samples, run, seconds),
             good_share: ratio(n_good as f64, marks.len() as f64),
             whole: answer_latency(&samples),
