--- a/crates/curranthook_load/src/report/exposure.rs
+++ b/crates/curranthook_load/src/report/exposure.rs
@@ -45,9 +45,9 @@
 fn tracked_version<'a>(run: &Run<'_>, event: &'a Event) -> Option<(String, &'a version::Id)> {
     match &event.action {
         Action::Quality { version, quality } => {
-            let before = run.scenario.versions.get(version)?.quality;
-            let label = format!("quality {before} -> {quality}");
-            (*quality < before).then_some((label, version))
+            let initial_quality = run.scenario.versions.get(version)?.quality;
+            let label = format!("quality {initial_quality} -> {quality}");
+            (*quality < initial_quality).then_some((label, version))
         }
         Action::Withdraw { version } => Some(("withdrawn".to_owned(), version)),
         Action::Rollout { to, .. } => Some(("rolled out".to_owned(), to)),
--- a/crates/curranthook_load/src/schedule.rs
+++ b/crates/curranthook_load/src/schedule.rs
@@ -73,16 +73,16 @@
         let gaps = Exp::new(phase.rate).expect("the rate is above zero");
         let gap = 1.0 / phase.rate;
         // Fixed times are multiplied out; summing intervals would accumulate rounding errors.
-        let mut at = 0.0;
+        let mut offset_seconds = 0.0;
         for n in 0_u32.. {
-            at = match phase.spacing {
-                Spacing::Poisson => at + gaps.sample(rng),
+            offset_seconds = match phase.spacing {
+                Spacing::Poisson => offset_seconds + gaps.sample(rng),
                 Spacing::Fixed => gap * f64::from(n),
             };
-            if phase.duration.as_secs_f64() <= at {
+            if phase.duration.as_secs_f64() <= offset_seconds {
                 break;
             }
-            times.push(Duration::from_secs_f64(at));
+            times.push(Duration::from_secs_f64(offset_seconds));
         }
     }
     times.into_iter()
--- a/crates/curranthook_load/tests/caller.rs
+++ b/crates/curranthook_load/tests/caller.rs
@@ -162,8 +162,8 @@
     let body = serde_json::json!({
         "id": "ID", "object": "chat.completion", "model": "m@1", "choices": [],
     });
-    let answer = CannedResponse { status: "200 OK", headers: "", body: body.to_string() };
-    let addr = start_server(answer, RESPONSE_DELAY);
+    let response = CannedResponse { status: "200 OK", headers: "", body: body.to_string() };
+    let addr = start_server(response, RESPONSE_DELAY);
     let load = load(addr);
     let n_arrivals = load.arrivals().len() as u64;
     let outcomes = runtime::run(1, |ex| async move { direct::run(&ex, load).await });
