--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -27,7 +27,7 @@
 /// Maximum number of calls in a run.
 const MAX_CALLS: usize = 5_000_000;
 
-/// When calls are sent.
+/// Whether calls are sent at a fixed rate (open loop) or as connections become free (closed loop).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Mode {
     /// Open loop: at this rate per second, regardless of responses.
@@ -41,7 +41,7 @@
 pub struct Load {
     /// Address that receives the calls.
     pub target: SocketAddr,
-    /// When calls are sent.
+    /// Open or closed loop.
     pub mode: Mode,
     /// Duration of the run.
     pub duration: Duration,
--- a/crates/curranthook_load/src/fleet/setup.rs
+++ b/crates/curranthook_load/src/fleet/setup.rs
@@ -35,11 +35,11 @@
 /// Parameters for starting a fleet.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The scenario.
+    /// Scenario to run.
     pub scenario: Arc<Scenario>,
     /// What handles requests between callers and endpoints.
     pub topology: Topology,
-    /// Directory of the programs.
+    /// Directory with the router, steward and stand-in executables.
     pub bin_dir: PathBuf,
     /// Directory for logs and settings files.
     pub work_dir: PathBuf,
--- a/crates/curranthook_load/src/report.rs
+++ b/crates/curranthook_load/src/report.rs
@@ -15,7 +15,7 @@
 pub struct Run<'a> {
     /// The scenario that was run.
     pub scenario: &'a Scenario,
-    /// Policy of the routers.
+    /// Routing policy of the routers.
     pub policy: &'a str,
     /// Seed of arrivals and prompts.
     pub seed: u64,
@@ -32,7 +32,7 @@
 pub struct Report {
     /// Name of the scenario.
     pub scenario: String,
-    /// Policy of the routers.
+    /// Routing policy of the routers.
     pub policy: String,
     /// Seed of arrivals and prompts.
     pub seed: u64,
--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -29,13 +29,13 @@
 /// Parameters of a run.
 #[derive(Debug)]
 pub struct Options {
-    /// The scenario.
+    /// Scenario to run.
     pub scenario: Scenario,
     /// What handles requests between callers and endpoints.
     pub topology: Topology,
     /// Seed of arrivals and prompts.
     pub seed: u64,
-    /// Directory of the programs.
+    /// Directory with the router, steward and stand-in executables.
     pub bin_dir: PathBuf,
     /// Directory for logs and settings files.
     pub work_dir: PathBuf,
--- a/crates/curranthook_load/src/sample.rs
+++ b/crates/curranthook_load/src/sample.rs
@@ -44,9 +44,9 @@
 /// Quality marker at the start of each answer of a stand-in engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mark {
-    /// `[good]`
+    /// `[good]`: the answer is good enough for the prompt.
     Good,
-    /// `[bad]`
+    /// `[bad]`: the answer is not good enough for the prompt.
     Bad,
 }
 
--- a/crates/curranthook_load/src/scenario.rs
+++ b/crates/curranthook_load/src/scenario.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// A plain service.
+/// A group of identical instances of a service that isn't a model engine.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
--- a/crates/curranthook_load/src/table.rs
+++ b/crates/curranthook_load/src/table.rs
@@ -9,22 +9,22 @@
 /// Reports of one scenario and policy, one per seed.
 #[derive(Debug)]
 pub struct Group<'a> {
-    /// The scenario.
+    /// Scenario name.
     pub scenario: &'a str,
-    /// The policy.
+    /// Name of the routing policy.
     pub policy: &'a str,
-    /// The reports.
+    /// The reports, one per seed.
     pub reports: Vec<&'a Report>,
 }
 
 /// Mean, minimum and maximum over several seeds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
-    /// The mean.
+    /// Mean value.
     pub mean: f64,
-    /// The least.
+    /// Minimum value.
     pub min: f64,
-    /// The greatest.
+    /// Maximum value.
     pub max: f64,
 }
 
