--- a/crates/curranthook_load/src/client.rs
+++ b/crates/curranthook_load/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and reads the whole answer.
+//! HTTP client of a simulated caller: sends one request and reads the complete response.
 
 use std::{
     net::SocketAddr,
@@ -22,40 +22,40 @@
     sse,
 };
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A call ready to be sent.
+/// A request with its destination, scheduled time and timeout.
 #[derive(Debug)]
 pub struct Call {
-    /// Where to.
+    /// Address of the server.
     pub addr: SocketAddr,
-    /// The request.
+    /// The HTTP request.
     pub req: http::Request<Bytes>,
-    /// The id that the answer must carry, where the protocol has one.
+    /// Request ID that the response must carry, for protocols that return one.
     pub expected_id: Option<String>,
-    /// The time from which latency counts.
-    pub intended: Instant,
-    /// When to give up, counted from the intended time.
-    pub limit: Duration,
+    /// Scheduled send time, from which latency is measured.
+    pub scheduled: Instant,
+    /// Time-out, counted from the scheduled time.
+    pub timeout: Duration,
 }
 
-/// Callers' connections, kept open between calls.
+/// HTTP client with a pool of persistent connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     pool: Arc<Pool>,
 }
 
 impl Client {
-    /// A client that uses the connections of `pool`.
+    /// Creates a client that uses the connections of `pool`.
     pub fn new(pool: Arc<Pool>) -> Self {
         Self { pool }
     }
 
-    /// Makes the call. Latency counts from the intended time, so the wait of a request that
-    /// went out late, behind others, is part of it.
+    /// Sends the request. Latency is measured from the scheduled time, so it includes the delay of
+    /// a request that was sent late because others were still in progress.
     pub async fn run(&self, call: Call) -> Outcome {
-        let left = (call.intended + call.limit).saturating_duration_since(Instant::now());
+        let left = (call.scheduled + call.timeout).saturating_duration_since(Instant::now());
         match timeout::run(left, self.attempt(call)).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(failure)) => Outcome::Failed(failure),
@@ -74,11 +74,11 @@
             }
         };
         let outcome = if !head.status.is_success() {
-            refusal(incoming).await?
+            read_refusal(incoming).await?
         } else if is_stream(&head) {
-            stream(&head, incoming, call.intended, call.expected_id.as_deref()).await?
+            read_stream(&head, incoming, call.scheduled, call.expected_id.as_deref()).await?
         } else {
-            Outcome::Answered(whole(&head, incoming, call.expected_id.as_deref()).await?)
+            Outcome::Answered(read_answer(&head, incoming, call.expected_id.as_deref()).await?)
         };
         self.pool.put(conn);
         Ok(outcome)
@@ -92,60 +92,60 @@
 }
 
 fn is_stream(head: &http::response::Parts) -> bool {
-    text(head, "content-type").is_some_and(|it| it.starts_with("text/event-stream"))
+    header_value(head, "content-type").is_some_and(|it| it.starts_with("text/event-stream"))
 }
 
-fn text<'a>(head: &'a http::response::Parts, name: &str) -> Option<&'a str> {
+fn header_value<'a>(head: &'a http::response::Parts, name: &str) -> Option<&'a str> {
     head.headers.get(name)?.to_str().ok()
 }
 
-/// The body of a refusal, and the last event of a stream that was given up on.
+/// Body of a refusal, and of the last event of a stream that the router aborted.
 #[derive(Debug, Deserialize)]
-struct Body {
+struct RefusalBody {
     error: Refusal,
 }
 
-async fn refusal(incoming: Incoming) -> Result<Outcome, Failure> {
-    let bytes = body::read(incoming, MAX_ANSWER).await.map_err(|_| Failure::CutOff)?;
-    let body: Body = serde_json::from_slice(&bytes).map_err(|_| Failure::UntypedError)?;
+async fn read_refusal(incoming: Incoming) -> Result<Outcome, Failure> {
+    let bytes = body::read(incoming, MAX_RESPONSE_BYTES).await.map_err(|_| Failure::CutOff)?;
+    let body: RefusalBody = serde_json::from_slice(&bytes).map_err(|_| Failure::UntypedError)?;
     Ok(Outcome::Refused(body.error.code, body.error.not_run))
 }
 
-async fn whole(
+async fn read_answer(
     head: &http::response::Parts,
     incoming: Incoming,
     expected_id: Option<&str>,
 ) -> Result<Answer, Failure> {
-    let bytes = body::read(incoming, MAX_ANSWER).await.map_err(|_| Failure::CutOff)?;
+    let bytes = body::read(incoming, MAX_RESPONSE_BYTES).await.map_err(|_| Failure::CutOff)?;
     let Some(expected_id) = expected_id else {
-        // A plain service answers in a form of its own.
+        // A plain service has its own response format.
         return Ok(Answer::default());
     };
     let answer: chat::Answer = serde_json::from_slice(&bytes).map_err(|_| Failure::Unreadable)?;
     check_id(&answer, expected_id)?;
     let message = answer.choices.first().and_then(|it| it.message.as_ref());
     Ok(Answer {
-        version: Some(version(head, &answer)),
+        version: Some(served_version(head, &answer)),
         mark: message.and_then(|it| Mark::parse(&it.content)),
-        session_token: text(head, header::SESSION_TOKEN).map(str::to_owned),
+        session_token: header_value(head, header::SESSION_TOKEN).map(str::to_owned),
         ..Answer::default()
     })
 }
 
-async fn stream(
+async fn read_stream(
     head: &http::response::Parts,
     mut incoming: Incoming,
-    intended: Instant,
+    scheduled: Instant,
     expected_id: Option<&str>,
 ) -> Result<Outcome, Failure> {
     let mut reader = sse::Reader::default();
-    let mut state = Streamed::default();
+    let mut state = StreamState::default();
     while let Some(frame) = incoming.frame().await {
         let frame = frame.map_err(|_| Failure::CutOff)?;
         let Ok(chunk) = frame.into_data() else { continue };
         let now = Instant::now();
         for data in reader.push(&chunk) {
-            state.event(&data, now, intended, head, expected_id)?;
+            state.handle_event(&data, now, scheduled, head, expected_id)?;
         }
     }
     if let Some(refusal) = state.refusal {
@@ -155,12 +155,12 @@
         return Err(Failure::CutOff);
     }
     state.answer.mark = Mark::parse(&state.text);
-    state.answer.session_token = text(head, header::SESSION_TOKEN).map(str::to_owned);
+    state.answer.session_token = header_value(head, header::SESSION_TOKEN).map(str::to_owned);
     Ok(Outcome::Answered(state.answer))
 }
 
 #[derive(Debug, Default)]
-struct Streamed {
+struct StreamState {
     answer: Answer,
     text: String,
     last: Option<Instant>,
@@ -168,12 +168,12 @@
     refusal: Option<Refusal>,
 }
 
-impl Streamed {
-    fn event(
+impl StreamState {
+    fn handle_event(
         &mut self,
         data: &str,
         now: Instant,
-        intended: Instant,
+        scheduled: Instant,
         head: &http::response::Parts,
         expected_id: Option<&str>,
     ) -> Result<(), Failure> {
@@ -181,7 +181,7 @@
             self.ended = true;
             return Ok(());
         }
-        if let Ok(body) = serde_json::from_str::<Body>(data) {
+        if let Ok(body) = serde_json::from_str::<RefusalBody>(data) {
             self.refusal = Some(body.error);
             return Ok(());
         }
@@ -189,7 +189,7 @@
         if let Some(expected_id) = expected_id {
             check_id(&event, expected_id)?;
         }
-        self.answer.version.get_or_insert_with(|| version(head, &event));
+        self.answer.version.get_or_insert_with(|| served_version(head, &event));
         let Some(delta) = event.choices.first().and_then(|it| it.delta.as_ref()) else {
             return Ok(());
         };
@@ -198,18 +198,18 @@
         }
         self.text.push_str(&delta.content);
         match self.last.replace(now) {
-            None => self.answer.first_token = Some(now.saturating_duration_since(intended)),
+            None => self.answer.first_token = Some(now.saturating_duration_since(scheduled)),
             Some(last) => self.answer.gaps.push(now - last),
         }
         Ok(())
     }
 }
 
-fn version(head: &http::response::Parts, answer: &chat::Answer) -> version::Id {
-    version::Id::new(text(head, header::VERSION).unwrap_or(&answer.model))
+fn served_version(head: &http::response::Parts, answer: &chat::Answer) -> version::Id {
+    version::Id::new(header_value(head, header::VERSION).unwrap_or(&answer.model))
 }
 
-/// Something between two ends can hand an answer to the wrong caller; its id shows it.
+/// Checks the ID in the response: an intermediary can deliver a response to the wrong caller.
 fn check_id(answer: &chat::Answer, expected: &str) -> Result<(), Failure> {
     if answer.id == expected { Ok(()) } else { Err(Failure::Foreign) }
 }
--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -1,4 +1,4 @@
-//! Plain load on one address, a router or an engine, to measure what the router adds.
+//! Load on a single address, a router or an engine, to measure the overhead of the router.
 
 use std::{
     net::SocketAddr,
@@ -22,73 +22,73 @@
     timing::{Recorder, Summary},
 };
 
-/// How long a call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
-/// The most calls of one run.
+/// Time-out of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of calls in a run.
 const MAX_CALLS: usize = 5_000_000;
 
-/// When calls go out.
+/// Whether calls are sent at a fixed rate (open loop) or as connections become free (closed loop).
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Pace {
-    /// At this rate a second, whatever the answers do.
+pub enum Mode {
+    /// Open loop: at this rate per second, regardless of responses.
     Open(f64),
-    /// As soon as a connection is free.
+    /// Closed loop: as soon as a connection is free.
     Closed,
 }
 
-/// What to send, where to, and how much.
+/// Parameters of a load run.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Where to.
+    /// Address that receives the calls.
     pub target: SocketAddr,
-    /// When calls go out.
-    pub pace: Pace,
-    /// For how long.
+    /// Open or closed loop.
+    pub mode: Mode,
+    /// Duration of the run.
     pub duration: Duration,
-    /// How many connections.
+    /// Number of connections.
     pub n_connections: usize,
-    /// What each call sends.
-    pub question: Question,
-    /// The seed of the arrivals.
+    /// Content of each call.
+    pub template: Template,
+    /// Seed of the arrival times.
     pub seed: u64,
 }
 
-/// What each call sends.
+/// Content of each call.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct Template {
     /// The API key.
     pub key: String,
     /// The model or version.
     pub model: String,
-    /// The kind of work.
+    /// The kind of work, sent as a request header.
     pub kind: String,
-    /// The prompt.
+    /// The prompt text.
     pub text: String,
-    /// Whether the answer is streamed.
+    /// Whether to request a streamed response.
     pub stream: bool,
 }
 
-/// What was measured.
+/// Results of a load run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcomes {
-    /// Calls that were made.
+    /// Number of calls made.
     pub calls: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Typed refusals.
+    /// Refusals with a typed reason.
     pub refused: u64,
-    /// Neither.
+    /// Calls that ended with neither an answer nor a typed refusal.
     pub failed: u64,
-    /// Whole answers a second.
+    /// Complete answers per second.
     pub rate: f64,
-    /// To the end of answers, from the intended time.
+    /// Latency of complete answers, from the scheduled time.
     pub whole: Summary,
-    /// To the first token of streams, from the intended time.
+    /// Time to first token of streamed answers, from the scheduled time.
     pub first_token: Summary,
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Totals {
     answered: u64,
     refused: u64,
     failed: u64,
@@ -100,7 +100,7 @@
 struct Shared {
     load: Load,
     body: Bytes,
-    times: Vec<schedule::Arrival>,
+    arrivals: Vec<schedule::Arrival>,
     next: AtomicUsize,
     start: Instant,
 }
@@ -109,44 +109,44 @@
 pub async fn run(ex: &runtime::Handle, load: Load) -> Outcomes {
     let shared = Arc::new(Shared::new(load));
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
-    let worker = |_| ex.spawn(Arc::clone(&shared).work(Client::new(Arc::clone(&pool))));
+    let worker = |_| ex.spawn(Arc::clone(&shared).run_worker(Client::new(Arc::clone(&pool))));
     let workers: Vec<_> = (0..shared.load.n_connections).map(worker).collect();
-    let mut sum = Tally::default();
+    let mut totals = Totals::default();
     for worker in workers {
-        sum.add(worker.await);
+        totals.add(worker.await);
     }
-    sum.outcomes(shared.start.elapsed())
+    totals.outcomes(shared.start.elapsed())
 }
 
 impl Load {
-    /// The times at which calls are meant to go out; none for a closed loop.
+    /// Scheduled times of the calls; empty for a closed loop.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use curranthook_load::direct::{Load, Pace, Question};
-    /// # let question = Question {
+    /// use curranthook_load::direct::{Load, Mode, Template};
+    /// # let template = Template {
     /// #     key: "key-a".into(), model: "auto".into(), kind: "summary".into(),
     /// #     text: "How much?".into(), stream: false,
     /// # };
     /// let load = Load {
     ///     target: "127.0.0.1:8080".parse().unwrap(),
-    ///     pace: Pace::Open(100.0),
+    ///     mode: Mode::Open(100.0),
     ///     duration: Duration::from_secs(1),
     ///     n_connections: 8,
-    ///     question,
+    ///     template,
     ///     seed: 1,
     /// };
     /// assert_eq!(load.arrivals(), load.arrivals());
     /// ```
     pub fn arrivals(&self) -> Vec<schedule::Arrival> {
-        let Pace::Open(rate) = self.pace else { return Vec::new() };
+        let Mode::Open(rate) = self.mode else { return Vec::new() };
         let phase = Phase { duration: self.duration, rate, spacing: Spacing::Poisson };
         schedule::arrivals(&[phase], self.seed)
     }
 }
 
-impl Question {
-    /// The request with id `id`, to be sent to `target`.
+impl Template {
+    /// Builds the request with ID `id`, addressed to `target`.
     pub fn request(&self, target: SocketAddr, id: &str, body: Bytes) -> http::Request<Bytes> {
         http::Request::post("/v1/chat/completions")
             .header(http::header::HOST, target.to_string())
@@ -158,7 +158,7 @@
             .expect("the command line gave plain names")
     }
 
-    /// The body of every request.
+    /// Body shared by all requests.
     pub fn body(&self) -> Bytes {
         let chat = chat::Request {
             model: self.model.clone(),
@@ -173,47 +173,47 @@
 
 impl Shared {
     fn new(load: Load) -> Self {
-        let times = load.arrivals();
-        let body = load.question.body();
-        Self { load, body, times, next: AtomicUsize::new(0), start: Instant::now() }
+        let arrivals = load.arrivals();
+        let body = load.template.body();
+        Self { load, body, arrivals, next: AtomicUsize::new(0), start: Instant::now() }
     }
 
-    /// Makes calls on one connection until there are no more to make. A call that finds every
-    /// connection busy goes out late, and the wait counts, as its time was set before.
-    async fn work(self: Arc<Self>, client: Client) -> Tally {
-        let mut tally = Tally::default();
-        while let Some((index, intended)) = self.next_call() {
-            Timer::at(intended).await;
-            let outcome = client.run(self.call(index, intended)).await;
-            tally.record(&outcome, intended.elapsed());
+    /// Makes calls on one connection until none are left. A call that finds every connection busy
+    /// is sent late, and the delay counts as latency because its time was scheduled beforehand.
+    async fn run_worker(self: Arc<Self>, client: Client) -> Totals {
+        let mut totals = Totals::default();
+        while let Some((index, scheduled)) = self.next_call() {
+            Timer::at(scheduled).await;
+            let outcome = client.run(self.call(index, scheduled)).await;
+            totals.record(&outcome, scheduled.elapsed());
         }
-        tally
+        totals
     }
 
     fn next_call(&self) -> Option<(usize, Instant)> {
         let index = self.next.fetch_add(1, Ordering::Relaxed);
-        let intended = match self.load.pace {
-            Pace::Open(_) => self.start + self.times.get(index)?.at,
-            Pace::Closed => Instant::now(),
+        let scheduled = match self.load.mode {
+            Mode::Open(_) => self.start + self.arrivals.get(index)?.at,
+            Mode::Closed => Instant::now(),
         };
-        let is_over = self.start + self.load.duration <= intended || MAX_CALLS <= index;
-        (!is_over).then_some((index, intended))
+        let is_over = self.start + self.load.duration <= scheduled || MAX_CALLS <= index;
+        (!is_over).then_some((index, scheduled))
     }
 
-    fn call(&self, index: usize, intended: Instant) -> Call {
+    fn call(&self, index: usize, scheduled: Instant) -> Call {
         let id = format!("direct-{}-{index}", self.load.seed);
         let target = self.load.target;
         Call {
             addr: target,
-            req: self.load.question.request(target, &id, self.body.clone()),
+            req: self.load.template.request(target, &id, self.body.clone()),
             expected_id: Some(id),
-            intended,
-            limit: CALL_LIMIT,
+            scheduled,
+            timeout: CALL_TIMEOUT,
         }
     }
 }
 
-impl Tally {
+impl Totals {
     fn record(&mut self, outcome: &Outcome, whole: Duration) {
         match outcome {
             Outcome::Answered(answer) => {
--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -1,4 +1,4 @@
-//! The open loop: each request goes out at its intended time, whatever became of the others.
+//! Open-loop sender: each request is sent at its scheduled time, regardless of the others.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,46 +24,46 @@
     scenario::{self, Kind, Scenario},
 };
 
-/// Past this many outstanding requests the tool itself would be what is measured.
+/// Maximum number of outstanding requests; beyond it, the load tool itself would be the bottleneck.
 const MAX_OUTSTANDING: usize = 20_000;
-/// How long past its deadline a caller still waits, to tell a late answer from none.
-const GRACE: Duration = Duration::from_secs(5);
+/// Time to wait after the deadline, to tell a late answer from a missing one.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where callers send their requests.
+/// Addresses that callers send their requests to.
 #[derive(Debug, Clone, Default)]
-pub struct Entry {
-    /// Addresses for models, used in turn.
+pub struct Ingress {
+    /// Addresses for model requests, used round-robin.
     pub models: Vec<SocketAddr>,
-    /// Addresses for plain services, used in turn, by service.
+    /// Addresses for plain services, used round-robin, by service.
     pub services: BTreeMap<String, Vec<SocketAddr>>,
-    /// The version asked for in place of the model of the kind of work.
+    /// Version to request instead of the model configured for the kind of work.
     pub version: Option<version::Id>,
 }
 
-/// The callers of a run.
+/// The simulated callers of a run.
 #[derive(Debug)]
 pub struct Callers {
     scenario: Arc<Scenario>,
     client: Client,
-    entry: Entry,
+    ingress: Ingress,
     session_tokens: Mutex<HashMap<String, String>>,
     n_outstanding: AtomicUsize,
 }
 
 impl Callers {
-    /// Callers that spread their requests over the addresses of `entry`, as the platform's
-    /// balancer does.
-    pub fn new(scenario: Arc<Scenario>, client: Client, entry: Entry) -> Self {
+    /// Creates callers that distribute their requests over the given addresses, as the platform's
+    /// load balancer does.
+    pub fn new(scenario: Arc<Scenario>, client: Client, ingress: Ingress) -> Self {
         Self {
             scenario,
             client,
-            entry,
+            ingress,
             session_tokens: Mutex::default(),
             n_outstanding: AtomicUsize::new(0),
         }
     }
 
-    /// Sends every request of `plan`, counting its times from `start`, and waits for all ends.
+    /// Sends every request of `plan`, scheduled relative to `start`, and waits for all to end.
     pub async fn drive(
         self: Arc<Self>,
         ex: &runtime::Handle,
@@ -94,40 +94,45 @@
         let callers = Arc::clone(self);
         ex.spawn(async move {
             let request = &plan[index];
-            let intended = start + request.at;
-            let outcome = callers.send(index, request, intended).await;
-            let whole = intended.elapsed();
-            // The receiver waits for every sender.
-            let _received = tx.send(Sample { index, whole, outcome }).await;
+            let scheduled = start + request.at;
+            let outcome = callers.send(index, request, scheduled).await;
+            let latency = scheduled.elapsed();
+            // The receiver outlives every sender, so the send cannot fail.
+            let _received = tx.send(Sample { index, latency, outcome }).await;
         })
         .detach();
     }
 
-    async fn send(&self, index: usize, request: &plan::Request, intended: Instant) -> Outcome {
+    async fn send(&self, index: usize, request: &plan::Request, scheduled: Instant) -> Outcome {
         if MAX_OUTSTANDING <= self.n_outstanding.fetch_add(1, Ordering::Relaxed) {
             self.n_outstanding.fetch_sub(1, Ordering::Relaxed);
             return Outcome::Failed(Failure::NotSent);
         }
-        let call = self.call(index, request, intended);
+        let call = self.call(index, request, scheduled);
         let outcome = self.client.run(call).await;
         self.n_outstanding.fetch_sub(1, Ordering::Relaxed);
-        self.keep_token(request, &outcome);
+        self.store_session_token(request, &outcome);
         outcome
     }
 
-    fn call(&self, index: usize, request: &plan::Request, intended: Instant) -> Call {
+    fn call(&self, index: usize, request: &plan::Request, scheduled: Instant) -> Call {
         let kind = &self.scenario.kinds[&request.kind];
-        let addr = self.entry.addr(index, kind);
+        let addr = self.ingress.addr(index, kind);
         Call {
             addr,
-            req: self.http(addr, request, kind),
+            req: self.http_request(addr, request, kind),
             expected_id: kind.service.is_none().then(|| request.id.clone()),
-            intended,
-            limit: kind.deadline + GRACE,
+            scheduled,
+            timeout: kind.deadline + LATE_ANSWER_TIMEOUT,
         }
     }
 
-    fn http(&self, addr: SocketAddr, request: &plan::Request, kind: &Kind) -> http::Request<Bytes> {
+    fn http_request(
+        &self,
+        addr: SocketAddr,
+        request: &plan::Request,
+        kind: &Kind,
+    ) -> http::Request<Bytes> {
         let mut req = http::Request::builder()
             .method(method(kind))
             .uri(path(kind))
@@ -150,16 +155,18 @@
     }
 
     fn body(&self, request: &plan::Request, kind: &Kind) -> Bytes {
-        let json = match (&kind.service, &self.entry.version) {
+        let json = match (&kind.service, &self.ingress.version) {
             (Some(_), _) if kind.call == scenario::Call::Read => return Bytes::new(),
             (Some(_), _) => serde_json::to_vec(&serde_json::json!({"entry": request.text})),
-            (None, None) => serde_json::to_vec(&request.chat(kind, &kind.model)),
-            (None, Some(version)) => serde_json::to_vec(&request.chat(kind, version.as_str())),
+            (None, None) => serde_json::to_vec(&request.chat_request(kind, &kind.model)),
+            (None, Some(version)) => {
+                serde_json::to_vec(&request.chat_request(kind, version.as_str()))
+            }
         };
         json.expect("a request has only plain fields").into()
     }
 
-    fn keep_token(&self, request: &plan::Request, outcome: &Outcome) {
+    fn store_session_token(&self, request: &plan::Request, outcome: &Outcome) {
         let (Some(session), Outcome::Answered(answer)) = (&request.session, outcome) else {
             return;
         };
@@ -169,7 +176,7 @@
     }
 }
 
-impl Entry {
+impl Ingress {
     fn addr(&self, index: usize, kind: &Kind) -> SocketAddr {
         let service = kind.service.as_ref().and_then(|it| self.services.get(it));
         let addrs = service.unwrap_or(&self.models);
--- a/crates/curranthook_load/src/fleet/document.rs
+++ b/crates/curranthook_load/src/fleet/document.rs
@@ -1,4 +1,4 @@
-//! The configuration that a scenario's site is published with.
+//! Builds the initial configuration of a scenario's site.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,14 +11,14 @@
 
 use crate::scenario::{Kind, Scenario};
 
-/// A secret that signs session tokens; a scenario's site guards nothing.
+/// Secret that signs session tokens; fixed, as a scenario's site protects no real data.
 const SESSION_SECRET: [u8; 32] = [7; 32];
 
-/// Where the endpoints of a scenario listen, by id.
+/// Listening addresses of the scenario's endpoints, by ID.
 pub type Addresses = BTreeMap<String, SocketAddr>;
 
-/// The first document.
-pub fn first(scenario: &Scenario, addrs: &Addresses, rater: Option<SocketAddr>) -> Document {
+/// Builds the first configuration document.
+pub fn initial(scenario: &Scenario, addrs: &Addresses, rater: Option<SocketAddr>) -> Document {
     let config = Config {
         site: scenario.site.clone(),
         versions: versions(scenario),
@@ -66,7 +66,7 @@
                 service: None,
                 checks_fencing: true,
                 slots: engines.slots,
-                ..bare(scenario, addrs, &id, all.len())
+                ..base_endpoint(scenario, addrs, &id, all.len())
             };
             all.insert(endpoint::Id::new(&id), endpoint);
         }
@@ -75,7 +75,7 @@
         for id in service.ids() {
             let endpoint = config::Endpoint {
                 service: Some(service.name.clone()),
-                ..bare(scenario, addrs, &id, all.len())
+                ..base_endpoint(scenario, addrs, &id, all.len())
             };
             all.insert(endpoint::Id::new(&id), endpoint);
         }
@@ -83,11 +83,16 @@
     all
 }
 
-fn bare(scenario: &Scenario, addrs: &Addresses, id: &str, place: usize) -> config::Endpoint {
+fn base_endpoint(
+    scenario: &Scenario,
+    addrs: &Addresses,
+    id: &str,
+    index: usize,
+) -> config::Endpoint {
     const SERVICE_SLOTS: usize = 64;
     config::Endpoint {
         address: addrs[id],
-        failure_domain: domain(scenario, place),
+        failure_domain: failure_domain(scenario, index),
         versions: BTreeSet::new(),
         service: None,
         checks_fencing: false,
@@ -95,9 +100,9 @@
     }
 }
 
-/// Deals places out to the failure domains in turn.
-pub fn domain(scenario: &Scenario, place: usize) -> curranthook_types::domain::Id {
-    scenario.failure_domains[place % scenario.failure_domains.len()].clone()
+/// Assigns failure domains round-robin.
+pub fn failure_domain(scenario: &Scenario, index: usize) -> curranthook_types::domain::Id {
+    scenario.failure_domains[index % scenario.failure_domains.len()].clone()
 }
 
 fn accounts(scenario: &Scenario) -> BTreeMap<account::Id, config::Account> {
--- a/crates/curranthook_load/src/fleet/setup.rs
+++ b/crates/curranthook_load/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! How each program is started, and the files it's given.
+//! Command lines and configuration files of the programs.
 
 use std::{
     path::{Path, PathBuf},
@@ -12,36 +12,36 @@
 use super::process::Process;
 use crate::scenario::Scenario;
 
-/// Any free port of the loopback interface.
+/// Loopback address with a port chosen by the operating system.
 pub(super) const LOOPBACK: &str = "127.0.0.1:0";
-/// Who stands between callers and endpoints.
+/// What handles requests between callers and endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Front {
+pub enum Topology {
     /// Routers with this policy.
     Routers(String),
-    /// Nobody: callers ask the engines for this version, as a baseline.
-    None(version::Id),
+    /// Nothing: callers request this version directly from the engines, as a baseline.
+    Direct(version::Id),
 }
 
-impl std::fmt::Display for Front {
+impl std::fmt::Display for Topology {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Routers(policy) => f.write_str(policy),
-            Self::None(version) => write!(f, "direct to {version}"),
+            Self::Direct(version) => write!(f, "direct to {version}"),
         }
     }
 }
 
-/// What a fleet is started from.
+/// Parameters for starting a fleet.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The scenario.
+    /// Scenario to run.
     pub scenario: Arc<Scenario>,
-    /// Who stands between callers and endpoints.
-    pub front: Front,
-    /// Where the programs are.
+    /// What handles requests between callers and endpoints.
+    pub topology: Topology,
+    /// Directory with the router, steward and stand-in executables.
     pub bin_dir: PathBuf,
-    /// Where logs and settings files go.
+    /// Directory for logs and settings files.
     pub work_dir: PathBuf,
 }
 
@@ -55,14 +55,14 @@
         Ok(Process::start(&self.bin_dir.join(program), args, name, &self.work_dir)?)
     }
 
-    pub(super) fn engines(&self) -> anyhow::Result<Vec<Process>> {
+    pub(super) fn start_engines(&self) -> anyhow::Result<Vec<Process>> {
         let mut all = Vec::new();
         for engines in &self.scenario.engines {
             let file = self.work_dir.join(format!("{}.profile.yaml", engines.name));
             write_profile(&file, &self.scenario, engines)?;
             let versions: Vec<&str> = engines.versions.iter().map(version::Id::as_str).collect();
             for id in engines.ids() {
-                let mut args = listen();
+                let mut args = listen_args();
                 args.extend(["--id".to_owned(), id.clone()]);
                 args.extend(["--versions".to_owned(), versions.join(",")]);
                 args.extend(["--profile".to_owned(), file.display().to_string()]);
@@ -72,19 +72,19 @@
         Ok(all)
     }
 
-    pub(super) fn services(&self) -> anyhow::Result<Vec<Process>> {
+    pub(super) fn start_services(&self) -> anyhow::Result<Vec<Process>> {
         let ids = self.scenario.services.iter().flat_map(crate::scenario::Service::ids);
         let start = |id: String| {
-            let mut args = listen();
+            let mut args = listen_args();
             args.extend(["--id".to_owned(), id.clone()]);
             self.spawn("standin-service", &id, &args)
         };
         ids.map(start).collect()
     }
 
-    pub(super) fn rater(&self) -> anyhow::Result<Option<Process>> {
+    pub(super) fn start_rater(&self) -> anyhow::Result<Option<Process>> {
         let Some(rater) = self.scenario.rater else { return Ok(None) };
-        let mut args = listen();
+        let mut args = listen_args();
         args.extend(["--noise".to_owned(), rater.noise.to_string()]);
         self.spawn("standin-rater", "rater", &args).map(Some)
     }
@@ -116,8 +116,8 @@
     std::fs::write(file, text).with_context(|| format!("can't write {}", file.display()))
 }
 
-/// The settings as an operator would write them: a key without a value is left out, as the check
-/// of settings asks.
+/// Formats settings as an operator would write them: null values are left out, as settings
+/// validation requires.
 pub(super) fn settings_text(settings: &node::Settings) -> anyhow::Result<String> {
     let mut value = serde_json::to_value(settings)?;
     if let Some(map) = value.as_object_mut() {
@@ -126,6 +126,6 @@
     Ok(serde_saphyr::to_string(&value)?)
 }
 
-pub(super) fn listen() -> Vec<String> {
+pub(super) fn listen_args() -> Vec<String> {
     vec!["--listen".to_owned(), LOOPBACK.to_owned()]
 }
--- a/crates/curranthook_load/src/main.rs
+++ b/crates/curranthook_load/src/main.rs
@@ -12,7 +12,7 @@
 use curranthook_http::runtime;
 use curranthook_load::{
     direct,
-    fleet::Front,
+    fleet::Topology,
     plot,
     report::Report,
     run::{self, Options},
@@ -21,11 +21,11 @@
 };
 use curranthook_types::version;
 
-/// Load and experiment tool.
+/// Load generator and experiment runner.
 #[derive(Debug, Parser)]
 #[command(name = "curranthook-load", version)]
 struct Cli {
-    /// Threads of the load tool itself.
+    /// Number of threads of the load tool itself.
     #[arg(long, global = true, default_value_t = 2)]
     threads: usize,
     #[command(subcommand)]
@@ -38,7 +38,7 @@
     ///
     /// Example: curranthook-load run scenarios/mekong.yaml --policy ours --seed 1 --out r.json
     Run(RunArgs),
-    /// Start a scenario's processes and hold them, sending nothing; prints where they listen.
+    /// Start a scenario's processes without sending requests, and print where they listen.
     ///
     /// Example: curranthook-load hold scenarios/overhead.yaml --seconds 60
     Hold(HoldArgs),
@@ -46,15 +46,15 @@
     ///
     /// Example: curranthook-load check scenarios/*.yaml
     Check {
-        /// The files.
+        /// Scenario files.
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
     },
-    /// Load one address, open-loop unless told otherwise.
+    /// Load one address; open-loop by default.
     ///
     /// Example: curranthook-load direct --target 127.0.0.1:8080 --rate 1000 --seconds 10
     Direct(DirectArgs),
-    /// Hold many streams open at one address.
+    /// Keep many streams open at one address.
     ///
     /// Example: curranthook-load streams --target 127.0.0.1:8080 --open 5000 --pid 4711
     Streams(StreamsArgs),
@@ -62,7 +62,7 @@
     ///
     /// Example: curranthook-load compare ours.json best.json
     Compare {
-        /// The reports.
+        /// Report files.
         #[arg(required = true)]
         reports: Vec<PathBuf>,
     },
@@ -70,10 +70,10 @@
     ///
     /// Example: curranthook-load report reports/*.json --out-dir docs/figures
     Report {
-        /// The reports.
+        /// Report files.
         #[arg(required = true)]
         reports: Vec<PathBuf>,
-        /// Where the table and the plots go.
+        /// Directory for the table and the plots.
         #[arg(long)]
         out_dir: PathBuf,
     },
@@ -81,18 +81,18 @@
 
 #[derive(Debug, Args)]
 struct FleetArgs {
-    /// The scenario file.
+    /// Scenario file.
     scenario: PathBuf,
-    /// The policy of the routers.
+    /// Policy of the routers.
     #[arg(long, default_value = "ours")]
     policy: String,
-    /// Start no routers; callers ask the engines for this version.
+    /// Start no routers; callers request this version directly from the engines.
     #[arg(long, conflicts_with = "policy", value_name = "VERSION")]
     direct: Option<String>,
-    /// Where the programs are; beside this one if not set.
+    /// Directory of the programs; defaults to the directory of this executable.
     #[arg(long)]
     bin_dir: Option<PathBuf>,
-    /// Where logs and settings files are kept; dropped after the run if not set.
+    /// Directory for logs and settings files; defaults to one that is deleted after the run.
     #[arg(long)]
     work_dir: Option<PathBuf>,
 }
@@ -101,10 +101,10 @@
 struct RunArgs {
     #[command(flatten)]
     fleet: FleetArgs,
-    /// The seed of arrivals and prompts.
+    /// Seed of arrivals and prompts.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Where the report goes.
+    /// File to write the report to.
     #[arg(long)]
     out: PathBuf,
 }
@@ -113,94 +113,94 @@
 struct HoldArgs {
     #[command(flatten)]
     fleet: FleetArgs,
-    /// For how long.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
 }
 
 #[derive(Debug, Args)]
-struct QuestionArgs {
-    /// The API key.
+struct TemplateArgs {
+    /// API key.
     #[arg(long, default_value = "key-load")]
     key: String,
-    /// The model or version asked for.
+    /// Model or version to request.
     #[arg(long, default_value = "auto")]
     model: String,
-    /// The kind of work.
+    /// Kind of work.
     #[arg(long, default_value = "summary")]
     kind: String,
-    /// The prompt.
+    /// Prompt text.
     #[arg(long, default_value = "How much did the herd weigh?")]
     prompt: String,
 }
 
 #[derive(Debug, Args)]
 struct DirectArgs {
-    /// Where to.
+    /// Address that receives the calls.
     #[arg(long)]
     target: SocketAddr,
-    /// Calls a second.
+    /// Calls per second.
     #[arg(long, default_value_t = 1_000.0)]
     rate: f64,
-    /// For how long.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// How many connections.
+    /// Number of connections.
     #[arg(long, default_value_t = 64)]
     connections: usize,
-    /// Ask for streams.
+    /// Request streamed responses.
     #[arg(long)]
     stream: bool,
-    /// Send as fast as connections get free, in place of a rate.
+    /// Closed loop: send as soon as a connection is free, instead of at a fixed rate.
     #[arg(long)]
     closed: bool,
-    /// The seed of the arrivals.
+    /// Seed of the arrival times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
-    question: QuestionArgs,
+    template: TemplateArgs,
 }
 
 #[derive(Debug, Args)]
 struct StreamsArgs {
-    /// Where to.
+    /// Address that receives the requests.
     #[arg(long)]
     target: SocketAddr,
-    /// How many streams.
+    /// Number of streams.
     #[arg(long)]
     open: usize,
-    /// How many are begun a second.
+    /// Streams to open per second.
     #[arg(long, default_value_t = 1_000.0)]
     rate: f64,
-    /// How long they are held once all have begun.
+    /// Seconds to keep the streams open after all have begun.
     #[arg(long, default_value_t = 2.0)]
     hold_seconds: f64,
-    /// The process whose memory is read while all are open.
+    /// Process ID to read the memory of while all streams are open.
     #[arg(long)]
     pid: Option<u32>,
     #[command(flatten)]
-    question: QuestionArgs,
+    template: TemplateArgs,
 }
 
 fn main() -> anyhow::Result<()> {
     let cli = Cli::parse();
     match cli.command {
         Command::Run(args) => run_scenario(cli.threads, args),
-        Command::Hold(args) => hold(cli.threads, args),
+        Command::Hold(args) => hold_fleet(cli.threads, args),
         Command::Check { scenarios } => check(&scenarios),
         Command::Direct(args) => run_direct(cli.threads, &args),
         Command::Streams(args) => run_streams(cli.threads, &args),
         Command::Compare { reports } => {
-            print!("{}", table::markdown(&read(&reports)?));
+            print!("{}", table::markdown(&read_reports(&reports)?));
             Ok(())
         }
-        Command::Report { reports, out_dir } => write_report(&read(&reports)?, &out_dir),
+        Command::Report { reports, out_dir } => write_report(&read_reports(&reports)?, &out_dir),
     }
 }
 
 fn run_scenario(threads: usize, args: RunArgs) -> anyhow::Result<()> {
-    let temporary = tempfile::tempdir()?;
-    let options = options(args.fleet, args.seed, temporary.path())?;
+    let temp_dir = tempfile::tempdir()?;
+    let options = options(args.fleet, args.seed, temp_dir.path())?;
     let report = runtime::run(threads, |ex| async move { run::run(&ex, options).await })?;
     fs::write(&args.out, serde_json::to_vec_pretty(&report)?)
         .with_context(|| format!("can't write {}", args.out.display()))?;
@@ -208,51 +208,54 @@
     Ok(())
 }
 
-fn hold(threads: usize, args: HoldArgs) -> anyhow::Result<()> {
-    let temporary = tempfile::tempdir()?;
-    let options = options(args.fleet, 0, temporary.path())?;
+fn hold_fleet(threads: usize, args: HoldArgs) -> anyhow::Result<()> {
+    let temp_dir = tempfile::tempdir()?;
+    let options = options(args.fleet, 0, temp_dir.path())?;
     let duration = Duration::try_from_secs_f64(args.seconds)?;
     let print = |running: &_| println!("{}", serde_json::json!(running));
-    runtime::run(threads, |ex| async move { run::hold(&ex, options, duration, print).await })
+    runtime::run(
+        threads,
+        |ex| async move { run::keep_running(&ex, options, duration, print).await },
+    )
 }
 
-fn options(args: FleetArgs, seed: u64, temporary: &Path) -> anyhow::Result<Options> {
-    let scenario = load(&args.scenario)?;
-    let work_dir = args.work_dir.unwrap_or_else(|| temporary.to_owned());
+fn options(args: FleetArgs, seed: u64, temp_dir: &Path) -> anyhow::Result<Options> {
+    let scenario = load_scenario(&args.scenario)?;
+    let work_dir = args.work_dir.unwrap_or_else(|| temp_dir.to_owned());
     fs::create_dir_all(&work_dir)?;
-    let bin_dir = args.bin_dir.map_or_else(own_dir, Ok)?;
-    let front = match args.direct {
-        Some(version) => Front::None(version::Id::new(version)),
-        None => Front::Routers(args.policy),
+    let bin_dir = args.bin_dir.map_or_else(executable_dir, Ok)?;
+    let topology = match args.direct {
+        Some(version) => Topology::Direct(version::Id::new(version)),
+        None => Topology::Routers(args.policy),
     };
-    Ok(Options { scenario, front, seed, bin_dir, work_dir })
+    Ok(Options { scenario, topology, seed, bin_dir, work_dir })
 }
 
-fn own_dir() -> anyhow::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    Ok(own.parent().context("the program lies in no directory")?.to_owned())
+fn executable_dir() -> anyhow::Result<PathBuf> {
+    let executable = std::env::current_exe()?;
+    Ok(executable.parent().context("the executable has no parent directory")?.to_owned())
 }
 
 fn check(files: &[PathBuf]) -> anyhow::Result<()> {
     for file in files {
-        let scenario = load(file)?;
+        let scenario = load_scenario(file)?;
         println!("{}: {} s, sound", scenario.name, scenario.duration().as_secs_f64());
     }
     Ok(())
 }
 
-fn load(file: &Path) -> anyhow::Result<Scenario> {
+fn load_scenario(file: &Path) -> anyhow::Result<Scenario> {
     Scenario::load(file).with_context(|| file.display().to_string())
 }
 
 fn run_direct(threads: usize, args: &DirectArgs) -> anyhow::Result<()> {
-    let pace = if args.closed { direct::Pace::Closed } else { direct::Pace::Open(args.rate) };
+    let mode = if args.closed { direct::Mode::Closed } else { direct::Mode::Open(args.rate) };
     let load = direct::Load {
         target: args.target,
-        pace,
+        mode,
         duration: Duration::try_from_secs_f64(args.seconds)?,
         n_connections: args.connections,
-        question: direct::Question { stream: args.stream, ..question(&args.question) },
+        template: direct::Template { stream: args.stream, ..template_from(&args.template) },
         seed: args.seed,
     };
     let outcomes = runtime::run(threads, |ex| async move { direct::run(&ex, load).await });
@@ -265,8 +268,8 @@
         target: args.target,
         n_streams: args.open,
         rate: args.rate,
-        hold: Duration::try_from_secs_f64(args.hold_seconds)?,
-        question: question(&args.question),
+        hold_duration: Duration::try_from_secs_f64(args.hold_seconds)?,
+        template: template_from(&args.template),
         pid: args.pid,
     };
     let outcomes = runtime::run(threads, |ex| async move { streams::run(&ex, load).await });
@@ -274,8 +277,8 @@
     Ok(())
 }
 
-fn question(args: &QuestionArgs) -> direct::Question {
-    direct::Question {
+fn template_from(args: &TemplateArgs) -> direct::Template {
+    direct::Template {
         key: args.key.clone(),
         model: args.model.clone(),
         kind: args.kind.clone(),
@@ -284,7 +287,7 @@
     }
 }
 
-fn read(files: &[PathBuf]) -> anyhow::Result<Vec<Report>> {
+fn read_reports(files: &[PathBuf]) -> anyhow::Result<Vec<Report>> {
     let read = |file: &PathBuf| {
         let text = fs::read(file).with_context(|| file.display().to_string())?;
         serde_json::from_slice(&text).with_context(|| file.display().to_string())
--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario, from the start of the fleet to the report.
+//! Runs a scenario, from starting the fleet to the report.
 
 use std::{
     collections::BTreeMap,
@@ -17,48 +17,49 @@
 use crate::{
     client::Client,
     drive::Callers,
-    fleet::{Fleet, Front, Setup},
+    fleet::{Fleet, Setup, Topology},
     plan,
     report::{Report, Run},
     scenario::Scenario,
 };
 
-/// The time between the last preparation and the first arrival.
-const LEAD: Duration = Duration::from_millis(200);
+/// Delay between the end of preparations and the first arrival.
+const START_DELAY: Duration = Duration::from_millis(200);
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Debug)]
 pub struct Options {
-    /// The scenario.
+    /// Scenario to run.
     pub scenario: Scenario,
-    /// Who stands between callers and endpoints.
-    pub front: Front,
-    /// The seed of arrivals and prompts.
+    /// What handles requests between callers and endpoints.
+    pub topology: Topology,
+    /// Seed of arrivals and prompts.
     pub seed: u64,
-    /// Where the programs are.
+    /// Directory with the router, steward and stand-in executables.
     pub bin_dir: PathBuf,
-    /// Where logs and settings files go.
+    /// Directory for logs and settings files.
     pub work_dir: PathBuf,
 }
 
-/// Runs a scenario on real processes, stops them all and computes the figures.
+/// Runs a scenario on real processes, stops them all and computes the report.
 pub async fn run(ex: &runtime::Handle, options: Options) -> anyhow::Result<Report> {
-    let Options { scenario, front, seed, bin_dir, work_dir } = options;
+    let Options { scenario, topology, seed, bin_dir, work_dir } = options;
     let scenario = Arc::new(scenario);
     let plan: Arc<[plan::Request]> = plan::requests(&scenario, seed).into();
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
-    let setup = Setup { scenario: Arc::clone(&scenario), front: front.clone(), bin_dir, work_dir };
+    let setup =
+        Setup { scenario: Arc::clone(&scenario), topology: topology.clone(), bin_dir, work_dir };
     let mut fleet = Fleet::start(setup, Arc::clone(&pool)).await?;
-    let callers = Callers::new(Arc::clone(&scenario), Client::new(pool), fleet.entry());
-    let start = Instant::now() + LEAD;
+    let callers = Callers::new(Arc::clone(&scenario), Client::new(pool), fleet.ingress());
+    let start = Instant::now() + START_DELAY;
     let driven = Arc::new(callers).drive(ex, &plan, start);
     let (samples, applied) = future::zip(driven, fleet.apply_events(start)).await;
-    // A run whose events failed measured something else; it still stops what it started.
+    // If an event failed, the results are invalid; the processes are still stopped first.
     let evidence = fleet.close().await?;
     applied?;
     Ok(Report::new(&Run {
         scenario: &scenario,
-        policy: &front.to_string(),
+        policy: &topology.to_string(),
         seed,
         plan: &plan,
         samples: &samples,
@@ -66,32 +67,32 @@
     }))
 }
 
-/// A running process, for those who want to look at it.
+/// A running process, for inspection.
 #[derive(Debug, Serialize)]
-pub struct Running {
-    /// Its process id.
+pub struct ProcessInfo {
+    /// Process ID.
     pub pid: u32,
-    /// Where it listens, by purpose.
+    /// Listening addresses, by purpose.
     pub listening: BTreeMap<String, SocketAddr>,
 }
 
-/// Starts a scenario's processes, tells `ready` of them by name, and stops them after `duration`.
-/// No request is sent.
-pub async fn hold(
+/// Starts a scenario's processes, passes them to `on_ready` by name, stops them after `duration`.
+/// Sends no requests.
+pub async fn keep_running(
     ex: &runtime::Handle,
     options: Options,
     duration: Duration,
-    ready: impl FnOnce(&BTreeMap<String, Running>),
+    on_ready: impl FnOnce(&BTreeMap<String, ProcessInfo>),
 ) -> anyhow::Result<()> {
-    let Options { scenario, front, bin_dir, work_dir, .. } = options;
+    let Options { scenario, topology, bin_dir, work_dir, .. } = options;
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
-    let setup = Setup { scenario: Arc::new(scenario), front, bin_dir, work_dir };
+    let setup = Setup { scenario: Arc::new(scenario), topology, bin_dir, work_dir };
     let fleet = Fleet::start(setup, pool).await?;
     let running = fleet.processes().map(|it| {
-        let running = Running { pid: it.id(), listening: it.listening().clone() };
+        let running = ProcessInfo { pid: it.id(), listening: it.listening().clone() };
         (it.name().to_owned(), running)
     });
-    ready(&running.collect());
+    on_ready(&running.collect());
     Timer::after(duration).await;
     fleet.close().await?;
     Ok(())
--- a/crates/curranthook_load/src/schedule.rs
+++ b/crates/curranthook_load/src/schedule.rs
@@ -1,7 +1,7 @@
-//! When requests are meant to go out.
+//! Arrival times of requests.
 //!
-//! The loop is open: the times are fixed before the first request is sent. A closed loop waits
-//! for answers, so a slow system gets fewer requests and looks quicker than it is.
+//! The load is open-loop: times are fixed before the first request is sent. A closed loop waits
+//! for responses, so a slow system receives fewer requests and appears faster than it is.
 
 use std::time::Duration;
 
@@ -11,43 +11,43 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationSecondsWithFrac, serde_as};
 
-/// How arrivals are spaced.
+/// Distribution of the intervals between arrivals.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spacing {
-    /// Independent callers: gaps are exponential.
+    /// Poisson process of independent callers: intervals are exponentially distributed.
     #[default]
     Poisson,
-    /// Equal gaps.
+    /// Constant intervals.
     Fixed,
 }
 
-/// A stretch of time at one rate.
+/// A time span with a constant rate.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// How long it lasts.
+    /// Duration of the phase.
     #[serde(rename = "seconds")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub duration: Duration,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// How arrivals are spaced.
+    /// Distribution of the intervals between arrivals.
     #[serde(default)]
     pub spacing: Spacing,
 }
 
-/// One arrival.
+/// A scheduled arrival.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// The intended time, from the start of the run.
+    /// Scheduled time since the start of the run.
     pub at: Duration,
-    /// The index of its phase.
+    /// Index of the phase.
     pub phase: usize,
 }
 
-/// The arrivals of all phases, in order; the same for the same seed.
+/// Arrivals of all phases, in order; deterministic for a seed.
 ///
 /// ```
 /// use std::time::Duration;
@@ -60,29 +60,29 @@
     let mut all = Vec::new();
     let mut begin = Duration::ZERO;
     for (index, phase) in phases.iter().enumerate() {
-        let times = offsets(phase, &mut rng);
+        let times = arrival_offsets(phase, &mut rng);
         all.extend(times.map(|it| Arrival { at: begin + it, phase: index }));
         begin += phase.duration;
     }
     all
 }
 
-fn offsets(phase: &Phase, rng: &mut Pcg64) -> impl Iterator<Item = Duration> {
+fn arrival_offsets(phase: &Phase, rng: &mut Pcg64) -> impl Iterator<Item = Duration> {
     let mut times = Vec::new();
     if 0.0 < phase.rate {
         let gaps = Exp::new(phase.rate).expect("the rate is above zero");
         let gap = 1.0 / phase.rate;
-        // Fixed arrivals are multiplied out, as a sum of gaps would drift by rounding.
-        let mut at = 0.0;
+        // Fixed times are multiplied out; summing intervals would accumulate rounding errors.
+        let mut offset_seconds = 0.0;
         for n in 0_u32.. {
-            at = match phase.spacing {
-                Spacing::Poisson => at + gaps.sample(rng),
+            offset_seconds = match phase.spacing {
+                Spacing::Poisson => offset_seconds + gaps.sample(rng),
                 Spacing::Fixed => gap * f64::from(n),
             };
-            if phase.duration.as_secs_f64() <= at {
+            if phase.duration.as_secs_f64() <= offset_seconds {
                 break;
             }
-            times.push(Duration::from_secs_f64(at));
+            times.push(Duration::from_secs_f64(offset_seconds));
         }
     }
     times.into_iter()
--- a/crates/curranthook_load/src/streams.rs
+++ b/crates/curranthook_load/src/streams.rs
@@ -1,4 +1,4 @@
-//! Many open streams at one address, to measure what each costs a router.
+//! Opens many concurrent streams at one address, to measure the cost of each to a router.
 
 use std::{
     net::SocketAddr,
@@ -21,47 +21,47 @@
 use serde::Serialize;
 
 use crate::{
-    direct::Question,
+    direct::Template,
     sse,
     timing::{Recorder, Summary},
 };
 
-/// How long the last stream may take to begin.
-const OPEN_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time to wait for the first chunk of the last stream.
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What to hold open.
+/// Parameters of the stream load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Where to.
+    /// Address that receives the requests.
     pub target: SocketAddr,
-    /// How many streams.
+    /// Number of streams.
     pub n_streams: usize,
-    /// How many are begun a second.
+    /// Streams opened per second.
     pub rate: f64,
-    /// How long they are held once all have begun.
-    pub hold: Duration,
-    /// What each asks.
-    pub question: Question,
-    /// The process whose memory is read while all are open.
+    /// Time to keep streams open after all have begun.
+    pub hold_duration: Duration,
+    /// Content of each request.
+    pub template: Template,
+    /// Process whose memory is measured while all streams are open.
     pub pid: Option<u32>,
 }
 
-/// What was measured.
+/// Results of the stream load.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcomes {
-    /// Streams asked for.
+    /// Streams requested.
     pub asked: usize,
-    /// Streams that gave a first chunk.
+    /// Streams that received a first chunk.
     pub begun: u64,
-    /// Streams still open when memory was read.
+    /// Streams still open when memory was measured.
     pub open: usize,
-    /// Streams that ended with the marker before that.
+    /// Streams that had ended with the end marker by then.
     pub ended: usize,
-    /// Streams that couldn't be opened, or ended without the marker.
+    /// Streams that couldn't be opened, or ended without the end marker.
     pub failed: usize,
-    /// To the first chunk.
+    /// Time to the first chunk.
     pub first_chunk: Summary,
-    /// Resident memory of the process, in kilobytes, where one was named.
+    /// Resident memory of the process in kilobytes, if a process was given.
     pub resident_kb: Option<u64>,
 }
 
@@ -72,22 +72,22 @@
     failed: AtomicUsize,
 }
 
-/// Opens the streams, holds them, and closes them.
+/// Opens the streams, keeps them open, and closes them.
 pub async fn run(ex: &runtime::Handle, load: Load) -> Outcomes {
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
     let counts = Arc::new(Counts::default());
     let (tx, rx) = async_channel::unbounded();
     let start = Instant::now();
-    let body = load.question.body();
+    let body = load.template.body();
     let mut streams = Vec::with_capacity(load.n_streams);
     for index in 0..load.n_streams {
         Timer::at(start + Duration::from_secs_f64(index as f64 / load.rate)).await;
         let id = format!("stream-{index}");
-        let req = load.question.request(load.target, &id, body.clone());
+        let req = load.template.request(load.target, &id, body.clone());
         let (pool, counts, tx) = (Arc::clone(&pool), Arc::clone(&counts), tx.clone());
         let target = load.target;
         streams.push(ex.spawn(async move {
-            let end = match hold(&pool, target, req, &counts, tx).await {
+            let end = match run_stream(&pool, target, req, &counts, tx).await {
                 Some(()) => &counts.ended,
                 None => &counts.failed,
             };
@@ -95,8 +95,8 @@
         }));
     }
     drop(tx);
-    let first_chunks = first_chunks(&rx, load.n_streams).await;
-    Timer::after(load.hold).await;
+    let first_chunks = collect_first_chunk_latencies(&rx, load.n_streams).await;
+    Timer::after(load.hold_duration).await;
     let outcomes = Outcomes {
         asked: load.n_streams,
         begun: first_chunks.summary().n,
@@ -110,15 +110,15 @@
     outcomes
 }
 
-/// Reads a stream to its end marker; `None` if it didn't come to one.
-async fn hold(
+/// Reads a stream up to its end marker; returns `None` if the marker is missing.
+async fn run_stream(
     pool: &Pool,
     target: SocketAddr,
     req: http::Request<Bytes>,
     counts: &Counts,
     tx: async_channel::Sender<Duration>,
 ) -> Option<()> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut conn = pool.take(target, Freshness::New).await.ok()?;
     let res = conn.send(req).await.ok()?;
     if !res.status().is_success() {
@@ -126,25 +126,28 @@
     }
     let mut body = res.into_body();
     let mut reader = sse::Reader::default();
-    let mut has_ended = read(&mut reader, body.frame().await?.ok()?);
+    let mut has_ended = contains_end_marker(&mut reader, body.frame().await?.ok()?);
     counts.open.fetch_add(1, Ordering::Relaxed);
-    // Nobody may be waiting any more.
-    let _late = tx.try_send(begun.elapsed());
+    // The receiver may have timed out already.
+    let _late = tx.try_send(start.elapsed());
     drop(tx);
     while let Some(Ok(frame)) = body.frame().await {
-        has_ended |= read(&mut reader, frame);
+        has_ended |= contains_end_marker(&mut reader, frame);
     }
     counts.open.fetch_sub(1, Ordering::Relaxed);
     has_ended.then_some(())
 }
 
-/// Whether the marker is in `frame`.
-fn read(reader: &mut sse::Reader, frame: Frame<Bytes>) -> bool {
+/// Whether `frame` completes an event with the end marker.
+fn contains_end_marker(reader: &mut sse::Reader, frame: Frame<Bytes>) -> bool {
     let Ok(chunk) = frame.into_data() else { return false };
     reader.push(&chunk).iter().any(|it| it == chat::END_MARKER)
 }
 
-async fn first_chunks(rx: &async_channel::Receiver<Duration>, n_streams: usize) -> Recorder {
+async fn collect_first_chunk_latencies(
+    rx: &async_channel::Receiver<Duration>,
+    n_streams: usize,
+) -> Recorder {
     let mut recorder = Recorder::default();
     let mut receive = async || {
         for _ in 0..n_streams {
@@ -152,8 +155,8 @@
             recorder.record(latency);
         }
     };
-    // What began by then is counted; the figures show how many didn't.
-    let _late = timeout::run(OPEN_LIMIT, receive()).await;
+    // On time-out, the streams begun so far are counted; the results show how many weren't.
+    let _late = timeout::run(FIRST_CHUNK_TIMEOUT, receive()).await;
     recorder
 }
 
--- a/crates/curranthook_load/src/table.rs
+++ b/crates/curranthook_load/src/table.rs
@@ -1,4 +1,4 @@
-//! Reports side by side, as a table in Markdown.
+//! Comparison of reports, as a table in Markdown.
 
 use std::{collections::BTreeMap, fmt::Write as _};
 
@@ -6,30 +6,30 @@
 
 mod details;
 
-/// The reports of one scenario and policy, one a seed.
+/// Reports of one scenario and policy, one per seed.
 #[derive(Debug)]
 pub struct Group<'a> {
-    /// The scenario.
+    /// Scenario name.
     pub scenario: &'a str,
-    /// The policy.
+    /// Name of the routing policy.
     pub policy: &'a str,
-    /// The reports.
+    /// The reports, one per seed.
     pub reports: Vec<&'a Report>,
 }
 
-/// The mean of several seeds, and the least and the greatest.
+/// Mean, minimum and maximum over several seeds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
-    /// The mean.
+    /// Mean value.
     pub mean: f64,
-    /// The least.
+    /// Minimum value.
     pub min: f64,
-    /// The greatest.
+    /// Maximum value.
     pub max: f64,
 }
 
 impl Spread {
-    /// The spread of `values`; all zero for none.
+    /// Computes the spread of `values`; all zero if empty.
     ///
     /// ```
     /// use curranthook_load::table::Spread;
@@ -58,14 +58,14 @@
 }
 
 impl Group<'_> {
-    /// The spread of one figure over the seeds.
-    pub fn spread(&self, figure: impl Fn(&Report) -> f64) -> Spread {
-        let values: Vec<f64> = self.reports.iter().map(|it| figure(it)).collect();
+    /// The spread of one metric over the seeds.
+    pub fn spread(&self, metric: impl Fn(&Report) -> f64) -> Spread {
+        let values: Vec<f64> = self.reports.iter().map(|it| metric(it)).collect();
         Spread::new(&values)
     }
 }
 
-/// Groups reports by scenario and policy, in order of their names.
+/// Groups reports by scenario and policy, sorted by name.
 pub fn groups(reports: &[Report]) -> Vec<Group<'_>> {
     let mut groups: BTreeMap<(&str, &str), Vec<&Report>> = BTreeMap::new();
     for report in reports {
@@ -75,17 +75,17 @@
     groups.into_iter().map(group).collect()
 }
 
-/// A figure of a report.
-pub type Figure = fn(&Report) -> f64;
+/// Extracts a metric from a report.
+pub type Metric = fn(&Report) -> f64;
 
-/// The columns of the table.
-const COLUMNS: [(&str, Figure); 18] = [
+/// Columns of the main table.
+const COLUMNS: [(&str, Metric); 18] = [
     ("requests", |it| it.ends.requests as f64),
     ("cost an answer (engines)", |it| it.cost.per_answer),
     ("cost a bill", |it| it.cost.per_bill),
     ("cost / oracle", |it| it.cost.against_oracle),
     ("good share", good_share),
-    ("least good − target", margin),
+    ("least good − target", min_quality_margin),
     ("first token p50 ms", |it| it.latency.first_token.p50),
     ("p95", |it| it.latency.first_token.p95),
     ("p99", |it| it.latency.first_token.p99),
@@ -100,21 +100,21 @@
     ("engine records lost", |it| it.engines.unread.len() as f64),
 ];
 
-/// The share of good answers, all kinds of work together.
+/// Share of good answers, over all kinds of work.
 pub fn good_share(report: &Report) -> f64 {
     let good: u64 = report.quality.values().map(|it| it.good).sum();
     let marked: u64 = report.quality.values().map(|it| it.marked).sum();
     ratio(good as f64, marked as f64)
 }
 
-/// How far the worst kind of work is above its target.
-pub fn margin(report: &Report) -> f64 {
+/// Smallest difference between quality and target over all kinds of work.
+pub fn min_quality_margin(report: &Report) -> f64 {
     let margins = report.quality.values().map(|it| it.share - it.target);
     margins.reduce(f64::min).unwrap_or(0.0)
 }
 
-/// A table in Markdown: a row for each scenario and policy; with several seeds the mean, and
-/// the least and greatest in brackets.
+/// Formats a Markdown table with a row per scenario and policy; with several seeds, cells show
+/// the mean, with the minimum and maximum in brackets.
 ///
 /// ```
 /// assert!(curranthook_load::table::markdown(&[]).starts_with("| scenario | policy |"));
@@ -124,10 +124,10 @@
     let mut text = String::from("| scenario | policy | seeds | cost / `best` |");
     let mut rule = String::from("|---|---|---|---|");
     for (name, _) in COLUMNS {
-        push(&mut text, format_args!(" {name} |"));
+        append(&mut text, format_args!(" {name} |"));
         rule.push_str("---|");
     }
-    push(&mut text, format_args!("\n{rule}\n"));
+    append(&mut text, format_args!("\n{rule}\n"));
     for group in &groups {
         row(&mut text, group, &groups);
     }
@@ -140,22 +140,22 @@
 
 fn row(text: &mut String, group: &Group<'_>, all: &[Group<'_>]) {
     let (scenario, policy, seeds) = (group.scenario, group.policy, group.reports.len());
-    let against_best = against_best(group, all);
-    push(text, format_args!("| {scenario} | {policy} | {seeds} | {against_best} |"));
-    for (_, figure) in COLUMNS {
-        push(text, format_args!(" {} |", group.spread(figure)));
+    let cost_relative_to_best = cost_relative_to_best(group, all);
+    append(text, format_args!("| {scenario} | {policy} | {seeds} | {cost_relative_to_best} |"));
+    for (_, metric) in COLUMNS {
+        append(text, format_args!(" {} |", group.spread(metric)));
     }
     text.push('\n');
 }
 
-/// The mean cost of an answer against that of the policy `best`, if it was run.
-fn against_best(group: &Group<'_>, all: &[Group<'_>]) -> String {
-    const BEST: &str = "best";
-    let best = all.iter().find(|it| it.scenario == group.scenario && it.policy == BEST);
+/// Mean cost per answer relative to that of the policy `best`, if it was run.
+fn cost_relative_to_best(group: &Group<'_>, all: &[Group<'_>]) -> String {
+    const REFERENCE_POLICY: &str = "best";
+    let best = all.iter().find(|it| it.scenario == group.scenario && it.policy == REFERENCE_POLICY);
     let cost = |it: &Group<'_>| it.spread(|report| report.cost.per_answer).mean;
     best.map_or("–".to_owned(), |it| format!("{:.3}", ratio(cost(group), cost(it))))
 }
 
-fn push(text: &mut String, args: std::fmt::Arguments<'_>) {
+fn append(text: &mut String, args: std::fmt::Arguments<'_>) {
     text.write_fmt(args).expect("a string takes any text");
 }
