--- a/crates/curranthook_capacity/src/bench.rs
+++ b/crates/curranthook_capacity/src/bench.rs
@@ -1,4 +1,4 @@
-//! What all measurements share.
+//! Test bench shared by all measurements: processes, HTTP calls and statistics.
 
 use std::{
     net::SocketAddr,
@@ -15,35 +15,35 @@
 
 use crate::{report::Table, usage};
 
-/// How long a control call may take.
+/// Timeout of an HTTP call to a control interface.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long and how much is measured.
+/// Duration and size of the measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Extent {
-    /// As the page's figures were made.
+    /// The extent behind the published figures.
     Full,
-    /// To see that it works; the figures are rough.
+    /// A smoke test; the figures are rough.
     Quick,
 }
 
-/// Where and how measurements run.
+/// The environment in which measurements run.
 #[derive(Debug)]
 pub struct Bench {
-    /// Where tasks run.
+    /// Runtime that executes the tasks.
     pub ex: runtime::Handle,
-    /// Connections to the processes.
+    /// Connection pool for HTTP calls to the processes.
     pub pool: Arc<Pool>,
-    /// Where the programs are.
+    /// Directory of the executables.
     pub bin_dir: PathBuf,
-    /// Where logs and settings go.
+    /// Directory for logs and settings files.
     pub work_dir: PathBuf,
-    /// How long and how much.
+    /// Duration and size of the measurements.
     pub extent: Extent,
 }
 
 impl Bench {
-    /// The first of the two for a full run, the second for a quick one.
+    /// Returns `full` in a full run and `quick` in a quick one.
     pub fn pick<T>(&self, full: T, quick: T) -> T {
         match self.extent {
             Extent::Full => full,
@@ -51,22 +51,22 @@
         }
     }
 
-    /// How long something is watched in a steady state.
+    /// Length of the observation window in a steady state.
     pub fn window(&self) -> Duration {
         Duration::from_secs(self.pick(20, 3))
     }
 
-    /// How long a fleet gets to settle.
+    /// Time allowed for a fleet to reach a steady state.
     pub fn settling(&self) -> Duration {
         Duration::from_secs(self.pick(12, 3))
     }
 
-    /// Starts a program.
+    /// Starts `program` as a process called `name`.
     pub fn spawn(&self, program: &str, name: &str, args: &[String]) -> anyhow::Result<Process> {
         Ok(Process::start(&self.bin_dir.join(program), args, name, &self.work_dir)?)
     }
 
-    /// `GET` with an answer in JSON.
+    /// Sends a `GET` request and parses the JSON response.
     pub async fn get<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -79,7 +79,7 @@
         Ok(serde_json::from_slice(res.body())?)
     }
 
-    /// `PUT` of JSON.
+    /// Sends a `PUT` request with `value` as JSON.
     pub async fn put(
         &self,
         addr: SocketAddr,
@@ -94,22 +94,22 @@
         Ok(())
     }
 
-    /// Waits until `path` answers 200, and says how long that took.
+    /// Waits until `path` returns a success status, and returns the time that this took.
     pub async fn wait_ok(&self, addr: SocketAddr, path: &str) -> anyhow::Result<Duration> {
-        const LIMIT: Duration = Duration::from_secs(30);
-        const PAUSE: Duration = Duration::from_millis(10);
+        const READY_TIMEOUT: Duration = Duration::from_secs(30);
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
         let start = Instant::now();
-        while start.elapsed() < LIMIT {
+        while start.elapsed() < READY_TIMEOUT {
             let res = Exchange::get(addr, path).run(&self.pool).await;
             if res.is_ok_and(|it| it.status().is_success()) {
                 return Ok(start.elapsed());
             }
-            Timer::after(PAUSE).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         bail!("{addr} doesn't answer {path}")
     }
 
-    /// Notes under a table how busy the machine was when it was made.
+    /// Adds a note to `table` with the load average of the machine.
     pub fn note_load(&self, table: &mut Table) -> anyhow::Result<()> {
         let load = usage::load()?;
         table.note(format!("load of the machine over the last minute: {load:.1}"));
@@ -117,15 +117,15 @@
     }
 }
 
-/// The mean of `values`.
+/// The arithmetic mean of `values`, or zero if there are none.
 pub fn mean(values: impl IntoIterator<Item = f64>) -> f64 {
     let (n, sum) = values.into_iter().fold((0.0, 0.0), |(n, sum), it| (n + 1.0, sum + it));
     if n == 0.0 { 0.0 } else { sum / n }
 }
 
-/// The value that the share `quantile` of `values` doesn't pass.
+/// The smallest of `values` that at least the fraction `quantile` of them does not exceed.
 pub fn quantile(mut values: Vec<f64>, quantile: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let at = (quantile * values.len() as f64).ceil() as usize;
-    values.get(at.saturating_sub(1)).copied().unwrap_or(f64::NAN)
+    let rank = (quantile * values.len() as f64).ceil() as usize;
+    values.get(rank.saturating_sub(1)).copied().unwrap_or(f64::NAN)
 }
--- a/crates/curranthook_capacity/src/document.rs
+++ b/crates/curranthook_capacity/src/document.rs
@@ -1,4 +1,4 @@
-//! Made-up configurations of a wanted size.
+//! Generates synthetic configurations of a given size.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -6,31 +6,31 @@
 use curranthook_types::{Epoch, price};
 use sha2::{Digest as _, Sha256};
 
-/// Versions in use; the endpoints serve them in turn.
+/// Model versions in use, assigned to the endpoints round-robin.
 pub const VERSIONS: [&str; 7] =
     ["draft@1", "draft@2", "tally@1", "tally@2", "tally@3", "large@1", "large@2"];
-/// The API key of every account's name is this and the name.
+/// Prefix of each API key; the account's name follows it.
 const KEY_PREFIX: &str = "key-";
-/// A secret that signs session tokens; a measurement guards nothing.
+/// Secret that signs session tokens; a fixed value, as measurements protect no data.
 const SESSION_SECRET: [u8; 32] = [7; 32];
 
-/// What a configuration holds.
+/// Dimensions of a generated configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// Sites; the endpoints are dealt out to them.
+    /// Number of sites; endpoints are distributed over them.
     pub n_sites: usize,
-    /// Failure domains, dealt out to the sites.
+    /// Number of failure domains, distributed over the sites.
     pub n_domains: usize,
-    /// Endpoints of all sites together.
+    /// Total number of endpoints over all sites.
     pub n_endpoints: usize,
-    /// Accounts of each site.
+    /// Number of client accounts per site.
     pub n_accounts: usize,
-    /// Where every endpoint listens.
+    /// Address of every endpoint.
     pub address: SocketAddr,
 }
 
 impl Shape {
-    /// The first document.
+    /// Generates the document of epoch 1.
     pub fn document(&self) -> Document {
         let site = |n: usize| (site_name(n).as_str().into(), self.config(n));
         Document {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The same shape with as many endpoints as make the document about `bytes` long.
+    /// Returns this shape with enough endpoints for a document of about `bytes` bytes.
     pub fn sized(self, bytes: usize) -> Self {
         let mut shape = Self { n_endpoints: 0, ..self };
         while size(&shape.document()) < bytes {
@@ -52,7 +52,8 @@
 
     fn config(&self, site: usize) -> Config {
         let versions = VERSIONS.iter().map(|&it| (it.into(), version())).collect();
-        let mine = (0..self.n_endpoints).filter(|it| self.domain_of(*it) % self.n_sites == site);
+        let site_endpoints =
+            (0..self.n_endpoints).filter(|it| self.domain_of(*it) % self.n_sites == site);
         let endpoint = |n: usize| (format!("worker-{n:05}").as_str().into(), self.endpoint(n));
         let account = |n: usize| {
             let name = format!("account-{n}");
@@ -62,7 +63,7 @@
             site: site_name(site).as_str().into(),
             versions,
             services: BTreeMap::new(),
-            endpoints: mine.map(endpoint).collect(),
+            endpoints: site_endpoints.map(endpoint).collect(),
             accounts: (0..self.n_accounts).map(account).collect(),
             kinds: [("summary".into(), config::Kind { quality: 0.9, priority: 0 })].into(),
             policy: config::Policy { rating_sample: 0.0, ..config::Policy::default() },
@@ -76,8 +77,8 @@
     }
 
     fn endpoint(&self, n: usize) -> config::Endpoint {
-        // Nobody listens there in most measurements; the router doesn't call what it isn't
-        // asked to use.
+        // In most measurements nothing listens at this address; a router does not connect to an
+        // endpoint that no request is routed to.
         const SLOTS: usize = 100_000;
         config::Endpoint {
             address: self.address,
@@ -90,7 +91,7 @@
     }
 }
 
-/// The next document, with one small change, as most changes are.
+/// Returns the document of the next epoch with one small change, as is typical of changes.
 pub fn next(document: &Document) -> Document {
     let mut next = document.clone();
     next.epoch = Epoch(document.epoch.0 + 1);
@@ -102,7 +103,7 @@
     next
 }
 
-/// Bytes of the document as it's published.
+/// Size of the published JSON document in bytes.
 pub fn size(document: &Document) -> usize {
     serde_json::to_vec(document).expect("a document can be written as JSON").len()
 }
--- a/crates/curranthook_capacity/src/fit.rs
+++ b/crates/curranthook_capacity/src/fit.rs
@@ -1,16 +1,16 @@
-//! A straight line through measured points.
+//! Linear regression over measured points.
 
 /// `y = intercept + slope * x`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Line {
-    /// How much `y` grows with each `x`.
+    /// Increase of `y` per unit of `x`.
     pub slope: f64,
     /// `y` at zero.
     pub intercept: f64,
 }
 
 impl Line {
-    /// The line with the least squares to `points`; flat through their mean if all have one `x`.
+    /// The least-squares fit to `points`; constant at their mean `y` if all have the same `x`.
     ///
     /// ```
     /// # use curranthook_capacity::fit::Line;
@@ -21,12 +21,12 @@
         let n = points.len().max(1) as f64;
         let mean_x = points.iter().map(|it| it.0).sum::<f64>() / n;
         let mean_y = points.iter().map(|it| it.1).sum::<f64>() / n;
-        let spread: f64 = points.iter().map(|it| (it.0 - mean_x).powi(2)).sum();
-        if spread == 0.0 {
+        let sum_of_squares: f64 = points.iter().map(|it| (it.0 - mean_x).powi(2)).sum();
+        if sum_of_squares == 0.0 {
             return Self { slope: 0.0, intercept: mean_y };
         }
-        let product: f64 = points.iter().map(|it| (it.0 - mean_x) * (it.1 - mean_y)).sum();
-        let slope = product / spread;
+        let sum_of_products: f64 = points.iter().map(|it| (it.0 - mean_x) * (it.1 - mean_y)).sum();
+        let slope = sum_of_products / sum_of_squares;
         Self { slope, intercept: mean_y - slope * mean_x }
     }
 
--- a/crates/curranthook_capacity/src/lib.rs
+++ b/crates/curranthook_capacity/src/lib.rs
@@ -1,8 +1,8 @@
-//! Measures what a node costs on this machine, and works out the cost at a larger size.
+//! Measures the resource usage of a node on this machine and extrapolates it to larger fleets.
 //!
-//! The data goes one way: [`document`] (made-up configurations) -> [`cluster`] (real processes)
-//! -> [`usage`] and counters -> [`measure`] (one module for each question) -> [`fit`] (a line
-//! through the points) -> [`report`] (tables as Markdown and JSON).
+//! Data flows one way: [`document`] (synthetic configurations) -> [`cluster`] (real processes)
+//! -> [`usage`] and counters -> [`measure`] (one module per measurement) -> [`fit`] (linear
+//! regression) -> [`report`] (tables as Markdown and JSON).
 
 pub mod bench;
 pub mod cluster;
--- a/crates/curranthook_capacity/src/measure.rs
+++ b/crates/curranthook_capacity/src/measure.rs
@@ -1,4 +1,4 @@
-//! The measurements.
+//! Measurements, one module each.
 
 pub mod churn;
 pub mod data;
--- a/crates/curranthook_capacity/src/report.rs
+++ b/crates/curranthook_capacity/src/report.rs
@@ -1,24 +1,24 @@
-//! Tables for people and for programs.
+//! Tables of results, written as Markdown and JSON.
 
 use std::fmt::Write as _;
 
 use serde::Serialize;
 
-/// One measurement's table.
+/// A table of the results of one measurement.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Table {
-    /// What it shows.
+    /// Title of the table.
     pub title: String,
-    /// The heads of the columns, with units.
+    /// Column headings, with units.
     pub columns: Vec<String>,
     /// The cells.
     pub rows: Vec<Vec<String>>,
-    /// What has to be known to read it: fits, the load of the machine.
+    /// Notes that are needed to interpret the table: fits, the load of the machine.
     pub notes: Vec<String>,
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table without rows.
     ///
     /// ```
     /// # use curranthook_capacity::report::Table;
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Adds a row of figures.
+    /// Adds a row of numbers.
     pub fn row(&mut self, cells: impl IntoIterator<Item = f64>) {
         self.rows.push(cells.into_iter().map(figure).collect());
     }
 
-    /// Adds a row that begins with a name.
+    /// Adds a row with `name` in its first cell.
     pub fn named(&mut self, name: &str, cells: impl IntoIterator<Item = f64>) {
         let cells = cells.into_iter().map(figure);
         self.rows.push(std::iter::once(name.to_owned()).chain(cells).collect());
@@ -50,7 +50,7 @@
         self.notes.push(text.into());
     }
 
-    /// The table in Markdown.
+    /// Formats the table as Markdown.
     pub fn to_markdown(&self) -> String {
         let mut text = format!("### {}\n\n", self.title);
         let line = |cells: &[String]| format!("| {} |", cells.join(" | "));
@@ -66,7 +66,7 @@
     }
 }
 
-/// A figure with about four digits that count.
+/// Formats a number with about four significant digits.
 ///
 /// ```
 /// # use curranthook_capacity::report::figure;
@@ -74,7 +74,7 @@
 /// assert_eq!(figure(1234567.8), "1,234,567");
 /// ```
 pub fn figure(value: f64) -> String {
-    const DIGITS: i32 = 4;
+    const SIGNIFICANT_DIGITS: i32 = 4;
     const GROUP: usize = 3;
     const WHOLE: f64 = 1000.0;
     if !value.is_finite() {
@@ -82,7 +82,7 @@
     }
     if value.abs() < WHOLE {
         let magnitude = if value == 0.0 { 0 } else { value.abs().log10().floor() as i32 };
-        let decimals = usize::try_from(DIGITS - 1 - magnitude).unwrap_or(0);
+        let decimals = usize::try_from(SIGNIFICANT_DIGITS - 1 - magnitude).unwrap_or(0);
         let text = format!("{value:.decimals$}");
         let trimmed = text.trim_end_matches('0').trim_end_matches('.');
         return if text.contains('.') { trimmed.to_owned() } else { text };
--- a/crates/curranthook_capacity/src/usage.rs
+++ b/crates/curranthook_capacity/src/usage.rs
@@ -1,27 +1,27 @@
-//! What the system says of processes and the machine.
+//! Resource usage of processes and of the machine, read from `/proc`.
 
 use std::{fs, time::Duration};
 
 use anyhow::Context as _;
 
-/// The unit in which the system gives processor time; fixed in its interface to programs.
+/// Clock ticks per second in `/proc`; a fixed part of the kernel's user-space interface.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of `/proc/<pid>/stat` after the name: user time, system time.
+/// Indices in `/proc/<pid>/stat` after the process name: user time, system time.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 const BYTES_PER_KB: f64 = 1024.0;
 
-/// What a process has used.
+/// CPU time and memory used by a process.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Usage {
-    /// Processor time since its start, of all threads.
+    /// CPU time of all threads since the process started.
     pub cpu: Duration,
     /// Resident memory, in bytes.
     pub resident: f64,
 }
 
 impl Usage {
-    /// Of the process with this id.
+    /// Reads the usage of the process `pid`.
     ///
     /// ```
     /// # use curranthook_capacity::usage::Usage;
@@ -29,7 +29,7 @@
     /// ```
     pub fn of(pid: u32) -> anyhow::Result<Self> {
         let stat = read(&format!("/proc/{pid}/stat"))?;
-        // The name stands in parentheses and may itself hold spaces and parentheses.
+        // The process name is in parentheses and may itself contain spaces and parentheses.
         let (_, fields) = stat.rsplit_once(')').context("no name in the process's state")?;
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let ticks = |at: usize| -> anyhow::Result<f64> {
@@ -46,7 +46,7 @@
     }
 }
 
-/// How many tasks wanted to run, over the last minute.
+/// The load average over the last minute: runnable tasks.
 ///
 /// ```
 /// assert!(0.0 <= curranthook_capacity::usage::load().unwrap());
--- a/crates/curranthook_capacity/tests/document.rs
+++ b/crates/curranthook_capacity/tests/document.rs
@@ -1,4 +1,4 @@
-//! Made-up configurations: the size that was asked for, and changes as small as most are.
+//! Synthetic configurations have the requested size, and changes are as small as is typical.
 
 use curranthook_capacity::document::{self, Shape};
 use yare::parameterized;
@@ -9,20 +9,20 @@
 }
 
 #[parameterized(small = { 10_000 }, large = { 100_000 })]
-fn is_about_as_long_as_asked(bytes: usize) {
+fn document_has_about_the_requested_size(bytes: usize) {
     let size = document::size(&shape(0).sized(bytes).document());
     assert!((bytes..bytes * 5 / 4).contains(&size), "{size}");
 }
 
 #[test]
-fn endpoints_are_dealt_out_to_all_sites() {
+fn endpoints_are_distributed_over_all_sites() {
     let document = shape(90).document();
     let of_sites: Vec<usize> = document.sites.values().map(|it| it.endpoints.len()).collect();
     assert_eq!(of_sites, [30, 30, 30]);
 }
 
 #[test]
-fn a_change_raises_the_epoch_and_touches_one_endpoint() {
+fn change_increments_epoch_and_modifies_one_endpoint() {
     let first = shape(9).document();
     let next = document::next(&first);
     assert_eq!(next.epoch.0, first.epoch.0 + 1);
--- a/crates/curranthook_capacity/tests/report.rs
+++ b/crates/curranthook_capacity/tests/report.rs
@@ -1,4 +1,4 @@
-//! Figures as a reader of the page sees them.
+//! Formatting of numbers and tables in the published report.
 
 use curranthook_capacity::report::{Table, figure};
 use yare::parameterized;
@@ -13,12 +13,12 @@
     negative = { -1_234.0, "-1,234" },
     unknown = { f64::NAN, "-" },
 )]
-fn are_short(value: f64, text: &str) {
+fn number_is_formatted(value: f64, text: &str) {
     assert_eq!(figure(value), text);
 }
 
 #[test]
-fn a_table_has_a_line_for_each_row() {
+fn table_has_one_line_per_row() {
     let mut table = Table::new("Sizes", &["nodes", "bytes"]);
     table.row([8.0, 10.0]);
     table.named("slope", [0.5]);
