--- a/crates/curranthook_capacity/src/bench.rs
+++ b/crates/curranthook_capacity/src/bench.rs
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Bench {
     /// Runtime that executes the tasks.
-    pub ex: runtime::Handle,
+    pub executor: runtime::Handle,
     /// Connection pool for HTTP calls to the processes.
     pub pool: Arc<Pool>,
     /// Directory of the executables.
@@ -44,7 +44,7 @@
 
 impl Bench {
     /// Returns `full` in a full run and `quick` in a quick one.
-    pub fn pick<T>(&self, full: T, quick: T) -> T {
+    pub fn for_extent<T>(&self, full: T, quick: T) -> T {
         match self.extent {
             Extent::Full => full,
             Extent::Quick => quick,
@@ -53,12 +53,12 @@
 
     /// Length of the observation window in a steady state.
     pub fn window(&self) -> Duration {
-        Duration::from_secs(self.pick(20, 3))
+        Duration::from_secs(self.for_extent(20, 3))
     }
 
     /// Time allowed for a fleet to reach a steady state.
-    pub fn settling(&self) -> Duration {
-        Duration::from_secs(self.pick(12, 3))
+    pub fn settle_time(&self) -> Duration {
+        Duration::from_secs(self.for_extent(12, 3))
     }
 
     /// Starts `program` as a process called `name`.
@@ -67,7 +67,7 @@
     }
 
     /// Sends a `GET` request and parses the JSON response.
-    pub async fn get<T: DeserializeOwned>(
+    pub async fn get_json<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
@@ -80,7 +80,7 @@
     }
 
     /// Sends a `PUT` request with `value` as JSON.
-    pub async fn put(
+    pub async fn put_json(
         &self,
         addr: SocketAddr,
         path: &str,
@@ -95,7 +95,7 @@
     }
 
     /// Waits until `path` returns a success status, and returns the time that this took.
-    pub async fn wait_ok(&self, addr: SocketAddr, path: &str) -> anyhow::Result<Duration> {
+    pub async fn wait_for_success(&self, addr: SocketAddr, path: &str) -> anyhow::Result<Duration> {
         const READY_TIMEOUT: Duration = Duration::from_secs(30);
         const POLL_INTERVAL: Duration = Duration::from_millis(10);
         let start = Instant::now();
@@ -110,9 +110,9 @@
     }
 
     /// Adds a note to `table` with the load average of the machine.
-    pub fn note_load(&self, table: &mut Table) -> anyhow::Result<()> {
-        let load = usage::load()?;
-        table.note(format!("load of the machine over the last minute: {load:.1}"));
+    pub fn note_load_average(&self, table: &mut Table) -> anyhow::Result<()> {
+        let load = usage::load_average()?;
+        table.add_note(format!("load of the machine over the last minute: {load:.1}"));
         Ok(())
     }
 }
--- a/crates/curranthook_capacity/src/document.rs
+++ b/crates/curranthook_capacity/src/document.rs
@@ -42,9 +42,9 @@
     }
 
     /// Returns this shape with enough endpoints for a document of about `bytes` bytes.
-    pub fn sized(self, bytes: usize) -> Self {
+    pub fn with_document_size(self, bytes: usize) -> Self {
         let mut shape = Self { n_endpoints: 0, ..self };
-        while size(&shape.document()) < bytes {
+        while json_size(&shape.document()) < bytes {
             shape.n_endpoints += 1 + shape.n_endpoints / 8;
         }
         shape
@@ -92,7 +92,7 @@
 }
 
 /// Returns the document of the next epoch with one small change, as is typical of changes.
-pub fn next(document: &Document) -> Document {
+pub fn next_epoch(document: &Document) -> Document {
     let mut next = document.clone();
     next.epoch = Epoch(document.epoch.0 + 1);
     next.publication = format!("publication-{}", next.epoch);
@@ -104,12 +104,12 @@
 }
 
 /// Size of the published JSON document in bytes.
-pub fn size(document: &Document) -> usize {
+pub fn json_size(document: &Document) -> usize {
     serde_json::to_vec(document).expect("a document can be written as JSON").len()
 }
 
 /// The API key of an account.
-pub fn key(account: &str) -> String {
+pub fn api_key(account: &str) -> String {
     format!("{KEY_PREFIX}{account}")
 }
 
@@ -132,11 +132,15 @@
 }
 
 fn account(name: &str) -> config::Account {
-    const UNLIMITED: f64 = 1_000_000.0;
+    const EFFECTIVELY_UNLIMITED: f64 = 1_000_000.0;
     config::Account {
-        key_hashes: vec![Sha256::digest(key(name)).into()],
+        key_hashes: vec![Sha256::digest(api_key(name)).into()],
         versions: VERSIONS.iter().map(|&it| it.into()).collect(),
-        limit: config::Limit { requests: UNLIMITED, burst: UNLIMITED, weight: 1.0 },
+        limit: config::Limit {
+            requests: EFFECTIVELY_UNLIMITED,
+            burst: EFFECTIVELY_UNLIMITED,
+            weight: 1.0,
+        },
         ..config::Account::default()
     }
 }
--- a/crates/curranthook_capacity/src/fit.rs
+++ b/crates/curranthook_capacity/src/fit.rs
@@ -14,10 +14,10 @@
     ///
     /// ```
     /// # use curranthook_capacity::fit::Line;
-    /// let line = Line::through(&[(1.0, 3.0), (2.0, 5.0), (3.0, 7.0)]);
+    /// let line = Line::fit(&[(1.0, 3.0), (2.0, 5.0), (3.0, 7.0)]);
     /// assert_eq!((line.slope, line.intercept), (2.0, 1.0));
     /// ```
-    pub fn through(points: &[(f64, f64)]) -> Self {
+    pub fn fit(points: &[(f64, f64)]) -> Self {
         let n = points.len().max(1) as f64;
         let mean_x = points.iter().map(|it| it.0).sum::<f64>() / n;
         let mean_y = points.iter().map(|it| it.1).sum::<f64>() / n;
@@ -34,9 +34,9 @@
     ///
     /// ```
     /// # use curranthook_capacity::fit::Line;
-    /// assert_eq!(Line { slope: 2.0, intercept: 1.0 }.at(10.0), 21.0);
+    /// assert_eq!(Line { slope: 2.0, intercept: 1.0 }.value_at(10.0), 21.0);
     /// ```
-    pub fn at(self, x: f64) -> f64 {
+    pub fn value_at(self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
--- a/crates/curranthook_capacity/src/main.rs
+++ b/crates/curranthook_capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! `curranthook-capacity`: measures what a node costs, and prints tables.
+//! `curranthook-capacity`: measures the resource usage of a node and prints tables.
 
 use std::{
     fs,
@@ -16,47 +16,47 @@
 use curranthook_http::{client::Pool, runtime};
 use curranthook_types::clock;
 
-/// Measures what a node costs, with real processes on this machine.
+/// Measures the resource usage of a node, with real processes on this machine.
 ///
 /// Example: curranthook-capacity --quick fleet spread
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// What to measure; everything if not said.
+    /// Measurements to run; all if omitted.
     #[arg(value_enum)]
     measures: Vec<Measure>,
-    /// A short run, to see that it works.
+    /// Short run as a smoke test; the figures are rough.
     #[arg(long)]
     quick: bool,
-    /// Where the programs are; beside this one if not set.
+    /// Directory of the executables; that of this program if not set.
     #[arg(long)]
     bin_dir: Option<PathBuf>,
-    /// Where the tables go as JSON, one file a measurement.
+    /// Directory for the tables as JSON, one file per measurement.
     #[arg(long)]
     json_dir: Option<PathBuf>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Measure {
-    /// A node's processor time, memory and traffic, by the size of the fleet.
+    /// CPU time, memory and traffic of a node, by fleet size.
     Fleet,
-    /// From a publication until every node has it.
+    /// Time from a publication until every node has it.
     Spread,
-    /// The same with and without each part of what brings it there.
+    /// Propagation time with and without each propagation mechanism.
     Parts,
-    /// A node's tables, by the size of the configuration.
+    /// Tables of a node, by configuration size.
     Tables,
-    /// Evidence of all nodes in one node's tables.
+    /// Evidence from all nodes in the tables of one node.
     Evidence,
     /// Requests, tokens and open streams.
     Data,
-    /// What a router adds to the time to the first token.
+    /// Time to first token added by a router.
     Latency,
     /// Calls to the platform by routers and stewards.
     Platform,
-    /// Bill lines, with the store up and down.
+    /// Bill lines, with the object store up and down.
     Journal,
-    /// Nodes that come, go and are lost together.
+    /// Nodes that join, leave and fail together.
     Churn,
 }
 
@@ -65,7 +65,7 @@
         match self {
             Self::Fleet => measure::fleet::run(bench).await,
             Self::Spread => measure::spread::run(bench).await,
-            Self::Parts => measure::spread::parts(bench).await,
+            Self::Parts => measure::spread::compare_variants(bench).await,
             Self::Tables => measure::tables::run(bench).await,
             Self::Evidence => measure::evidence::run(bench).await,
             Self::Data => measure::data::run(bench).await,
@@ -78,19 +78,23 @@
 }
 
 fn main() -> anyhow::Result<()> {
-    const THREADS: usize = 4;
+    /// Runtime worker threads.
+    const N_THREADS: usize = 4;
     let args = Args::parse();
-    runtime::run(THREADS, |ex| run(ex, args))
+    runtime::run(N_THREADS, |executor| run(executor, args))
 }
 
-async fn run(ex: runtime::Handle, args: Args) -> anyhow::Result<()> {
-    let own = std::env::current_exe()?;
-    let beside = own.parent().context("the program lies in no directory")?.to_owned();
+async fn run(executor: runtime::Handle, args: Args) -> anyhow::Result<()> {
+    let executable = std::env::current_exe()?;
+    let own_dir = executable
+        .parent()
+        .context("the path of the executable has no parent directory")?
+        .to_owned();
     let work_dir = tempfile::tempdir()?;
     let bench = Bench {
-        pool: Arc::new(Pool::new(Arc::clone(&ex), Arc::new(clock::System))),
-        ex,
-        bin_dir: args.bin_dir.unwrap_or(beside),
+        pool: Arc::new(Pool::new(Arc::clone(&executor), Arc::new(clock::System))),
+        executor,
+        bin_dir: args.bin_dir.unwrap_or(own_dir),
         work_dir: work_dir.path().to_owned(),
         extent: if args.quick { Extent::Quick } else { Extent::Full },
     };
@@ -99,7 +103,7 @@
     for measure in measures {
         let mut tables = measure.run(&bench).await?;
         for table in &mut tables {
-            bench.note_load(table)?;
+            bench.note_load_average(table)?;
             println!("{}", table.to_markdown());
         }
         if let Some(dir) = &args.json_dir {
@@ -110,7 +114,11 @@
 }
 
 fn write_json(dir: &Path, measure: Measure, tables: &[Table]) -> anyhow::Result<()> {
-    let name = measure.to_possible_value().context("a hidden measurement")?.get_name().to_owned();
+    let name = measure
+        .to_possible_value()
+        .context("the measurement has no command-line name")?
+        .get_name()
+        .to_owned();
     fs::create_dir_all(dir)?;
     fs::write(dir.join(format!("{name}.json")), serde_json::to_vec_pretty(tables)?)?;
     Ok(())
--- a/crates/curranthook_capacity/src/measure/evidence.rs
+++ b/crates/curranthook_capacity/src/measure/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence of all nodes in one node's tables, by the size of the fleet.
+//! Evidence from all nodes in the tables of one node, by fleet size.
 
 use std::{hint::black_box, time::Instant};
 
@@ -13,20 +13,21 @@
     report::Table,
 };
 
-/// The kinds of work that the versions are used for.
+/// Request kinds that the versions serve.
 const KINDS: [&str; 2] = ["summary", "query"];
-const CALLS: u64 = 100_000;
-const TOKENS: u64 = 36_000_000;
-/// Looks a second at the evidence, by a router; see `curranthook_router::version_health`.
-const LOOKS: f64 = 4.0;
-/// Entries that a frame has room for, and frames that a node gets a second.
-const ENTRIES_A_SECOND: f64 = 2.0;
-const MILLIS: f64 = 1_000.0;
+const CALLS_PER_ENTRY: u64 = 100_000;
+const TOKENS_PER_ENTRY: u64 = 36_000_000;
+/// Evaluations of the evidence per second by a router; see
+/// `curranthook_router::version_health`.
+const EVALUATIONS_PER_SECOND: f64 = 4.0;
+/// Entries received per second: entries per frame times frames received per second.
+const ENTRIES_PER_SECOND: f64 = 2.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 const PERCENT: f64 = 100.0;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 const BYTES_PER_KB: f64 = 1_000.0;
 
-/// No process is needed: the tables are filled here.
+/// Measures in this process; the tables are filled directly, without node processes.
 pub async fn run(bench: &Bench) -> anyhow::Result<Vec<Table>> {
     let mut table = Table::new(
         "Evidence of all nodes on 7 versions at 2 kinds of work, in one node",
@@ -43,16 +44,16 @@
             "making that, ms",
         ],
     );
-    for n_nodes in bench.pick(vec![8, 96, 600, 1_800], vec![8]) {
-        table.row(nodes(bench, n_nodes)?);
+    for n_nodes in bench.for_extent(vec![8, 96, 600, 1_800], vec![8]) {
+        table.add_row(measure_nodes(bench, n_nodes)?);
     }
-    table.note("hours: arithmetic, at two entries a second, if no entry came twice");
+    table.add_note("hours: arithmetic, at two entries a second, if no entry came twice");
     Ok(vec![table])
 }
 
-fn nodes(bench: &Bench, n_nodes: usize) -> anyhow::Result<[f64; 10]> {
+fn measure_nodes(bench: &Bench, n_nodes: usize) -> anyhow::Result<[f64; 10]> {
     let evidence = Evidence::new(origin(0));
-    let counts = Counts { calls: CALLS, tokens: TOKENS, ..Counts::default() };
+    let counts = Counts { calls: CALLS_PER_ENTRY, tokens: TOKENS_PER_ENTRY, ..Counts::default() };
     let mut entry_bytes = 0;
     let start = Instant::now();
     for n in 1..=n_nodes {
@@ -63,11 +64,12 @@
             evidence.merge(&entry);
         }
     }
-    let filled = start.elapsed().as_secs_f64();
+    let fill_seconds = start.elapsed().as_secs_f64();
     let mut tests = VERSIONS.map(|it| (it.into(), Test::new(Config::default(), Reference::Own)));
-    let (mut looks, mut picks, mut answers) = (Vec::new(), Vec::new(), Vec::new());
-    let mut answer_bytes = 0;
-    for _ in 0..bench.pick(9, 2) {
+    let (mut evaluation_times, mut selection_times, mut serialization_times) =
+        (Vec::new(), Vec::new(), Vec::new());
+    let mut response_bytes = 0;
+    for _ in 0..bench.for_extent(9, 2) {
         let start = Instant::now();
         for (version, test) in &mut tests {
             for (origin, counts) in evidence.by_origin(version) {
@@ -75,28 +77,28 @@
             }
         }
         black_box(evidence.peer_totals());
-        looks.push(start.elapsed().as_secs_f64());
+        evaluation_times.push(start.elapsed().as_secs_f64());
         let start = Instant::now();
         evidence.select_entries(|_| true);
-        picks.push(start.elapsed().as_secs_f64());
+        selection_times.push(start.elapsed().as_secs_f64());
         let start = Instant::now();
         let rows: Vec<_> = tests.iter().map(|(it, _)| (it, evidence.by_origin(it))).collect();
-        answer_bytes = serde_json::to_vec(&rows)?.len();
-        answers.push(start.elapsed().as_secs_f64());
+        response_bytes = serde_json::to_vec(&rows)?.len();
+        serialization_times.push(start.elapsed().as_secs_f64());
     }
     let n_entries = (n_nodes * VERSIONS.len() * KINDS.len()) as f64;
-    let look = quantile(looks, 0.5);
+    let evaluation_time = quantile(evaluation_times, 0.5);
     Ok([
         n_nodes as f64,
         n_entries,
         entry_bytes as f64,
-        n_entries / ENTRIES_A_SECOND / SECONDS_PER_HOUR,
-        filled / n_entries * MILLIS,
-        look * MILLIS,
-        look * LOOKS * PERCENT,
-        quantile(picks, 0.5) * MILLIS,
-        answer_bytes as f64 / BYTES_PER_KB,
-        quantile(answers, 0.5) * MILLIS,
+        n_entries / ENTRIES_PER_SECOND / SECONDS_PER_HOUR,
+        fill_seconds / n_entries * MILLIS_PER_SECOND,
+        evaluation_time * MILLIS_PER_SECOND,
+        evaluation_time * EVALUATIONS_PER_SECOND * PERCENT,
+        quantile(selection_times, 0.5) * MILLIS_PER_SECOND,
+        response_bytes as f64 / BYTES_PER_KB,
+        quantile(serialization_times, 0.5) * MILLIS_PER_SECOND,
     ])
 }
 
--- a/crates/curranthook_capacity/src/measure/fleet.rs
+++ b/crates/curranthook_capacity/src/measure/fleet.rs
@@ -1,4 +1,4 @@
-//! What a node costs by the size of the fleet.
+//! Resource usage of a node by fleet size.
 
 use std::time::Instant;
 
@@ -6,78 +6,80 @@
 
 use crate::{
     bench::{Bench, mean},
-    cluster::{Cluster, Kind, Layout, growth},
+    cluster::{Cluster, Kind, Layout, counter_increase},
     document::Shape,
     fit::Line,
     report::Table,
 };
 
-/// Nodes at the target.
+/// Number of nodes at the target size.
 pub const TARGET_NODES: f64 = 1_800.0;
-/// Sites and failure domains of the measured fleets.
+/// Number of sites and failure domains of the measured fleets.
 pub const LAYOUT: Layout = Layout { n_sites: 3, n_domains: 9 };
-/// Requests a second that each node makes up: enough that there's evidence to tell, few enough
-/// that their bill lines cost next to nothing.
-const LOAD: &str = "0.2";
+/// Simulated requests per second per node: enough to produce evidence to exchange, few enough that
+/// the cost of their bill lines is negligible.
+const REQUESTS_PER_SECOND: &str = "0.2";
 const DOCUMENT_BYTES: usize = 10_000;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const PERCENT: f64 = 100.0;
 
-/// One fleet in a steady state; all but the last two for each node.
+/// Results for one fleet in a steady state; all but the last two are per node.
 #[derive(Debug, Clone, Copy)]
 struct Point {
     n_nodes: f64,
     cpu_percent: f64,
     resident_mb: f64,
-    bytes: f64,
-    messages: f64,
-    table_reads: f64,
-    fleet_table_reads: f64,
-    fleet_list_reads: f64,
+    bytes_per_second: f64,
+    messages_per_second: f64,
+    table_reads_per_second: f64,
+    fleet_table_reads_per_second: f64,
+    fleet_list_reads_per_second: f64,
 }
 
-/// Fleets of nodes without routers.
+/// Measures fleets of peers without routers.
 pub async fn run(bench: &Bench) -> anyhow::Result<Vec<Table>> {
     let mut points = Vec::new();
-    for n in bench.pick(vec![8, 24, 48, 96], vec![4, 8]) {
-        points.push(point(bench, n).await?);
+    for n in bench.for_extent(vec![8, 24, 48, 96], vec![4, 8]) {
+        points.push(measure_fleet(bench, n).await?);
     }
-    Ok(vec![table(&points)])
+    Ok(vec![build_table(&points)])
 }
 
-async fn point(bench: &Bench, n: usize) -> anyhow::Result<Point> {
-    let document = shape()?.sized(DOCUMENT_BYTES).document();
+async fn measure_fleet(bench: &Bench, n: usize) -> anyhow::Result<Point> {
+    let document = shape()?.with_document_size(DOCUMENT_BYTES).document();
     let mut cluster = Cluster::start(bench, LAYOUT, document).await?;
-    let kind = Kind::Peer(vec!["--load".to_owned(), LOAD.to_owned()]);
-    cluster.add(n, &kind).await?;
-    Timer::after(bench.settling()).await;
+    let kind = Kind::Peer(vec!["--load".to_owned(), REQUESTS_PER_SECOND.to_owned()]);
+    cluster.add_nodes(n, &kind).await?;
+    Timer::after(bench.settle_time()).await;
 
     let (start, before, used) = (Instant::now(), cluster.statuses().await?, cluster.usages()?);
-    let asked = cluster.counts().await?;
+    let counts_before = cluster.counts().await?;
     Timer::after(bench.window()).await;
     let used_after = cluster.usages()?;
     let after = cluster.statuses().await?;
-    let asked_after = cluster.counts().await?;
+    let counts_after = cluster.counts().await?;
     let seconds = start.elapsed().as_secs_f64();
 
     let n_nodes = n as f64;
-    let rate = |name: &str| growth(&before, &after, name) / seconds / n_nodes;
+    let rate = |name: &str| counter_increase(&before, &after, name) / seconds / n_nodes;
     let cpu = used.iter().zip(&used_after).map(|(a, b)| (b.cpu - a.cpu).as_secs_f64());
     let point = Point {
         n_nodes,
         cpu_percent: mean(cpu) / seconds * PERCENT,
-        resident_mb: mean(used_after.iter().map(|it| it.resident)) / BYTES_PER_MB,
-        bytes: rate("bytes_in") + rate("bytes_out"),
-        messages: rate("messages"),
-        table_reads: rate("table_reads"),
-        fleet_table_reads: (asked_after.table.reads - asked.table.reads) as f64 / seconds,
-        fleet_list_reads: (asked_after.vms.reads - asked.vms.reads) as f64 / seconds,
+        resident_mb: mean(used_after.iter().map(|it| it.resident_bytes)) / BYTES_PER_MB,
+        bytes_per_second: rate("bytes_in") + rate("bytes_out"),
+        messages_per_second: rate("messages"),
+        table_reads_per_second: rate("table_reads"),
+        fleet_table_reads_per_second: (counts_after.table.reads - counts_before.table.reads) as f64
+            / seconds,
+        fleet_list_reads_per_second: (counts_after.vms.reads - counts_before.vms.reads) as f64
+            / seconds,
     };
     cluster.close();
     Ok(point)
 }
 
-/// Where sites and domains are as in [`LAYOUT`] and nobody is called.
+/// A configuration with the sites and domains of [`LAYOUT`] and without endpoints.
 pub fn shape() -> anyhow::Result<Shape> {
     const N_ACCOUNTS: usize = 1;
     Ok(Shape {
@@ -89,7 +91,7 @@
     })
 }
 
-fn table(points: &[Point]) -> Table {
+fn build_table(points: &[Point]) -> Table {
     let mut table = Table::new(
         "A node by the size of the fleet",
         &[
@@ -104,40 +106,41 @@
         ],
     );
     for it in points {
-        table.row([
+        table.add_row([
             it.n_nodes,
             it.cpu_percent,
             it.resident_mb,
-            it.bytes,
-            it.messages,
-            it.table_reads,
-            it.fleet_table_reads,
-            it.fleet_list_reads,
+            it.bytes_per_second,
+            it.messages_per_second,
+            it.table_reads_per_second,
+            it.fleet_table_reads_per_second,
+            it.fleet_list_reads_per_second,
         ]);
     }
     let line = |y: fn(&Point) -> f64| {
-        Line::through(&points.iter().map(|it| (it.n_nodes, y(it))).collect::<Vec<_>>())
+        Line::fit(&points.iter().map(|it| (it.n_nodes, y(it))).collect::<Vec<_>>())
     };
     let lines = [
         line(|it| it.cpu_percent),
         line(|it| it.resident_mb),
-        line(|it| it.bytes),
-        line(|it| it.messages),
+        line(|it| it.bytes_per_second),
+        line(|it| it.messages_per_second),
     ];
-    table.named("slope a node", lines.map(|it| it.slope));
-    table.named("at zero", lines.map(|it| it.intercept));
-    table.named("at 1,800 nodes", lines.map(|it| it.at(TARGET_NODES)));
+    table.add_named_row("slope a node", lines.map(|it| it.slope));
+    table.add_named_row("at zero", lines.map(|it| it.intercept));
+    table.add_named_row("at 1,800 nodes", lines.map(|it| it.value_at(TARGET_NODES)));
     let highest = |y: fn(&Point) -> f64| points.iter().map(y).fold(0.0, f64::max);
-    table.named(
+    table.add_named_row(
         "highest",
         [
             highest(|it| it.cpu_percent),
             highest(|it| it.resident_mb),
-            highest(|it| it.bytes),
-            highest(|it| it.messages),
+            highest(|it| it.bytes_per_second),
+            highest(|it| it.messages_per_second),
         ],
     );
-    table
-        .note("a falling line is noise around a flat one; the highest point counts in place of it");
+    table.add_note(
+        "a falling line is noise around a flat one; the highest point counts in place of it",
+    );
     table
 }
--- a/crates/curranthook_capacity/src/measure/journal.rs
+++ b/crates/curranthook_capacity/src/measure/journal.rs
@@ -1,4 +1,4 @@
-//! Bill lines, with the store up and down.
+//! Bill lines, with the object store up and down.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 use crate::{
     bench::{Bench, mean},
-    cluster::{Cluster, Kind, Layout, Status, growth, vm_name},
+    cluster::{Cluster, Kind, Layout, Status, counter_increase, vm_name},
     document::Shape,
     fit::Line,
     report::Table,
@@ -16,16 +16,16 @@
 
 const LAYOUT: Layout = Layout { n_sites: 1, n_domains: 3 };
 const N_NODES: usize = 8;
-const TARGET_LINES: f64 = 26.0;
+const TARGET_LINES_PER_SECOND: f64 = 26.0;
 const PERCENT: f64 = 100.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The cost of lines, then an outage of the store.
+/// Measures the cost of bill lines, then an outage of the object store.
 pub async fn run(bench: &Bench) -> anyhow::Result<Vec<Table>> {
-    Ok(vec![rates(bench).await?, outage(bench).await?])
+    Ok(vec![measure_rates(bench).await?, measure_outage(bench).await?])
 }
 
-async fn rates(bench: &Bench) -> anyhow::Result<Table> {
+async fn measure_rates(bench: &Bench) -> anyhow::Result<Table> {
     let mut table = Table::new(
         "Bill lines on 8 nodes, each",
         &[
@@ -39,84 +39,86 @@
         ],
     );
     let mut points = Vec::new();
-    for rate in bench.pick(vec![1.0, 13.0, 26.0, 52.0], vec![1.0, 26.0]) {
-        let row = rate_row(bench, rate).await?;
+    for rate in bench.for_extent(vec![1.0, 13.0, 26.0, 52.0], vec![1.0, 26.0]) {
+        let row = measure_rate(bench, rate).await?;
         points.push((row[1], row[2]));
-        table.row(row);
+        table.add_row(row);
     }
-    let line = Line::through(&points);
-    table.note(format!(
-        "fit: {:.3} % of a core for each line a second and {:.2} % besides; at {TARGET_LINES} \
-         lines a second {:.2} %",
+    let line = Line::fit(&points);
+    table.add_note(format!(
+        "fit: {:.3} % of a core for each line a second and {:.2} % besides; at \
+         {TARGET_LINES_PER_SECOND} lines a second {:.2} %",
         line.slope,
         line.intercept,
-        line.at(TARGET_LINES)
+        line.value_at(TARGET_LINES_PER_SECOND)
     ));
     Ok(table)
 }
 
-async fn rate_row(bench: &Bench, rate: f64) -> anyhow::Result<[f64; 7]> {
+async fn measure_rate(bench: &Bench, rate: f64) -> anyhow::Result<[f64; 7]> {
     let mut cluster = start(bench, rate).await?;
     let (start, before, used) = (Instant::now(), cluster.statuses().await?, cluster.usages()?);
-    let puts = cluster.counts().await?.objects.writes;
+    let object_writes = cluster.counts().await?.objects.writes;
     Timer::after(bench.window()).await;
     let (after, used_after) = (cluster.statuses().await?, cluster.usages()?);
-    let puts = cluster.counts().await?.objects.writes - puts;
+    let object_writes = cluster.counts().await?.objects.writes - object_writes;
     let seconds = start.elapsed().as_secs_f64();
     let each = |sum: f64| sum / seconds / N_NODES as f64;
-    let both = |a: &str, b: &str| each(growth(&before, &after, a) + growth(&before, &after, b));
+    let both = |a: &str, b: &str| {
+        each(counter_increase(&before, &after, a) + counter_increase(&before, &after, b))
+    };
     let cpu = used.iter().zip(&used_after).map(|(a, b)| (b.cpu - a.cpu).as_secs_f64());
     let row = [
         rate,
-        each(acknowledged(&after) - acknowledged(&before)),
+        each(acknowledged_lines(&after) - acknowledged_lines(&before)),
         mean(cpu) / seconds * PERCENT,
-        mean(used_after.iter().map(|it| it.resident)) / BYTES_PER_MB,
+        mean(used_after.iter().map(|it| it.resident_bytes)) / BYTES_PER_MB,
         both("journal_bytes_in", "journal_bytes_out"),
         both("bytes_in", "bytes_out"),
-        each(puts as f64),
+        each(object_writes as f64),
     ];
     cluster.nodes.truncate(N_NODES);
     cluster.close();
     Ok(row)
 }
 
-async fn outage(bench: &Bench) -> anyhow::Result<Table> {
-    const DRAIN_LIMIT: Duration = Duration::from_secs(60);
-    const PAUSE: Duration = Duration::from_millis(200);
+async fn measure_outage(bench: &Bench) -> anyhow::Result<Table> {
+    const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
+    const POLL_INTERVAL: Duration = Duration::from_millis(200);
     let columns = ["seconds", "lines waiting a node", "memory, MB"];
     let mut table = Table::new("The store out, 26 lines a second and node", &columns);
-    let cluster = start(bench, TARGET_LINES).await?;
+    let cluster = start(bench, TARGET_LINES_PER_SECOND).await?;
     let down = serde_json::json!({"objects": {"mode": "down"}});
     cluster.set_faults(&down).await?;
     let (start, mut points) = (Instant::now(), Vec::new());
-    for _ in 0..bench.pick(7, 2) {
+    for _ in 0..bench.for_extent(7, 2) {
         let seconds = start.elapsed().as_secs_f64();
         let lines = mean(cluster.statuses().await?.iter().map(|it| it.journal_lines as f64));
-        let resident = mean(cluster.usages()?.iter().map(|it| it.resident));
+        let resident = mean(cluster.usages()?.iter().map(|it| it.resident_bytes));
         points.push((lines, resident));
-        table.row([seconds, lines, resident / BYTES_PER_MB]);
+        table.add_row([seconds, lines, resident / BYTES_PER_MB]);
         Timer::after(bench.window() / 2).await;
     }
     cluster.set_faults(&serde_json::json!({})).await?;
     let statuses = cluster.statuses().await?;
     let acknowledged: Vec<f64> =
-        statuses.iter().map(|it| acknowledged(std::slice::from_ref(it))).collect();
+        statuses.iter().map(|it| acknowledged_lines(std::slice::from_ref(it))).collect();
     let (drain, mut missing) = (Instant::now(), f64::INFINITY);
-    while 0.0 < missing && drain.elapsed() < DRAIN_LIMIT {
-        missing = unstored(&cluster, &acknowledged).await?;
-        Timer::after(PAUSE).await;
+    while 0.0 < missing && drain.elapsed() < DRAIN_TIMEOUT {
+        missing = count_unstored_lines(&cluster, &acknowledged).await?;
+        Timer::after(POLL_INTERVAL).await;
     }
     let drained = drain.elapsed().as_secs_f64();
-    let line = Line::through(&points);
-    let bound = MAX_BYTES as f64 / line_bytes() / TARGET_LINES;
-    table.note(format!(
+    let line = Line::fit(&points);
+    let seconds_to_bound = MAX_BYTES as f64 / line_bytes() / TARGET_LINES_PER_SECOND;
+    table.add_note(format!(
         "fit: {:.0} bytes of memory a line and node, its copies of peers' lines included; the \
          bound of {:.0} MB is {:.0} minutes of lines away (arithmetic)",
         line.slope,
         MAX_BYTES as f64 / BYTES_PER_MB,
-        bound / 60.0
+        seconds_to_bound / 60.0
     ));
-    table.note(format!(
+    table.add_note(format!(
         "of {:.0} lines acknowledged when the store came back, {missing:.0} weren't stored after \
          {drained:.1} s",
         acknowledged.iter().sum::<f64>()
@@ -125,11 +127,11 @@
     Ok(table)
 }
 
-/// How many of the lines that each node called safe aren't in the store.
-async fn unstored(cluster: &Cluster<'_>, acknowledged: &[f64]) -> anyhow::Result<f64> {
-    let stored = cluster.stored_lines().await?;
-    let missing = acknowledged.iter().enumerate().map(|(place, lines)| {
-        let vm = vm_name(place);
+/// Number of lines acknowledged by the nodes that are not in the object store.
+async fn count_unstored_lines(cluster: &Cluster<'_>, acknowledged: &[f64]) -> anyhow::Result<f64> {
+    let stored = cluster.stored_bill_lines().await?;
+    let missing = acknowledged.iter().enumerate().map(|(index, lines)| {
+        let vm = vm_name(index);
         let n_stored = stored.iter().filter(|it| it.starts_with(&vm)).count();
         (lines - n_stored as f64).max(0.0)
     });
@@ -146,19 +148,19 @@
     };
     let mut cluster = Cluster::start(bench, LAYOUT, shape.document()).await?;
     let args = vec!["--load".to_owned(), rate.to_string()];
-    cluster.add(N_NODES, &Kind::Peer(args)).await?;
-    Timer::after(bench.settling()).await;
+    cluster.add_nodes(N_NODES, &Kind::Peer(args)).await?;
+    Timer::after(bench.settle_time()).await;
     Ok(cluster)
 }
 
-/// Lines that the nodes have called safe.
-pub fn acknowledged(all: &[Status]) -> f64 {
-    const KINDS: [&str; 3] = ["line_replicated", "line_stored", "line_alone"];
-    let of = |it: &Status| KINDS.iter().filter_map(|name| it.counters.get(*name)).sum::<u64>();
+/// Number of lines that the nodes have acknowledged.
+pub fn acknowledged_lines(all: &[Status]) -> f64 {
+    const COUNTERS: [&str; 3] = ["line_replicated", "line_stored", "line_alone"];
+    let of = |it: &Status| COUNTERS.iter().filter_map(|name| it.counters.get(*name)).sum::<u64>();
     all.iter().map(of).sum::<u64>() as f64
 }
 
-/// What the journal counts for a line like those that `curranthook-peer` makes up.
+/// Size that the journal accounts for a line like those that `curranthook-peer` generates.
 fn line_bytes() -> f64 {
     let line = bill::Line {
         request: "vm-0000-000000000000".into(),
--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -1,4 +1,4 @@
-//! A node's tables by the size of the configuration.
+//! Tables of a node by configuration size.
 
 use std::{
     hint::black_box,
@@ -23,13 +23,13 @@
 const LAYOUT: Layout = Layout { n_sites: 7, n_domains: 27 };
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const BYTES_PER_KB: f64 = 1_000.0;
-const MILLIS: f64 = 1_000.0;
-const MICROS: f64 = 1_000_000.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// Steps inside one process, then whole routers.
+/// Measures the single steps in this process, then complete routers.
 pub async fn run(bench: &Bench) -> anyhow::Result<Vec<Table>> {
-    let endpoints = bench.pick(vec![50, 400, 2_000, 10_000], vec![50]);
-    let accounts = bench.pick(vec![10, 100, 1_000], vec![10]);
+    let endpoints = bench.for_extent(vec![50, 400, 2_000, 10_000], vec![50]);
+    let accounts = bench.for_extent(vec![10, 100, 1_000], vec![10]);
     const N_ACCOUNTS: usize = 10;
     const N_ENDPOINTS: usize = 400;
     let by_endpoints = endpoints.iter().map(|&it| (it, N_ACCOUNTS));
@@ -49,7 +49,7 @@
     );
     for &(n_endpoints, n_accounts) in &sizes {
         let name = format!("{n_endpoints}, {n_accounts}");
-        steps.named(&name, in_process(bench, &shape(n_endpoints, n_accounts)?)?);
+        steps.add_named_row(&name, measure_steps(bench, &shape(n_endpoints, n_accounts)?)?);
     }
     let mut whole = Table::new(
         "A router and its configuration",
@@ -64,7 +64,7 @@
     );
     for &(n_endpoints, n_accounts) in &sizes {
         let name = format!("{n_endpoints}, {n_accounts}");
-        whole.named(&name, routers(bench, &shape(n_endpoints, n_accounts)?).await?);
+        whole.add_named_row(&name, measure_routers(bench, &shape(n_endpoints, n_accounts)?).await?);
     }
     Ok(vec![steps, whole])
 }
@@ -74,39 +74,39 @@
     Ok(Shape { n_sites, n_domains, n_endpoints, n_accounts, address: "127.0.0.1:9".parse()? })
 }
 
-fn in_process(bench: &Bench, shape: &Shape) -> anyhow::Result<[f64; 6]> {
+fn measure_steps(bench: &Bench, shape: &Shape) -> anyhow::Result<[f64; 6]> {
     let mut document = shape.document();
     let (first, other) = (Documents::default(), Documents::default());
     first.offer(document.clone(), None);
     other.offer(document.clone(), None);
     let clock = Arc::new(clock::System);
-    let gates = Dispatchers::new(clock, "domain-0".into(), "vm-0".into(), "curranthook");
+    let dispatchers = Dispatchers::new(clock, "domain-0".into(), "vm-0".into(), "curranthook");
     let mut times: [Vec<f64>; 4] = Default::default();
-    for _ in 0..bench.pick(9, 2) {
+    for _ in 0..bench.for_extent(9, 2) {
         let have = document.epoch;
-        document = document::next(&document);
+        document = document::next_epoch(&document);
         let json = serde_json::to_vec(&document)?;
         let mut stopwatch = Stopwatch::start();
         first.offer(serde_json::from_slice::<Document>(&json)?, None);
-        times[0].push(stopwatch.lap());
+        times[0].push(stopwatch.restart());
         let transfer = first.transfer(have);
-        times[1].push(stopwatch.lap());
-        anyhow::ensure!(other.apply(transfer)?, "the delta brought nothing");
-        times[2].push(stopwatch.lap());
+        times[1].push(stopwatch.restart());
+        anyhow::ensure!(other.apply(transfer)?, "applying the delta did not change the document");
+        times[2].push(stopwatch.restart());
         let newest = other.document().expect("a document was offered");
         let snapshot = Snapshot::new(newest, &"site-0".into());
-        gates.update(&snapshot.expect("the document names the site"));
-        times[3].push(stopwatch.lap());
+        dispatchers.update(&snapshot.expect("the document names the site"));
+        times[3].push(stopwatch.restart());
     }
-    let [read, made, applied, indexed] = times.map(|it| quantile(it, 0.5) * MILLIS);
-    let bytes = document::size(&document) as f64;
-    Ok([bytes / BYTES_PER_KB, read, made, applied, indexed, pick(shape)])
+    let [read, made, applied, indexed] = times.map(|it| quantile(it, 0.5) * MILLIS_PER_SECOND);
+    let bytes = document::json_size(&document) as f64;
+    Ok([bytes / BYTES_PER_KB, read, made, applied, indexed, measure_selection(shape)])
 }
 
-/// The time to pick one of the endpoints that serve a version, in microseconds. A site has a
-/// seventh of all, and a version a seventh of those.
-fn pick(shape: &Shape) -> f64 {
-    const N_PICKS: u32 = 20_000;
+/// Time to select one of the endpoints that serve a version, in microseconds. A site has a seventh
+/// of all endpoints, and a version a seventh of those.
+fn measure_selection(shape: &Shape) -> f64 {
+    const N_SELECTIONS: u32 = 20_000;
     const AFFINITY: u64 = 42;
     let now = Instant::now();
     let n_members = (shape.n_endpoints / LAYOUT.n_sites / VERSIONS.len()).max(1);
@@ -118,22 +118,22 @@
     let mut pool = Pool::new("domain-0".into(), 1);
     pool.set_members((0..n_members).map(member));
     let mut stopwatch = Stopwatch::start();
-    for _ in 0..N_PICKS {
+    for _ in 0..N_SELECTIONS {
         let _picked = black_box(pool.select(black_box(Some(AFFINITY)), &[], now));
     }
-    stopwatch.lap() * MICROS / f64::from(N_PICKS)
+    stopwatch.restart() * MICROS_PER_SECOND / f64::from(N_SELECTIONS)
 }
 
-/// Two routers: one of them has each change from the table, the other often from its peer.
-async fn routers(bench: &Bench, shape: &Shape) -> anyhow::Result<[f64; 5]> {
-    const LIMIT: Duration = Duration::from_secs(60);
-    const PAUSE: Duration = Duration::from_secs(1);
+/// Measures two routers: one gets each change from the table, the other often from its peer.
+async fn measure_routers(bench: &Bench, shape: &Shape) -> anyhow::Result<[f64; 5]> {
+    const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(60);
+    const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
     const N_ROUTERS: usize = 2;
     let mut cluster = Cluster::start(bench, LAYOUT, shape.document()).await?;
-    cluster.add(N_ROUTERS, &Kind::Router).await?;
-    Timer::after(bench.settling()).await;
+    cluster.add_nodes(N_ROUTERS, &Kind::Router).await?;
+    Timer::after(bench.settle_time()).await;
     let resident = |cluster: &Cluster<'_>| -> anyhow::Result<f64> {
-        Ok(mean(cluster.usages()?.iter().map(|it| it.resident)) / BYTES_PER_MB)
+        Ok(mean(cluster.usages()?.iter().map(|it| it.resident_bytes)) / BYTES_PER_MB)
     };
     let cpu = |cluster: &Cluster<'_>| -> anyhow::Result<f64> {
         Ok(mean(cluster.usages()?.iter().map(|it| it.cpu.as_secs_f64())))
@@ -143,23 +143,23 @@
     Timer::after(bench.window() / 2).await;
     let idle = (cpu(&cluster)? - idle) / start.elapsed().as_secs_f64();
 
-    let n_changes = bench.pick(20, 2);
+    let n_changes = bench.for_extent(20, 2);
     let (start, used, mut longest) = (Instant::now(), cpu(&cluster)?, 0.0_f64);
     for _ in 0..n_changes {
-        let accepted = cluster.publish(document::next(&cluster.document)).await?;
-        let times = cluster.spread(accepted, LIMIT).await?;
+        let accepted = cluster.publish(document::next_epoch(&cluster.document)).await?;
+        let times = cluster.propagation_times(accepted, PROPAGATION_TIMEOUT).await?;
         longest = longest.max(quantile(times, 1.0));
-        Timer::after(PAUSE).await;
+        Timer::after(CHANGE_INTERVAL).await;
     }
     let used = cpu(&cluster)? - used - idle * start.elapsed().as_secs_f64();
     let after = resident(&cluster)?;
-    let bytes = document::size(&cluster.document) as f64;
+    let bytes = document::json_size(&cluster.document) as f64;
     cluster.close();
-    let each = used * MILLIS / f64::from(n_changes);
+    let each = used * MILLIS_PER_SECOND / f64::from(n_changes);
     Ok([bytes / BYTES_PER_KB, at_first, after, each, longest])
 }
 
-/// Time from one lap to the next.
+/// Measures consecutive intervals.
 #[derive(Debug)]
 struct Stopwatch(Instant);
 
@@ -168,9 +168,10 @@
         Self(Instant::now())
     }
 
-    fn lap(&mut self) -> f64 {
-        let lap = self.0.elapsed().as_secs_f64();
+    /// Returns the elapsed seconds and restarts the stopwatch.
+    fn restart(&mut self) -> f64 {
+        let elapsed = self.0.elapsed().as_secs_f64();
         self.0 = Instant::now();
-        lap
+        elapsed
     }
 }
--- a/crates/curranthook_capacity/src/report.rs
+++ b/crates/curranthook_capacity/src/report.rs
@@ -23,7 +23,7 @@
     /// ```
     /// # use curranthook_capacity::report::Table;
     /// let mut table = Table::new("Sizes", &["nodes", "bytes"]);
-    /// table.row([8.0, 1234.5]);
+    /// table.add_row([8.0, 1234.5]);
     /// assert!(table.to_markdown().contains("| 8 | 1,234 |"));
     /// ```
     pub fn new(title: &str, columns: &[&str]) -> Self {
@@ -35,18 +35,18 @@
     }
 
     /// Adds a row of numbers.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = f64>) {
-        self.rows.push(cells.into_iter().map(figure).collect());
+    pub fn add_row(&mut self, cells: impl IntoIterator<Item = f64>) {
+        self.rows.push(cells.into_iter().map(format_number).collect());
     }
 
     /// Adds a row with `name` in its first cell.
-    pub fn named(&mut self, name: &str, cells: impl IntoIterator<Item = f64>) {
-        let cells = cells.into_iter().map(figure);
+    pub fn add_named_row(&mut self, name: &str, cells: impl IntoIterator<Item = f64>) {
+        let cells = cells.into_iter().map(format_number);
         self.rows.push(std::iter::once(name.to_owned()).chain(cells).collect());
     }
 
     /// Adds a note.
-    pub fn note(&mut self, text: impl Into<String>) {
+    pub fn add_note(&mut self, text: impl Into<String>) {
         self.notes.push(text.into());
     }
 
@@ -69,18 +69,18 @@
 /// Formats a number with about four significant digits.
 ///
 /// ```
-/// # use curranthook_capacity::report::figure;
-/// assert_eq!(figure(0.012345), "0.01235");
-/// assert_eq!(figure(1234567.8), "1,234,567");
+/// # use curranthook_capacity::report::format_number;
+/// assert_eq!(format_number(0.012345), "0.01235");
+/// assert_eq!(format_number(1234567.8), "1,234,567");
 /// ```
-pub fn figure(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     const SIGNIFICANT_DIGITS: i32 = 4;
-    const GROUP: usize = 3;
-    const WHOLE: f64 = 1000.0;
+    const DIGITS_PER_GROUP: usize = 3;
+    const MIN_WITHOUT_DECIMALS: f64 = 1000.0;
     if !value.is_finite() {
         return "-".to_owned();
     }
-    if value.abs() < WHOLE {
+    if value.abs() < MIN_WITHOUT_DECIMALS {
         let magnitude = if value == 0.0 { 0 } else { value.abs().log10().floor() as i32 };
         let decimals = usize::try_from(SIGNIFICANT_DIGITS - 1 - magnitude).unwrap_or(0);
         let text = format!("{value:.decimals$}");
@@ -89,8 +89,8 @@
     }
     let digits = format!("{:.0}", value.abs().trunc());
     let mut grouped = String::new();
-    for (at, digit) in digits.chars().enumerate() {
-        if at != 0 && (digits.len() - at).is_multiple_of(GROUP) {
+    for (index, digit) in digits.chars().enumerate() {
+        if index != 0 && (digits.len() - index).is_multiple_of(DIGITS_PER_GROUP) {
             grouped.push(',');
         }
         grouped.push(digit);
--- a/crates/curranthook_capacity/tests/document.rs
+++ b/crates/curranthook_capacity/tests/document.rs
@@ -10,7 +10,7 @@
 
 #[parameterized(small = { 10_000 }, large = { 100_000 })]
 fn document_has_about_the_requested_size(bytes: usize) {
-    let size = document::size(&shape(0).sized(bytes).document());
+    let size = document::json_size(&shape(0).with_document_size(bytes).document());
     assert!((bytes..bytes * 5 / 4).contains(&size), "{size}");
 }
 
@@ -24,7 +24,7 @@
 #[test]
 fn change_increments_epoch_and_modifies_one_endpoint() {
     let first = shape(9).document();
-    let next = document::next(&first);
+    let next = document::next_epoch(&first);
     assert_eq!(next.epoch.0, first.epoch.0 + 1);
     let endpoints = |it: &curranthook_settings::Document| {
         it.sites.values().flat_map(|it| it.endpoints.clone()).collect::<Vec<_>>()
--- a/crates/curranthook_capacity/tests/fit.rs
+++ b/crates/curranthook_capacity/tests/fit.rs
@@ -10,14 +10,14 @@
     no_points = { &[], 0.0, 0.0 },
 )]
 fn line_has_expected_slope_and_intercept(points: &[(f64, f64)], slope: f64, intercept: f64) {
-    let line = Line::through(points);
+    let line = Line::fit(points);
     assert!((line.slope - slope).abs() < 1e-9, "{line:?}");
     assert!((line.intercept - intercept).abs() < 1e-9, "{line:?}");
 }
 
 #[test]
 fn line_minimizes_squared_error() {
-    let line = Line::through(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]);
+    let line = Line::fit(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]);
     assert!((line.slope - 0.5).abs() < 1e-9, "{line:?}");
     assert!((line.intercept - 0.5).abs() < 1e-9, "{line:?}");
 }
--- a/crates/curranthook_capacity/tests/report.rs
+++ b/crates/curranthook_capacity/tests/report.rs
@@ -1,6 +1,6 @@
 //! Formatting of numbers and tables in the published report.
 
-use curranthook_capacity::report::{Table, figure};
+use curranthook_capacity::report::{Table, format_number};
 use yare::parameterized;
 
 #[parameterized(
@@ -14,15 +14,15 @@
     unknown = { f64::NAN, "-" },
 )]
 fn number_is_formatted(value: f64, text: &str) {
-    assert_eq!(figure(value), text);
+    assert_eq!(format_number(value), text);
 }
 
 #[test]
 fn table_has_one_line_per_row() {
     let mut table = Table::new("Sizes", &["nodes", "bytes"]);
-    table.row([8.0, 10.0]);
-    table.named("slope", [0.5]);
-    table.note("made up");
+    table.add_row([8.0, 10.0]);
+    table.add_named_row("slope", [0.5]);
+    table.add_note("made up");
     let text = table.to_markdown();
     let lines: Vec<&str> = text.lines().filter(|it| it.starts_with('|')).collect();
     assert_eq!(lines, ["| nodes | bytes |", "| --- | --- |", "| 8 | 10 |", "| slope | 0.5 |"]);
