--- a/crates/curranthook_capacity/src/measure/data.rs
+++ b/crates/curranthook_capacity/src/measure/data.rs
@@ -23,6 +23,7 @@
 
 const LAYOUT: Layout = Layout { n_sites: 1, n_domains: 3 };
 const N_ROUTERS: usize = 3;
+/// Number of connections of the load generator.
 const N_CONNECTIONS: usize = 256;
 const PERCENT: f64 = 100.0;
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
@@ -204,7 +205,7 @@
         let mut document = shape.document();
         let endpoints = document.sites.values_mut().flat_map(|it| it.endpoints.values_mut());
         endpoints.for_each(|it| {
-            it.versions = [SHORT_VERSION, LONG_VERSION, OPEN_VERSION].map(Into::into).into()
+            it.versions = [SHORT_VERSION, LONG_VERSION, OPEN_VERSION].map(Into::into).into();
         });
         let mut cluster = Cluster::start(bench, LAYOUT, document).await?;
         cluster.add_nodes(N_ROUTERS, &Kind::Router).await?;
