--- a/crates/curranthook_capacity/src/document.rs
+++ b/crates/curranthook_capacity/src/document.rs
@@ -1,4 +1,4 @@
-//! Made-up configurations of a wanted size.
+//! Generates synthetic configurations of a given size.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -6,31 +6,31 @@
 use curranthook_types::{Epoch, price};
 use sha2::{Digest as _, Sha256};
 
-/// Versions in use; the endpoints serve them in turn.
+/// Model versions in use, assigned to the endpoints round-robin.
 pub const VERSIONS: [&str; 7] =
     ["draft@1", "draft@2", "tally@1", "tally@2", "tally@3", "large@1", "large@2"];
-/// The API key of every account's name is this and the name.
+/// Prefix of each API key; the account's name follows it.
 const KEY_PREFIX: &str = "key-";
-/// A secret that signs session tokens; a measurement guards nothing.
+/// Secret that signs session tokens; a fixed value, as measurements protect no data.
 const SESSION_SECRET: [u8; 32] = [7; 32];
 
-/// What a configuration holds.
+/// Dimensions of a generated configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// Sites; the endpoints are dealt out to them.
+    /// Number of sites; endpoints are distributed over them.
     pub n_sites: usize,
-    /// Failure domains, dealt out to the sites.
+    /// Number of failure domains, distributed over the sites.
     pub n_domains: usize,
-    /// Endpoints of all sites together.
+    /// Total number of endpoints over all sites.
     pub n_endpoints: usize,
-    /// Accounts of each site.
+    /// Number of client accounts per site.
     pub n_accounts: usize,
-    /// Where every endpoint listens.
+    /// Address of every endpoint.
     pub address: SocketAddr,
 }
 
 impl Shape {
-    /// The first document.
+    /// Generates the document of epoch 1.
     pub fn document(&self) -> Document {
         let site = |n: usize| (site_name(n).as_str().into(), self.config(n));
         Document {
@@ -41,10 +41,10 @@
         }
     }
 
-    /// The same shape with as many endpoints as make the document about `bytes` long.
-    pub fn sized(self, bytes: usize) -> Self {
+    /// Returns this shape with enough endpoints for a document of about `bytes` bytes.
+    pub fn with_document_size(self, bytes: usize) -> Self {
         let mut shape = Self { n_endpoints: 0, ..self };
-        while size(&shape.document()) < bytes {
+        while json_size(&shape.document()) < bytes {
             shape.n_endpoints += 1 + shape.n_endpoints / 8;
         }
         shape
@@ -52,7 +52,8 @@
 
     fn config(&self, site: usize) -> Config {
         let versions = VERSIONS.iter().map(|&it| (it.into(), version())).collect();
-        let mine = (0..self.n_endpoints).filter(|it| self.domain_of(*it) % self.n_sites == site);
+        let site_endpoints =
+            (0..self.n_endpoints).filter(|it| self.domain_of(*it) % self.n_sites == site);
         let endpoint = |n: usize| (format!("worker-{n:05}").as_str().into(), self.endpoint(n));
         let account = |n: usize| {
             let name = format!("account-{n}");
@@ -62,7 +63,7 @@
             site: site_name(site).as_str().into(),
             versions,
             services: BTreeMap::new(),
-            endpoints: mine.map(endpoint).collect(),
+            endpoints: site_endpoints.map(endpoint).collect(),
             accounts: (0..self.n_accounts).map(account).collect(),
             kinds: [("summary".into(), config::Kind { quality: 0.9, priority: 0 })].into(),
             policy: config::Policy { rating_sample: 0.0, ..config::Policy::default() },
@@ -76,8 +77,8 @@
     }
 
     fn endpoint(&self, n: usize) -> config::Endpoint {
-        // Nobody listens there in most measurements; the router doesn't call what it isn't
-        // asked to use.
+        // In most measurements nothing listens at this address; a router does not connect to an
+        // endpoint that no request is routed to.
         const SLOTS: usize = 100_000;
         config::Endpoint {
             address: self.address,
@@ -90,8 +91,8 @@
     }
 }
 
-/// The next document, with one small change, as most changes are.
-pub fn next(document: &Document) -> Document {
+/// Returns the document of the next epoch with one small change, as is typical of changes.
+pub fn next_epoch(document: &Document) -> Document {
     let mut next = document.clone();
     next.epoch = Epoch(document.epoch.0 + 1);
     next.publication = format!("publication-{}", next.epoch);
@@ -102,13 +103,13 @@
     next
 }
 
-/// Bytes of the document as it's published.
-pub fn size(document: &Document) -> usize {
+/// Size of the published JSON document in bytes.
+pub fn json_size(document: &Document) -> usize {
     serde_json::to_vec(document).expect("a document can be written as JSON").len()
 }
 
 /// The API key of an account.
-pub fn key(account: &str) -> String {
+pub fn api_key(account: &str) -> String {
     format!("{KEY_PREFIX}{account}")
 }
 
@@ -131,11 +132,15 @@
 }
 
 fn account(name: &str) -> config::Account {
-    const UNLIMITED: f64 = 1_000_000.0;
+    const EFFECTIVELY_UNLIMITED: f64 = 1_000_000.0;
     config::Account {
-        key_hashes: vec![Sha256::digest(key(name)).into()],
+        key_hashes: vec![Sha256::digest(api_key(name)).into()],
         versions: VERSIONS.iter().map(|&it| it.into()).collect(),
-        limit: config::Limit { requests: UNLIMITED, burst: UNLIMITED, weight: 1.0 },
+        limit: config::Limit {
+            requests: EFFECTIVELY_UNLIMITED,
+            burst: EFFECTIVELY_UNLIMITED,
+            weight: 1.0,
+        },
         ..config::Account::default()
     }
 }
--- a/crates/curranthook_capacity/tests/report.rs
+++ b/crates/curranthook_capacity/tests/report.rs
@@ -1,6 +1,6 @@
-//! Figures as a reader of the page sees them.
+//! Formatting of numbers and tables in the published report.
 
-use curranthook_capacity::report::{Table, figure};
+use curranthook_capacity::report::{Table, format_number};
 use yare::parameterized;
 
 #[parameterized(
@@ -13,16 +13,16 @@
     negative = { -1_234.0, "-1,234" },
     unknown = { f64::NAN, "-" },
 )]
-fn are_short(value: f64, text: &str) {
-    assert_eq!(figure(value), text);
+fn number_is_formatted(value: f64, text: &str) {
+    assert_eq!(format_number(value), text);
 }
 
 #[test]
-fn a_table_has_a_line_for_each_row() {
+fn table_has_one_line_per_row() {
     let mut table = Table::new("Sizes", &["nodes", "bytes"]);
-    table.row([8.0, 10.0]);
-    table.named("slope", [0.5]);
-    table.note("made up");
+    table.add_row([8.0, 10.0]);
+    table.add_named_row("slope", [0.5]);
+    table.add_note("made up");
     let text = table.to_markdown();
     let lines: Vec<&str> = text.lines().filter(|it| it.starts_with('|')).collect();
     assert_eq!(lines, ["| nodes | bytes |", "| --- | --- |", "| 8 | 10 |", "| slope | 0.5 |"]);
