--- a/crates/curranthook_load/src/fleet.rs
+++ b/crates/curranthook_load/src/fleet.rs
@@ -94,7 +94,7 @@
     /// Stops all processes and returns what engines and platform recorded.
     ///
     /// Routers stop first, so that they can upload their last billing lines; the platform last.
-    pub async fn close(mut self) -> anyhow::Result<Evidence> {
+    pub async fn stop(mut self) -> anyhow::Result<Evidence> {
         self.record_exited_processes();
         self.read_counters().await;
         let stewards = std::mem::take(&mut self.stewards);
@@ -110,7 +110,7 @@
         stop_all(engines);
         stop_all(std::mem::take(&mut self.services));
         stop_all(self.rater.take());
-        self.platform.close();
+        self.platform.stop();
         Ok(self.evidence)
     }
 
@@ -279,7 +279,7 @@
 fn stop_all(processes: impl IntoIterator<Item = Process>) {
     let all: Vec<Process> = processes.into_iter().collect();
     all.iter().for_each(Process::request_stop);
-    all.into_iter().for_each(Process::close);
+    all.into_iter().for_each(Process::stop);
 }
 
 fn vm_id(index: usize) -> vm::Id {
