--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -98,7 +98,7 @@
             let outcome = callers.send(index, request, scheduled).await;
             let latency = scheduled.elapsed();
             // The receiver outlives every sender, so the send cannot fail.
-            let _received = tx.send(Sample { index, latency, outcome }).await;
+            let _send_result = tx.send(Sample { index, latency, outcome }).await;
         })
         .detach();
     }
--- a/crates/curranthook_load/src/fleet.rs
+++ b/crates/curranthook_load/src/fleet.rs
@@ -175,16 +175,16 @@
     }
 
     fn node_settings(&self, index: usize) -> anyhow::Result<node::Settings> {
-        let any_port: SocketAddr = setup::LOOPBACK.parse()?;
+        let any_addr: SocketAddr = setup::LOOPBACK.parse()?;
         let platform = self.platform.addr("http");
         Ok(node::Settings {
             vm: vm_id(index),
             site: self.setup.scenario.site.clone(),
             failure_domain: document::failure_domain(&self.setup.scenario, index),
-            listen: any_port,
-            peer_listen: any_port,
+            listen: any_addr,
+            peer_listen: any_addr,
             peer_address: None,
-            steward_listen: any_port,
+            steward_listen: any_addr,
             platform: node::Platform { table: platform, objects: platform, vms: platform },
             seeds: self.routers.iter().map(|it| it.addr("peers")).collect(),
             peer_key: PEER_KEY.to_vec(),
@@ -240,9 +240,9 @@
     }
 
     fn record_exited_processes(&mut self) {
-        let all = self.engines.iter_mut().chain(&mut self.services).chain(&mut self.rater);
-        let all = all.chain(&mut self.routers).chain(&mut self.stewards);
-        let exited = all.filter_map(|it| it.has_exited().then(|| it.name().to_owned()));
+        let processes = self.engines.iter_mut().chain(&mut self.services).chain(&mut self.rater);
+        let processes = processes.chain(&mut self.routers).chain(&mut self.stewards);
+        let exited = processes.filter_map(|it| it.has_exited().then(|| it.name().to_owned()));
         self.evidence.died.extend(exited);
     }
 
@@ -277,9 +277,9 @@
 
 /// Signals all processes to stop before waiting for any, so that they shut down concurrently.
 fn stop_all(processes: impl IntoIterator<Item = Process>) {
-    let all: Vec<Process> = processes.into_iter().collect();
-    all.iter().for_each(Process::request_stop);
-    all.into_iter().for_each(Process::stop);
+    let running: Vec<Process> = processes.into_iter().collect();
+    running.iter().for_each(Process::request_stop);
+    running.into_iter().for_each(Process::stop);
 }
 
 fn vm_id(index: usize) -> vm::Id {
--- a/crates/curranthook_load/src/fleet/process.rs
+++ b/crates/curranthook_load/src/fleet/process.rs
@@ -118,13 +118,13 @@
         let pid = i32::try_from(self.child.id()).ok().and_then(rustix::process::Pid::from_raw);
         if let Some(pid) = pid {
             // The process may have exited already.
-            let _gone = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
+            let _signal_result = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
         }
     }
 
     /// Sends SIGKILL, to simulate a crash.
     pub fn kill(&mut self) {
-        let _gone = self.child.kill();
+        let _kill_result = self.child.kill();
         let _status = self.child.wait();
     }
 
@@ -155,7 +155,7 @@
     thread::spawn(move || {
         let mut lines = BufReader::new(stdout).lines().map_while(Result::ok);
         let ready = lines.find_map(|it| serde_json::from_str(&it).ok());
-        let _waiting = tx.send(ready);
+        let _send_result = tx.send(ready);
         // A full pipe would block the program, so the remaining output is read and discarded.
         lines.for_each(drop);
     });
--- a/crates/curranthook_load/src/report/cost.rs
+++ b/crates/curranthook_load/src/report/cost.rs
@@ -28,8 +28,8 @@
         let (Some(mark), Some(known)) = (answer.mark, truth.versions.get(version)) else {
             continue;
         };
-        let expected = difficulty < known.quality_at(request.at);
-        cost.n_mark_mismatches += u64::from(expected != (mark == Mark::Good));
+        let expected_good = difficulty < known.quality_at(request.at);
+        cost.n_mark_mismatches += u64::from(expected_good != (mark == Mark::Good));
     }
     cost.per_answer = ratio(cost.engines as f64, n_answers as f64);
     cost.per_bill = ratio(cost.billed as f64, cost.n_billed as f64);
--- a/crates/curranthook_load/src/streams.rs
+++ b/crates/curranthook_load/src/streams.rs
@@ -129,7 +129,7 @@
     let mut has_ended = contains_end_marker(&mut reader, body.frame().await?.ok()?);
     counts.open.fetch_add(1, Ordering::Relaxed);
     // The receiver may have timed out already.
-    let _late = tx.try_send(start.elapsed());
+    let _send_result = tx.try_send(start.elapsed());
     drop(tx);
     while let Some(Ok(frame)) = body.frame().await {
         has_ended |= contains_end_marker(&mut reader, frame);
@@ -156,7 +156,7 @@
         }
     };
     // On time-out, the streams begun so far are counted; the results show how many weren't.
-    let _late = timeout::run(FIRST_CHUNK_TIMEOUT, receive()).await;
+    let _timeout_result = timeout::run(FIRST_CHUNK_TIMEOUT, receive()).await;
     recorder
 }
 
--- a/crates/curranthook_load/tests/caller.rs
+++ b/crates/curranthook_load/tests/caller.rs
@@ -20,7 +20,7 @@
 
 /// Starts a server that accepts one connection and returns the same response after `delay`, with
 /// the request ID in place of `ID`. Its thread ends with the connection.
-fn start_server(answer: CannedResponse, delay: Duration) -> SocketAddr {
+fn start_server(response: CannedResponse, delay: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -31,7 +31,7 @@
             let head = String::from_utf8_lossy(&buf[..n]).into_owned();
             let id = head.lines().find_map(|it| it.strip_prefix("x-request-id: "));
             thread::sleep(delay);
-            if stream.write_all(answer.text(id.unwrap_or("none")).as_bytes()).is_err() {
+            if stream.write_all(response.text(id.unwrap_or("none")).as_bytes()).is_err() {
                 break;
             }
         }
--- a/crates/curranthook_load/tests/sse.rs
+++ b/crates/curranthook_load/tests/sse.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use yare::parameterized;
 
-fn read(chunks: &[&[u8]]) -> Vec<String> {
+fn parse_chunks(chunks: &[&[u8]]) -> Vec<String> {
     let mut reader = Reader::default();
     chunks.iter().flat_map(|it| reader.push(it)).collect()
 }
@@ -20,7 +20,7 @@
     only_comment = { ": ping\n\n", &[] },
 )]
 fn parses_events(text: &str, events: &[&str]) {
-    assert_eq!(read(&[text.as_bytes()]), events);
+    assert_eq!(parse_chunks(&[text.as_bytes()]), events);
 }
 
 proptest! {
@@ -28,6 +28,6 @@
     fn chunk_boundaries_do_not_matter(texts in prop::collection::vec("[a-z äö€𝄞]{0,12}", 1..6), chunk_size in 1_usize..9) {
         let stream: String = texts.iter().map(|it| format!("data: {it}\n\n")).collect();
         let chunks: Vec<&[u8]> = stream.as_bytes().chunks(chunk_size).collect();
-        prop_assert_eq!(read(&chunks), texts);
+        prop_assert_eq!(parse_chunks(&chunks), texts);
     }
 }
