--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -73,7 +73,7 @@
 pub struct Outcomes {
     /// Number of calls made.
     pub calls: u64,
-    /// Complete answers.
+    /// Number of complete answers.
     pub answered: u64,
     /// Refusals with a typed reason.
     pub refused: u64,
--- a/crates/curranthook_load/src/drive.rs
+++ b/crates/curranthook_load/src/drive.rs
@@ -97,7 +97,7 @@
             let scheduled = start + request.at;
             let outcome = callers.send(index, request, scheduled).await;
             let latency = scheduled.elapsed();
-            // The receiver outlives every sender, so the send cannot fail.
+            // `drive` receives until all senders are dropped; this fails only if it was cancelled.
             let _send_result = tx.send(Sample { index, latency, outcome }).await;
         })
         .detach();
@@ -151,7 +151,7 @@
                 req = req.header(header::SESSION_TOKEN, token);
             }
         }
-        req.body(self.body(request, kind)).expect("a checked scenario has plain names")
+        req.body(self.body(request, kind)).expect("a validated scenario gives valid header values")
     }
 
     fn body(&self, request: &plan::Request, kind: &Kind) -> Bytes {
@@ -163,7 +163,7 @@
                 serde_json::to_vec(&request.chat_request(kind, version.as_str()))
             }
         };
-        json.expect("a request has only plain fields").into()
+        json.expect("a request can be serialized as JSON").into()
     }
 
     fn store_session_token(&self, request: &plan::Request, outcome: &Outcome) {
--- a/crates/curranthook_load/src/fleet/document.rs
+++ b/crates/curranthook_load/src/fleet/document.rs
@@ -17,7 +17,7 @@
 /// Listening addresses of the scenario's endpoints, by ID.
 pub type Addresses = BTreeMap<String, SocketAddr>;
 
-/// Builds the first configuration document.
+/// Builds the configuration document that is published before any process reads it.
 pub fn initial(scenario: &Scenario, addrs: &Addresses, rater: Option<SocketAddr>) -> Document {
     let config = Config {
         site: scenario.site.clone(),
--- a/crates/curranthook_load/src/plan.rs
+++ b/crates/curranthook_load/src/plan.rs
@@ -162,5 +162,5 @@
         last = Some(choice);
     }
     // Rounding can leave a small remainder after the last weight.
-    last.expect("a checked scenario has accounts and kinds")
+    last.expect("a validated scenario has accounts and kinds")
 }
--- a/crates/curranthook_load/src/report.rs
+++ b/crates/curranthook_load/src/report.rs
@@ -72,7 +72,7 @@
 pub struct Ends {
     /// All requests.
     pub requests: u64,
-    /// Complete answers.
+    /// Number of complete answers.
     pub answered: u64,
     /// Complete answers within the deadline.
     pub in_time: u64,
@@ -188,7 +188,7 @@
     pub rate: f64,
     /// Numbers of its requests by outcome.
     pub ends: Ends,
-    /// Time to complete answers.
+    /// Latency of complete answers.
     pub whole: Summary,
     /// Time to refusals.
     pub refusal: Summary,
@@ -201,7 +201,7 @@
     pub ends: Ends,
     /// Share of good answers among those marked.
     pub good_share: f64,
-    /// Time to complete answers.
+    /// Latency of complete answers.
     pub whole: Summary,
     /// Cost according to the billing lines.
     pub billed: u64,
--- a/crates/curranthook_load/src/table.rs
+++ b/crates/curranthook_load/src/table.rs
@@ -157,5 +157,5 @@
 }
 
 fn append(text: &mut String, args: std::fmt::Arguments<'_>) {
-    text.write_fmt(args).expect("a string takes any text");
+    text.write_fmt(args).expect("writing to a string cannot fail");
 }
--- a/crates/curranthook_load/src/timing.rs
+++ b/crates/curranthook_load/src/timing.rs
@@ -68,7 +68,7 @@
 pub struct Summary {
     /// Number of latencies.
     pub n: u64,
-    /// The median.
+    /// The 50th percentile (median).
     #[serde(rename = "p50_ms")]
     pub p50: f64,
     /// The 95th percentile.
--- a/crates/curranthook_load/src/truth.rs
+++ b/crates/curranthook_load/src/truth.rs
@@ -37,7 +37,7 @@
 impl Truth {
     /// Cost of an answer with advance knowledge of which version suffices: the cheapest of
     /// `allowed` that is good enough for the prompt. If none is, the cheapest of all, since
-    /// no version can give a good answer at any price.
+    /// no allowed version can answer it well at any price.
     pub fn oracle_cost<'a>(
         &self,
         allowed: impl Iterator<Item = &'a version::Id>,
