--- a/crates/curranthook_load/src/direct.rs
+++ b/crates/curranthook_load/src/direct.rs
@@ -105,7 +105,7 @@
     start: Instant,
 }
 
-/// Runs the load.
+/// Sends the calls of a load run and returns its results.
 pub async fn run(ex: &runtime::Handle, load: Load) -> Outcomes {
     let shared = Arc::new(Shared::new(load));
     let pool = Arc::new(Pool::new(Arc::clone(ex), Arc::new(clock::System)));
@@ -155,7 +155,7 @@
             .header(header::REQUEST_ID, id)
             .header(header::KIND, &self.kind)
             .body(body)
-            .expect("the command line gave plain names")
+            .expect("the command-line arguments are valid header values")
     }
 
     /// Body shared by all requests.
@@ -167,7 +167,7 @@
             max_tokens: None,
             rest: serde_json::Map::new(),
         };
-        serde_json::to_vec(&chat).expect("a request has only plain fields").into()
+        serde_json::to_vec(&chat).expect("a request can be serialized as JSON").into()
     }
 }
 
@@ -178,7 +178,7 @@
         Self { load, body, arrivals, next: AtomicUsize::new(0), start: Instant::now() }
     }
 
-    /// Makes calls on one connection until none are left. A call that finds every connection busy
+    /// Makes one call at a time until none are left. A call that finds every connection busy
     /// is sent late, and the delay counts as latency because its time was scheduled beforehand.
     async fn run_worker(self: Arc<Self>, client: Client) -> Totals {
         let mut totals = Totals::default();
@@ -214,11 +214,11 @@
 }
 
 impl Totals {
-    fn record(&mut self, outcome: &Outcome, whole: Duration) {
+    fn record(&mut self, outcome: &Outcome, latency: Duration) {
         match outcome {
             Outcome::Answered(answer) => {
                 self.answered += 1;
-                self.whole.record(whole);
+                self.whole.record(latency);
                 answer.first_token.into_iter().for_each(|it| self.first_token.record(it));
             }
             Outcome::Refused(..) => self.refused += 1,
