--- a/crates/curranthook_capacity/src/cluster.rs
+++ b/crates/curranthook_capacity/src/cluster.rs
@@ -27,6 +27,7 @@
 const PEER_KEY: [u8; 32] = [9; 32];
 /// Maximum number of running nodes that a new node gets as seeds.
 const MAX_SEEDS: usize = 2;
+/// Listen address on which the system chooses a free port.
 const LOOPBACK: &str = "127.0.0.1:0";
 
 /// The processes that a node consists of.
@@ -184,11 +185,11 @@
 
     /// Reads the peer status of every node.
     pub async fn statuses(&self) -> anyhow::Result<Vec<Status>> {
-        let mut all = Vec::new();
+        let mut statuses = Vec::new();
         for node in &self.nodes {
-            all.push(self.status(node).await?);
+            statuses.push(self.status(node).await?);
         }
-        Ok(all)
+        Ok(statuses)
     }
 
     /// Request counts of the platform.
@@ -333,9 +334,11 @@
 
 /// A VM with an address at which nothing listens.
 fn unreachable_vm(n: usize, role: Role) -> Vm {
-    const PORT: u16 = 9;
+    /// The discard port, on which nothing listens.
+    const DISCARD_PORT: u16 = 9;
     let octet = |it: usize| u8::try_from(it % 250 + 1).expect("it's less than 251");
-    let address = SocketAddr::from(([127, 1 + octet(n / 62_500), octet(n / 250), octet(n)], PORT));
+    let address =
+        SocketAddr::from(([127, 1 + octet(n / 62_500), octet(n / 250), octet(n)], DISCARD_PORT));
     Vm {
         id: format!("absent-{n:05}").as_str().into(),
         address,
--- a/crates/curranthook_capacity/src/document.rs
+++ b/crates/curranthook_capacity/src/document.rs
@@ -79,6 +79,7 @@
     fn endpoint(&self, n: usize) -> config::Endpoint {
         // In most measurements nothing listens at this address; a router does not connect to an
         // endpoint that no request is routed to.
+        /// Large enough that the number of slots never limits the load.
         const SLOTS: usize = 100_000;
         config::Endpoint {
             address: self.address,
@@ -93,14 +94,14 @@
 
 /// Returns the document of the next epoch with one small change, as is typical of changes.
 pub fn next_epoch(document: &Document) -> Document {
-    let mut next = document.clone();
-    next.epoch = Epoch(document.epoch.0 + 1);
-    next.publication = format!("publication-{}", next.epoch);
-    let endpoints = next.sites.values_mut().flat_map(|it| it.endpoints.values_mut());
+    let mut changed = document.clone();
+    changed.epoch = Epoch(document.epoch.0 + 1);
+    changed.publication = format!("publication-{}", changed.epoch);
+    let endpoints = changed.sites.values_mut().flat_map(|it| it.endpoints.values_mut());
     if let Some(endpoint) = endpoints.into_iter().next() {
         endpoint.slots += 1;
     }
-    next
+    changed
 }
 
 /// Size of the published JSON document in bytes.
--- a/crates/curranthook_capacity/src/main.rs
+++ b/crates/curranthook_capacity/src/main.rs
@@ -44,9 +44,9 @@
     Spread,
     /// Propagation time with and without each propagation mechanism.
     Parts,
-    /// Tables of a node, by configuration size.
+    /// Cost of a configuration change and memory of a router, by configuration size.
     Tables,
-    /// Evidence from all nodes in the tables of one node.
+    /// Cost for one node of the version-health evidence from all nodes.
     Evidence,
     /// Requests, tokens and open streams.
     Data,
@@ -69,7 +69,7 @@
             Self::Tables => measure::tables::run(bench).await,
             Self::Evidence => measure::evidence::run(bench).await,
             Self::Data => measure::data::run(bench).await,
-            Self::Latency => measure::data::latency(bench).await,
+            Self::Latency => measure::data::run_latency(bench).await,
             Self::Platform => measure::platform::run(bench).await,
             Self::Journal => measure::journal::run(bench).await,
             Self::Churn => measure::churn::run(bench).await,
--- a/crates/curranthook_capacity/src/measure/churn.rs
+++ b/crates/curranthook_capacity/src/measure/churn.rs
@@ -17,6 +17,7 @@
     usage::Usage,
 };
 
+/// One site with three failure domains.
 const LAYOUT: Layout = Layout { n_sites: 1, n_domains: 3 };
 /// Simulated requests per second per node.
 const REQUESTS_PER_SECOND: f64 = 2.0;
--- a/crates/curranthook_capacity/src/measure/data.rs
+++ b/crates/curranthook_capacity/src/measure/data.rs
@@ -21,21 +21,28 @@
     usage::Usage,
 };
 
+/// One site, with one failure domain per router.
 const LAYOUT: Layout = Layout { n_sites: 1, n_domains: 3 };
+/// The router under load and two that replicate its bill lines.
 const N_ROUTERS: usize = 3;
 /// Number of connections of the load generator.
 const N_CONNECTIONS: usize = 256;
+/// Converts a fraction to percent.
 const PERCENT: f64 = 100.0;
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
-/// Load per node at the target size.
+/// Requests per second per node at the target size.
 const TARGET_REQUESTS_PER_SECOND: f64 = 26.0;
+/// Generated tokens per second per node at the target size.
 const TARGET_TOKENS_PER_SECOND: f64 = 9_400.0;
-/// Model versions of the engine profile: four tokens without delay; long answers with a token
-/// every 10 ms; streams that stay open.
+/// Version in [`ENGINE_PROFILE`] that returns four tokens without delay.
 const SHORT_VERSION: &str = "draft@1";
+/// Version in [`ENGINE_PROFILE`] that returns long answers, with a token every 10 ms.
 const LONG_VERSION: &str = "draft@2";
+/// Version in [`ENGINE_PROFILE`] whose streams stay open for about a minute.
 const OPEN_VERSION: &str = "large@2";
+/// Number of tokens of an answer by [`LONG_VERSION`].
 const TOKENS_PER_LONG_ANSWER: f64 = 364.0;
+/// Settings of the simulated engine, as YAML.
 const ENGINE_PROFILE: &str = "
 slots: 100000
 batch_slowdown: 0
@@ -74,7 +81,7 @@
 }
 
 /// Measures the time to first token that one router adds.
-pub async fn latency(bench: &Bench) -> anyhow::Result<Vec<Table>> {
+pub async fn run_latency(bench: &Bench) -> anyhow::Result<Vec<Table>> {
     let site = Site::start(bench).await?;
     let table = measure_added_latency(&site).await?;
     site.close();
--- a/crates/curranthook_capacity/src/measure/evidence.rs
+++ b/crates/curranthook_capacity/src/measure/evidence.rs
@@ -1,4 +1,5 @@
-//! Evidence from all nodes in the tables of one node, by fleet size.
+//! Cost for one node of storing and evaluating the version-health evidence from all nodes, by fleet
+//! size.
 
 use std::{hint::black_box, time::Instant};
 
@@ -15,6 +16,7 @@
 
 /// Request kinds that the versions serve.
 const KINDS: [&str; 2] = ["summary", "query"];
+/// Calls and tokens counted in each entry; their digits are part of the measured entry size.
 const CALLS_PER_ENTRY: u64 = 100_000;
 const TOKENS_PER_ENTRY: u64 = 36_000_000;
 /// Evaluations of the evidence per second by a router; see
@@ -103,6 +105,7 @@
 }
 
 fn origin(n: usize) -> Origin {
+    /// As many digits as a Unix time in milliseconds.
     const INCARNATION: u64 = 1_796_000_000_000;
     Origin { vm: vm_name(n).as_str().into(), incarnation: INCARNATION }
 }
--- a/crates/curranthook_capacity/src/measure/fleet.rs
+++ b/crates/curranthook_capacity/src/measure/fleet.rs
@@ -19,6 +19,7 @@
 /// Simulated requests per second per node: enough to produce evidence to exchange, few enough that
 /// the cost of their bill lines is negligible.
 const REQUESTS_PER_SECOND: &str = "0.2";
+/// Approximate size of the published configuration.
 const DOCUMENT_BYTES: usize = 10_000;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const PERCENT: f64 = 100.0;
@@ -81,6 +82,7 @@
 
 /// A configuration with the sites and domains of [`LAYOUT`] and without endpoints.
 pub fn shape() -> anyhow::Result<Shape> {
+    /// Number of client accounts per site.
     const N_ACCOUNTS: usize = 1;
     Ok(Shape {
         n_sites: LAYOUT.n_sites,
--- a/crates/curranthook_capacity/src/measure/journal.rs
+++ b/crates/curranthook_capacity/src/measure/journal.rs
@@ -14,8 +14,10 @@
     report::Table,
 };
 
+/// One site with three failure domains.
 const LAYOUT: Layout = Layout { n_sites: 1, n_domains: 3 };
 const N_NODES: usize = 8;
+/// Bill lines per second per node at the target size.
 const TARGET_LINES_PER_SECOND: f64 = 26.0;
 const PERCENT: f64 = 100.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
@@ -155,12 +157,15 @@
 
 /// Number of lines that the nodes have acknowledged.
 pub fn acknowledged_lines(all: &[Status]) -> f64 {
+    /// Counters of acknowledged lines, one for each way in which a line can be acknowledged.
     const COUNTERS: [&str; 3] = ["line_replicated", "line_stored", "line_alone"];
-    let of = |it: &Status| COUNTERS.iter().filter_map(|name| it.counters.get(*name)).sum::<u64>();
-    all.iter().map(of).sum::<u64>() as f64
+    let acknowledged =
+        |it: &Status| COUNTERS.iter().filter_map(|name| it.counters.get(*name)).sum::<u64>();
+    all.iter().map(acknowledged).sum::<u64>() as f64
 }
 
-/// Size that the journal accounts for a line like those that `curranthook-peer` generates.
+/// Estimated size in bytes, as computed by the journal, of a line like those that
+/// `curranthook-peer` generates.
 fn line_bytes() -> f64 {
     let line = bill::Line {
         request: "vm-0000-000000000000".into(),
--- a/crates/curranthook_capacity/src/measure/platform.rs
+++ b/crates/curranthook_capacity/src/measure/platform.rs
@@ -13,6 +13,7 @@
     usage::Usage,
 };
 
+/// One site with three failure domains.
 const LAYOUT: Layout = Layout { n_sites: 1, n_domains: 3 };
 const PERCENT: f64 = 100.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
@@ -80,8 +81,8 @@
     let reads = (counts_after.table.reads - counts_before.table.reads) as f64 / seconds;
     let list = Exchange::get(cluster.platform.addr("http"), "/vms").run(&bench.pool).await?;
     let cpu = |before: &[Usage], after: &[Usage]| {
-        let used = before.iter().zip(after).map(|(a, b)| (b.cpu - a.cpu).as_secs_f64());
-        mean(used) / seconds * PERCENT
+        let cpu_seconds = before.iter().zip(after).map(|(a, b)| (b.cpu - a.cpu).as_secs_f64());
+        mean(cpu_seconds) / seconds * PERCENT
     };
     let resident = |all: &[Usage]| mean(all.iter().map(|it| it.resident_bytes)) / BYTES_PER_MB;
     let row = [
--- a/crates/curranthook_capacity/src/measure/spread.rs
+++ b/crates/curranthook_capacity/src/measure/spread.rs
@@ -39,15 +39,23 @@
 struct Variant {
     name: &'static str,
     disabled: &'static [&'static str],
-    sizes: &'static [usize],
+    document_sizes: &'static [usize],
 }
 
 const VARIANTS: [Variant; 5] = [
-    Variant { name: "all parts", disabled: &[], sizes: &DOCUMENT_SIZES },
-    Variant { name: "without deltas", disabled: &["delta"], sizes: &DOCUMENT_SIZES },
-    Variant { name: "without push-pull", disabled: &["push-pull"], sizes: &[DOCUMENT_SIZES[1]] },
-    Variant { name: "without news", disabled: &["news"], sizes: &[DOCUMENT_SIZES[1]] },
-    Variant { name: "polls alone", disabled: &["push-pull", "news"], sizes: &[DOCUMENT_SIZES[1]] },
+    Variant { name: "all parts", disabled: &[], document_sizes: &DOCUMENT_SIZES },
+    Variant { name: "without deltas", disabled: &["delta"], document_sizes: &DOCUMENT_SIZES },
+    Variant {
+        name: "without push-pull",
+        disabled: &["push-pull"],
+        document_sizes: &[DOCUMENT_SIZES[1]],
+    },
+    Variant { name: "without news", disabled: &["news"], document_sizes: &[DOCUMENT_SIZES[1]] },
+    Variant {
+        name: "polls alone",
+        disabled: &["push-pull", "news"],
+        document_sizes: &[DOCUMENT_SIZES[1]],
+    },
 ];
 
 /// Measures propagation by fleet size and configuration size.
@@ -69,26 +77,27 @@
         for mechanism in variant.disabled {
             args.extend(["--without".to_owned(), (*mechanism).to_owned()]);
         }
-        let sizes = bench.for_extent(variant.sizes, &DOCUMENT_SIZES[..1]);
+        let sizes = bench.for_extent(variant.document_sizes, &DOCUMENT_SIZES[..1]);
         measure_fleet(bench, n, &format!("{n}, {}", variant.name), args, sizes, &mut table).await?;
     }
     Ok(vec![table])
 }
 
-/// Publishes a few changes to documents of each size.
+/// Starts `n` nodes, publishes a few changes to a document of each size, and adds a row per size to
+/// `table`.
 async fn measure_fleet(
     bench: &Bench,
     n: usize,
     name: &str,
     args: Vec<String>,
-    sizes: &[usize],
+    document_sizes: &[usize],
     table: &mut Table,
 ) -> anyhow::Result<()> {
     let first = shape()?.with_document_size(DOCUMENT_SIZES[0]).document();
     let mut cluster = Cluster::start(bench, LAYOUT, first).await?;
     cluster.add_nodes(n, &Kind::Peer(args)).await?;
     Timer::after(bench.settle_time()).await;
-    for &size in sizes {
+    for &size in document_sizes {
         let mut document = shape()?.with_document_size(size).document();
         document.epoch = Epoch(cluster.document.epoch.0 + 1);
         let accepted = cluster.publish(document).await?;
@@ -149,8 +158,8 @@
         let length = |have: Epoch| -> anyhow::Result<f64> {
             Ok(serde_json::to_vec(&documents.transfer(have))?.len() as f64)
         };
-        let whole = length(Epoch::default())?;
-        table.add_row([size as f64 / BYTES_PER_KB, length(first.epoch)?, whole]);
+        let full_length = length(Epoch::default())?;
+        table.add_row([size as f64 / BYTES_PER_KB, length(first.epoch)?, full_length]);
     }
     Ok(table)
 }
--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -1,4 +1,4 @@
-//! Tables of a node by configuration size.
+//! Cost of a configuration change and memory of a router, by configuration size.
 
 use std::{
     hint::black_box,
@@ -20,16 +20,18 @@
     report::Table,
 };
 
+/// Sites and failure domains of the generated configurations.
 const LAYOUT: Layout = Layout { n_sites: 7, n_domains: 27 };
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const BYTES_PER_KB: f64 = 1_000.0;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// Measures the single steps in this process, then complete routers.
+/// Measures each step of applying a configuration change in this process, then router processes.
 pub async fn run(bench: &Bench) -> anyhow::Result<Vec<Table>> {
     let endpoints = bench.for_extent(vec![50, 400, 2_000, 10_000], vec![50]);
     let accounts = bench.for_extent(vec![10, 100, 1_000], vec![10]);
+    // Fixed dimension while the other one varies; accounts are counted per site.
     const N_ACCOUNTS: usize = 10;
     const N_ENDPOINTS: usize = 400;
     let by_endpoints = endpoints.iter().map(|&it| (it, N_ACCOUNTS));
@@ -51,7 +53,7 @@
         let name = format!("{n_endpoints}, {n_accounts}");
         steps.add_named_row(&name, measure_steps(bench, &shape(n_endpoints, n_accounts)?)?);
     }
-    let mut whole = Table::new(
+    let mut routers = Table::new(
         "A router and its configuration",
         &[
             "endpoints, accounts a site",
@@ -64,9 +66,10 @@
     );
     for &(n_endpoints, n_accounts) in &sizes {
         let name = format!("{n_endpoints}, {n_accounts}");
-        whole.add_named_row(&name, measure_routers(bench, &shape(n_endpoints, n_accounts)?).await?);
+        routers
+            .add_named_row(&name, measure_routers(bench, &shape(n_endpoints, n_accounts)?).await?);
     }
-    Ok(vec![steps, whole])
+    Ok(vec![steps, routers])
 }
 
 fn shape(n_endpoints: usize, n_accounts: usize) -> anyhow::Result<Shape> {
@@ -107,6 +110,7 @@
 /// of all endpoints, and a version a seventh of those.
 fn measure_selection(shape: &Shape) -> f64 {
     const N_SELECTIONS: u32 = 20_000;
+    /// Affinity key of all selections; an arbitrary fixed value.
     const AFFINITY: u64 = 42;
     let now = Instant::now();
     let n_members = (shape.n_endpoints / LAYOUT.n_sites / VERSIONS.len()).max(1);
