--- a/crates/curranthook_capacity/src/cluster.rs
+++ b/crates/curranthook_capacity/src/cluster.rs
@@ -104,7 +104,7 @@
 }
 
 impl<'a> Cluster<'a> {
-    /// Starts a platform and publishes `document`.
+    /// Starts a stand-in platform and publishes `document`.
     pub async fn start(
         bench: &'a Bench,
         layout: Layout,
@@ -149,6 +149,7 @@
         accepted: Instant,
         limit: Duration,
     ) -> anyhow::Result<Vec<f64>> {
+        /// Interval of status queries, which limits the resolution of the measured times.
         const POLL_INTERVAL: Duration = Duration::from_millis(40);
         let mut missing: Vec<usize> = (0..self.nodes.len()).collect();
         let mut times = Vec::new();
@@ -332,7 +333,7 @@
     format!("vm-{n:04}")
 }
 
-/// A VM with an address at which nothing listens.
+/// A VM with a loopback address that is distinct for each `n` and at which nothing listens.
 fn unreachable_vm(n: usize, role: Role) -> Vm {
     /// The discard port, on which nothing listens.
     const DISCARD_PORT: u16 = 9;
--- a/crates/curranthook_capacity/src/measure/churn.rs
+++ b/crates/curranthook_capacity/src/measure/churn.rs
@@ -23,6 +23,7 @@
 const REQUESTS_PER_SECOND: f64 = 2.0;
 /// Timeout for peers to detect that a node has failed.
 const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval of status queries, which limits the resolution of the measured times.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time until replicas store the lines of an unresponsive owner, with a margin.
 const TAKEOVER_WAIT: Duration = Duration::from_secs(25);
@@ -123,8 +124,8 @@
 
 /// Number of nodes that report at least one of `addrs` as alive.
 async fn count_observers(cluster: &Cluster<'_>, addrs: &[SocketAddr]) -> anyhow::Result<usize> {
-    let all = cluster.statuses().await?;
-    let observers = all
+    let statuses = cluster.statuses().await?;
+    let observers = statuses
         .iter()
         .filter(|status| status.view.alive.iter().any(|it| addrs.contains(&it.identity.addr)));
     Ok(observers.count())
@@ -163,9 +164,9 @@
         let seconds = start.elapsed().as_secs_f64();
         spent.push((bytes / seconds, (observed_cpu(&cluster)? - cpu) / seconds, seconds));
         if replacing {
-            let used =
+            let cpu_seconds =
                 replacements.iter().map(|it| Usage::of_process(*it).map(|it| it.cpu.as_secs_f64()));
-            let used = mean(used.collect::<anyhow::Result<Vec<_>>>()?);
+            let cpu_seconds = mean(cpu_seconds.collect::<anyhow::Result<Vec<_>>>()?);
             let (steady, current) = (spent[0], spent[1]);
             // Extrapolates from the observed nodes to all nodes.
             let scale = N_NODES as f64 / N_OBSERVED as f64 * current.2 / f64::from(N_REPLACED);
@@ -174,13 +175,14 @@
                 (current.0 - steady.0) * scale,
                 (current.1 - steady.1) * scale * MILLIS_PER_SECOND,
             );
-            table.add_named_row("each", [bytes, cpu, used * MILLIS_PER_SECOND]);
+            table.add_named_row("each", [bytes, cpu, cpu_seconds * MILLIS_PER_SECOND]);
         }
     }
     cluster.close();
     Ok(table)
 }
 
+/// Kills all nodes of one failure domain among `n` nodes; returns a row of the table.
 async fn measure_domain_loss(bench: &Bench, n: usize) -> anyhow::Result<[f64; 6]> {
     let mut cluster = start(bench, n).await?;
     let killed: BTreeSet<usize> = (0..n).filter(|it| it % LAYOUT.n_domains == 0).collect();
--- a/crates/curranthook_capacity/src/measure/data.rs
+++ b/crates/curranthook_capacity/src/measure/data.rs
@@ -88,6 +88,7 @@
     Ok(vec![table])
 }
 
+/// Measures short requests, by rate.
 async fn measure_requests(site: &Site<'_>) -> anyhow::Result<Table> {
     let columns =
         ["requests/s", "answered/s", "CPU, % of a core", "CPU a request, µs", "failed or refused"];
@@ -164,6 +165,7 @@
     Ok(table)
 }
 
+/// Measures the memory of a router by its number of open streams.
 async fn measure_open_streams(site: &Site<'_>) -> anyhow::Result<Table> {
     let columns = ["open streams", "memory, KB", "begun", "failed"];
     let mut table = Table::new("Memory of a router with streams open", &columns);
@@ -226,7 +228,7 @@
         self.cluster.nodes[0].process.addr("callers")
     }
 
-    /// CPU usage of the router, in cores, under the given load.
+    /// Sends requests for `model` at `rate` per second and measures the CPU usage of the router.
     async fn cost(&self, model: &str, rate: f64, duration: Duration) -> anyhow::Result<Cost> {
         let pid = self.cluster.nodes[0].process.id();
         let (start, before) = (Instant::now(), Usage::of_process(pid)?);
--- a/crates/curranthook_capacity/src/measure/evidence.rs
+++ b/crates/curranthook_capacity/src/measure/evidence.rs
@@ -53,6 +53,7 @@
     Ok(vec![table])
 }
 
+/// Fills a table with the evidence of `n_nodes` nodes; returns a row of the results.
 fn measure_nodes(bench: &Bench, n_nodes: usize) -> anyhow::Result<[f64; 10]> {
     let evidence = Evidence::new(origin(0));
     let counts = Counts { calls: CALLS_PER_ENTRY, tokens: TOKENS_PER_ENTRY, ..Counts::default() };
--- a/crates/curranthook_capacity/src/measure/fleet.rs
+++ b/crates/curranthook_capacity/src/measure/fleet.rs
@@ -46,6 +46,7 @@
     Ok(vec![build_table(&points)])
 }
 
+/// Measures the steady state of a fleet of `n` nodes.
 async fn measure_fleet(bench: &Bench, n: usize) -> anyhow::Result<Point> {
     let document = shape()?.with_document_size(DOCUMENT_BYTES).document();
     let mut cluster = Cluster::start(bench, LAYOUT, document).await?;
--- a/crates/curranthook_capacity/src/measure/journal.rs
+++ b/crates/curranthook_capacity/src/measure/journal.rs
@@ -27,6 +27,7 @@
     Ok(vec![measure_rates(bench).await?, measure_outage(bench).await?])
 }
 
+/// Measures the cost of bill lines for several rates.
 async fn measure_rates(bench: &Bench) -> anyhow::Result<Table> {
     let mut table = Table::new(
         "Bill lines on 8 nodes, each",
@@ -57,6 +58,7 @@
     Ok(table)
 }
 
+/// Measures nodes that each generate `rate` bill lines per second; returns a row of the table.
 async fn measure_rate(bench: &Bench, rate: f64) -> anyhow::Result<[f64; 7]> {
     let mut cluster = start(bench, rate).await?;
     let (start, before, used) = (Instant::now(), cluster.statuses().await?, cluster.usages()?);
@@ -84,7 +86,10 @@
     Ok(row)
 }
 
+/// Measures the memory that unstored lines use during an outage of the object store, and the time
+/// until they are stored afterwards.
 async fn measure_outage(bench: &Bench) -> anyhow::Result<Table> {
+    /// Maximum wait for all lines to be stored after the outage.
     const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
     const POLL_INTERVAL: Duration = Duration::from_millis(200);
     let columns = ["seconds", "lines waiting a node", "memory, MB"];
--- a/crates/curranthook_capacity/src/measure/spread.rs
+++ b/crates/curranthook_capacity/src/measure/spread.rs
@@ -109,6 +109,7 @@
     Ok(())
 }
 
+/// Publishes small changes; returns the cells of a row after the document size.
 async fn measure_changes(bench: &Bench, cluster: &mut Cluster<'_>) -> anyhow::Result<[f64; 5]> {
     // Not a multiple of the peers' round interval, so that changes fall into any phase of a round.
     const CHANGE_INTERVAL: Duration = Duration::from_millis(1_370);
--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -77,6 +77,7 @@
     Ok(Shape { n_sites, n_domains, n_endpoints, n_accounts, address: "127.0.0.1:9".parse()? })
 }
 
+/// Median time of each step in milliseconds; returns a row of the table.
 fn measure_steps(bench: &Bench, shape: &Shape) -> anyhow::Result<[f64; 6]> {
     let mut document = shape.document();
     let (first, other) = (Documents::default(), Documents::default());
