--- a/crates/curranthook_capacity/src/document.rs
+++ b/crates/curranthook_capacity/src/document.rs
@@ -77,11 +77,11 @@
     }
 
     fn endpoint(&self, n: usize) -> config::Endpoint {
-        // In most measurements nothing listens at this address; a router does not connect to an
-        // endpoint that no request is routed to.
         /// Large enough that the number of slots never limits the load.
         const SLOTS: usize = 100_000;
         config::Endpoint {
+            // In most measurements nothing listens at this address; a router does not connect to an
+            // endpoint that no request is routed to.
             address: self.address,
             failure_domain: domain_name(self.domain_of(n)).as_str().into(),
             versions: [VERSIONS[(n / self.n_domains) % VERSIONS.len()].into()].into(),
--- a/crates/curranthook_capacity/src/measure/fleet.rs
+++ b/crates/curranthook_capacity/src/measure/fleet.rs
@@ -81,7 +81,8 @@
     Ok(point)
 }
 
-/// A configuration with the sites and domains of [`LAYOUT`] and without endpoints.
+/// The shape of a configuration with the sites and domains of [`LAYOUT`] and no endpoints yet;
+/// nodes send no requests to the endpoints that [`Shape::with_document_size`] adds.
 pub fn shape() -> anyhow::Result<Shape> {
     /// Number of client accounts per site.
     const N_ACCOUNTS: usize = 1;
--- a/crates/curranthook_capacity/src/measure/platform.rs
+++ b/crates/curranthook_capacity/src/measure/platform.rs
@@ -48,8 +48,8 @@
     Ok(vec![table])
 }
 
-/// Measures `n` VMs with a VM list padded to `n_entries` nodes and `n_endpoints` endpoints; returns a
-/// row of the table.
+/// Measures `n` VMs with a VM list padded to `n_entries` nodes and `n_endpoints` endpoints; returns
+/// a row of the table.
 async fn measure_vms(
     bench: &Bench,
     n: usize,
--- a/crates/curranthook_capacity/src/measure/spread.rs
+++ b/crates/curranthook_capacity/src/measure/spread.rs
@@ -100,8 +100,8 @@
     for &size in document_sizes {
         let mut document = shape()?.with_document_size(size).document();
         document.epoch = Epoch(cluster.document.epoch.0 + 1);
-        let accepted = cluster.publish(document).await?;
-        cluster.propagation_times(accepted, PROPAGATION_TIMEOUT).await?;
+        let accepted_at = cluster.publish(document).await?;
+        cluster.propagation_times(accepted_at, PROPAGATION_TIMEOUT).await?;
         let row = measure_changes(bench, &mut cluster).await?;
         table.add_named_row(name, [size as f64 / BYTES_PER_KB].into_iter().chain(row));
     }
@@ -118,10 +118,10 @@
     for _ in 0..n_changes {
         let steady = idle_bytes_per_second(cluster, CHANGE_INTERVAL).await?;
         let before = cluster.statuses().await?;
-        let accepted = cluster.publish(document::next_epoch(&cluster.document)).await?;
-        let delays = cluster.propagation_times(accepted, PROPAGATION_TIMEOUT).await?;
+        let accepted_at = cluster.publish(document::next_epoch(&cluster.document)).await?;
+        let delays = cluster.propagation_times(accepted_at, PROPAGATION_TIMEOUT).await?;
         let after = cluster.statuses().await?;
-        let seconds = accepted.elapsed().as_secs_f64();
+        let seconds = accepted_at.elapsed().as_secs_f64();
         bytes += counter_increase(&before, &after, "bytes_in") - steady * seconds;
         from_table += counter_increase(&before, &after, "epoch_from_table");
         longest.push(quantile(delays.clone(), 1.0));
@@ -156,8 +156,8 @@
             (Documents::default(), shape()?.with_document_size(size).document());
         documents.offer(first.clone(), None);
         documents.offer(document::next_epoch(&first), None);
-        let length = |have: Epoch| -> anyhow::Result<f64> {
-            Ok(serde_json::to_vec(&documents.transfer(have))?.len() as f64)
+        let length = |known_epoch: Epoch| -> anyhow::Result<f64> {
+            Ok(serde_json::to_vec(&documents.transfer(known_epoch))?.len() as f64)
         };
         let full_length = length(Epoch::default())?;
         table.add_row([size as f64 / BYTES_PER_KB, length(first.epoch)?, full_length]);
--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -87,13 +87,13 @@
     let dispatchers = Dispatchers::new(clock, "domain-0".into(), "vm-0".into(), "curranthook");
     let mut times: [Vec<f64>; 4] = Default::default();
     for _ in 0..bench.for_extent(9, 2) {
-        let have = document.epoch;
+        let previous_epoch = document.epoch;
         document = document::next_epoch(&document);
         let json = serde_json::to_vec(&document)?;
         let mut stopwatch = Stopwatch::start();
         first.offer(serde_json::from_slice::<Document>(&json)?, None);
         times[0].push(stopwatch.restart());
-        let transfer = first.transfer(have);
+        let transfer = first.transfer(previous_epoch);
         times[1].push(stopwatch.restart());
         anyhow::ensure!(other.apply(transfer)?, "applying the delta did not change the document");
         times[2].push(stopwatch.restart());
@@ -143,25 +143,25 @@
     let cpu = |cluster: &Cluster<'_>| -> anyhow::Result<f64> {
         Ok(mean(cluster.usages()?.iter().map(|it| it.cpu.as_secs_f64())))
     };
-    let at_first = resident(&cluster)?;
+    let initial_resident = resident(&cluster)?;
     let (start, idle) = (Instant::now(), cpu(&cluster)?);
     Timer::after(bench.window() / 2).await;
     let idle = (cpu(&cluster)? - idle) / start.elapsed().as_secs_f64();
 
     let n_changes = bench.for_extent(20, 2);
-    let (start, used, mut longest) = (Instant::now(), cpu(&cluster)?, 0.0_f64);
+    let (start, cpu_seconds, mut longest) = (Instant::now(), cpu(&cluster)?, 0.0_f64);
     for _ in 0..n_changes {
-        let accepted = cluster.publish(document::next_epoch(&cluster.document)).await?;
-        let times = cluster.propagation_times(accepted, PROPAGATION_TIMEOUT).await?;
+        let accepted_at = cluster.publish(document::next_epoch(&cluster.document)).await?;
+        let times = cluster.propagation_times(accepted_at, PROPAGATION_TIMEOUT).await?;
         longest = longest.max(quantile(times, 1.0));
         Timer::after(CHANGE_INTERVAL).await;
     }
-    let used = cpu(&cluster)? - used - idle * start.elapsed().as_secs_f64();
-    let after = resident(&cluster)?;
+    let cpu_seconds = cpu(&cluster)? - cpu_seconds - idle * start.elapsed().as_secs_f64();
+    let final_resident = resident(&cluster)?;
     let bytes = document::json_size(&cluster.document) as f64;
     cluster.close();
-    let each = used * MILLIS_PER_SECOND / f64::from(n_changes);
-    Ok([bytes / BYTES_PER_KB, at_first, after, each, longest])
+    let each = cpu_seconds * MILLIS_PER_SECOND / f64::from(n_changes);
+    Ok([bytes / BYTES_PER_KB, initial_resident, final_resident, each, longest])
 }
 
 /// Measures consecutive intervals.
--- a/crates/curranthook_capacity/src/report.rs
+++ b/crates/curranthook_capacity/src/report.rs
@@ -11,7 +11,7 @@
     pub title: String,
     /// Column headings, with units.
     pub columns: Vec<String>,
-    /// The cells.
+    /// Formatted cells, one vector per row.
     pub rows: Vec<Vec<String>>,
     /// Notes that are needed to interpret the table: fits, the load of the machine.
     pub notes: Vec<String>,
