--- a/crates/curranthook_capacity/src/cluster.rs
+++ b/crates/curranthook_capacity/src/cluster.rs
@@ -27,6 +27,7 @@
 const PEER_KEY: [u8; 32] = [9; 32];
 /// Maximum number of running nodes that a new node gets as seeds.
 const MAX_SEEDS: usize = 2;
+/// Listen address on which the system chooses a free port.
 const LOOPBACK: &str = "127.0.0.1:0";
 
 /// The processes that a node consists of.
@@ -103,7 +104,7 @@
 }
 
 impl<'a> Cluster<'a> {
-    /// Starts a platform and publishes `document`.
+    /// Starts a stand-in platform and publishes `document`.
     pub async fn start(
         bench: &'a Bench,
         layout: Layout,
@@ -148,6 +149,7 @@
         accepted: Instant,
         limit: Duration,
     ) -> anyhow::Result<Vec<f64>> {
+        /// Interval of status queries, which limits the resolution of the measured times.
         const POLL_INTERVAL: Duration = Duration::from_millis(40);
         let mut missing: Vec<usize> = (0..self.nodes.len()).collect();
         let mut times = Vec::new();
@@ -184,11 +186,11 @@
 
     /// Reads the peer status of every node.
     pub async fn statuses(&self) -> anyhow::Result<Vec<Status>> {
-        let mut all = Vec::new();
+        let mut statuses = Vec::new();
         for node in &self.nodes {
-            all.push(self.status(node).await?);
+            statuses.push(self.status(node).await?);
         }
-        Ok(all)
+        Ok(statuses)
     }
 
     /// Request counts of the platform.
@@ -331,11 +333,13 @@
     format!("vm-{n:04}")
 }
 
-/// A VM with an address at which nothing listens.
+/// A VM with a loopback address that is distinct for each `n` and at which nothing listens.
 fn unreachable_vm(n: usize, role: Role) -> Vm {
-    const PORT: u16 = 9;
+    /// The discard port, on which nothing listens.
+    const DISCARD_PORT: u16 = 9;
     let octet = |it: usize| u8::try_from(it % 250 + 1).expect("it's less than 251");
-    let address = SocketAddr::from(([127, 1 + octet(n / 62_500), octet(n / 250), octet(n)], PORT));
+    let address =
+        SocketAddr::from(([127, 1 + octet(n / 62_500), octet(n / 250), octet(n)], DISCARD_PORT));
     Vm {
         id: format!("absent-{n:05}").as_str().into(),
         address,
--- a/crates/curranthook_capacity/src/measure/fleet.rs
+++ b/crates/curranthook_capacity/src/measure/fleet.rs
@@ -19,6 +19,7 @@
 /// Simulated requests per second per node: enough to produce evidence to exchange, few enough that
 /// the cost of their bill lines is negligible.
 const REQUESTS_PER_SECOND: &str = "0.2";
+/// Approximate size of the published configuration.
 const DOCUMENT_BYTES: usize = 10_000;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const PERCENT: f64 = 100.0;
@@ -45,6 +46,7 @@
     Ok(vec![build_table(&points)])
 }
 
+/// Measures the steady state of a fleet of `n` nodes.
 async fn measure_fleet(bench: &Bench, n: usize) -> anyhow::Result<Point> {
     let document = shape()?.with_document_size(DOCUMENT_BYTES).document();
     let mut cluster = Cluster::start(bench, LAYOUT, document).await?;
@@ -79,8 +81,10 @@
     Ok(point)
 }
 
-/// A configuration with the sites and domains of [`LAYOUT`] and without endpoints.
+/// The shape of a configuration with the sites and domains of [`LAYOUT`] and no endpoints yet;
+/// nodes send no requests to the endpoints that [`Shape::with_document_size`] adds.
 pub fn shape() -> anyhow::Result<Shape> {
+    /// Number of client accounts per site.
     const N_ACCOUNTS: usize = 1;
     Ok(Shape {
         n_sites: LAYOUT.n_sites,
--- a/crates/curranthook_capacity/src/measure/spread.rs
+++ b/crates/curranthook_capacity/src/measure/spread.rs
@@ -39,15 +39,23 @@
 struct Variant {
     name: &'static str,
     disabled: &'static [&'static str],
-    sizes: &'static [usize],
+    document_sizes: &'static [usize],
 }
 
 const VARIANTS: [Variant; 5] = [
-    Variant { name: "all parts", disabled: &[], sizes: &DOCUMENT_SIZES },
-    Variant { name: "without deltas", disabled: &["delta"], sizes: &DOCUMENT_SIZES },
-    Variant { name: "without push-pull", disabled: &["push-pull"], sizes: &[DOCUMENT_SIZES[1]] },
-    Variant { name: "without news", disabled: &["news"], sizes: &[DOCUMENT_SIZES[1]] },
-    Variant { name: "polls alone", disabled: &["push-pull", "news"], sizes: &[DOCUMENT_SIZES[1]] },
+    Variant { name: "all parts", disabled: &[], document_sizes: &DOCUMENT_SIZES },
+    Variant { name: "without deltas", disabled: &["delta"], document_sizes: &DOCUMENT_SIZES },
+    Variant {
+        name: "without push-pull",
+        disabled: &["push-pull"],
+        document_sizes: &[DOCUMENT_SIZES[1]],
+    },
+    Variant { name: "without news", disabled: &["news"], document_sizes: &[DOCUMENT_SIZES[1]] },
+    Variant {
+        name: "polls alone",
+        disabled: &["push-pull", "news"],
+        document_sizes: &[DOCUMENT_SIZES[1]],
+    },
 ];
 
 /// Measures propagation by fleet size and configuration size.
@@ -69,30 +77,31 @@
         for mechanism in variant.disabled {
             args.extend(["--without".to_owned(), (*mechanism).to_owned()]);
         }
-        let sizes = bench.for_extent(variant.sizes, &DOCUMENT_SIZES[..1]);
+        let sizes = bench.for_extent(variant.document_sizes, &DOCUMENT_SIZES[..1]);
         measure_fleet(bench, n, &format!("{n}, {}", variant.name), args, sizes, &mut table).await?;
     }
     Ok(vec![table])
 }
 
-/// Publishes a few changes to documents of each size.
+/// Starts `n` nodes, publishes a few changes to a document of each size, and adds a row per size to
+/// `table`.
 async fn measure_fleet(
     bench: &Bench,
     n: usize,
     name: &str,
     args: Vec<String>,
-    sizes: &[usize],
+    document_sizes: &[usize],
     table: &mut Table,
 ) -> anyhow::Result<()> {
     let first = shape()?.with_document_size(DOCUMENT_SIZES[0]).document();
     let mut cluster = Cluster::start(bench, LAYOUT, first).await?;
     cluster.add_nodes(n, &Kind::Peer(args)).await?;
     Timer::after(bench.settle_time()).await;
-    for &size in sizes {
+    for &size in document_sizes {
         let mut document = shape()?.with_document_size(size).document();
         document.epoch = Epoch(cluster.document.epoch.0 + 1);
-        let accepted = cluster.publish(document).await?;
-        cluster.propagation_times(accepted, PROPAGATION_TIMEOUT).await?;
+        let accepted_at = cluster.publish(document).await?;
+        cluster.propagation_times(accepted_at, PROPAGATION_TIMEOUT).await?;
         let row = measure_changes(bench, &mut cluster).await?;
         table.add_named_row(name, [size as f64 / BYTES_PER_KB].into_iter().chain(row));
     }
@@ -100,6 +109,7 @@
     Ok(())
 }
 
+/// Publishes small changes; returns the cells of a row after the document size.
 async fn measure_changes(bench: &Bench, cluster: &mut Cluster<'_>) -> anyhow::Result<[f64; 5]> {
     // Not a multiple of the peers' round interval, so that changes fall into any phase of a round.
     const CHANGE_INTERVAL: Duration = Duration::from_millis(1_370);
@@ -108,10 +118,10 @@
     for _ in 0..n_changes {
         let steady = idle_bytes_per_second(cluster, CHANGE_INTERVAL).await?;
         let before = cluster.statuses().await?;
-        let accepted = cluster.publish(document::next_epoch(&cluster.document)).await?;
-        let delays = cluster.propagation_times(accepted, PROPAGATION_TIMEOUT).await?;
+        let accepted_at = cluster.publish(document::next_epoch(&cluster.document)).await?;
+        let delays = cluster.propagation_times(accepted_at, PROPAGATION_TIMEOUT).await?;
         let after = cluster.statuses().await?;
-        let seconds = accepted.elapsed().as_secs_f64();
+        let seconds = accepted_at.elapsed().as_secs_f64();
         bytes += counter_increase(&before, &after, "bytes_in") - steady * seconds;
         from_table += counter_increase(&before, &after, "epoch_from_table");
         longest.push(quantile(delays.clone(), 1.0));
@@ -146,11 +156,11 @@
             (Documents::default(), shape()?.with_document_size(size).document());
         documents.offer(first.clone(), None);
         documents.offer(document::next_epoch(&first), None);
-        let length = |have: Epoch| -> anyhow::Result<f64> {
-            Ok(serde_json::to_vec(&documents.transfer(have))?.len() as f64)
+        let length = |known_epoch: Epoch| -> anyhow::Result<f64> {
+            Ok(serde_json::to_vec(&documents.transfer(known_epoch))?.len() as f64)
         };
-        let whole = length(Epoch::default())?;
-        table.add_row([size as f64 / BYTES_PER_KB, length(first.epoch)?, whole]);
+        let full_length = length(Epoch::default())?;
+        table.add_row([size as f64 / BYTES_PER_KB, length(first.epoch)?, full_length]);
     }
     Ok(table)
 }
--- a/crates/curranthook_capacity/src/measure/tables.rs
+++ b/crates/curranthook_capacity/src/measure/tables.rs
@@ -1,4 +1,4 @@
-//! Tables of a node by configuration size.
+//! Cost of a configuration change and memory of a router, by configuration size.
 
 use std::{
     hint::black_box,
@@ -20,16 +20,18 @@
     report::Table,
 };
 
+/// Sites and failure domains of the generated configurations.
 const LAYOUT: Layout = Layout { n_sites: 7, n_domains: 27 };
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const BYTES_PER_KB: f64 = 1_000.0;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// Measures the single steps in this process, then complete routers.
+/// Measures each step of applying a configuration change in this process, then router processes.
 pub async fn run(bench: &Bench) -> anyhow::Result<Vec<Table>> {
     let endpoints = bench.for_extent(vec![50, 400, 2_000, 10_000], vec![50]);
     let accounts = bench.for_extent(vec![10, 100, 1_000], vec![10]);
+    // Fixed dimension while the other one varies; accounts are counted per site.
     const N_ACCOUNTS: usize = 10;
     const N_ENDPOINTS: usize = 400;
     let by_endpoints = endpoints.iter().map(|&it| (it, N_ACCOUNTS));
@@ -51,7 +53,7 @@
         let name = format!("{n_endpoints}, {n_accounts}");
         steps.add_named_row(&name, measure_steps(bench, &shape(n_endpoints, n_accounts)?)?);
     }
-    let mut whole = Table::new(
+    let mut routers = Table::new(
         "A router and its configuration",
         &[
             "endpoints, accounts a site",
@@ -64,9 +66,10 @@
     );
     for &(n_endpoints, n_accounts) in &sizes {
         let name = format!("{n_endpoints}, {n_accounts}");
-        whole.add_named_row(&name, measure_routers(bench, &shape(n_endpoints, n_accounts)?).await?);
+        routers
+            .add_named_row(&name, measure_routers(bench, &shape(n_endpoints, n_accounts)?).await?);
     }
-    Ok(vec![steps, whole])
+    Ok(vec![steps, routers])
 }
 
 fn shape(n_endpoints: usize, n_accounts: usize) -> anyhow::Result<Shape> {
@@ -74,6 +77,7 @@
     Ok(Shape { n_sites, n_domains, n_endpoints, n_accounts, address: "127.0.0.1:9".parse()? })
 }
 
+/// Median time of each step in milliseconds; returns a row of the table.
 fn measure_steps(bench: &Bench, shape: &Shape) -> anyhow::Result<[f64; 6]> {
     let mut document = shape.document();
     let (first, other) = (Documents::default(), Documents::default());
@@ -83,13 +87,13 @@
     let dispatchers = Dispatchers::new(clock, "domain-0".into(), "vm-0".into(), "curranthook");
     let mut times: [Vec<f64>; 4] = Default::default();
     for _ in 0..bench.for_extent(9, 2) {
-        let have = document.epoch;
+        let previous_epoch = document.epoch;
         document = document::next_epoch(&document);
         let json = serde_json::to_vec(&document)?;
         let mut stopwatch = Stopwatch::start();
         first.offer(serde_json::from_slice::<Document>(&json)?, None);
         times[0].push(stopwatch.restart());
-        let transfer = first.transfer(have);
+        let transfer = first.transfer(previous_epoch);
         times[1].push(stopwatch.restart());
         anyhow::ensure!(other.apply(transfer)?, "applying the delta did not change the document");
         times[2].push(stopwatch.restart());
@@ -107,6 +111,7 @@
 /// of all endpoints, and a version a seventh of those.
 fn measure_selection(shape: &Shape) -> f64 {
     const N_SELECTIONS: u32 = 20_000;
+    /// Affinity key of all selections; an arbitrary fixed value.
     const AFFINITY: u64 = 42;
     let now = Instant::now();
     let n_members = (shape.n_endpoints / LAYOUT.n_sites / VERSIONS.len()).max(1);
@@ -138,25 +143,25 @@
     let cpu = |cluster: &Cluster<'_>| -> anyhow::Result<f64> {
         Ok(mean(cluster.usages()?.iter().map(|it| it.cpu.as_secs_f64())))
     };
-    let at_first = resident(&cluster)?;
+    let initial_resident = resident(&cluster)?;
     let (start, idle) = (Instant::now(), cpu(&cluster)?);
     Timer::after(bench.window() / 2).await;
     let idle = (cpu(&cluster)? - idle) / start.elapsed().as_secs_f64();
 
     let n_changes = bench.for_extent(20, 2);
-    let (start, used, mut longest) = (Instant::now(), cpu(&cluster)?, 0.0_f64);
+    let (start, cpu_seconds, mut longest) = (Instant::now(), cpu(&cluster)?, 0.0_f64);
     for _ in 0..n_changes {
-        let accepted = cluster.publish(document::next_epoch(&cluster.document)).await?;
-        let times = cluster.propagation_times(accepted, PROPAGATION_TIMEOUT).await?;
+        let accepted_at = cluster.publish(document::next_epoch(&cluster.document)).await?;
+        let times = cluster.propagation_times(accepted_at, PROPAGATION_TIMEOUT).await?;
         longest = longest.max(quantile(times, 1.0));
         Timer::after(CHANGE_INTERVAL).await;
     }
-    let used = cpu(&cluster)? - used - idle * start.elapsed().as_secs_f64();
-    let after = resident(&cluster)?;
+    let cpu_seconds = cpu(&cluster)? - cpu_seconds - idle * start.elapsed().as_secs_f64();
+    let final_resident = resident(&cluster)?;
     let bytes = document::json_size(&cluster.document) as f64;
     cluster.close();
-    let each = used * MILLIS_PER_SECOND / f64::from(n_changes);
-    Ok([bytes / BYTES_PER_KB, at_first, after, each, longest])
+    let each = cpu_seconds * MILLIS_PER_SECOND / f64::from(n_changes);
+    Ok([bytes / BYTES_PER_KB, initial_resident, final_resident, each, longest])
 }
 
 /// Measures consecutive intervals.
