--- a/crates/curranthook_capacity/src/cluster.rs
+++ b/crates/curranthook_capacity/src/cluster.rs
@@ -247,9 +247,9 @@
         let routers: Vec<_> = self.nodes.into_iter().map(|it| it.process).collect();
         for group in [stewards, routers] {
             group.iter().for_each(Process::request_stop);
-            group.into_iter().for_each(Process::stop);
+            group.into_iter().for_each(Process::close);
         }
-        self.platform.stop();
+        self.platform.close();
     }
 
     /// Starts one more node; the VM list doesn't name it yet.
--- a/crates/curranthook_capacity/src/measure/data.rs
+++ b/crates/curranthook_capacity/src/measure/data.rs
@@ -228,7 +228,7 @@
 
     fn close(self) {
         self.cluster.close();
-        self.engine.stop();
+        self.engine.close();
     }
 }
 
--- a/crates/curranthook_load/src/fleet.rs
+++ b/crates/curranthook_load/src/fleet.rs
@@ -94,7 +94,7 @@
     /// Stops all processes and returns what engines and platform recorded.
     ///
     /// Routers stop first, so that they can upload their last billing lines; the platform last.
-    pub async fn stop(mut self) -> anyhow::Result<Evidence> {
+    pub async fn close(mut self) -> anyhow::Result<Evidence> {
         self.record_exited_processes();
         self.read_counters().await;
         let stewards = std::mem::take(&mut self.stewards);
@@ -110,7 +110,7 @@
         stop_all(engines);
         stop_all(std::mem::take(&mut self.services));
         stop_all(self.rater.take());
-        self.platform.stop();
+        self.platform.close();
         Ok(self.evidence)
     }
 
@@ -175,16 +175,16 @@
     }
 
     fn node_settings(&self, index: usize) -> anyhow::Result<node::Settings> {
-        let any_addr: SocketAddr = setup::LOOPBACK.parse()?;
+        let any_port: SocketAddr = setup::LOOPBACK.parse()?;
         let platform = self.platform.addr("http");
         Ok(node::Settings {
             vm: vm_id(index),
             site: self.setup.scenario.site.clone(),
             failure_domain: document::failure_domain(&self.setup.scenario, index),
-            listen: any_addr,
-            peer_listen: any_addr,
+            listen: any_port,
+            peer_listen: any_port,
             peer_address: None,
-            steward_listen: any_addr,
+            steward_listen: any_port,
             platform: node::Platform { table: platform, objects: platform, vms: platform },
             seeds: self.routers.iter().map(|it| it.addr("peers")).collect(),
             peer_key: PEER_KEY.to_vec(),
@@ -240,9 +240,9 @@
     }
 
     fn record_exited_processes(&mut self) {
-        let processes = self.engines.iter_mut().chain(&mut self.services).chain(&mut self.rater);
-        let processes = processes.chain(&mut self.routers).chain(&mut self.stewards);
-        let exited = processes.filter_map(|it| it.has_exited().then(|| it.name().to_owned()));
+        let all = self.engines.iter_mut().chain(&mut self.services).chain(&mut self.rater);
+        let all = all.chain(&mut self.routers).chain(&mut self.stewards);
+        let exited = all.filter_map(|it| it.has_exited().then(|| it.name().to_owned()));
         self.evidence.died.extend(exited);
     }
 
@@ -279,7 +279,7 @@
 fn stop_all(processes: impl IntoIterator<Item = Process>) {
     let running: Vec<Process> = processes.into_iter().collect();
     running.iter().for_each(Process::request_stop);
-    running.into_iter().for_each(Process::stop);
+    running.into_iter().for_each(Process::close);
 }
 
 fn vm_id(index: usize) -> vm::Id {
--- a/crates/curranthook_load/src/fleet/process.rs
+++ b/crates/curranthook_load/src/fleet/process.rs
@@ -113,7 +113,7 @@
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Sends SIGTERM; [`Process::stop`] waits for the exit.
+    /// Sends SIGTERM; [`Process::close`] waits for the exit.
     pub fn request_stop(&self) {
         let pid = i32::try_from(self.child.id()).ok().and_then(rustix::process::Pid::from_raw);
         if let Some(pid) = pid {
@@ -129,7 +129,7 @@
     }
 
     /// Sends SIGTERM, waits for the exit, and kills the process on time-out.
-    pub fn stop(mut self) {
+    pub fn close(mut self) {
         if self.has_exited() {
             return;
         }
--- a/crates/curranthook_load/src/run.rs
+++ b/crates/curranthook_load/src/run.rs
@@ -55,7 +55,7 @@
     let driven = Arc::new(callers).drive(ex, &plan, start);
     let (samples, applied) = future::zip(driven, fleet.apply_events(start)).await;
     // If an event failed, the results are invalid; the processes are still stopped first.
-    let evidence = fleet.stop().await?;
+    let evidence = fleet.close().await?;
     applied?;
     Ok(Report::new(&Run {
         scenario: &scenario,
@@ -94,6 +94,6 @@
     });
     on_ready(&running.collect());
     Timer::after(duration).await;
-    fleet.stop().await?;
+    fleet.close().await?;
     Ok(())
 }
--- a/crates/curranthook_load/tests/process.rs
+++ b/crates/curranthook_load/tests/process.rs
@@ -26,7 +26,7 @@
         start(&format!("echo starting; {PRINT_READY_LINE}; exec sleep 30")).unwrap();
     assert_eq!(process.addr("http"), "127.0.0.1:9".parse().unwrap());
     assert!(is_running(&dir));
-    process.stop();
+    process.close();
     assert!(!is_running(&dir));
 }
 
@@ -64,5 +64,5 @@
         std::thread::yield_now();
     }
     assert!(process.has_exited());
-    process.stop();
+    process.close();
 }
