--- a/crates/curranthook_standin/src/engine/answer.rs
+++ b/crates/curranthook_standin/src/engine/answer.rs
@@ -5,9 +5,9 @@
 use crate::hash;
 
 /// The first token of a good answer.
-pub const GOOD: &str = "[good]";
+pub const GOOD_MARKER: &str = "[good]";
 /// The first token of a bad answer.
-pub const BAD: &str = "[bad]";
+pub const BAD_MARKER: &str = "[bad]";
 
 /// The text that determines a prompt's difficulty: all messages, joined by newlines.
 pub fn prompt(req: &chat::Request) -> String {
@@ -71,7 +71,7 @@
     /// The token at index `n`.
     pub fn token(&self, n: u64) -> String {
         if n == 0 {
-            return if self.is_good { GOOD } else { BAD }.to_owned();
+            return if self.is_good { GOOD_MARKER } else { BAD_MARKER }.to_owned();
         }
         const N_WORDS: u64 = 10_000;
         let word = hash::of(&["token", &self.request_id, &self.version, &n.to_string()]) % N_WORDS;
--- a/crates/curranthook_standin/src/engine/faults.rs
+++ b/crates/curranthook_standin/src/engine/faults.rs
@@ -12,13 +12,13 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Overrides the profile's value for all versions.
+    /// Overrides the fraction of failing requests for all versions.
     pub error_rate: Option<f64>,
-    /// Overrides the profile's value for all versions.
+    /// Overrides the time to the first token, in milliseconds, for all versions.
     pub first_token_ms: Option<f64>,
-    /// Overrides the profile's value for all versions.
+    /// Overrides the time per subsequent token, in milliseconds, for all versions.
     pub token_ms: Option<f64>,
-    /// Overrides the profile's value, by version.
+    /// Overrides the fraction of prompts that get a good answer, by version.
     pub quality: BTreeMap<String, f64>,
     /// Responds with the id of another request.
     pub foreign_id: Count,
--- a/crates/curranthook_standin/src/engine/order.rs
+++ b/crates/curranthook_standin/src/engine/order.rs
@@ -6,7 +6,7 @@
 
 use super::Fencing;
 
-/// An order.
+/// An order to load or unload a version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Order {
     /// Whether to load or to unload.
--- a/crates/curranthook_standin/src/platform/fault.rs
+++ b/crates/curranthook_standin/src/platform/fault.rs
@@ -10,15 +10,15 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// The fault of the table.
+    /// The fault that affects calls to the table.
     pub table: Fault,
-    /// The fault of the object store.
+    /// The fault that affects calls to the object store.
     pub objects: Fault,
-    /// The fault of the list of VMs.
+    /// The fault that affects reads of the VM list.
     pub vms: Fault,
 }
 
-/// A fault of one service.
+/// A fault that affects calls to one of the platform's services.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
--- a/crates/curranthook_standin/src/proxy.rs
+++ b/crates/curranthook_standin/src/proxy.rs
@@ -26,23 +26,23 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewLink {
-    /// Its name.
+    /// The link's name, unique within the proxy.
     pub name: String,
-    /// The address that it forwards to.
+    /// The address that the link forwards to.
     pub target: SocketAddr,
 }
 
 /// A proxy with any number of links.
 #[derive(Debug)]
 pub struct Proxy {
-    ex: runtime::Handle,
+    runtime: runtime::Handle,
     links: Mutex<BTreeMap<String, Arc<Link>>>,
 }
 
 impl Proxy {
     /// Creates a proxy without links.
-    pub fn new(ex: runtime::Handle) -> Self {
-        Self { ex, links: Mutex::default() }
+    pub fn new(runtime: runtime::Handle) -> Self {
+        Self { runtime, links: Mutex::default() }
     }
 
     fn open_link(&self, req: &Request) -> http::Response<Body> {
@@ -54,7 +54,7 @@
         if links.contains_key(&new_link.name) {
             return app::error(409, "there is a link of that name");
         }
-        match Link::open(new_link.target, &self.ex) {
+        match Link::open(new_link.target, &self.runtime) {
             Ok(link) => {
                 let listen = link.addr();
                 links.insert(new_link.name, link);
@@ -70,7 +70,7 @@
         };
         match req.json() {
             Ok(fault) => {
-                link.set(fault).await;
+                link.set_fault(fault).await;
                 body::json(200, &link.status())
             }
             Err(e) => e.response(),
--- a/crates/curranthook_standin/src/proxy/link.rs
+++ b/crates/curranthook_standin/src/proxy/link.rs
@@ -64,9 +64,9 @@
 /// State and counters of a link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Status {
-    /// The address that it listens on.
+    /// The address that the link listens on.
     pub listen: SocketAddr,
-    /// The address that it forwards to.
+    /// The address that the link forwards to.
     pub target: SocketAddr,
     /// The active fault, with the remaining byte limits.
     pub fault: Fault,
@@ -92,9 +92,9 @@
 /// What happens to a connection after bytes were forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It continues.
+    /// The connection continues.
     Continue,
-    /// It is reset.
+    /// The connection is reset.
     Reset,
 }
 
@@ -184,7 +184,7 @@
         Ok(link)
     }
 
-    /// The address that it listens on.
+    /// The address that the link listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -196,7 +196,7 @@
     }
 
     /// Activates `fault` and waits until the port is open or closed accordingly.
-    pub async fn set(&self, fault: Fault) {
+    pub async fn set_fault(&self, fault: Fault) {
         const POLL_INTERVAL: Duration = Duration::from_millis(1);
         self.state.lock().set(fault);
         while self.is_changing() {
--- a/crates/curranthook_standin/src/rater.rs
+++ b/crates/curranthook_standin/src/rater.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     app::{self, App, Reply, Request},
-    engine::answer::GOOD,
+    engine::answer::GOOD_MARKER,
     hash,
 };
 
@@ -86,7 +86,7 @@
         *counts.versions.entry(case.version).or_default() += 1;
         // Including the count makes errors independent for repeated ratings of one answer.
         let is_wrong = hash::fraction(&[&case.answer, &counts.rated.to_string()]) < self.error_rate;
-        let is_good = case.answer.starts_with(GOOD) != is_wrong;
+        let is_good = case.answer.starts_with(GOOD_MARKER) != is_wrong;
         body::json(200, &serde_json::json!({ "rating": f64::from(u8::from(is_good)) }))
     }
 }
--- a/crates/curranthook_standin/tests/engine.rs
+++ b/crates/curranthook_standin/tests/engine.rs
@@ -41,9 +41,9 @@
     run(async {
         let (_directory, engine) = engine(Version { token_ms, ..Version::default() }, &[]);
         let streamed = chat("r1").streamed().send(&engine.addr()).await.expect("it answers");
-        let whole = chat("r1").send(&engine.addr()).await.expect("it answers");
-        assert!(streamed.is_whole() && whole.is_whole(), "{streamed:?} {whole:?}");
-        assert_eq!(streamed.text(), whole.text());
+        let unstreamed = chat("r1").send(&engine.addr()).await.expect("it answers");
+        assert!(streamed.is_whole() && unstreamed.is_whole(), "{streamed:?} {unstreamed:?}");
+        assert_eq!(streamed.text(), unstreamed.text());
         assert_eq!(streamed.header(header::REQUEST_ID), Some("r1"));
         let pieces = streamed.pieces();
         let usage = pieces.last().and_then(|it| it.usage).expect("the last event has the usage");
@@ -104,7 +104,7 @@
             let mut good = [false, false];
             for (index, version) in ["m@1", "m@2"].iter().enumerate() {
                 let answer = Chat::new("main", version, &prompt).send(&engine.addr()).await?;
-                good[index] = answer.text().starts_with(answer::GOOD);
+                good[index] = answer.text().starts_with(answer::GOOD_MARKER);
                 n_good[index] += usize::from(good[index]);
             }
             assert!(good[0] <= good[1], "{prompt} is answered well by the worse version only");
--- a/crates/curranthook_standin/tests/proxy.rs
+++ b/crates/curranthook_standin/tests/proxy.rs
@@ -155,9 +155,10 @@
     })
 }
 
-/// Bytes held back are forwarded completely and in order when the pause ends.
+/// A call held back by a pause completes when the pause ends, and a delay is added in each direction
+/// of a call.
 #[test]
-fn pause_and_delay_lose_no_bytes() -> anyhow::Result<()> {
+fn pause_and_delay_only_delay_calls() -> anyhow::Result<()> {
     run(async {
         let it = setup().await?;
         it.proxy.set_mode(LINK_NAME, Mode::Pause).await?;
