--- a/crates/curranthook_standin/src/engine.rs
+++ b/crates/curranthook_standin/src/engine.rs
@@ -8,11 +8,11 @@
 //! |---|---|
 //! | `POST /v1/chat/completions` | runs a chat completion |
 //! | `POST /orders` | loads or unloads a version; carries a fencing token |
-//! | `GET /load` | the load, delayed by the configured lag |
-//! | `GET /cache-events` | prefix cache events, delayed and with some events missing |
-//! | `PUT /control/faults` | [`faults::Faults`] |
-//! | `GET /control/record` | a list of [`record::Run`] |
-//! | `GET /control/orders` | a list of [`order::Entry`] |
+//! | `GET /load` | returns the load, delayed by the configured lag |
+//! | `GET /cache-events` | returns prefix cache events, delayed and with some events missing |
+//! | `PUT /control/faults` | replaces the [`faults::Faults`] |
+//! | `GET /control/record` | returns a list of [`record::Run`] |
+//! | `GET /control/orders` | returns a list of [`order::Entry`] |
 
 pub mod answer;
 mod cache;
@@ -51,7 +51,7 @@
     Ignored,
 }
 
-/// Whether an engine keeps a record of its runs.
+/// Whether an engine records its runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recording {
     /// Every run is recorded.
--- a/crates/curranthook_standin/src/engine/cache.rs
+++ b/crates/curranthook_standin/src/engine/cache.rs
@@ -26,7 +26,7 @@
     sequence: u64,
 }
 
-/// A cache event.
+/// An event that reports a prefix added to or evicted from the cache.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Event {
     /// Numbers all events, published or dropped, so that a caller can detect gaps.
--- a/crates/curranthook_standin/src/engine/completion.rs
+++ b/crates/curranthook_standin/src/engine/completion.rs
@@ -25,10 +25,10 @@
     slots::Permit,
 };
 
-/// How long the server gets to flush the tokens before a stream is cut.
+/// The delay before a stream is cut, in which the server flushes the tokens generated so far.
 const FLUSH_PAUSE: Duration = Duration::from_millis(5);
 
-/// A request that occupies a batch slot.
+/// A chat completion that occupies a batch slot.
 #[derive(Debug)]
 struct Job {
     engine: Arc<Engine>,
@@ -143,8 +143,8 @@
         if hangs {
             return future::pending().await;
         }
-        self.pause(self.first_token_time(chat)).await;
-        self.pause(delay).await;
+        self.sleep(self.first_token_time(chat)).await;
+        self.sleep(delay).await;
         let sample = hash::fraction(&["error", &self.id, &self.engine.id]);
         if sample < self.version_profile.error_rate {
             self.entry.finish(Outcome::Failed);
@@ -173,7 +173,7 @@
         duration_from_millis(self.version_profile.token_ms * slowdown)
     }
 
-    async fn pause(&self, time: Duration) {
+    async fn sleep(&self, time: Duration) {
         if !time.is_zero() {
             Timer::after(time).await;
         }
@@ -193,7 +193,7 @@
                 if self.is_cut() {
                     return self.cut_response();
                 }
-                self.pause(self.token_time()).await;
+                self.sleep(self.token_time()).await;
                 self.entry.add_tokens(1);
             }
         }
@@ -309,7 +309,7 @@
         return (Ok(Frame::data(Bytes::new())), Some(Step::End(job)));
     }
     if 0 < n {
-        job.pause(job.token_time()).await;
+        job.sleep(job.token_time()).await;
     }
     job.entry.add_tokens(1);
     let text = job.token_event(index);
--- a/crates/curranthook_standin/src/engine/order.rs
+++ b/crates/curranthook_standin/src/engine/order.rs
@@ -41,9 +41,9 @@
 pub struct Entry {
     /// The order.
     pub order: Order,
-    /// Its fencing token, if any.
+    /// The order's fencing token, if any.
     pub fence: Option<u64>,
-    /// When it was received, in milliseconds since the Unix epoch.
+    /// When the order was received, in milliseconds since the Unix epoch.
     pub at_millis: u64,
     /// The engine's decision.
     pub verdict: Verdict,
--- a/crates/curranthook_standin/src/engine/record.rs
+++ b/crates/curranthook_standin/src/engine/record.rs
@@ -8,28 +8,28 @@
 
 use super::Recording;
 
-/// One run of a request.
+/// One execution of a request by an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Run {
     /// The request's id.
     pub request_id: String,
-    /// The version that ran it.
+    /// The model version that ran the request.
     pub version: String,
     /// A hash of the prompt.
     pub prompt_hash: String,
-    /// When the engine accepted it, in milliseconds since the Unix epoch.
+    /// When the engine accepted the request, in milliseconds since the Unix epoch.
     pub started_millis: u64,
-    /// When it ended, in milliseconds since the Unix epoch.
+    /// When the run ended, in milliseconds since the Unix epoch.
     pub finished_millis: Option<u64>,
-    /// How it ended.
+    /// How the run ended.
     pub outcome: Outcome,
-    /// The index of its first token; above 0 for a resumed answer.
+    /// The index in the answer of the run's first token; above 0 for a resumed answer.
     pub from_token: u64,
     /// The number of tokens generated.
     pub tokens: u64,
     /// Whether the answer is good.
     pub good: bool,
-    /// Its priority.
+    /// The request's priority; lower values are served first.
     pub priority: i32,
 }
 
@@ -43,13 +43,13 @@
     Done,
     /// The caller disconnected.
     Cancelled,
-    /// It failed with an error or was cut by a fault.
+    /// The run failed with an error or was cut by a fault.
     Failed,
     /// Rejected before it started because the queue was full.
     Refused,
 }
 
-/// All runs.
+/// The record of all runs of an engine.
 #[derive(Debug)]
 pub(super) struct Record {
     recording: Recording,
--- a/crates/curranthook_standin/src/engine/slots.rs
+++ b/crates/curranthook_standin/src/engine/slots.rs
@@ -21,7 +21,7 @@
     queue: BTreeMap<(i32, u64), Sender<Permit>>,
 }
 
-/// The queue is full.
+/// The error that the queue is full.
 #[derive(Debug)]
 pub(super) struct Full;
 
@@ -60,7 +60,7 @@
         self.n_slots <= state.n_running && self.max_queue <= state.queue.len()
     }
 
-    /// Waits for a slot.
+    /// Waits for a slot, or fails at once if the queue is full.
     pub(super) async fn acquire(self: &Arc<Self>, priority: i32) -> Result<Permit, Full> {
         let (waiter, receiver) = {
             let mut state = self.state.lock();
--- a/crates/curranthook_standin/src/platform.rs
+++ b/crates/curranthook_standin/src/platform.rs
@@ -6,9 +6,9 @@
 //! |---|---|
 //! | `PUT /control/faults` | replaces the [`fault::Faults`]; omitted fields are reset |
 //! | `PUT /control/vms` | sets the actual list of VMs, served after the lag |
-//! | `GET /control/counts` | [`count::Counts`] |
-//! | `GET /control/table/{table}` | the rows as `[{key, tag, value}]` |
-//! | `GET /control/objects` | the objects as `{key: text}` |
+//! | `GET /control/counts` | returns the [`count::Counts`] |
+//! | `GET /control/table/{table}` | returns the rows as `[{key, tag, value}]` |
+//! | `GET /control/objects` | returns the objects as `{key: text}` |
 
 pub mod count;
 pub mod fault;
--- a/crates/curranthook_standin/src/proxy/link.rs
+++ b/crates/curranthook_standin/src/proxy/link.rs
@@ -98,7 +98,7 @@
     Reset,
 }
 
-/// Bytes are held back until this signal fires.
+/// The link is paused; the signal fires when its fault changes.
 #[derive(Debug)]
 struct Paused(Stop);
 
--- a/crates/curranthook_standin/src/rater.rs
+++ b/crates/curranthook_standin/src/rater.rs
@@ -1,6 +1,6 @@
 //! A rating service, which recognizes good answers by the marker that engines put at their start.
 //!
-//! Control: `PUT /control/faults` takes [`Faults`], `GET /control/counts` gives [`Counts`].
+//! Control: `PUT /control/faults` takes [`Faults`], `GET /control/counts` returns [`Counts`].
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -17,7 +17,7 @@
     hash,
 };
 
-/// An answer to be rated.
+/// A request to rate one answer.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Case {
     /// The version that generated it.
--- a/crates/curranthook_standin/src/service.rs
+++ b/crates/curranthook_standin/src/service.rs
@@ -1,6 +1,6 @@
 //! A simulated service with side effects: every call that arrives is run and recorded.
 //!
-//! It doesn't deduplicate, so its record shows every call that a router forwarded. Control:
+//! The service doesn't deduplicate, so its record shows every call that a router forwarded. Control:
 //! `PUT /control/faults` takes [`Faults`], `GET /control/record` returns a list of [`Call`].
 
 use std::{
@@ -40,7 +40,7 @@
     pub body_hash: String,
     /// The body as text.
     pub body: String,
-    /// When it was run, in milliseconds since the Unix epoch.
+    /// When the call was run, in milliseconds since the Unix epoch.
     pub started_millis: u64,
     /// The outcome of the response.
     pub outcome: Outcome,
@@ -72,7 +72,7 @@
     pub die_after_run: bool,
     /// Aborts the process before running the call.
     pub die_before_run: bool,
-    /// Responds with 500 without running the call, and without the header that says so.
+    /// Responds with 500 without running the call, and without the "not started" header.
     pub error_before_run: Count,
     /// Runs the call, then responds with 500.
     pub error_after_run: Count,
--- a/crates/curranthook_standin/tests/proxy.rs
+++ b/crates/curranthook_standin/tests/proxy.rs
@@ -17,19 +17,19 @@
 const TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-struct Setup {
+struct Fixture {
     addr: SocketAddr,
     proxy: Proxy,
     service: Service,
     _directory: tempfile::TempDir,
 }
 
-async fn setup() -> anyhow::Result<Setup> {
+async fn setup() -> anyhow::Result<Fixture> {
     let directory = tempfile::tempdir()?;
     let proxy = Proxy::start(directory.path())?;
     let service = Service::start(directory.path(), "s1")?;
     let addr = proxy.open(LINK_NAME, service.addr()).await?;
-    Ok(Setup { addr, proxy, service, _directory: directory })
+    Ok(Fixture { addr, proxy, service, _directory: directory })
 }
 
 async fn post(addr: SocketAddr, freshness: Freshness) -> Result<(), exchange::Error> {
@@ -42,15 +42,15 @@
 #[test]
 fn open_connections_go_silent_while_new_ones_work() -> anyhow::Result<()> {
     run(async {
-        let it = setup().await?;
-        post(it.addr, Freshness::Any).await?;
-        it.proxy.set_mode(LINK_NAME, Mode::SilenceOpen).await?;
-        let on_old = post(it.addr, Freshness::Any).await;
+        let fixture = setup().await?;
+        post(fixture.addr, Freshness::Any).await?;
+        fixture.proxy.set_mode(LINK_NAME, Mode::SilenceOpen).await?;
+        let on_old = post(fixture.addr, Freshness::Any).await;
         assert!(matches!(on_old, Err(exchange::Error::Timeout(_))), "{on_old:?}");
-        post(it.addr, Freshness::New).await?;
+        post(fixture.addr, Freshness::New).await?;
         // The old connection stays silent, and what was sent on it was dropped.
-        it.proxy.set_mode(LINK_NAME, Mode::Pass).await?;
-        assert_eq!(it.service.calls().await?.len(), 2);
+        fixture.proxy.set_mode(LINK_NAME, Mode::Pass).await?;
+        assert_eq!(fixture.service.calls().await?.len(), 2);
         Ok(())
     })
 }
@@ -67,30 +67,30 @@
 )]
 fn a_call_on_a_new_connection(mode: Mode, end: &str, n_run: usize) {
     run(async {
-        let it = setup().await.expect("everything starts");
-        it.proxy.set_mode(LINK_NAME, mode).await.expect("the mode is set");
-        let found = match post(it.addr, Freshness::New).await {
+        let fixture = setup().await.expect("everything starts");
+        fixture.proxy.set_mode(LINK_NAME, mode).await.expect("the mode is set");
+        let found = match post(fixture.addr, Freshness::New).await {
             Ok(()) => "done",
             Err(exchange::Error::Timeout(_)) => "timeout",
             Err(e) if e.is_unsent() => "unsent",
             Err(_) => "closed",
         };
         assert_eq!(found, end);
-        assert_eq!(it.service.calls().await.expect("it keeps a record").len(), n_run);
+        assert_eq!(fixture.service.calls().await.expect("it keeps a record").len(), n_run);
     });
 }
 
 #[test]
 fn cut_resets_open_connections_and_pass_accepts_new_ones() -> anyhow::Result<()> {
     run(async {
-        let it = setup().await?;
-        post(it.addr, Freshness::Any).await?;
-        it.proxy.set_mode(LINK_NAME, Mode::Cut).await?;
-        let is_closed = async || Ok(it.proxy.links().await?[LINK_NAME].open == 0);
+        let fixture = setup().await?;
+        post(fixture.addr, Freshness::Any).await?;
+        fixture.proxy.set_mode(LINK_NAME, Mode::Cut).await?;
+        let is_closed = async || Ok(fixture.proxy.links().await?[LINK_NAME].open == 0);
         eventually(Duration::from_secs(10), is_closed).await?;
-        assert!(post(it.addr, Freshness::Any).await.is_err());
-        it.proxy.set_mode(LINK_NAME, Mode::Pass).await?;
-        Ok(post(it.addr, Freshness::Any).await?)
+        assert!(post(fixture.addr, Freshness::Any).await.is_err());
+        fixture.proxy.set_mode(LINK_NAME, Mode::Pass).await?;
+        Ok(post(fixture.addr, Freshness::Any).await?)
     })
 }
 
@@ -98,13 +98,13 @@
 #[test]
 fn a_response_is_cut_once_after_a_byte_limit() -> anyhow::Result<()> {
     run(async {
-        let it = setup().await?;
+        let fixture = setup().await?;
         let fault = Fault { cut_after_bytes_down: Some(20), ..Fault::default() };
-        it.proxy.set(LINK_NAME, &fault).await?;
-        let cut = post(it.addr, Freshness::New).await.expect_err("the answer is cut");
+        fixture.proxy.set(LINK_NAME, &fault).await?;
+        let cut = post(fixture.addr, Freshness::New).await.expect_err("the answer is cut");
         assert!(!cut.is_unsent(), "{cut}");
-        post(it.addr, Freshness::New).await?;
-        assert_eq!(it.service.calls().await?.len(), 2);
+        post(fixture.addr, Freshness::New).await?;
+        assert_eq!(fixture.service.calls().await?.len(), 2);
         Ok(())
     })
 }
@@ -113,13 +113,13 @@
 #[test]
 fn a_request_is_dropped_once_after_a_byte_limit() -> anyhow::Result<()> {
     run(async {
-        let it = setup().await?;
+        let fixture = setup().await?;
         let fault = Fault { swallow_up_after_bytes: Some(20), ..Fault::default() };
-        it.proxy.set(LINK_NAME, &fault).await?;
-        let swallowed = post(it.addr, Freshness::New).await;
+        fixture.proxy.set(LINK_NAME, &fault).await?;
+        let swallowed = post(fixture.addr, Freshness::New).await;
         assert!(matches!(swallowed, Err(exchange::Error::Timeout(_))), "{swallowed:?}");
-        post(it.addr, Freshness::New).await?;
-        assert_eq!(it.service.calls().await?.len(), 1);
+        post(fixture.addr, Freshness::New).await?;
+        assert_eq!(fixture.service.calls().await?.len(), 1);
         Ok(())
     })
 }
@@ -128,13 +128,13 @@
 #[test]
 fn the_target_of_a_link_can_be_replaced() -> anyhow::Result<()> {
     run(async {
-        let it = setup().await?;
+        let fixture = setup().await?;
         let directory = tempfile::tempdir()?;
         let other = Service::start(directory.path(), "s2")?;
         let fault = Fault { target: Some(other.addr()), ..Fault::default() };
-        assert_eq!(it.proxy.set(LINK_NAME, &fault).await?.listen, it.addr);
-        post(it.addr, Freshness::New).await?;
-        assert_eq!((it.service.calls().await?.len(), other.calls().await?.len()), (0, 1));
+        assert_eq!(fixture.proxy.set(LINK_NAME, &fault).await?.listen, fixture.addr);
+        post(fixture.addr, Freshness::New).await?;
+        assert_eq!((fixture.service.calls().await?.len(), other.calls().await?.len()), (0, 1));
         Ok(())
     })
 }
@@ -143,14 +143,14 @@
 #[test]
 fn a_suspended_process_works_again_when_resumed() -> anyhow::Result<()> {
     run(async {
-        let mut it = setup().await?;
-        it.service.process.freeze()?;
-        let frozen = post(it.addr, Freshness::New).await;
+        let mut fixture = setup().await?;
+        fixture.service.process.freeze()?;
+        let frozen = post(fixture.addr, Freshness::New).await;
         assert!(matches!(frozen, Err(exchange::Error::Timeout(_))), "{frozen:?}");
-        it.service.process.thaw()?;
-        post(it.addr, Freshness::New).await?;
-        it.service.process.terminate()?;
-        assert!(it.service.process.ended(Duration::from_secs(10)).await?.success());
+        fixture.service.process.thaw()?;
+        post(fixture.addr, Freshness::New).await?;
+        fixture.service.process.terminate()?;
+        assert!(fixture.service.process.ended(Duration::from_secs(10)).await?.success());
         Ok(())
     })
 }
@@ -160,16 +160,16 @@
 #[test]
 fn pause_and_delay_only_delay_calls() -> anyhow::Result<()> {
     run(async {
-        let it = setup().await?;
-        it.proxy.set_mode(LINK_NAME, Mode::Pause).await?;
-        let (addr, limit) = (it.addr, Duration::from_secs(10));
+        let fixture = setup().await?;
+        fixture.proxy.set_mode(LINK_NAME, Mode::Pause).await?;
+        let (addr, limit) = (fixture.addr, Duration::from_secs(10));
         let call = Exchange::post(addr, "/entries").with_timeout(limit);
         let held = executor().spawn(async move { call.run(pool()).await });
-        let is_open = async || Ok(it.proxy.links().await?[LINK_NAME].open == 1);
+        let is_open = async || Ok(fixture.proxy.links().await?[LINK_NAME].open == 1);
         eventually(limit, is_open).await?;
-        assert_eq!(it.service.calls().await?.len(), 0);
-        let late = Fault { delay_ms: 50, ..Fault::default() };
-        it.proxy.set(LINK_NAME, &late).await?;
+        assert_eq!(fixture.service.calls().await?.len(), 0);
+        let delayed = Fault { delay_ms: 50, ..Fault::default() };
+        fixture.proxy.set(LINK_NAME, &delayed).await?;
         assert_eq!(held.await?.status(), 200);
         let start = Instant::now();
         post(addr, Freshness::New).await?;
