--- a/crates/curranthook_standin/src/app.rs
+++ b/crates/curranthook_standin/src/app.rs
@@ -108,7 +108,7 @@
 /// Serves `app` until the future is dropped.
 pub async fn serve<A: App>(
     listener: Async<TcpListener>,
-    ex: runtime::Handle,
+    runtime: runtime::Handle,
     app: Arc<A>,
 ) -> Infallible {
     loop {
@@ -116,7 +116,7 @@
             Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        ex.spawn(handle_connection(stream, Arc::clone(&app))).detach();
+        runtime.spawn(handle_connection(stream, Arc::clone(&app))).detach();
     }
 }
 
--- a/crates/curranthook_standin/src/engine/faults.rs
+++ b/crates/curranthook_standin/src/engine/faults.rs
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Returns the number of tokens after which the next answer is cut, if any, and counts it.
+    /// Returns the number of tokens after which the next answer is cut, if it is to be cut, and
+    /// decrements `cut_next`.
     pub(super) fn next_cut(&mut self) -> Option<u64> {
         let n_tokens = self.cut_after_tokens?;
         match &mut self.cut_next {
--- a/crates/curranthook_standin/src/program.rs
+++ b/crates/curranthook_standin/src/program.rs
@@ -33,8 +33,8 @@
     listen: SocketAddr,
     app: impl FnOnce(&runtime::Handle) -> Arc<A>,
 ) -> anyhow::Result<()> {
-    runtime::run(N_WORKER_THREADS, |ex| async move {
-        let app = app(&ex);
+    runtime::run(N_WORKER_THREADS, |runtime| async move {
+        let app = app(&runtime);
         let mut signals = Signals::new([Signal::Term, Signal::Int])?;
         let listener = Async::<TcpListener>::bind(listen).context("can't bind")?;
         let listening = BTreeMap::from([(name, listener.get_ref().local_addr()?)]);
@@ -42,7 +42,7 @@
         let signalled = async {
             signals.next().await;
         };
-        let serving = async { match app::serve(listener, ex, app).await {} };
+        let serving = async { match app::serve(listener, runtime, app).await {} };
         future::or(signalled, serving).await;
         Ok(())
     })
--- a/crates/curranthook_standin/src/proxy.rs
+++ b/crates/curranthook_standin/src/proxy.rs
@@ -70,7 +70,7 @@
         };
         match req.json() {
             Ok(fault) => {
-                link.set_fault(fault).await;
+                link.set(fault).await;
                 body::json(200, &link.status())
             }
             Err(e) => e.response(),
--- a/crates/curranthook_standin/src/proxy/link.rs
+++ b/crates/curranthook_standin/src/proxy/link.rs
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 struct Paused(Stop);
 
-/// A proxied link.
+/// A listening address whose connections are forwarded to a target, subject to a [`Fault`].
 #[derive(Debug)]
 pub struct Link {
     addr: SocketAddr,
@@ -159,7 +159,7 @@
 
 impl Link {
     /// Opens a link on a free port of the loopback interface.
-    pub fn open(target: SocketAddr, ex: &runtime::Handle) -> io::Result<Arc<Self>> {
+    pub fn open(target: SocketAddr, runtime: &runtime::Handle) -> io::Result<Arc<Self>> {
         let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0))?;
         let addr = listener.get_ref().local_addr()?;
         let status = Status {
@@ -180,7 +180,7 @@
             changed: stop::new(),
         };
         let link = Arc::new(Self { addr, state: Mutex::new(state) });
-        ex.spawn(Arc::clone(&link).run_listener(listener, Arc::clone(ex))).detach();
+        runtime.spawn(Arc::clone(&link).run_listener(listener, Arc::clone(runtime))).detach();
         Ok(link)
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Activates `fault` and waits until the port is open or closed accordingly.
-    pub async fn set_fault(&self, fault: Fault) {
+    pub async fn set(&self, fault: Fault) {
         const POLL_INTERVAL: Duration = Duration::from_millis(1);
         self.state.lock().set(fault);
         while self.is_changing() {
@@ -212,10 +212,14 @@
 
     /// Accepts connections while the mode allows it. Otherwise the port is closed, so that the
     /// operating system refuses callers as on a host whose process has exited.
-    async fn run_listener(self: Arc<Self>, mut listener: Async<TcpListener>, ex: runtime::Handle) {
+    async fn run_listener(
+        self: Arc<Self>,
+        mut listener: Async<TcpListener>,
+        runtime: runtime::Handle,
+    ) {
         const REBIND_DELAY: Duration = Duration::from_millis(5);
         loop {
-            self.accept_until_refusing(&listener, &ex).await;
+            self.accept_until_refusing(&listener, &runtime).await;
             drop(listener);
             self.state.lock().is_listening = false;
             while let Some(changed) = self.change_if_refusing() {
@@ -240,7 +244,7 @@
     async fn accept_until_refusing(
         self: &Arc<Self>,
         listener: &Async<TcpListener>,
-        ex: &runtime::Handle,
+        runtime: &runtime::Handle,
     ) {
         loop {
             let changed = self.state.lock().changed.1.clone();
@@ -253,7 +257,7 @@
                 None
             };
             if let Some(stream) = future::or(accepted, until_change).await {
-                ex.spawn(Arc::clone(self).handle_connection(stream)).detach();
+                runtime.spawn(Arc::clone(self).handle_connection(stream)).detach();
             }
         }
     }
--- a/crates/curranthook_standin/src/rater.rs
+++ b/crates/curranthook_standin/src/rater.rs
@@ -51,7 +51,7 @@
     pub versions: BTreeMap<String, u64>,
 }
 
-/// The rating service.
+/// A simulated rating service that returns a given fraction of wrong ratings.
 #[derive(Debug)]
 pub struct Rater {
     error_rate: f64,
--- a/crates/curranthook_standin/tests/platform.rs
+++ b/crates/curranthook_standin/tests/platform.rs
@@ -7,7 +7,7 @@
 use curranthook_tests::{Site, run, standin::Platform};
 use yare::parameterized;
 
-const KEY: (&str, &str) = ("claims", "a/b");
+const TABLE_AND_KEY: (&str, &str) = ("claims", "a/b");
 
 fn platform(args: &[&str]) -> anyhow::Result<(tempfile::TempDir, Platform)> {
     let directory = tempfile::tempdir()?;
@@ -23,7 +23,7 @@
 fn a_row_is_written_only_if_the_condition_holds() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&[])?;
-        let (client, (table, key)) = (platform.client(), KEY);
+        let (client, (table, key)) = (platform.client(), TABLE_AND_KEY);
         let Write::Done(first) = client.insert(table, key, "1".into()).await? else {
             panic!("the row was there before it was inserted");
         };
@@ -50,8 +50,9 @@
         let (_directory, platform) = platform(&[])?;
         let tasks = (0..32).map(|n: u32| {
             let client = platform.client();
-            curranthook_tests::executor()
-                .spawn(async move { client.insert(KEY.0, KEY.1, n.to_string().into()).await })
+            curranthook_tests::executor().spawn(async move {
+                client.insert(TABLE_AND_KEY.0, TABLE_AND_KEY.1, n.to_string().into()).await
+            })
         });
         let mut n_inserted = 0;
         for task in tasks.collect::<Vec<_>>() {
@@ -81,7 +82,7 @@
 fn an_insert_whose_response_is_lost_takes_effect() -> anyhow::Result<()> {
     run(async {
         let (_directory, platform) = platform(&[])?;
-        let (client, (name, key)) = (platform.client(), KEY);
+        let (client, (name, key)) = (platform.client(), TABLE_AND_KEY);
         let once = Fault { mode: Mode::Lost, next: Some(1), ..Fault::default() };
         platform.set(&table_fault(once)).await?;
         let lost = client.insert(name, key, "mine".into()).await;
@@ -105,10 +106,10 @@
         let client = platform.client();
         let fault = Fault { mode: Mode::Down, key_prefix: prefix.to_owned(), ..Fault::default() };
         platform.set(&table_fault(fault)).await.expect("the fault is set");
-        let written = client.insert(KEY.0, KEY.1, "1".into()).await;
+        let written = client.insert(TABLE_AND_KEY.0, TABLE_AND_KEY.1, "1".into()).await;
         let was_down = matches!(written, Err(Error::Down(_)));
         assert_eq!(if was_down { Err(()) } else { Ok(()) }, expected, "{written:?}");
-        let rows = platform.rows(KEY.0).await.expect("control works during an outage");
+        let rows = platform.rows(TABLE_AND_KEY.0).await.expect("control works during an outage");
         assert_eq!(rows.is_empty(), expected.is_err());
     });
 }
@@ -120,11 +121,14 @@
         let client = platform.client();
         let mut n_refused = 0;
         for _ in 0..20 {
-            let read = Table::get(&client, KEY.0, KEY.1).await;
+            let read = Table::get(&client, TABLE_AND_KEY.0, TABLE_AND_KEY.1).await;
             n_refused += usize::from(matches!(read, Err(Error::Down(_))));
         }
         assert!((1..=15).contains(&n_refused), "{n_refused} were refused");
-        assert!(matches!(client.insert(KEY.0, KEY.1, "1".into()).await?, Write::Done(_)));
+        assert!(matches!(
+            client.insert(TABLE_AND_KEY.0, TABLE_AND_KEY.1, "1".into()).await?,
+            Write::Done(_)
+        ));
         Ok(())
     })
 }
--- a/crates/curranthook_standin/tests/proxy.rs
+++ b/crates/curranthook_standin/tests/proxy.rs
@@ -130,11 +130,14 @@
     run(async {
         let fixture = setup().await?;
         let directory = tempfile::tempdir()?;
-        let other = Service::start(directory.path(), "s2")?;
-        let fault = Fault { target: Some(other.addr()), ..Fault::default() };
+        let second_service = Service::start(directory.path(), "s2")?;
+        let fault = Fault { target: Some(second_service.addr()), ..Fault::default() };
         assert_eq!(fixture.proxy.set(LINK_NAME, &fault).await?.listen, fixture.addr);
         post(fixture.addr, Freshness::New).await?;
-        assert_eq!((fixture.service.calls().await?.len(), other.calls().await?.len()), (0, 1));
+        assert_eq!(
+            (fixture.service.calls().await?.len(), second_service.calls().await?.len()),
+            (0, 1)
+        );
         Ok(())
     })
 }
