--- a/crates/curranthook_standin/src/engine/order.rs
+++ b/crates/curranthook_standin/src/engine/order.rs
@@ -6,7 +6,7 @@
 
 use super::Fencing;
 
-/// An order.
+/// An order to load or unload a version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Order {
     /// Whether to load or to unload.
@@ -41,9 +41,9 @@
 pub struct Entry {
     /// The order.
     pub order: Order,
-    /// Its fencing token, if any.
+    /// The order's fencing token, if any.
     pub fence: Option<u64>,
-    /// When it was received, in milliseconds since the Unix epoch.
+    /// When the order was received, in milliseconds since the Unix epoch.
     pub at_millis: u64,
     /// The engine's decision.
     pub verdict: Verdict,
--- a/crates/curranthook_standin/src/proxy/link.rs
+++ b/crates/curranthook_standin/src/proxy/link.rs
@@ -64,9 +64,9 @@
 /// State and counters of a link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Status {
-    /// The address that it listens on.
+    /// The address that the link listens on.
     pub listen: SocketAddr,
-    /// The address that it forwards to.
+    /// The address that the link forwards to.
     pub target: SocketAddr,
     /// The active fault, with the remaining byte limits.
     pub fault: Fault,
@@ -92,17 +92,17 @@
 /// What happens to a connection after bytes were forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It continues.
+    /// The connection continues.
     Continue,
-    /// It is reset.
+    /// The connection is reset.
     Reset,
 }
 
-/// Bytes are held back until this signal fires.
+/// The link is paused; the signal fires when its fault changes.
 #[derive(Debug)]
 struct Paused(Stop);
 
-/// A proxied link.
+/// A listening address whose connections are forwarded to a target, subject to a [`Fault`].
 #[derive(Debug)]
 pub struct Link {
     addr: SocketAddr,
@@ -159,7 +159,7 @@
 
 impl Link {
     /// Opens a link on a free port of the loopback interface.
-    pub fn open(target: SocketAddr, ex: &runtime::Handle) -> io::Result<Arc<Self>> {
+    pub fn open(target: SocketAddr, runtime: &runtime::Handle) -> io::Result<Arc<Self>> {
         let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0))?;
         let addr = listener.get_ref().local_addr()?;
         let status = Status {
@@ -180,11 +180,11 @@
             changed: stop::new(),
         };
         let link = Arc::new(Self { addr, state: Mutex::new(state) });
-        ex.spawn(Arc::clone(&link).run_listener(listener, Arc::clone(ex))).detach();
+        runtime.spawn(Arc::clone(&link).run_listener(listener, Arc::clone(runtime))).detach();
         Ok(link)
     }
 
-    /// The address that it listens on.
+    /// The address that the link listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -212,10 +212,14 @@
 
     /// Accepts connections while the mode allows it. Otherwise the port is closed, so that the
     /// operating system refuses callers as on a host whose process has exited.
-    async fn run_listener(self: Arc<Self>, mut listener: Async<TcpListener>, ex: runtime::Handle) {
+    async fn run_listener(
+        self: Arc<Self>,
+        mut listener: Async<TcpListener>,
+        runtime: runtime::Handle,
+    ) {
         const REBIND_DELAY: Duration = Duration::from_millis(5);
         loop {
-            self.accept_until_refusing(&listener, &ex).await;
+            self.accept_until_refusing(&listener, &runtime).await;
             drop(listener);
             self.state.lock().is_listening = false;
             while let Some(changed) = self.change_if_refusing() {
@@ -240,7 +244,7 @@
     async fn accept_until_refusing(
         self: &Arc<Self>,
         listener: &Async<TcpListener>,
-        ex: &runtime::Handle,
+        runtime: &runtime::Handle,
     ) {
         loop {
             let changed = self.state.lock().changed.1.clone();
@@ -253,7 +257,7 @@
                 None
             };
             if let Some(stream) = future::or(accepted, until_change).await {
-                ex.spawn(Arc::clone(self).handle_connection(stream)).detach();
+                runtime.spawn(Arc::clone(self).handle_connection(stream)).detach();
             }
         }
     }
--- a/crates/curranthook_standin/src/rater.rs
+++ b/crates/curranthook_standin/src/rater.rs
@@ -1,6 +1,6 @@
 //! A rating service, which recognizes good answers by the marker that engines put at their start.
 //!
-//! Control: `PUT /control/faults` takes [`Faults`], `GET /control/counts` gives [`Counts`].
+//! Control: `PUT /control/faults` takes [`Faults`], `GET /control/counts` returns [`Counts`].
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -13,11 +13,11 @@
 
 use crate::{
     app::{self, App, Reply, Request},
-    engine::answer::GOOD,
+    engine::answer::GOOD_MARKER,
     hash,
 };
 
-/// An answer to be rated.
+/// A request to rate one answer.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Case {
     /// The version that generated it.
@@ -51,7 +51,7 @@
     pub versions: BTreeMap<String, u64>,
 }
 
-/// The rating service.
+/// A simulated rating service that returns a given fraction of wrong ratings.
 #[derive(Debug)]
 pub struct Rater {
     error_rate: f64,
@@ -86,7 +86,7 @@
         *counts.versions.entry(case.version).or_default() += 1;
         // Including the count makes errors independent for repeated ratings of one answer.
         let is_wrong = hash::fraction(&[&case.answer, &counts.rated.to_string()]) < self.error_rate;
-        let is_good = case.answer.starts_with(GOOD) != is_wrong;
+        let is_good = case.answer.starts_with(GOOD_MARKER) != is_wrong;
         body::json(200, &serde_json::json!({ "rating": f64::from(u8::from(is_good)) }))
     }
 }
